--- a/src/petrelhaven/commands/control.py
+++ b/src/petrelhaven/commands/control.py
@@ -4,16 +4,16 @@
 import random
 import sys
 
-from petrelhaven.control.core import Core
-from petrelhaven.control.failover.member_protocol import MemberWire
-from petrelhaven.control.interface.held_interface import SeatFace
-from petrelhaven.control.interface.kept_interface import CoreFace, Platform
-from petrelhaven.control.seat import Seat
-from petrelhaven.control.state.ledger import Ledger
+from petrelhaven.control.base_node import Core
+from petrelhaven.control.interface.control_interface import SeatFace
+from petrelhaven.control.node import Seat
+from petrelhaven.control.resumable.control_interface import CoreFace, Platform
+from petrelhaven.control.resumable.member_protocol import MemberWire
+from petrelhaven.control.state.control_state import Ledger
 from petrelhaven.control.storage.core_store import CoreStore
 from petrelhaven.control.storage.data_folder import Relic
 from petrelhaven.control.storage.disk import Folder
-from petrelhaven.proxy.pool.member_protocol import Wire
+from petrelhaven.proxy.resumable.member_protocol import Wire
 from petrelhaven.runtime.daemon import Daemon
 from petrelhaven.runtime.errors import Damaged, Misplaced
 from petrelhaven.transport.light_http import LightFace
--- a/src/petrelhaven/commands/ctl.py
+++ b/src/petrelhaven/commands/ctl.py
@@ -6,7 +6,7 @@
 import sys
 
 from petrelhaven.commands import embargo as embargo_command
-from petrelhaven.control.configuration.manifest import read
+from petrelhaven.control.configuration.document import read
 from petrelhaven.control.storage.data_folder import salvage
 from petrelhaven.runtime.errors import Fault, Late, Malformed, NoRoute, Unreached, Unsent
 from petrelhaven.transport.http import fetch
--- a/src/petrelhaven/commands/proxy.py
+++ b/src/petrelhaven/commands/proxy.py
@@ -4,9 +4,9 @@
 import sys
 from collections.abc import Sequence
 
-from petrelhaven.proxy.kept_edge import Edge
-from petrelhaven.proxy.kept_interface import EdgeFace
-from petrelhaven.proxy.pool.member_protocol import Wire
+from petrelhaven.proxy.resumable.member_protocol import Wire
+from petrelhaven.proxy.resumable.node import Edge
+from petrelhaven.proxy.resumable.proxy_interface import EdgeFace
 from petrelhaven.runtime.daemon import Daemon
 
 __all__ = ["main"]
--- a/src/petrelhaven/control/core.py
+++ b/src/petrelhaven/control/base_node.py
@@ -5,7 +5,7 @@
 
 from transitions import Machine
 
-from petrelhaven.control.configuration.manifest import read
+from petrelhaven.control.configuration.document import read
 from petrelhaven.control.consensus.chain import Chain
 from petrelhaven.control.consensus.disk_watch import DiskWatch
 from petrelhaven.control.consensus.reform import Reform
@@ -99,7 +99,7 @@
 
     def make_duty(self, platform):
         """The duty that this core does while it is the head."""
-        from petrelhaven.control.failover.kept_duty import Duty
+        from petrelhaven.control.resumable.planning_duty import Duty
 
         return Duty(
             self.clock, self.nest, self.chain, self.desk, self.roster, self.call, platform, self.log
--- a/src/petrelhaven/control/core_changes.py
+++ b/src/petrelhaven/control/core_changes.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any
 
 if TYPE_CHECKING:
-    from petrelhaven.control.seat import Seat
+    from petrelhaven.control.node import Seat
 
 __all__ = ["CoreChanges", "ViewChange"]
 
--- a/src/petrelhaven/control/embargo/rules.py
+++ b/src/petrelhaven/control/embargo/rules.py
@@ -73,7 +73,7 @@
 
 
 def _rules(m, out):
-    from petrelhaven.control.configuration.manifest import _walk
+    from petrelhaven.control.configuration.document import _walk
 
     groups = {g.name for g in m.groups}
     rules = {}
--- a/src/petrelhaven/control/failover/coordinator.py
+++ b/src/petrelhaven/control/failover/coordinator.py
@@ -6,9 +6,9 @@
 from petrelhaven.control.failover.departures import DepartureWatch
 from petrelhaven.control.failover.evidence import Position
 from petrelhaven.control.failover.interfaces import CoreServices, Platform
+from petrelhaven.control.failover.leader_change import OfficeMove
 from petrelhaven.control.failover.member_access import MemberHandle
 from petrelhaven.control.failover.observation import Observer
-from petrelhaven.control.failover.office_move import OfficeMove
 from petrelhaven.runtime.errors import Fault
 from petrelhaven.runtime.events import emit
 
--- a/src/petrelhaven/control/seat.py
+++ b/src/petrelhaven/control/node.py
@@ -2,15 +2,15 @@
 
 import asyncio
 
-from petrelhaven.control.configuration.manifest import read
+from petrelhaven.control.base_node import _ADDR, Core
+from petrelhaven.control.configuration.document import read
 from petrelhaven.control.consensus.chain import DRIFT
-from petrelhaven.control.consensus.edge_survey import Muster
-from petrelhaven.control.core import _ADDR, Core
+from petrelhaven.control.consensus.proxy_survey import Muster
 from petrelhaven.control.core_changes import CoreChanges
 from petrelhaven.control.failover.coordinator import FailoverCoordinator
 from petrelhaven.control.leases import TiedDesk
 from petrelhaven.control.orders import ANSWER_US, OrderRouter
-from petrelhaven.control.state.ledger import Ledger
+from petrelhaven.control.state.control_state import Ledger
 from petrelhaven.runtime.errors import Duplicate, Fault, Late, Malformed, NotReady, Stale
 from petrelhaven.runtime.limits import NAME
 
--- a/src/petrelhaven/control/state/kept_state.py
+++ b/src/petrelhaven/control/resumable/control_state.py
@@ -3,7 +3,7 @@
 import copy
 import hashlib
 
-from petrelhaven.control.configuration.manifest import read
+from petrelhaven.control.configuration.document import read
 from petrelhaven.runtime.errors import Duplicate, Invalid, Racing, Stale
 
 __all__ = ["Realm"]
--- a/src/petrelhaven/control/failover/kept_duty.py
+++ b/src/petrelhaven/control/resumable/planning_duty.py
@@ -2,8 +2,8 @@
 
 import asyncio
 
-from petrelhaven.control.failover.plan import Sight, after, step
 from petrelhaven.control.leases import LAPSE_US, LEASE_US
+from petrelhaven.control.resumable.plan import Sight, after, step
 from petrelhaven.runtime.errors import Fault, Late, Malformed
 from petrelhaven.runtime.events import emit
 
--- a/src/petrelhaven/control/storage/core_store.py
+++ b/src/petrelhaven/control/storage/core_store.py
@@ -35,7 +35,7 @@
 
 
 def _default_state(document: dict | None = None) -> Any:  # noqa: ANN401
-    from petrelhaven.control.state.kept_state import Realm
+    from petrelhaven.control.resumable.control_state import Realm
 
     return Realm(document)
 
--- a/src/petrelhaven/control/storage/data_folder.py
+++ b/src/petrelhaven/control/storage/data_folder.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from petrelhaven.control.state.kept_state import Realm
-from petrelhaven.control.state.ledger import Ledger
+from petrelhaven.control.resumable.control_state import Realm
+from petrelhaven.control.state.control_state import Ledger
 from petrelhaven.control.storage.core_store import CoreStore, replayed
 from petrelhaven.control.storage.documents import StateFrame, from_document
 from petrelhaven.control.storage.record_log import log_file_names, readable_documents
--- a/src/petrelhaven/proxy/core_connection.py
+++ b/src/petrelhaven/proxy/core_connection.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from petrelhaven.control.state.ledger import Ledger
+from petrelhaven.control.state.control_state import Ledger
 from petrelhaven.runtime.errors import Fault
 from petrelhaven.runtime.events import emit
 
--- a/src/petrelhaven/proxy/held_edge.py
+++ b/src/petrelhaven/proxy/node.py
@@ -16,11 +16,11 @@
 from petrelhaven.proxy.routing.group import MemberGroup
 from petrelhaven.proxy.routing.outside_contact import OutsideContact
 from petrelhaven.proxy.routing.request import Request
+from petrelhaven.proxy.routing.request_slots import Slab
 from petrelhaven.proxy.routing.route import Route
-from petrelhaven.proxy.routing.slab import Slab
 from petrelhaven.proxy.routing.statement_path import StatementPath
-from petrelhaven.proxy.session.at_once import reply_at_once
-from petrelhaven.proxy.session.held_session import ClientSession
+from petrelhaven.proxy.session.client_session import ClientSession
+from petrelhaven.proxy.session.immediate_reply import reply_at_once
 from petrelhaven.proxy.session.statement import Ask, Reply
 from petrelhaven.runtime.clock import Clock, Nest
 from petrelhaven.runtime.errors import Busy, Late, NoRoute
@@ -29,7 +29,7 @@
 if TYPE_CHECKING:
     import logbook
 
-    from petrelhaven.control.state.ledger import Ledger
+    from petrelhaven.control.state.control_state import Ledger
     from petrelhaven.proxy.core_connection import Tie
     from petrelhaven.proxy.embargo import EmbargoGate
     from petrelhaven.proxy.routing.member_wire import MemberWire
--- a/src/petrelhaven/proxy/control_client.py
+++ b/src/petrelhaven/proxy/resumable/control_client.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from petrelhaven.control.state.kept_state import Realm
+from petrelhaven.control.resumable.control_state import Realm
 from petrelhaven.runtime.errors import Fault, Stale, Unsent
 from petrelhaven.runtime.events import emit
 
--- a/src/petrelhaven/proxy/routing/deliver.py
+++ b/src/petrelhaven/proxy/resumable/delivery.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from petrelhaven.proxy.session.verbs import WRITES
+from petrelhaven.proxy.resumable.verbs import WRITES
 from petrelhaven.runtime.errors import Fault, Moving, NoLease, NoSession, Unsent, rebuild
 
 __all__ = ["Deliver"]
--- a/src/petrelhaven/proxy/routing/kept_group.py
+++ b/src/petrelhaven/proxy/resumable/member_group.py
@@ -1,8 +1,8 @@
 """One database group as an edge sees it: its epoch, its clock, and a post for each member."""
 
-from petrelhaven.proxy.pool.kept_pool import Pool
 from petrelhaven.proxy.reads.log_progress import LogProgress
 from petrelhaven.proxy.reads.read_clock import ReadClock
+from petrelhaven.proxy.resumable.connection_pool import Pool
 from petrelhaven.runtime.errors import Unreached
 
 __all__ = ["Post", "Troop"]
--- a/src/petrelhaven/proxy/kept_edge.py
+++ b/src/petrelhaven/proxy/resumable/node.py
@@ -5,19 +5,19 @@
 
 from transitions import Machine
 
-from petrelhaven.control.configuration.manifest import Bounds
+from petrelhaven.control.configuration.document import Bounds
 from petrelhaven.membership.prober import Prober
 from petrelhaven.membership.roster import Roster
-from petrelhaven.proxy.control_client import Control
-from petrelhaven.proxy.follow import Follow
 from petrelhaven.proxy.reads.read_clock import Order
-from petrelhaven.proxy.routing.deliver import Deliver
-from petrelhaven.proxy.routing.flow import Flow
-from petrelhaven.proxy.routing.slab import Slab
-from petrelhaven.proxy.session.copies import Vault
-from petrelhaven.proxy.session.handover import Move
-from petrelhaven.proxy.session.keeper import Keeper
-from petrelhaven.proxy.session.kept_session import Session
+from petrelhaven.proxy.resumable.control_client import Control
+from petrelhaven.proxy.resumable.delivery import Deliver
+from petrelhaven.proxy.resumable.handover import Move
+from petrelhaven.proxy.resumable.session import Session
+from petrelhaven.proxy.resumable.session_keeper import Keeper
+from petrelhaven.proxy.resumable.session_replicas import Vault
+from petrelhaven.proxy.resumable.state_follower import Follow
+from petrelhaven.proxy.resumable.statement_flow import Flow
+from petrelhaven.proxy.routing.request_slots import Slab
 from petrelhaven.runtime.errors import Busy, Fault, Late, Malformed, Moving, NoSession, NotReady
 from petrelhaven.runtime.events import emit
 from petrelhaven.transport.reach import Reach
--- a/src/petrelhaven/proxy/session/copies.py
+++ b/src/petrelhaven/proxy/resumable/session_replicas.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from petrelhaven.control.leases import LAPSE_US
-from petrelhaven.proxy.session.kept_session import Session
+from petrelhaven.proxy.resumable.session import Session
 from petrelhaven.runtime.errors import Fault, Unreached
 from petrelhaven.runtime.events import emit
 
--- a/src/petrelhaven/proxy/follow.py
+++ b/src/petrelhaven/proxy/resumable/state_follower.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from petrelhaven.proxy.routing.kept_group import Troop
+from petrelhaven.proxy.resumable.member_group import Troop
 from petrelhaven.runtime.errors import Late
 from petrelhaven.runtime.events import emit
 
--- a/src/petrelhaven/proxy/routing/flow.py
+++ b/src/petrelhaven/proxy/resumable/statement_flow.py
@@ -1,11 +1,11 @@
 """The way of a statement: a continuation that the slab resumes, handed to what the statement is."""
 
-from petrelhaven.proxy.reads.read import Reader
-from petrelhaven.proxy.routing.change import Changer
-from petrelhaven.proxy.routing.send import Sender
-from petrelhaven.proxy.routing.write import Writer
-from petrelhaven.proxy.session.transaction import Trader
-from petrelhaven.proxy.session.verbs import WRITES, op
+from petrelhaven.proxy.resumable.reads import Reader
+from petrelhaven.proxy.resumable.sender import Sender
+from petrelhaven.proxy.resumable.transactions import Trader
+from petrelhaven.proxy.resumable.value_changes import Changer
+from petrelhaven.proxy.resumable.verbs import WRITES, op
+from petrelhaven.proxy.resumable.writes import Writer
 from petrelhaven.runtime.errors import (
     Busy,
     Ended,
--- a/src/petrelhaven/proxy/session/transaction.py
+++ b/src/petrelhaven/proxy/resumable/transactions.py
@@ -1,7 +1,7 @@
 """Transactions: pinned to one connection of one member from begin to end."""
 
-from petrelhaven.proxy.session.kept_session import Txn
-from petrelhaven.proxy.session.verbs import WRITES
+from petrelhaven.proxy.resumable.session import Txn
+from petrelhaven.proxy.resumable.verbs import WRITES
 from petrelhaven.runtime.errors import (
     Ended,
     Halted,
--- a/src/petrelhaven/proxy/routing/change.py
+++ b/src/petrelhaven/proxy/resumable/value_changes.py
@@ -1,6 +1,6 @@
 """Changes of a session itself: values and prepared statements."""
 
-from petrelhaven.proxy.session.verbs import op
+from petrelhaven.proxy.resumable.verbs import op
 from petrelhaven.runtime.errors import Fault, Late, Malformed, MemberFault, Unreached
 
 __all__ = ["Changer"]
--- a/src/petrelhaven/proxy/routing/group.py
+++ b/src/petrelhaven/proxy/routing/group.py
@@ -16,8 +16,8 @@
 from petrelhaven.runtime.errors import Fault, Gone, Late, Unreached, Unsent
 
 if TYPE_CHECKING:
-    from petrelhaven.control.state.ledger import Ledger
-    from petrelhaven.proxy.held_edge import ProxyNode
+    from petrelhaven.control.state.control_state import Ledger
+    from petrelhaven.proxy.node import ProxyNode
     from petrelhaven.proxy.pool.member_connection import Strand
     from petrelhaven.proxy.reads.position import Position
     from petrelhaven.proxy.routing.attempt import Attempt
--- a/src/petrelhaven/proxy/routing/member_calls.py
+++ b/src/petrelhaven/proxy/routing/member_calls.py
@@ -9,14 +9,14 @@
 from petrelhaven.runtime.errors import Gone, Late, MemberFault, Unreached, Unsent
 
 if TYPE_CHECKING:
-    from petrelhaven.proxy.held_edge import ProxyNode
+    from petrelhaven.proxy.node import ProxyNode
     from petrelhaven.proxy.pool.member_connection import Strand
     from petrelhaven.proxy.reads.position import Position
     from petrelhaven.proxy.routing.attempt import Attempt
     from petrelhaven.proxy.routing.group import MemberGroup
     from petrelhaven.proxy.routing.member import Member
     from petrelhaven.proxy.routing.request import Request
-    from petrelhaven.proxy.session.held_session import ClientSession, Transaction
+    from petrelhaven.proxy.session.client_session import ClientSession, Transaction
     from petrelhaven.proxy.session.statement import Ask, Reply
 
 __all__ = ["MemberCalls", "note_fault"]
--- a/src/petrelhaven/proxy/routing/member_proofs.py
+++ b/src/petrelhaven/proxy/routing/member_proofs.py
@@ -11,7 +11,7 @@
 from petrelhaven.runtime.errors import Fault, Unreached
 
 if TYPE_CHECKING:
-    from petrelhaven.proxy.held_edge import ProxyNode
+    from petrelhaven.proxy.node import ProxyNode
     from petrelhaven.proxy.reads.position import Position
     from petrelhaven.proxy.routing.group import MemberGroup
     from petrelhaven.proxy.routing.member import Member
--- a/src/petrelhaven/proxy/routing/read_placement.py
+++ b/src/petrelhaven/proxy/routing/read_placement.py
@@ -10,7 +10,7 @@
 from petrelhaven.proxy.routing.waiting import first_done
 
 if TYPE_CHECKING:
-    from petrelhaven.proxy.held_edge import ProxyNode
+    from petrelhaven.proxy.node import ProxyNode
     from petrelhaven.proxy.reads.position import Position
     from petrelhaven.proxy.routing.group import MemberGroup
     from petrelhaven.proxy.routing.member import Member
--- a/src/petrelhaven/proxy/routing/request.py
+++ b/src/petrelhaven/proxy/routing/request.py
@@ -8,7 +8,7 @@
 if TYPE_CHECKING:
     from petrelhaven.proxy.routing.group import MemberGroup
     from petrelhaven.proxy.routing.route import Route
-    from petrelhaven.proxy.session.held_session import ClientSession
+    from petrelhaven.proxy.session.client_session import ClientSession
     from petrelhaven.proxy.session.statement import Ask
 
 __all__ = ["Request"]
--- a/src/petrelhaven/proxy/routing/statement_path.py
+++ b/src/petrelhaven/proxy/routing/statement_path.py
@@ -6,15 +6,15 @@
 from collections.abc import Generator
 from typing import TYPE_CHECKING
 
-from petrelhaven.proxy.routing.held_reads import HeldReads
-from petrelhaven.proxy.routing.held_transactions import HeldTransactions
-from petrelhaven.proxy.routing.held_writes import HeldWrites
 from petrelhaven.proxy.routing.member_calls import MemberCalls
+from petrelhaven.proxy.routing.read_path import HeldReads
 from petrelhaven.proxy.routing.read_placement import ReadPlacement
+from petrelhaven.proxy.routing.transaction_path import HeldTransactions
 from petrelhaven.proxy.routing.transaction_start import TransactionStart
+from petrelhaven.proxy.routing.write_path import HeldWrites
 
 if TYPE_CHECKING:
-    from petrelhaven.proxy.held_edge import ProxyNode
+    from petrelhaven.proxy.node import ProxyNode
     from petrelhaven.proxy.routing.request import Request
     from petrelhaven.proxy.session.statement import Reply
 
--- a/src/petrelhaven/proxy/routing/held_transactions.py
+++ b/src/petrelhaven/proxy/routing/transaction_path.py
@@ -14,11 +14,11 @@
 from petrelhaven.runtime.events import emit
 
 if TYPE_CHECKING:
-    from petrelhaven.proxy.held_edge import ProxyNode
+    from petrelhaven.proxy.node import ProxyNode
     from petrelhaven.proxy.routing.member_calls import MemberCalls
     from petrelhaven.proxy.routing.request import Request
     from petrelhaven.proxy.routing.transaction_start import TransactionStart
-    from petrelhaven.proxy.session.held_session import ClientSession, Transaction
+    from petrelhaven.proxy.session.client_session import ClientSession, Transaction
 
 __all__ = ["HeldTransactions"]
 
--- a/src/petrelhaven/proxy/routing/transaction_start.py
+++ b/src/petrelhaven/proxy/routing/transaction_start.py
@@ -13,12 +13,12 @@
 from petrelhaven.runtime.errors import Busy, Fault, Late
 
 if TYPE_CHECKING:
-    from petrelhaven.proxy.held_edge import ProxyNode
+    from petrelhaven.proxy.node import ProxyNode
     from petrelhaven.proxy.reads.position import Position
     from petrelhaven.proxy.routing.member_calls import MemberCalls
     from petrelhaven.proxy.routing.read_placement import ReadPlacement
     from petrelhaven.proxy.routing.request import Request
-    from petrelhaven.proxy.session.held_session import Transaction
+    from petrelhaven.proxy.session.client_session import Transaction
     from petrelhaven.proxy.session.statement import Reply
 
 __all__ = ["TransactionStart"]
--- a/src/petrelhaven/proxy/routing/held_writes.py
+++ b/src/petrelhaven/proxy/routing/write_path.py
@@ -14,7 +14,7 @@
 from petrelhaven.runtime.events import emit
 
 if TYPE_CHECKING:
-    from petrelhaven.proxy.held_edge import ProxyNode
+    from petrelhaven.proxy.node import ProxyNode
     from petrelhaven.proxy.routing.group import MemberGroup
     from petrelhaven.proxy.routing.member_calls import MemberCalls
     from petrelhaven.proxy.routing.request import Request
--- a/src/petrelhaven/proxy/session/at_once.py
+++ b/src/petrelhaven/proxy/session/immediate_reply.py
@@ -4,13 +4,13 @@
 
 from typing import TYPE_CHECKING
 
-from petrelhaven.proxy.session.held_session import Transaction
+from petrelhaven.proxy.session.client_session import Transaction
 from petrelhaven.proxy.session.statement import Reply
 
 if TYPE_CHECKING:
-    from petrelhaven.proxy.held_edge import ProxyNode
-    from petrelhaven.proxy.routing.held_transactions import HeldTransactions
-    from petrelhaven.proxy.session.held_session import ClientSession
+    from petrelhaven.proxy.node import ProxyNode
+    from petrelhaven.proxy.routing.transaction_path import HeldTransactions
+    from petrelhaven.proxy.session.client_session import ClientSession
     from petrelhaven.proxy.session.statement import Ask
 
 __all__ = ["reply_at_once"]
--- a/src/petrelhaven/simulator/held/client.py
+++ b/src/petrelhaven/simulator/connection_sessions/client.py
@@ -2,9 +2,9 @@
 
 from petrelhaven.proxy.session.statement import Ask
 from petrelhaven.runtime.errors import Fault, Late
-from petrelhaven.simulator.held.attempt import PROMISES, Attempt
-from petrelhaven.simulator.held.front import Front
-from petrelhaven.simulator.held.statement import Statement
+from petrelhaven.simulator.connection_sessions.attempt import PROMISES, Attempt
+from petrelhaven.simulator.connection_sessions.front import Front
+from petrelhaven.simulator.connection_sessions.statement import Statement
 
 __all__ = ["Client"]
 
--- a/src/petrelhaven/simulator/held/connection.py
+++ b/src/petrelhaven/simulator/connection_sessions/connection.py
@@ -3,7 +3,7 @@
 import collections
 
 from petrelhaven.proxy.session.statement import Reply
-from petrelhaven.simulator.held.refusal import Refusal
+from petrelhaven.simulator.connection_sessions.refusal import Refusal
 
 __all__ = ["MemberConnection"]
 
--- a/src/petrelhaven/simulator/held/control_answer.py
+++ b/src/petrelhaven/simulator/connection_sessions/control_answer.py
@@ -3,10 +3,10 @@
 import enum
 from dataclasses import dataclass
 
+from petrelhaven.control.node import Seat
 from petrelhaven.control.orders import ANSWER_US
-from petrelhaven.control.seat import Seat
 from petrelhaven.runtime.errors import Duplicate, Fault, Stale, Taken
-from petrelhaven.simulator.held.operator_order import ConfigOrder, EvacuationOrder
+from petrelhaven.simulator.connection_sessions.operator_order import ConfigOrder, EvacuationOrder
 
 __all__ = ["Answer", "AnswerKind", "answer_order"]
 
--- a/src/petrelhaven/simulator/held/control_faults.py
+++ b/src/petrelhaven/simulator/connection_sessions/control_faults.py
@@ -4,8 +4,8 @@
 import contextlib
 import random
 
-from petrelhaven.simulator.held.faults import Faults
-from petrelhaven.simulator.held.operator_order import OrderRecord
+from petrelhaven.simulator.connection_sessions.faults import Faults
+from petrelhaven.simulator.connection_sessions.operator_order import OrderRecord
 from petrelhaven.simulator.net import Box
 
 __all__ = ["CONTROL_KINDS", "ControlFaults"]
--- a/src/petrelhaven/simulator/held/control_fleet.py
+++ b/src/petrelhaven/simulator/connection_sessions/control_fleet.py
@@ -4,10 +4,10 @@
 import json
 import random
 
-from petrelhaven.simulator.held.control_judge import judge_orders
-from petrelhaven.simulator.held.fleet import HeldFleet
-from petrelhaven.simulator.held.operator import Operator
-from petrelhaven.simulator.held.operator_order import (
+from petrelhaven.simulator.connection_sessions.control_judge import judge_orders
+from petrelhaven.simulator.connection_sessions.fleet import HeldFleet
+from petrelhaven.simulator.connection_sessions.operator import Operator
+from petrelhaven.simulator.connection_sessions.operator_order import (
     ConfigOrder,
     EvacuationOrder,
     OrderRecord,
--- a/src/petrelhaven/simulator/held/control_judge.py
+++ b/src/petrelhaven/simulator/connection_sessions/control_judge.py
@@ -4,7 +4,11 @@
 import itertools
 from collections.abc import Iterator, Sequence
 
-from petrelhaven.simulator.held.operator_order import ConfigOrder, OrderRecord, ReadRecord
+from petrelhaven.simulator.connection_sessions.operator_order import (
+    ConfigOrder,
+    OrderRecord,
+    ReadRecord,
+)
 
 __all__ = ["ACKNOWLEDGED_WITHIN_S", "judge_orders"]
 
--- a/src/petrelhaven/simulator/held/control_scenes.py
+++ b/src/petrelhaven/simulator/connection_sessions/control_scenes.py
@@ -2,9 +2,9 @@
 
 import asyncio
 
-from petrelhaven.simulator.held.control_fleet import CATCH_UP_S, ControlFleet
-from petrelhaven.simulator.held.control_storm import catches_up, sent_again
-from petrelhaven.simulator.held.operator_order import EvacuationOrder
+from petrelhaven.simulator.connection_sessions.control_fleet import CATCH_UP_S, ControlFleet
+from petrelhaven.simulator.connection_sessions.control_storm import catches_up, sent_again
+from petrelhaven.simulator.connection_sessions.operator_order import EvacuationOrder
 
 __all__ = [
     "SCENES",
--- a/src/petrelhaven/simulator/held/control_storm.py
+++ b/src/petrelhaven/simulator/connection_sessions/control_storm.py
@@ -4,9 +4,9 @@
 import random
 import traceback
 
-from petrelhaven.simulator.held.control_faults import CONTROL_KINDS, ControlFaults
-from petrelhaven.simulator.held.control_fleet import ControlFleet
-from petrelhaven.simulator.held.storm import inside, serves_again
+from petrelhaven.simulator.connection_sessions.control_faults import CONTROL_KINDS, ControlFaults
+from petrelhaven.simulator.connection_sessions.control_fleet import ControlFleet
+from petrelhaven.simulator.connection_sessions.storm import inside, serves_again
 
 __all__ = ["name_of", "play", "run", "schedule", "shrink"]
 
--- a/src/petrelhaven/simulator/held/embargo.py
+++ b/src/petrelhaven/simulator/connection_sessions/embargo.py
@@ -6,10 +6,10 @@
 
 from petrelhaven.proxy.session.statement import Ask
 from petrelhaven.runtime.errors import Fault, Late, Unsent
-from petrelhaven.simulator.held.attempt import Attempt
-from petrelhaven.simulator.held.fleet import HeldFleet
-from petrelhaven.simulator.held.front import Front
-from petrelhaven.simulator.held.statement import Statement
+from petrelhaven.simulator.connection_sessions.attempt import Attempt
+from petrelhaven.simulator.connection_sessions.fleet import HeldFleet
+from petrelhaven.simulator.connection_sessions.front import Front
+from petrelhaven.simulator.connection_sessions.statement import Statement
 
 __all__ = ["BASE_US", "EmbargoedFleet", "EmbargoedRecord", "SimulatedWall"]
 
--- a/src/petrelhaven/simulator/held/fleet.py
+++ b/src/petrelhaven/simulator/connection_sessions/fleet.py
@@ -4,19 +4,19 @@
 import json
 import random
 
-from petrelhaven.control.seat import Seat
+from petrelhaven.control.node import Seat
 from petrelhaven.proxy.core_connection import Tie
-from petrelhaven.proxy.held_edge import ProxyNode
+from petrelhaven.proxy.node import ProxyNode
 from petrelhaven.runtime.errors import Fault, Unsent
-from petrelhaven.simulator.held.beats import Beats
-from petrelhaven.simulator.held.caller import FailoverCaller
-from petrelhaven.simulator.held.client import Client
-from petrelhaven.simulator.held.failover import FailoverService
-from petrelhaven.simulator.held.group import DatabaseGroup
-from petrelhaven.simulator.held.history import History
-from petrelhaven.simulator.held.judge import judge
-from petrelhaven.simulator.held.member import DatabaseMember
-from petrelhaven.simulator.held.wire import SimulatedWire
+from petrelhaven.simulator.connection_sessions.caller import FailoverCaller
+from petrelhaven.simulator.connection_sessions.client import Client
+from petrelhaven.simulator.connection_sessions.failover import FailoverService
+from petrelhaven.simulator.connection_sessions.group import DatabaseGroup
+from petrelhaven.simulator.connection_sessions.heartbeats import Beats
+from petrelhaven.simulator.connection_sessions.history import History
+from petrelhaven.simulator.connection_sessions.judge import judge
+from petrelhaven.simulator.connection_sessions.member import DatabaseMember
+from petrelhaven.simulator.connection_sessions.wire import SimulatedWire
 from petrelhaven.simulator.net import Box, Net
 
 __all__ = ["HeldFleet"]
--- a/src/petrelhaven/simulator/held/group.py
+++ b/src/petrelhaven/simulator/connection_sessions/group.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from petrelhaven.runtime.errors import Fault
-from petrelhaven.simulator.held.entry import LogEntry
+from petrelhaven.simulator.connection_sessions.entry import LogEntry
 
 __all__ = ["DatabaseGroup"]
 
--- a/src/petrelhaven/simulator/held/member.py
+++ b/src/petrelhaven/simulator/connection_sessions/member.py
@@ -3,9 +3,9 @@
 import asyncio
 import contextlib
 
-from petrelhaven.simulator.held.connection import MemberConnection
-from petrelhaven.simulator.held.refusal import Refusal
-from petrelhaven.simulator.held.run import Run
+from petrelhaven.simulator.connection_sessions.connection import MemberConnection
+from petrelhaven.simulator.connection_sessions.refusal import Refusal
+from petrelhaven.simulator.connection_sessions.run import Run
 
 __all__ = ["DatabaseMember"]
 
--- a/src/petrelhaven/simulator/held/strand.py
+++ b/src/petrelhaven/simulator/connection_sessions/member_connection.py
@@ -5,8 +5,8 @@
 
 from petrelhaven.proxy.pool.member_connection import Strand
 from petrelhaven.runtime.errors import Busy, MemberFault, Unreached
-from petrelhaven.simulator.held.line import Line
-from petrelhaven.simulator.held.order import Order
+from petrelhaven.simulator.connection_sessions.line import Line
+from petrelhaven.simulator.connection_sessions.order import Order
 
 __all__ = ["SimulatedStrand"]
 
--- a/src/petrelhaven/simulator/held/operator.py
+++ b/src/petrelhaven/simulator/connection_sessions/operator.py
@@ -4,10 +4,14 @@
 import random
 from collections.abc import Awaitable, Callable
 
-from petrelhaven.control.seat import Seat
+from petrelhaven.control.node import Seat
 from petrelhaven.runtime.errors import Fault, NotReady, Unsent
-from petrelhaven.simulator.held.control_answer import Answer, AnswerKind, answer_order
-from petrelhaven.simulator.held.operator_order import (
+from petrelhaven.simulator.connection_sessions.control_answer import (
+    Answer,
+    AnswerKind,
+    answer_order,
+)
+from petrelhaven.simulator.connection_sessions.operator_order import (
     ConfigOrder,
     EvacuationOrder,
     OrderRecord,
--- a/src/petrelhaven/simulator/held/storm.py
+++ b/src/petrelhaven/simulator/connection_sessions/storm.py
@@ -4,8 +4,8 @@
 import random
 import traceback
 
-from petrelhaven.simulator.held.faults import KINDS, PLANNED, Faults
-from petrelhaven.simulator.held.fleet import HeldFleet
+from petrelhaven.simulator.connection_sessions.faults import KINDS, PLANNED, Faults
+from petrelhaven.simulator.connection_sessions.fleet import HeldFleet
 from petrelhaven.simulator.virtual_time import WarpLoop, end_all
 
 __all__ = ["KINDS", "inside", "play", "run", "schedule", "serves_again", "shrink"]
--- a/src/petrelhaven/simulator/held/wire.py
+++ b/src/petrelhaven/simulator/connection_sessions/wire.py
@@ -1,7 +1,7 @@
 """The wire to simulated members."""
 
 from petrelhaven.runtime.errors import Busy, Gone, Late, Unreached, Unsent
-from petrelhaven.simulator.held.strand import SimulatedStrand
+from petrelhaven.simulator.connection_sessions.member_connection import SimulatedStrand
 
 __all__ = ["SimulatedWire"]
 
--- a/src/petrelhaven/simulator/embargo_cost.py
+++ b/src/petrelhaven/simulator/embargo_cost.py
@@ -119,8 +119,8 @@
 
 def embargo():
     """Cost of a read by the number of embargoes, lateness of a release, and ten thousand readers who wait for one."""
-    from petrelhaven.simulator.held.embargo import EmbargoedFleet
-    from petrelhaven.simulator.held.storm import inside
+    from petrelhaven.simulator.connection_sessions.embargo import EmbargoedFleet
+    from petrelhaven.simulator.connection_sessions.storm import inside
 
     print(f"{'rules':>8} {'read, to off':>12} {'looks, share of a read off':>27} {'table MB':>9}")
     off = statistics.median(
--- a/src/petrelhaven/simulator/fleet.py
+++ b/src/petrelhaven/simulator/fleet.py
@@ -12,9 +12,9 @@
 from petrelhaven.emulator.balancer import Usher
 from petrelhaven.runtime.clock import Clock, Nest
 from petrelhaven.runtime.errors import Fault
-from petrelhaven.simulator.check import check
-from petrelhaven.simulator.visitor import Visitor
-from petrelhaven.simulator.world import SIZES, manifest
+from petrelhaven.simulator.load_client import Visitor
+from petrelhaven.simulator.resumable.history_check import check
+from petrelhaven.simulator.resumable.world import SIZES, manifest
 from petrelhaven.transport.http import fetch
 
 __all__ = ["Fleet", "Proc", "until"]
@@ -155,7 +155,11 @@
         return p
 
     def _program(self, name):
-        return ("petrelhaven.simulator.cut", name) if self.cuts else (f"petrelhaven.{name}",)
+        return (
+            ("petrelhaven.simulator.resumable.partition", name)
+            if self.cuts
+            else (f"petrelhaven.{name}",)
+        )
 
     async def cut(self, names, others):
         """Cuts the links between two sets of daemons; with none in `others`, heals those of `names`."""
--- a/src/petrelhaven/simulator/hollow_nodes.py
+++ b/src/petrelhaven/simulator/hollow_nodes.py
@@ -7,7 +7,7 @@
 import tempfile
 import time
 
-from petrelhaven.control.seat import Seat
+from petrelhaven.control.node import Seat
 from petrelhaven.control.storage.disk import Folder
 from petrelhaven.proxy.core_connection import Tie
 from petrelhaven.runtime.clock import Clock, Nest
--- a/src/petrelhaven/simulator/main.py
+++ b/src/petrelhaven/simulator/main.py
@@ -11,16 +11,16 @@
 import time
 from concurrent.futures import ProcessPoolExecutor
 
+from petrelhaven.simulator.connection_sessions import control_storm
+from petrelhaven.simulator.connection_sessions import storm as held
+from petrelhaven.simulator.connection_sessions.control_faults import CONTROL_KINDS
+from petrelhaven.simulator.connection_sessions.embargo import EmbargoedFleet
 from petrelhaven.simulator.fleet import Fleet
-from petrelhaven.simulator.held import control_storm
-from petrelhaven.simulator.held import storm as held
-from petrelhaven.simulator.held.control_faults import CONTROL_KINDS
-from petrelhaven.simulator.held.embargo import EmbargoedFleet
 from petrelhaven.simulator.measure import MEASURES
-from petrelhaven.simulator.scene import NEEDS, SCENES, SIZE
+from petrelhaven.simulator.resumable.scene import NEEDS, SCENES, SIZE
+from petrelhaven.simulator.resumable.storm import KINDS, inside, run, schedule, shrink, told
 from petrelhaven.simulator.soak import KINDS as SOAKS
 from petrelhaven.simulator.soak import play
-from petrelhaven.simulator.storm import KINDS, inside, run, schedule, shrink, told
 
 __all__ = ["main"]
 
--- a/src/petrelhaven/simulator/measure.py
+++ b/src/petrelhaven/simulator/measure.py
@@ -8,10 +8,10 @@
 from petrelhaven.simulator.control_gaps import control_gaps
 from petrelhaven.simulator.embargo_cost import embargo
 from petrelhaven.simulator.hollow_nodes import hollow
+from petrelhaven.simulator.load_client import Visitor
 from petrelhaven.simulator.net import Box
-from petrelhaven.simulator.storm import back, inside
-from petrelhaven.simulator.visitor import Visitor
-from petrelhaven.simulator.world import SIZES, manifest
+from petrelhaven.simulator.resumable.storm import back, inside
+from petrelhaven.simulator.resumable.world import SIZES, manifest
 
 __all__ = ["MEASURES"]
 
@@ -136,7 +136,7 @@
 
 def commit():
     """What waiting for every in-sync replica costs a write: latency with and without it, by lag."""
-    from petrelhaven.proxy.kept_edge import Edge
+    from petrelhaven.proxy.resumable.node import Edge
 
     real = Edge.held
 
--- /dev/null
+++ b/src/petrelhaven/simulator/resumable/__init__.py
@@ -0,0 +1,1 @@
+"""The simulated fleet of resumable sessions."""
--- a/src/petrelhaven/simulator/cut.py
+++ b/src/petrelhaven/simulator/resumable/partition.py
@@ -9,7 +9,7 @@
 import threading
 
 from petrelhaven.commands import control, proxy
-from petrelhaven.proxy.pool.member_protocol import Wire
+from petrelhaven.proxy.resumable.member_protocol import Wire
 from petrelhaven.runtime import daemon
 from petrelhaven.runtime.errors import Unsent
 from petrelhaven.transport.link import Link
@@ -100,7 +100,7 @@
 
 
 def main():
-    """`python -m petrelhaven.simulator.cut commands.control|commands.proxy FLAGS`."""
+    """`python -m petrelhaven.simulator.resumable.partition commands.control|commands.proxy FLAGS`."""
     daemon.Link = _CutLink
     proxy.Wire = _FarWire
     {"commands.control": control, "commands.proxy": proxy}[sys.argv[1]].main(sys.argv[2:])
--- a/src/petrelhaven/simulator/scene.py
+++ b/src/petrelhaven/simulator/resumable/scene.py
@@ -1,6 +1,7 @@
 """Scenes: one fault each, brought about on purpose, with what must hold afterwards."""
 
-from petrelhaven.simulator.scenes import cores, edges, halls, members
+from petrelhaven.simulator.resumable.scenes import cores, edges, members
+from petrelhaven.simulator.resumable.scenes import zones as halls
 
 __all__ = ["NEEDS", "SCENES", "SIZE"]
 
--- a/src/petrelhaven/simulator/scenes/edges.py
+++ b/src/petrelhaven/simulator/resumable/scenes/edges.py
@@ -3,9 +3,9 @@
 import asyncio
 
 from petrelhaven.runtime.errors import Fault
-from petrelhaven.simulator.scenes.base import end, load
-from petrelhaven.simulator.storm import back
-from petrelhaven.simulator.world import manifest
+from petrelhaven.simulator.resumable.scenes.base import end, load
+from petrelhaven.simulator.resumable.storm import back
+from petrelhaven.simulator.resumable.world import manifest
 
 __all__ = [
     "twins",
--- a/src/petrelhaven/simulator/scenes/members.py
+++ b/src/petrelhaven/simulator/resumable/scenes/members.py
@@ -3,8 +3,8 @@
 import asyncio
 
 from petrelhaven.runtime.errors import Fault
-from petrelhaven.simulator.scenes.base import end, load, tally
-from petrelhaven.simulator.storm import back
+from petrelhaven.simulator.resumable.scenes.base import end, load, tally
+from petrelhaven.simulator.resumable.storm import back
 
 __all__ = [
     "primary_lost",
--- a/src/petrelhaven/simulator/scenes/halls.py
+++ b/src/petrelhaven/simulator/resumable/scenes/zones.py
@@ -2,8 +2,8 @@
 
 import asyncio
 
-from petrelhaven.simulator.scenes.base import end, load, tally
-from petrelhaven.simulator.storm import back
+from petrelhaven.simulator.resumable.scenes.base import end, load, tally
+from petrelhaven.simulator.resumable.storm import back
 
 __all__ = ["old_primary_cut", "region_lost", "region_cut", "emptied", "halves"]
 
--- a/src/petrelhaven/simulator/storm.py
+++ b/src/petrelhaven/simulator/resumable/storm.py
@@ -7,8 +7,8 @@
 
 from petrelhaven.commands.diff import differences
 from petrelhaven.runtime.errors import Fault
+from petrelhaven.simulator.resumable.world import World, manifest
 from petrelhaven.simulator.virtual_time import WarpLoop, end_all
-from petrelhaven.simulator.world import World, manifest
 
 __all__ = ["KINDS", "back", "inside", "play", "run", "schedule", "shrink", "told"]
 
@@ -434,7 +434,7 @@
 async def back(w, secs):
     """Service must be back within `secs` of the last fault's end: a write and a strong read in each group."""
     end = w.loop.time() + secs
-    from petrelhaven.simulator.visitor import Visitor
+    from petrelhaven.simulator.load_client import Visitor
 
     v = Visitor(w, 9000, random.Random(1))
     sid = None
--- a/src/petrelhaven/simulator/world.py
+++ b/src/petrelhaven/simulator/resumable/world.py
@@ -4,16 +4,16 @@
 import json
 import random
 
-from petrelhaven.control.core import Core
+from petrelhaven.control.base_node import Core
 from petrelhaven.emulator.balancer import Usher
 from petrelhaven.emulator.platform import PlatformLogic
 from petrelhaven.emulator.store import Declined, Store, Unanswered
-from petrelhaven.proxy.kept_edge import Edge
-from petrelhaven.proxy.pool.member_protocol import raise_first
+from petrelhaven.proxy.resumable.member_protocol import raise_first
+from petrelhaven.proxy.resumable.node import Edge
 from petrelhaven.runtime.errors import Fault, MemberFault, Unreached, Unsent
-from petrelhaven.simulator.check import check
+from petrelhaven.simulator.load_client import Visitor
 from petrelhaven.simulator.net import Box, Net
-from petrelhaven.simulator.visitor import Visitor
+from petrelhaven.simulator.resumable.history_check import check
 
 __all__ = ["SIZES", "World", "manifest"]
 
--- a/src/petrelhaven/simulator/soak.py
+++ b/src/petrelhaven/simulator/soak.py
@@ -9,7 +9,7 @@
 import tempfile
 
 from petrelhaven.simulator.fleet import Fleet
-from petrelhaven.simulator.world import manifest
+from petrelhaven.simulator.resumable.world import manifest
 from petrelhaven.transport.http import fetch
 
 __all__ = ["KINDS", "Soak", "play"]
--- a/tests/control_mutants.py
+++ b/tests/control_mutants.py
@@ -2,8 +2,8 @@
 
 import petrelhaven.control.consensus.chain as chain
 import petrelhaven.control.consensus.register as register
-from petrelhaven.control import seat
-from petrelhaven.control.state import ledger
+from petrelhaven.control import node as seat
+from petrelhaven.control.state import control_state as ledger
 from petrelhaven.control.storage import core_store, documents
 from petrelhaven.runtime.errors import NotReady
 
--- a/tests/embargo_world.py
+++ b/tests/embargo_world.py
@@ -5,9 +5,9 @@
 import random
 
 from petrelhaven.control.embargo.instant import spoken
-from petrelhaven.control.seat import Seat
+from petrelhaven.control.node import Seat
 from petrelhaven.proxy.core_connection import Tie
-from petrelhaven.proxy.held_edge import ProxyNode
+from petrelhaven.proxy.node import ProxyNode
 from petrelhaven.proxy.pool.member_connection import Strand
 from petrelhaven.proxy.session.statement import Ask, Reply
 from petrelhaven.runtime.errors import Duplicate, Fault, Late, Unreached, Unsent
--- a/tests/model/cluster.py
+++ b/tests/model/cluster.py
@@ -6,7 +6,7 @@
 
 from model.disk import ModelDisk
 from model.observer import Observer
-from petrelhaven.control.seat import Seat
+from petrelhaven.control.node import Seat
 from petrelhaven.simulator.net import Box, Net
 
 __all__ = ["Cluster", "Shape"]
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -2,24 +2,24 @@
 
 import petrelhaven.control.consensus.chain as chain
 import petrelhaven.control.consensus.reform as reform
-import petrelhaven.control.failover.kept_duty as duty
-import petrelhaven.control.failover.plan as plan
 import petrelhaven.control.leases as desk
+import petrelhaven.control.resumable.plan as plan
+import petrelhaven.control.resumable.planning_duty as duty
 import petrelhaven.control.storage.core_store as core_store
 import petrelhaven.emulator.balancer as usher
 import petrelhaven.membership.prober as probe
 import petrelhaven.membership.roster as roster
-import petrelhaven.proxy.control_client as control
-import petrelhaven.proxy.kept_edge as edge
-import petrelhaven.proxy.pool.kept_pool as pool
-import petrelhaven.proxy.reads.read as read
 import petrelhaven.proxy.reads.read_clock as clock
-import petrelhaven.proxy.routing.kept_group as troop
-import petrelhaven.proxy.routing.send as send
-import petrelhaven.proxy.routing.slab as slab
-import petrelhaven.proxy.routing.write as writes
-import petrelhaven.proxy.session.copies as vault
-import petrelhaven.proxy.session.keeper as keep
+import petrelhaven.proxy.resumable.connection_pool as pool
+import petrelhaven.proxy.resumable.control_client as control
+import petrelhaven.proxy.resumable.member_group as troop
+import petrelhaven.proxy.resumable.node as edge
+import petrelhaven.proxy.resumable.reads as read
+import petrelhaven.proxy.resumable.sender as send
+import petrelhaven.proxy.resumable.session_keeper as keep
+import petrelhaven.proxy.resumable.session_replicas as vault
+import petrelhaven.proxy.resumable.writes as writes
+import petrelhaven.proxy.routing.request_slots as slab
 from petrelhaven.control.storage.documents import ChainRecord
 from petrelhaven.runtime.errors import Late, Unreached
 
@@ -154,7 +154,7 @@
 
 
 def share_at_once(mp):
-    from petrelhaven.control.state.kept_state import Realm
+    from petrelhaven.control.resumable.control_state import Realm
 
     mp.setattr(
         Realm,
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -7,11 +7,11 @@
 from hypothesis import HealthCheck, Phase, given, settings
 from hypothesis import strategies as st
 
-from petrelhaven.control.configuration.manifest import read
-from petrelhaven.proxy.pool.member_protocol import Wire
+from petrelhaven.control.configuration.document import read
+from petrelhaven.proxy.resumable.member_protocol import Wire
 from petrelhaven.runtime.clock import Clock, Nest
 from petrelhaven.runtime.errors import Fault, Invalid, Malformed, Unreached
-from petrelhaven.simulator.storm import inside
+from petrelhaven.simulator.resumable.storm import inside
 from petrelhaven.transport.http_server import Face, body_of
 from petrelhaven.transport.messages import KINDS, TELL, pack
 
--- a/tests/test_boot_watch.py
+++ b/tests/test_boot_watch.py
@@ -7,12 +7,12 @@
 from pathlib import Path
 
 import pytest
-from estate.fleet import Fleet
-from estate.history import History
-from estate.scene import Scene
-from estate.until import until
 from hypothesis import HealthCheck, Phase, given, settings
 from hypothesis import strategies as st
+from stand_in.fleet import Fleet
+from stand_in.history import History
+from stand_in.scene import Scene
+from stand_in.until import until
 
 from petrelhaven.runtime.clock import Clock
 from petrelhaven.runtime.errors import Fault
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -591,7 +591,7 @@
 
 def test_a_batch_that_is_cancelled_leaves_its_connection_lost():
     """On the product's own members: the batch may still run there, and nothing else may use its connection."""
-    from petrelhaven.proxy.pool.member_protocol import Wire
+    from petrelhaven.proxy.resumable.member_protocol import Wire
 
     async def go():
         async def mute(reader, writer):
@@ -615,7 +615,7 @@
     def wire_connection(wire, address):
         import aiohttp
 
-        from petrelhaven.proxy.pool.member_protocol import _Conn
+        from petrelhaven.proxy.resumable.member_protocol import _Conn
 
         return _Conn(wire, address, aiohttp.ClientSession(), 1)
 
--- a/tests/test_check.py
+++ b/tests/test_check.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from petrelhaven.simulator.check import check
+from petrelhaven.simulator.resumable.history_check import check
 
 W = {
     "t": "write",
--- a/tests/test_manifest.py
+++ b/tests/test_configuration.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from petrelhaven.control.configuration.manifest import read
-from petrelhaven.control.state.kept_state import Realm
+from petrelhaven.control.configuration.document import read
+from petrelhaven.control.resumable.control_state import Realm
 from petrelhaven.runtime.errors import Duplicate, Fault, Invalid, Stale
-from petrelhaven.simulator.world import manifest
+from petrelhaven.simulator.resumable.world import manifest
 
 GOOD = json.loads(manifest("small"))
 
--- a/tests/test_held_storm.py
+++ b/tests/test_connection_sessions_storm.py
@@ -8,25 +8,20 @@
 from petrelhaven.control import leases as desk
 from petrelhaven.control.consensus import chain
 from petrelhaven.control.failover.departures import DepartureWatch
+from petrelhaven.control.failover.leader_change import OfficeMove
 from petrelhaven.control.failover.member_access import MemberHandle
-from petrelhaven.control.failover.office_move import OfficeMove
 from petrelhaven.control.storage import core_store
 from petrelhaven.control.storage.documents import ChainRecord
 from petrelhaven.proxy import core_connection as tie
 from petrelhaven.proxy.pool import member_connection as strand
 from petrelhaven.proxy.reads import read_clock as clock
-from petrelhaven.proxy.routing import (
-    attempt,
-    group,
-    held_transactions,
-    held_writes,
-    member_calls,
-    member_proofs,
-)
+from petrelhaven.proxy.routing import attempt, group, member_calls, member_proofs
+from petrelhaven.proxy.routing import transaction_path as held_transactions
+from petrelhaven.proxy.routing import write_path as held_writes
 from petrelhaven.proxy.session.statement import Reply
 from petrelhaven.runtime.errors import Fault, Unreached
-from petrelhaven.simulator.held.storm import inside, run, schedule, shrink
-from petrelhaven.simulator.held.strand import SimulatedStrand
+from petrelhaven.simulator.connection_sessions.member_connection import SimulatedStrand
+from petrelhaven.simulator.connection_sessions.storm import inside, run, schedule, shrink
 
 
 @pytest.mark.parametrize("seed", [1, 4, 7, 12, 15, 33, 60, 87, 112])
--- a/tests/test_control_days.py
+++ b/tests/test_control_days.py
@@ -5,16 +5,16 @@
 import pytest
 
 from petrelhaven.control.consensus.chain import Chain
+from petrelhaven.control.node import Seat
 from petrelhaven.control.orders import OrderRouter
-from petrelhaven.control.seat import Seat
-from petrelhaven.control.state.ledger import Ledger
+from petrelhaven.control.state.control_state import Ledger
 from petrelhaven.control.storage import core_store
-from petrelhaven.simulator.held import control_scenes as scenes
-from petrelhaven.simulator.held import control_storm as storm
-from petrelhaven.simulator.held.control_fleet import ControlFleet
-from petrelhaven.simulator.held.control_judge import judge_orders
-from petrelhaven.simulator.held.operator_order import ConfigOrder, OrderRecord
-from petrelhaven.simulator.held.storm import inside
+from petrelhaven.simulator.connection_sessions import control_scenes as scenes
+from petrelhaven.simulator.connection_sessions import control_storm as storm
+from petrelhaven.simulator.connection_sessions.control_fleet import ControlFleet
+from petrelhaven.simulator.connection_sessions.control_judge import judge_orders
+from petrelhaven.simulator.connection_sessions.operator_order import ConfigOrder, OrderRecord
+from petrelhaven.simulator.connection_sessions.storm import inside
 
 SIZES = pytest.mark.parametrize("losses", [1, 2], ids=["three", "five"])
 HEAD, MIDDLE, TAIL = 0, 1, -1
--- a/tests/test_control_gaps.py
+++ b/tests/test_control_gaps.py
@@ -3,8 +3,8 @@
 import pytest
 
 from petrelhaven.simulator import control_gaps
-from petrelhaven.simulator.held.control_fleet import ControlFleet
-from petrelhaven.simulator.held.storm import inside
+from petrelhaven.simulator.connection_sessions.control_fleet import ControlFleet
+from petrelhaven.simulator.connection_sessions.storm import inside
 
 
 @pytest.mark.parametrize("losses", [1, 2])
--- a/tests/test_seatface.py
+++ b/tests/test_control_interface.py
@@ -11,25 +11,25 @@
 from pathlib import Path
 
 import pytest
-from estate.scene import Scene
-from estate.until import until
 from hypothesis import HealthCheck, Phase, given, settings
 from hypothesis import strategies as st
+from stand_in.scene import Scene
+from stand_in.until import until
 
 from petrelhaven.commands import ctl
 from petrelhaven.control.configuration.defaults import BOUNDS, GROUP, ROUTE, fill
-from petrelhaven.control.configuration.manifest import Bounds, Group, Route
-from petrelhaven.control.failover.member_protocol import MemberWire
+from petrelhaven.control.configuration.document import Bounds, Group, Route
+from petrelhaven.control.interface.control_interface import SeatFace
 from petrelhaven.control.interface.documents import why_of
-from petrelhaven.control.interface.held_interface import SeatFace
-from petrelhaven.control.seat import Seat
-from petrelhaven.control.state.ledger import Ledger
+from petrelhaven.control.node import Seat
+from petrelhaven.control.resumable.member_protocol import MemberWire
+from petrelhaven.control.state.control_state import Ledger
 from petrelhaven.control.storage.data_folder import Relic
 from petrelhaven.control.storage.disk import Folder
 from petrelhaven.runtime.clock import Clock, Nest
 from petrelhaven.runtime.errors import Fault, Gone, Invalid, Late, MemberFault, NoRoute, Unsent
 from petrelhaven.simulator.fleet import until as soon
-from petrelhaven.simulator.world import manifest
+from petrelhaven.simulator.resumable.world import manifest
 from petrelhaven.transport.http import fetch
 from petrelhaven.transport.light_http import LightFace, _Request
 from petrelhaven.transport.link import Link
--- a/tests/test_ledger.py
+++ b/tests/test_control_state.py
@@ -7,7 +7,7 @@
 from hypothesis import Phase, given, settings
 from hypothesis import strategies as st
 
-from petrelhaven.control.state.ledger import Ledger
+from petrelhaven.control.state.control_state import Ledger
 from petrelhaven.runtime.errors import Duplicate, Invalid, Racing, Stale, Taken
 
 DRAWN = settings(
--- a/tests/test_disk_refusal.py
+++ b/tests/test_disk_refusal.py
@@ -5,8 +5,8 @@
 import pytest
 
 from petrelhaven.control.consensus.disk_watch import DiskWatch
-from petrelhaven.simulator.held.faults import DISK_KINDS, KINDS
-from petrelhaven.simulator.held.storm import inside, run, schedule
+from petrelhaven.simulator.connection_sessions.faults import DISK_KINDS, KINDS
+from petrelhaven.simulator.connection_sessions.storm import inside, run, schedule
 
 
 def identities(f):
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -3,10 +3,10 @@
 import re
 from pathlib import Path
 
-from petrelhaven.control.configuration.manifest import Bounds
+from petrelhaven.control.configuration.document import Bounds
 from petrelhaven.runtime.events import EVENTS
 from petrelhaven.simulator.measure import MEASURES
-from petrelhaven.simulator.scene import SCENES
+from petrelhaven.simulator.resumable.scene import SCENES
 
 DOCS = Path(__file__).parent.parent / "docs"
 
--- a/tests/test_embargo_storm.py
+++ b/tests/test_embargo_storm.py
@@ -3,8 +3,8 @@
 import pytest
 from test_embargo_world import highest_time, own_clock
 
-from petrelhaven.simulator.held import storm
-from petrelhaven.simulator.held.embargo import EmbargoedFleet
+from petrelhaven.simulator.connection_sessions import storm
+from petrelhaven.simulator.connection_sessions.embargo import EmbargoedFleet
 
 
 @pytest.mark.parametrize("seed", range(8))
--- a/tests/test_embargo_system.py
+++ b/tests/test_embargo_system.py
@@ -9,11 +9,11 @@
 from pathlib import Path
 
 import pytest
-from estate.attempt import Attempt
-from estate.scene import Scene
-from estate.session import Session
-from estate.statement import Statement
-from test_estate_system import BOUNDS, built, led_by_another  # noqa: F401
+from stand_in.attempt import Attempt
+from stand_in.scene import Scene
+from stand_in.session import Session
+from stand_in.statement import Statement
+from test_stand_in_system import BOUNDS, built, led_by_another  # noqa: F401
 
 from petrelhaven.control.embargo.instant import spoken
 
--- a/tests/test_embargoes.py
+++ b/tests/test_embargoes.py
@@ -17,15 +17,15 @@
 sys.path.insert(0, str(Path(__file__).parent.parent / "platform"))
 
 from forms import label, manifest_of  # noqa: E402
-from petrelhaven.control.configuration.manifest import read  # noqa: E402
-from petrelhaven.control.core import Core  # noqa: E402
+from petrelhaven.control.base_node import Core  # noqa: E402
+from petrelhaven.control.configuration.document import read  # noqa: E402
 from petrelhaven.control.embargo.instant import instant, spoken  # noqa: E402
 from petrelhaven.control.embargo.rules import Table, of_manifest, placed, rules_of, told  # noqa: E402
-from petrelhaven.control.state.ledger import Ledger  # noqa: E402
+from petrelhaven.control.state.control_state import Ledger  # noqa: E402
 from petrelhaven.proxy.session.statement import Ask  # noqa: E402
 from petrelhaven.runtime.errors import Duplicate, Invalid, Oversize, Racing, Stale  # noqa: E402
 from petrelhaven.runtime.wall_clock import agreed  # noqa: E402
-from petrelhaven.simulator.world import manifest  # noqa: E402
+from petrelhaven.simulator.resumable.world import manifest  # noqa: E402
 
 DRAWN = settings(
     max_examples=300, phases=[Phase.generate], deadline=None, derandomize=True, database=None
@@ -394,7 +394,7 @@
 
 def test_while_off_nothing_of_it_is_loaded():
     code = (
-        "import sys, petrelhaven.control.seat, petrelhaven.proxy.held_edge, petrelhaven.proxy.core_connection\n"
+        "import sys, petrelhaven.control.node, petrelhaven.proxy.node, petrelhaven.proxy.core_connection\n"
         "print([m for m in sys.modules if m.split('.')[0] in ('dateutil', 'sortedcontainers', 'zoneinfo')"
         " or 'embargo' in m and not m.endswith(('interface', 'control.embargo'))"
         " or m.endswith(('.wall_clock', '.agreed_time', '.instant'))])"
--- a/tests/test_entered_record.py
+++ b/tests/test_entered_record.py
@@ -4,10 +4,10 @@
 import random
 
 import pytest
-from test_ring import Bytes
+from test_record_log import Bytes
 
 from petrelhaven.control.consensus.chain import Chain
-from petrelhaven.control.state.ledger import Ledger
+from petrelhaven.control.state.control_state import Ledger
 from petrelhaven.control.storage.core_store import CoreStore
 from petrelhaven.runtime.clock import Clock, Nest
 from petrelhaven.runtime.errors import NotReady, Unsent
--- a/tests/test_warden.py
+++ b/tests/test_failover.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from petrelhaven.control.failover.coordinator import FailoverCoordinator
-from petrelhaven.control.state.ledger import Ledger
+from petrelhaven.control.state.control_state import Ledger
 from petrelhaven.runtime.clock import Clock, Nest
 from petrelhaven.runtime.errors import Fenced, Invalid, Racing, Unreached, Unsent
 from petrelhaven.simulator.virtual_time import WarpLoop, end_all
--- a/tests/test_failover_evidence.py
+++ b/tests/test_failover_evidence.py
@@ -16,7 +16,7 @@
     Unproven,
     decide,
 )
-from petrelhaven.control.state.ledger import Ledger
+from petrelhaven.control.state.control_state import Ledger
 from petrelhaven.runtime.errors import Fault
 
 DRAWN = settings(
--- a/tests/test_band.py
+++ b/tests/test_member_group.py
@@ -8,7 +8,7 @@
 from hypothesis import Phase, given, settings
 from hypothesis import strategies as st
 
-from petrelhaven.control.state.ledger import Ledger
+from petrelhaven.control.state.control_state import Ledger
 from petrelhaven.proxy.pool.member_connection import Strand
 from petrelhaven.proxy.reads.read_clock import Order
 from petrelhaven.proxy.routing.group import MemberGroup
--- a/tests/test_member_model.py
+++ b/tests/test_member_model.py
@@ -14,9 +14,9 @@
 
 from lines import LineStrand  # isort: skip
 from petrelhaven.proxy.pool.connection_pool import Stock
-from petrelhaven.proxy.routing.held_transactions import HeldTransactions
-from petrelhaven.proxy.routing.held_writes import HeldWrites
 from petrelhaven.proxy.routing.member_calls import MemberCalls
+from petrelhaven.proxy.routing.transaction_path import HeldTransactions
+from petrelhaven.proxy.routing.write_path import HeldWrites
 from petrelhaven.proxy.session.statement import Reply
 from petrelhaven.runtime.errors import Late, Unreached
 
--- a/tests/test_band_proof.py
+++ b/tests/test_member_proofs.py
@@ -7,7 +7,7 @@
 import pytest
 
 from petrelhaven.control.failover.evidence import Evidence
-from petrelhaven.control.state.ledger import Ledger
+from petrelhaven.control.state.control_state import Ledger
 from petrelhaven.proxy.reads.read_clock import Order
 from petrelhaven.proxy.routing.group import MemberGroup
 from petrelhaven.proxy.routing.outside_contact import OutsideContact
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -8,7 +8,7 @@
 from petrelhaven.control.consensus.chain import Chain
 from petrelhaven.control.orders import ANSWER_US
 from petrelhaven.runtime.errors import Duplicate, Fault
-from petrelhaven.simulator.held.storm import inside
+from petrelhaven.simulator.connection_sessions.storm import inside
 
 
 def head_of(fleet):
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from petrelhaven.simulator.world import World
+from petrelhaven.simulator.resumable.world import World
 
 
 @pytest.mark.parametrize("size", ["small", "nordvik", "archivo"])
--- a/tests/test_platform_forms.py
+++ b/tests/test_platform_forms.py
@@ -11,8 +11,8 @@
 sys.path.insert(0, str(Path(__file__).parent.parent / "platform"))
 
 from forms import announcement, label, manifest_of, origin_of, unlabel  # noqa: E402
-from petrelhaven.control.configuration.manifest import read  # noqa: E402
-from petrelhaven.control.state.ledger import Ledger  # noqa: E402
+from petrelhaven.control.configuration.document import read  # noqa: E402
+from petrelhaven.control.state.control_state import Ledger  # noqa: E402
 from petrelhaven.runtime.errors import Fault, Invalid  # noqa: E402
 from petrelhaven.runtime.limits import NAME  # noqa: E402
 
--- a/tests/test_platform_lines.py
+++ b/tests/test_platform_lines.py
@@ -15,8 +15,8 @@
 
 from forms import label, manifest_of  # noqa: E402
 from lines import Front, LineStrand, LineWire  # noqa: E402
-from petrelhaven.control.state.ledger import Ledger  # noqa: E402
-from petrelhaven.proxy.held_edge import ProxyNode  # noqa: E402
+from petrelhaven.control.state.control_state import Ledger  # noqa: E402
+from petrelhaven.proxy.node import ProxyNode  # noqa: E402
 from petrelhaven.proxy.pool.member_connection import Strand  # noqa: E402
 from petrelhaven.proxy.session.statement import Ask, Reply  # noqa: E402
 from petrelhaven.runtime.clock import Clock, Nest  # noqa: E402
--- a/tests/test_programs.py
+++ b/tests/test_programs.py
@@ -13,8 +13,8 @@
 
 from petrelhaven.runtime.errors import Fault, NotReady, Unsent
 from petrelhaven.simulator.fleet import until
+from petrelhaven.simulator.resumable.world import manifest
 from petrelhaven.simulator.soak import Soak
-from petrelhaven.simulator.world import manifest
 from petrelhaven.transport.http import fetch
 from petrelhaven.transport.messages import CALL, VERSION, pack
 
--- a/tests/test_gateface.py
+++ b/tests/test_proxy_interface.py
@@ -10,10 +10,10 @@
 
 from petrelhaven.commands.diff import differences
 from petrelhaven.control.interface.documents import number
-from petrelhaven.control.state.ledger import Ledger
+from petrelhaven.control.state.control_state import Ledger
 from petrelhaven.proxy.core_connection import Tie
-from petrelhaven.proxy.held_edge import ProxyNode
-from petrelhaven.proxy.held_interface import GateFace
+from petrelhaven.proxy.node import ProxyNode
+from petrelhaven.proxy.proxy_interface import GateFace
 from petrelhaven.runtime.clock import Clock, Nest
 from petrelhaven.transport.light_http import LightFace, _Request
 from petrelhaven.transport.link import Link
--- a/tests/test_ring.py
+++ b/tests/test_record_log.py
@@ -14,7 +14,7 @@
 from petrelhaven.control.storage.disk import Folder
 from petrelhaven.control.storage.record_log import RecordLog
 from petrelhaven.runtime.errors import Damaged, Misplaced
-from petrelhaven.simulator.world import manifest
+from petrelhaven.simulator.resumable.world import manifest
 
 
 class Bytes:
--- a/tests/test_never.py
+++ b/tests/test_safety_scenes.py
@@ -3,8 +3,8 @@
 import mutants
 import pytest
 
-from petrelhaven.simulator.scene import NEEDS, SCENES, SIZE
-from petrelhaven.simulator.storm import inside
+from petrelhaven.simulator.resumable.scene import NEEDS, SCENES, SIZE
+from petrelhaven.simulator.resumable.storm import inside
 
 BASE = {"clock_alone": ["no_hold"], "browsing_alone": ["no_hold"]}
 
--- a/tests/test_second_loss.py
+++ b/tests/test_second_loss.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from petrelhaven.simulator.held.control_fleet import ControlFleet
-from petrelhaven.simulator.held.storm import inside
+from petrelhaven.simulator.connection_sessions.control_fleet import ControlFleet
+from petrelhaven.simulator.connection_sessions.storm import inside
 
 
 def whole(f):
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -5,8 +5,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from petrelhaven.control.state.kept_state import Realm
-from petrelhaven.simulator.world import manifest
+from petrelhaven.control.resumable.control_state import Realm
+from petrelhaven.simulator.resumable.world import manifest
 
 CAP = 10
 PLANS = st.lists(
--- a/tests/test_estate.py
+++ b/tests/test_stand_in.py
@@ -10,27 +10,27 @@
 import aiohttp
 import pytest
 from aiohttp import web
-from estate.attempt import Attempt
-from estate.client import Client
-from estate.cloud import Cloud
-from estate.config_order import ConfigOrder
-from estate.entry import Entry
-from estate.evacuation import Evacuation
-from estate.fleet import Fleet
-from estate.group import Group
-from estate.history import History
-from estate.judge import judge
-from estate.member import Member
-from estate.operator import Operator
-from estate.refusal import Refusal
-from estate.route import Route
-from estate.router import Router
-from estate.run import Run
-from estate.session import Session
-from estate.statement import Statement
-from estate.trouble import Trouble
-from estate.until import until
-from estate.wire import Wire
+from stand_in.attempt import Attempt
+from stand_in.client import Client
+from stand_in.cloud import Cloud
+from stand_in.config_order import ConfigOrder
+from stand_in.entry import Entry
+from stand_in.evacuation import Evacuation
+from stand_in.fleet import Fleet
+from stand_in.group import Group
+from stand_in.history import History
+from stand_in.judge import judge
+from stand_in.member import Member
+from stand_in.operator import Operator
+from stand_in.refusal import Refusal
+from stand_in.route import Route
+from stand_in.router import Router
+from stand_in.run import Run
+from stand_in.session import Session
+from stand_in.statement import Statement
+from stand_in.trouble import Trouble
+from stand_in.until import until
+from stand_in.wire import Wire
 
 NET = f"127.{20 + os.getpid() % 200}"
 
--- a/tests/test_estate_system.py
+++ b/tests/test_stand_in_system.py
@@ -4,8 +4,8 @@
 from pathlib import Path
 
 import pytest
-from estate.scene import Scene
-from estate.until import until
+from stand_in.scene import Scene
+from stand_in.until import until
 
 pytestmark = pytest.mark.xdist_group("estate")
 
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from petrelhaven.proxy.session.kept_session import Session
+from petrelhaven.proxy.resumable.session import Session
 from petrelhaven.runtime.errors import NoSession, Superseded
-from petrelhaven.simulator.storm import inside, run
+from petrelhaven.simulator.resumable.storm import inside, run
 
 
 @pytest.mark.parametrize(
--- a/tests/test_unleased_commits.py
+++ b/tests/test_unleased_commits.py
@@ -7,14 +7,14 @@
 
 import pytest
 
-from petrelhaven.control.state.ledger import Ledger
+from petrelhaven.control.state.control_state import Ledger
 from petrelhaven.proxy.core_connection import Tie
 from petrelhaven.proxy.reads.read_clock import Order
 from petrelhaven.proxy.routing.group import MemberGroup
-from petrelhaven.proxy.routing.held_transactions import HeldTransactions
-from petrelhaven.proxy.routing.held_writes import HeldWrites
 from petrelhaven.proxy.routing.outside_contact import OutsideContact
 from petrelhaven.proxy.routing.request import Request
+from petrelhaven.proxy.routing.transaction_path import HeldTransactions
+from petrelhaven.proxy.routing.write_path import HeldWrites
 from petrelhaven.proxy.session.statement import Reply
 from petrelhaven.runtime.clock import Clock, Nest
 from petrelhaven.transport.link import Link
--- a/tests/test_vote.py
+++ b/tests/test_view_register.py
@@ -5,7 +5,7 @@
 
 import mutants
 import pytest
-from test_ring import Bytes
+from test_record_log import Bytes
 
 from petrelhaven.control.consensus.register import Proposer, Voter
 from petrelhaven.control.storage.core_store import CoreStore
