--- a/src/petrelhaven/commands/control.py
+++ b/src/petrelhaven/commands/control.py
@@ -4,63 +4,63 @@
 import random
 import sys
 
-from petrelhaven.control.base_node import Core
-from petrelhaven.control.interface.control_interface import SeatFace
-from petrelhaven.control.node import Seat
-from petrelhaven.control.resumable.control_interface import CoreFace, Platform
+from petrelhaven.control.base_node import BaseControlNode
+from petrelhaven.control.interface.control_interface import ControlInterface
+from petrelhaven.control.node import ControlNode
+from petrelhaven.control.resumable.control_interface import Platform, ResumableControlInterface
 from petrelhaven.control.resumable.member_protocol import MemberWire
-from petrelhaven.control.state.control_state import Ledger
+from petrelhaven.control.state.control_state import ControlState
 from petrelhaven.control.storage.core_store import CoreStore
-from petrelhaven.control.storage.data_folder import Relic
+from petrelhaven.control.storage.data_folder import DataFolder
 from petrelhaven.control.storage.disk import Folder
 from petrelhaven.proxy.resumable.member_protocol import Wire
 from petrelhaven.runtime.daemon import Daemon
-from petrelhaven.runtime.errors import Damaged, Misplaced
-from petrelhaven.transport.light_http import LightFace
+from petrelhaven.runtime.errors import Damaged, WrongNode
+from petrelhaven.transport.light_http import LightHttpServer
 
 __all__ = ["main"]
 
 
-_BEAT_US = 1_200_000
+_HEARTBEAT_US = 1_200_000
 
 
 def _make_held(d):
     s = d.set
-    seat = Seat(
+    node = ControlNode(
         s.name,
         s.hall,
         d.seeds,
         d.clock,
-        d.nest,
+        d.tasks,
         d.link,
         Folder(s.data),
         random.SystemRandom(),
         Platform(s.platform),
-        MemberWire(d.clock, Wire(d.clock, d.nest)),
-        _BEAT_US,
+        MemberWire(d.clock, Wire(d.clock, d.tasks)),
+        _HEARTBEAT_US,
         d.log,
     )
-    SeatFace(seat, d.face, lambda: seat.settings(), announced=True)
-    return seat
+    ControlInterface(node, d.http_server, lambda: node.settings(), announced=True)
+    return node
 
 
 def _make(d):
     s = d.set
     if s.path == "held":
         return _make_held(d)
-    core = Core(
+    core = BaseControlNode(
         s.name,
         s.hall,
         d.seeds,
         d.clock,
-        d.nest,
+        d.tasks,
         d.link,
         Folder(s.data),
         random.SystemRandom(),
         Platform(s.platform),
         d.log,
     )
-    CoreFace(core, d.face)
+    ResumableControlInterface(core, d.http_server)
     return core
 
 
@@ -69,12 +69,12 @@
 
 
 class _ControlDaemon(Daemon):
-    def make_face(self, host, port):
+    def make_http_server(self, host, port):
         """The face of the path that this core runs."""
         return (
-            LightFace(host, port, log=self.log)
+            LightHttpServer(host, port, log=self.log)
             if self.set.path == "held"
-            else super().make_face(host, port)
+            else super().make_http_server(host, port)
         )
 
     def prepare(self):
@@ -89,19 +89,19 @@
             self.set.name,
             random.SystemRandom(),
             self.log,
-            state=Ledger if self.set.path == "held" else None,
+            state=ControlState if self.set.path == "held" else None,
         )
         f.close()
 
     def check(self):
         """Looks into the data folder, if there is one, without writing."""
         if os.path.isdir(self.set.data):
-            relic = Relic(self.set.data)
-            if relic.name not in (None, self.set.name):
-                raise Misplaced(f"the data folder belongs to {relic.name}, not {self.set.name}")
-            path = "held" if isinstance(relic.realm, Ledger) else "kept"
-            if relic.name and path != self.set.path:
-                raise Misplaced(
+            folder = DataFolder(self.set.data)
+            if folder.name not in (None, self.set.name):
+                raise WrongNode(f"the data folder belongs to {folder.name}, not {self.set.name}")
+            path = "held" if isinstance(folder.control_state, ControlState) else "kept"
+            if folder.name and path != self.set.path:
+                raise WrongNode(
                     f"the data folder holds control state of the path {path}, not {self.set.path}"
                 )
 
--- a/src/petrelhaven/commands/ctl.py
+++ b/src/petrelhaven/commands/ctl.py
@@ -8,7 +8,14 @@
 from petrelhaven.commands import embargo as embargo_command
 from petrelhaven.control.configuration.document import read
 from petrelhaven.control.storage.data_folder import salvage
-from petrelhaven.runtime.errors import Fault, Late, Malformed, NoRoute, Unreached, Unsent
+from petrelhaven.runtime.errors import (
+    DeadlineExceeded,
+    Fault,
+    Malformed,
+    NoRoute,
+    NotSent,
+    Unreachable,
+)
 from petrelhaven.transport.http import fetch
 
 __all__ = ["main"]
@@ -99,9 +106,9 @@
     for c in cores:
         try:
             return await fetch(c, *a, **kw)
-        except (Late, Unreached) as e:
-            if change and not isinstance(e, Unsent):
-                raise Late(
+        except (DeadlineExceeded, Unreachable) as e:
+            if change and not isinstance(e, NotSent):
+                raise DeadlineExceeded(
                     "the outcome is not known; read back with show or embargo list"
                 ) from None
             seen.append(e)
@@ -127,15 +134,15 @@
         m = read(_text(a.file))
         out(
             f"manifest {m.name} version {m.version} is good: {len(m.groups)} groups, {len(m.routes)} "
-            f"routes, {len(m.halls)} halls"
+            f"routes, {len(m.zones)} halls"
         )
         return
     if a.verb == "salvage":
         r = salvage(a.folder)
-        if r.realm.doc["manifest"] is None:
+        if r.control_state.doc["manifest"] is None:
             raise NoRoute(f"{a.folder} holds no manifest")
-        print(f"{_UNSURE} (folder of {r.name}, change {r.realm.seq})", file=sys.stderr)
-        sys.stdout.write(r.realm.doc["manifest"]["text"])
+        print(f"{_UNSURE} (folder of {r.name}, change {r.control_state.seq})", file=sys.stderr)
+        sys.stdout.write(r.control_state.doc["manifest"]["text"])
         return
     if not a.core:
         raise Malformed("--core: missing")
@@ -184,7 +191,7 @@
         for c in cs:
             try:
                 _status(await fetch(c, "GET", "/status"), out)
-            except Unsent:
+            except NotSent:
                 out(f"{c}: nobody answers")
     else:
         q = f"&n={a.epoch}" if a.epoch is not None else ""
@@ -193,10 +200,10 @@
 
 async def _elect(a, cores, by, out):
     """Orders an election for the office that waits now, or for the one that was said."""
-    office = a.office
-    if office is None:
-        office = (await _any(cores, False, "GET", f"/why?group={a.group}"))["epoch"]["n"]
-    query = f"{by}&member={a.member}&office={office}&accept_loss=true"
+    leadership = a.office
+    if leadership is None:
+        leadership = (await _any(cores, False, "GET", f"/why?group={a.group}"))["epoch"]["n"]
+    query = f"{by}&member={a.member}&office={leadership}&accept_loss=true"
     r = await _any(cores, True, "POST", f"/groups/{a.group}/elect{query}")
     out(f"member {r['member']} of {r['group']} is to be elected (change {r['change']})")
 
@@ -255,16 +262,18 @@
             )
 
 
-def _office(o):
+def _leadership(o):
     return f"office {o['n']} ({o['phase']}, primary {o['primary']} in term {o['term']})"
 
 
 def _why_held(d, out):
     o = d["epoch"]
-    out(f"{_office(o)}, decided by {o['by']} as change {o.get('seq', '?')}")
+    out(f"{_leadership(o)}, decided by {o['by']} as change {o.get('seq', '?')}")
     out(f"cause: {o['cause']}")
     out(
-        f"replaced: {_office(d['replaced'])}" if d["replaced"] else "replaced: nothing that is kept"
+        f"replaced: {_leadership(d['replaced'])}"
+        if d["replaced"]
+        else "replaced: nothing that is kept"
     )
     if d["waiting"]:
         out(f"now: {d['waiting']}")
@@ -309,10 +318,10 @@
         for e in g.exceptions:
             print(f"petrelhavenctl: {e.code}: {e.note}", file=sys.stderr)
         sys.exit(3)
-    except Late as e:
+    except DeadlineExceeded as e:
         print(f"petrelhavenctl: {e.note}", file=sys.stderr)
         sys.exit(4)
-    except Unreached as e:
+    except Unreachable as e:
         print(f"petrelhavenctl: nobody answers: {e.note}", file=sys.stderr)
         sys.exit(3)
     except Fault as e:
--- a/src/petrelhaven/commands/proxy.py
+++ b/src/petrelhaven/commands/proxy.py
@@ -5,31 +5,31 @@
 from collections.abc import Sequence
 
 from petrelhaven.proxy.resumable.member_protocol import Wire
-from petrelhaven.proxy.resumable.node import Edge
-from petrelhaven.proxy.resumable.proxy_interface import EdgeFace
+from petrelhaven.proxy.resumable.node import ResumableProxy
+from petrelhaven.proxy.resumable.proxy_interface import ResumableProxyInterface
 from petrelhaven.runtime.daemon import Daemon
 
 __all__ = ["main"]
 
 
-def _make(daemon: Daemon) -> Edge:
+def _make(daemon: Daemon) -> ResumableProxy:
     settings = daemon.set
-    edge = Edge(
+    edge = ResumableProxy(
         settings.name,
         settings.hall,
         daemon.seeds,
         daemon.clock,
-        daemon.nest,
+        daemon.tasks,
         daemon.link,
         random.SystemRandom(),
-        Wire(daemon.clock, daemon.nest),
+        Wire(daemon.clock, daemon.tasks),
         log=daemon.log,
     )
-    EdgeFace(edge, daemon.face)
+    ResumableProxyInterface(edge, daemon.http_server)
     return edge
 
 
-async def _leave(edge: Edge) -> None:
+async def _leave(edge: ResumableProxy) -> None:
     await edge.drain()
     await edge.wire.close()
 
--- a/src/petrelhaven/control/base_node.py
+++ b/src/petrelhaven/control/base_node.py
@@ -11,7 +11,7 @@
 from petrelhaven.control.consensus.reform import Reform
 from petrelhaven.control.consensus.register import Proposer, Voter
 from petrelhaven.control.departure import Departure
-from petrelhaven.control.leases import Desk
+from petrelhaven.control.leases import LeaseTable
 from petrelhaven.control.storage.core_store import CoreStore
 from petrelhaven.membership.prober import Prober
 from petrelhaven.membership.roster import Roster
@@ -20,7 +20,7 @@
 from petrelhaven.runtime.limits import NAME
 from petrelhaven.transport.reach import Reach
 
-__all__ = ["Core"]
+__all__ = ["BaseControlNode"]
 
 _ADDR = re.compile(r"[A-Za-z0-9.-]{1,64}:[A-Za-z0-9-]{1,32}")
 _FACTS = {
@@ -39,22 +39,28 @@
 }
 
 
-class Core:
+class BaseControlNode:
     """One core daemon's logic; clock, link and disk are given."""
 
     states = ["outside", "joining", "chained"]
     state_of = None
-    mend_us, confirm_us, ask_us, probe_us, suspect_us = 250_000, 500_000, 120_000, 200_000, 900_000
-
-    def __init__(self, name, hall, seeds, clock, nest, link, disk, rng, platform, log=None):
-        self.name, self.hall, self.seeds = name, hall, seeds
-        self.clock, self.nest, self.link, self.rng, self.log = clock, nest, link, rng, log
+    repair_interval_us, confirm_us, ask_us, probe_us, suspect_us = (
+        250_000,
+        500_000,
+        120_000,
+        200_000,
+        900_000,
+    )
+
+    def __init__(self, name, zone, seeds, clock, tasks, link, disk, rng, platform, log=None):
+        self.name, self.zone, self.seeds = name, zone, seeds
+        self.clock, self.tasks, self.link, self.rng, self.log = clock, tasks, link, rng, log
         self.mem = CoreStore(disk, name, rng, log, state=self.state_of)
-        self.roster = Roster(clock, (name, "core", hall, link.addr, 0), log, self.suspect_us)
+        self.roster = Roster(clock, (name, "core", zone, link.addr, 0), log, self.suspect_us)
         self.reach = Reach(clock, link, self.roster, rng)
-        self.prober = Prober(clock, link, nest, rng, self.roster, seeds, self.probe_us)
-        self.chain = Chain(clock, nest, self.mem, self.call, log, self.confirm_us, self.ask_us)
-        self.desk = self.make_desk()
+        self.prober = Prober(clock, link, tasks, rng, self.roster, seeds, self.probe_us)
+        self.chain = Chain(clock, tasks, self.mem, self.call, log, self.confirm_us, self.ask_us)
+        self.lease_table = self.make_lease_table()
         self.duty = self.make_duty(platform)
         self.voter = Voter(self.mem)
         self._ask = Proposer(self.mem, self.call)
@@ -85,39 +91,46 @@
             "disk.turned": self.disk_watch.heard,
             "chain.enter": self._enter,
             "chain.read": self._read,
-            "chain.force": self.desk.force,
-            "edge.hold": self.desk.hold,
+            "chain.force": self.lease_table.force,
+            "edge.hold": self.lease_table.hold,
             "creed.belief": self._belief,
             **self.handlers(),
         }.items():
             link.on(k, f)
         self.chain.on_view.append(self.turn)
 
-    def make_desk(self):
+    def make_lease_table(self):
         """The desk that lends leases to edges."""
-        return Desk(self.clock, self.nest, self.chain, self.call, self.log)
+        return LeaseTable(self.clock, self.tasks, self.chain, self.call, self.log)
 
     def make_duty(self, platform):
         """The duty that this core does while it is the head."""
-        from petrelhaven.control.resumable.planning_duty import Duty
-
-        return Duty(
-            self.clock, self.nest, self.chain, self.desk, self.roster, self.call, platform, self.log
+        from petrelhaven.control.resumable.planning_duty import PlanningDuty
+
+        return PlanningDuty(
+            self.clock,
+            self.tasks,
+            self.chain,
+            self.lease_table,
+            self.roster,
+            self.call,
+            platform,
+            self.log,
         )
 
     def handlers(self):
         """What this core answers beside the chain's own calls."""
         return {
             "duty.heard": self.duty.told,
-            "edge.lease": self.desk.lease,
+            "edge.lease": self.lease_table.lease,
             "edge.enter": self._edge,
         }
 
     def start(self):
         """Starts the core's tasks."""
-        emit(self.log, 101, name=self.name, hall=self.hall, addr=self.link.addr, disk=self.mem.disk)
-        for co in (self.prober.run(), self.chain.confirm(), self._mend(), self.duty.run()):
-            self.nest.spawn(co)
+        emit(self.log, 101, name=self.name, zone=self.zone, addr=self.link.addr, disk=self.mem.disk)
+        for co in (self.prober.run(), self.chain.confirm(), self._maintain_view(), self.duty.run()):
+            self.tasks.spawn(co)
         self.disk_watch.start()
 
     async def call(self, name, kind, body, us):
@@ -152,7 +165,7 @@
             "fresh": m.fresh,
             "view": self.chain.view or None,
             "done": m.done,
-            "held": m.realm.seq,
+            "held": m.control_state.seq,
             "commit": self.chain.commit,
             "up_us": self.clock.now() - self.chain.boot,
             "granted_us": self.chain.granted_ages(),
@@ -161,11 +174,11 @@
     async def _learn(self, ch, b):
         self.chain.adopt(b["view"])
 
-    async def _mend(self):
+    async def _maintain_view(self):
         while True:
             await self.rest()
             for a in self.others():
-                self.nest.spawn(self._info(a))
+                self.tasks.spawn(self._info(a))
             if self.mem.refuses:
                 continue
             self.undecided = True
@@ -187,7 +200,7 @@
 
     async def rest(self):
         """Waits between two looks at the other cores."""
-        await self.clock.sleep(self.mend_us + self.rng.randrange(50_000))
+        await self.clock.sleep(self.repair_interval_us + self.rng.randrange(50_000))
 
     async def _info(self, addr):
         at = self.clock.now()
@@ -226,7 +239,7 @@
         self.chain.adopt(view)
         for n in view["ids"]:
             if n != self.name:
-                self.nest.spawn(self._send_view(n, view))
+                self.tasks.spawn(self._send_view(n, view))
 
     async def _send_view(self, n, view):
         try:
@@ -256,7 +269,7 @@
         newest = self.mem.vote["value"]
         if newest and newest["n"] > v["n"] and self.name in newest["ids"]:
             return await self._finish(newest)
-        await self._mend_view(v, infos)
+        await self._repair_view(v, infos)
 
     def wake(self):
         """Has the other cores looked at soon."""
@@ -264,7 +277,7 @@
     def _there(self, n):
         return n == self.name or self.roster.state(n) in ("alive", "suspect")
 
-    async def _mend_view(self, v, infos):
+    async def _repair_view(self, v, infos):
         keep = [
             n
             for n in v["chain"]
@@ -347,13 +360,13 @@
         seq = await self.chain.enter(b["rec"])
         us = 0
         if b["force"]:
-            us = await self.desk.in_force(seq)
+            us = await self.lease_table.in_force(seq)
         return {"seq": seq, "forced": b["force"], "doc": {"in_force_us": us}}
 
     async def _read(self, ch, b):
         return {"doc": self.chain.read()}
 
-    async def realm(self):
+    async def control_state(self):
         """The control state as the tail answers it."""
         v = self.chain.view
         if v is None:
@@ -382,10 +395,10 @@
         r = await self.enter({"t": "manifest", "text": text, "by": by, "retire": retire})
         return {"version": m.version, "change": r["seq"], **r["doc"]}
 
-    async def hall_to(self, hall, state, by=""):
+    async def set_zone_state(self, zone, state, by=""):
         """Empties or restores a hall."""
-        r = await self.enter({"t": "hall", "hall": hall, "state": state, "by": by})
-        return {"hall": hall, "state": state, "change": r["seq"], **r["doc"]}
+        r = await self.enter({"t": "hall", "hall": zone, "state": state, "by": by})
+        return {"hall": zone, "state": state, "change": r["seq"], **r["doc"]}
 
     async def reform(self, lost, by=""):
         """Forms the chain anew without the disks of `lost`, at the operator's word."""
@@ -411,7 +424,7 @@
 
     def unconfirmed(self):
         """The control state as this core alone holds it: no majority says that it is the newest."""
-        return self.chain.realm.doc
+        return self.chain.control_state.doc
 
     async def drain(self):
         """Leaves in order: returns once the others go on without this core, or cannot."""
@@ -451,7 +464,7 @@
     def belief(self):
         """What this node believes."""
         return {
-            **self.chain.realm.belief(),
+            **self.chain.control_state.belief(),
             "name": self.name,
             "role": "core",
             "state": self.state,
--- a/src/petrelhaven/control/configuration/document.py
+++ b/src/petrelhaven/control/configuration/document.py
@@ -8,31 +8,31 @@
 from serde.json import from_dict
 
 from petrelhaven.runtime.errors import Invalid
-from petrelhaven.runtime.limits import NAME, Whole
+from petrelhaven.runtime.limits import NAME, IntegerRange
 
-__all__ = ["Bounds", "Group", "Manifest", "Route", "read"]
+__all__ = ["Bounds", "Group", "Configuration", "Route", "read"]
 
 _B = {
-    "fetch_us": Whole(5_000, 5_000_000),
-    "join_us": Whole(10_000, 10_000_000),
-    "wait_us": Whole(10_000, 10_000_000),
-    "statement_us": Whole(50_000, 60_000_000),
-    "commit_us": Whole(50_000, 60_000_000),
-    "browse_us": Whole(100_000, 60_000_000),
-    "margin_us": Whole(0, 59_000_000),
-    "grace_us": Whole(0, 3_000_000),
-    "lost_us": Whole(300_000, 10_000_000),
-    "stall_us": Whole(200_000, 10_000_000),
-    "warm_us": Whole(0, 120_000_000),
-    "idle_txn_us": Whole(100_000, 600_000_000),
-    "slots": Whole(1, 100_000),
-    "queue": Whole(1, 1000),
-    "lanes": Whole(1, 64),
-    "sessions": Whole(1, 1_000_000),
-    "keepers": Whole(0, 3),
-    "wall_us": Whole(10_000, 60_000_000),
-    "skew_us": Whole(1_000, 10_000_000),
-    "spread_us": Whole(0, 600_000_000),
+    "fetch_us": IntegerRange(5_000, 5_000_000),
+    "join_us": IntegerRange(10_000, 10_000_000),
+    "wait_us": IntegerRange(10_000, 10_000_000),
+    "statement_us": IntegerRange(50_000, 60_000_000),
+    "commit_us": IntegerRange(50_000, 60_000_000),
+    "browse_us": IntegerRange(100_000, 60_000_000),
+    "margin_us": IntegerRange(0, 59_000_000),
+    "grace_us": IntegerRange(0, 3_000_000),
+    "lost_us": IntegerRange(300_000, 10_000_000),
+    "stall_us": IntegerRange(200_000, 10_000_000),
+    "warm_us": IntegerRange(0, 120_000_000),
+    "idle_txn_us": IntegerRange(100_000, 600_000_000),
+    "slots": IntegerRange(1, 100_000),
+    "queue": IntegerRange(1, 1000),
+    "lanes": IntegerRange(1, 64),
+    "sessions": IntegerRange(1, 1_000_000),
+    "keepers": IntegerRange(0, 3),
+    "wall_us": IntegerRange(10_000, 60_000_000),
+    "skew_us": IntegerRange(1_000, 10_000_000),
+    "spread_us": IntegerRange(0, 600_000_000),
 }
 
 
@@ -93,12 +93,12 @@
 
 @serde(deny_unknown_fields=True)
 @dataclasses.dataclass(slots=True)
-class Manifest:
+class Configuration:
     """The whole manifest."""
 
     name: str
     version: int
-    halls: list[str]
+    zones: list[str] = field(rename="halls")
     groups: list[Group]
     routes: list[Route]
     bounds: Bounds = field(default_factory=Bounds)
@@ -113,14 +113,14 @@
             out.append((path or "$", "must be an object"))
             return
         hints = typing.get_type_hints(tp)
-        known = {f.name: f for f in dataclasses.fields(tp)}
+        known = {f.metadata.get("serde_rename", f.name): f for f in dataclasses.fields(tp)}
         for k in v:
             if k not in known:
                 out.append((f"{path}.{k or '(empty)'}".lstrip("."), "unknown field"))
         for k, f in known.items():
             at = f"{path}.{k}".lstrip(".")
             if k in v:
-                _walk(hints[k], v[k], at, out)
+                _walk(hints[f.name], v[k], at, out)
             elif f.default is dataclasses.MISSING and f.default_factory is dataclasses.MISSING:
                 out.append((at, "missing"))
     elif typing.get_origin(tp) is list:
@@ -151,7 +151,7 @@
 
 
 def _meaning(m, out):
-    _names(m.halls, "halls", out)
+    _names(m.zones, "halls", out)
     gs = _names(m.groups, "groups", out, lambda g: g.name)
     _names(m.routes, "routes", out, lambda r: r.name)
     if not 1 <= m.version < 1 << 53:
@@ -160,7 +160,7 @@
         out.append(("name", "must be a name of lower-case letters, digits and hyphens"))
     for i, g in enumerate(m.groups):
         for k, lo, hi in (("members", 1, 9), ("cap", 1, 10_000), ("least", 0, 8), ("sync", 0, 8)):
-            w = Whole(lo, hi).fault(getattr(g, k))
+            w = IntegerRange(lo, hi).fault(getattr(g, k))
             if w:
                 out.append((f"groups[{i}].{k}", w))
         if g.least >= g.members:
@@ -177,7 +177,7 @@
             ("stale_us", 0, 1 << 40),
             ("rank", -(1 << 31), 1 << 31),
         ):
-            w = Whole(lo, hi).fault(getattr(r, k))
+            w = IntegerRange(lo, hi).fault(getattr(r, k))
             if w:
                 out.append((f"routes[{i}].{k}", w))
         at = (r.host, r.prefix)
@@ -222,10 +222,10 @@
     except (ValueError, RecursionError) as e:
         raise Invalid("manifest is not JSON", more={"faults": [["$", str(e)]]}) from None
     out = []
-    _walk(Manifest, doc, "", out)
+    _walk(Configuration, doc, "", out)
     if not out:
         try:
-            m = from_dict(Manifest, doc)
+            m = from_dict(Configuration, doc)
             _meaning(m, out)
         except SerdeError as e:
             out.append(("$", str(e)))
--- a/src/petrelhaven/control/consensus/chain.py
+++ b/src/petrelhaven/control/consensus/chain.py
@@ -3,7 +3,14 @@
 import asyncio
 
 from petrelhaven.control.consensus.peer_clocks import PeerClocks
-from petrelhaven.runtime.errors import Deposed, DiskRefused, Fault, Late, NotHead, NotReady
+from petrelhaven.runtime.errors import (
+    DeadlineExceeded,
+    DiskRefused,
+    Fault,
+    NotHead,
+    NotReady,
+    ViewSuperseded,
+)
 from petrelhaven.runtime.events import emit
 
 __all__ = ["Chain", "CONFIRM_US", "DRIFT"]
@@ -17,9 +24,9 @@
 class Chain:
     """One core's place in the chain of its view."""
 
-    def __init__(self, clock, nest, mem, call, log=None, confirm_us=CONFIRM_US, ask_us=120_000):
+    def __init__(self, clock, tasks, mem, call, log=None, confirm_us=CONFIRM_US, ask_us=120_000):
         self.confirm_us, self.ask_us = confirm_us, ask_us
-        self.clock, self.nest, self.mem, self._call, self.log = clock, nest, mem, call, log
+        self.clock, self.tasks, self.mem, self._call, self.log = clock, tasks, mem, call, log
         self.view = None
         self.active_at = self.adopted = 0
         self.commit = 0
@@ -30,10 +37,10 @@
         self._lock = asyncio.Lock()
         self._feeder = None
         self.on_commit = []
-        self.tied = int
+        self.connected_proxies = int
         self.sparing = False
         self._turns = 0
-        self.tied_at = {}
+        self.connected_proxy_counts = {}
         self.boot = clock.now()
         self._ticked = clock.now()
         self.pause = (0, 0)
@@ -46,8 +53,8 @@
         return self.mem.name
 
     @property
-    def realm(self):
-        return self.mem.realm
+    def control_state(self):
+        return self.mem.control_state
 
     def _at(self):
         if (
@@ -109,7 +116,7 @@
             self._feeder = None
         at = self._at()
         if at is not None and at + 1 < len(view["chain"]):
-            self._feeder = self.nest.spawn(self._feed(view, view["chain"][at + 1]))
+            self._feeder = self.tasks.spawn(self._feed(view, view["chain"][at + 1]))
         for f in self.on_view:
             f()
         self._ask_others()
@@ -174,7 +181,7 @@
 
     def _settle(self):
         if self.tail and self.complete:
-            self._committed(self.realm.seq)
+            self._committed(self.control_state.seq)
         self._news.set()
 
     def _committed(self, seq):
@@ -194,7 +201,7 @@
 
         A number alone names no record: what a head entered and could not commit is replaced by another head's records.
         """
-        if seq == self.realm.seq:
+        if seq == self.control_state.seq:
             return self.mem.mark == view
         return any(
             number == seq and entered == view for number, entered, _ in reversed(self.mem.recs)
@@ -231,7 +238,7 @@
             self._turns += 1
             others = [others[(self._turns + i) % len(others)] for i in range(len(v["ids"]) // 2)]
         for n in others:
-            self.nest.spawn(self._ask(n, v["n"], now))
+            self.tasks.spawn(self._ask(n, v["n"], now))
         self._count(v)
 
     def note_pause(self):
@@ -247,7 +254,10 @@
     async def _ask(self, name, n, at):
         try:
             r = await self._call(
-                name, "view.confirm", {"name": self.me, "n": n, "tied": self.tied()}, 400_000
+                name,
+                "view.confirm",
+                {"name": self.me, "n": n, "tied": self.connected_proxies()},
+                400_000,
             )
         except Fault:
             return
@@ -267,7 +277,7 @@
     async def confirmed_by(self, ch, b):
         """Answers another core's view.confirm: no, once a newer view was accepted here."""
         v = self.mem.vote["value"]
-        self.tied_at[b["name"]] = (self.clock.now(), b["tied"])
+        self.connected_proxy_counts[b["name"]] = (self.clock.now(), b["tied"])
         ok = bool(
             v
             and v["n"] == b["n"]
@@ -287,8 +297,8 @@
                     "not the active head",
                     more={"head": self.view["chain"][0] if self.view else None},
                 )
-            self.realm.check(rec)
-            seq = self.realm.seq + 1
+            self.control_state.check(rec)
+            seq = self.control_state.seq + 1
             n = self.view["n"]
             self.mem.put_rec(seq, n, rec)
             self._news.set()
@@ -309,7 +319,7 @@
             raise NotReady(
                 "not the active tail", more={"tail": self.view["chain"][-1] if self.view else None}
             )
-        return self.realm.doc
+        return self.control_state.doc
 
     async def _feed(self, view, to):
         held = mark = fed = None
@@ -330,8 +340,8 @@
                     rs = self.mem.since(held, mark)
                     if rs is None:
                         body.update(
-                            frame=self.realm.frame(),
-                            prev=self.realm.seq,
+                            frame=self.control_state.frame(),
+                            prev=self.control_state.seq,
                             mark=self.mem.mark,
                             done=True,
                         )
@@ -345,8 +355,8 @@
                 held, mark = r["held"], r["mark"]
                 if body["done"]:
                     fed = held if r["commit"] >= held else None
-                    self._committed(min(r["commit"], self.realm.seq))
-            except Deposed:
+                    self._committed(min(r["commit"], self.control_state.seq))
+            except ViewSuperseded:
                 await self.clock.sleep(100_000)
                 held = fed = None
             except Fault:
@@ -357,24 +367,24 @@
         """Takes records from the predecessor; answers once all successors hold them, or soon with what is committed."""
         v = self.view
         if v is None or v["n"] != b["view"] or not self._at():
-            raise Deposed(f"view {v['n'] if v else 0}")
+            raise ViewSuperseded(f"view {v['n'] if v else 0}")
         if self.mem.refuses:
             raise DiskRefused("the disk of this core refuses writes")
         if b["prev"] >= 0:
             if b["frame"] is not None:
-                if b["prev"] != self.realm.seq or b["mark"] != self.mem.mark:
+                if b["prev"] != self.control_state.seq or b["mark"] != self.mem.mark:
                     self.mem.reset(b["frame"], b["mark"])
                     self._wake()
-            elif (b["prev"], b["mark"]) == (self.realm.seq, self.mem.mark):
+            elif (b["prev"], b["mark"]) == (self.control_state.seq, self.mem.mark):
                 for s, n, r in b["recs"]:
                     self.mem.put_rec(s, n, r)
             if b["done"]:
                 self.mem.put_done(v["n"])
-            seq = self.realm.seq
+            seq = self.control_state.seq
             self._settle()
             if not self.tail and b["done"]:
                 try:
                     await self.clock.limit(self.until(seq), _AWAIT_US)
-                except Late:
+                except DeadlineExceeded:
                     pass
-        return {"held": self.realm.seq, "mark": self.mem.mark, "commit": self.commit}
+        return {"held": self.control_state.seq, "mark": self.mem.mark, "commit": self.commit}
--- a/src/petrelhaven/control/consensus/disk_watch.py
+++ b/src/petrelhaven/control/consensus/disk_watch.py
@@ -28,7 +28,7 @@
     def start(self) -> None:
         """Begins to try again if the disk refused already when the core started."""
         if self._core.mem.refuses:
-            self._core.nest.spawn(self._retry())
+            self._core.tasks.spawn(self._retry())
 
     def takes_writes(self, name: str) -> bool:
         """Whether the disk of core `name` takes writes, as far as is known."""
@@ -55,7 +55,7 @@
     def _tell_all(self) -> None:
         for name in self._core.roster.living("core"):
             if name != self._core.name:
-                self._core.nest.spawn(self._tell(name))
+                self._core.tasks.spawn(self._tell(name))
 
     async def _tell(self, name: str) -> None:
         body = {"name": self._core.name, "refuses": self._core.mem.refuses}
--- a/src/petrelhaven/control/consensus/peer_clocks.py
+++ b/src/petrelhaven/control/consensus/peer_clocks.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from petrelhaven.runtime.clock import Clock
-from petrelhaven.runtime.errors import Unsent
+from petrelhaven.runtime.errors import NotSent
 
 __all__ = ["Expiry", "PeerClocks"]
 
@@ -61,5 +61,5 @@
         """The moment `us` from now on the clock of core `name`; Unsent where that core has not answered yet."""
         reading = self._readings.get(name)
         if reading is None:
-            raise Unsent(f"the clock of {name} is not known")
+            raise NotSent(f"the clock of {name} is not known")
         return Expiry(reading.boot, reading.shown_us + self._clock.now() - reading.received_us + us)
--- a/src/petrelhaven/control/consensus/proxy_survey.py
+++ b/src/petrelhaven/control/consensus/proxy_survey.py
@@ -1,26 +1,26 @@
 """Ledgers of edges, gathered over their ties while a core has no majority and so holds no edge."""
 
-from petrelhaven.runtime.errors import Fault, Racing
+from petrelhaven.runtime.errors import Conflict, Fault
 from petrelhaven.runtime.events import emit
 
-__all__ = ["Muster"]
+__all__ = ["ProxySurvey"]
 
 _OPEN_US = 4_000_000
 _ASK_US = 600_000
 
 
-class Muster:
+class ProxySurvey:
     """While it is on, each edge that comes to this core for a tie, or still has one, is asked for what it holds."""
 
-    def __init__(self, clock, nest, log=None):
-        self.clock, self.nest, self.log = clock, nest, log
+    def __init__(self, clock, tasks, log=None):
+        self.clock, self.tasks, self.log = clock, tasks, log
         self.on = False
         self._got, self._asked = {}, set()
 
     async def gather(self):
         """Frames by edge. Long enough for an edge to leave a core that does not rule and try each of the others."""
         if self.on:
-            raise Racing("edges are being asked already")
+            raise Conflict("edges are being asked already")
         self.on, self._got, self._asked = True, {}, set()
         try:
             await self.clock.sleep(_OPEN_US)
--- a/src/petrelhaven/control/consensus/reform.py
+++ b/src/petrelhaven/control/consensus/reform.py
@@ -1,6 +1,6 @@
 """Forming the chain anew after a majority of the cores lost their disks: at the operator's word only."""
 
-from petrelhaven.runtime.errors import Fault, Malformed, NotReady, Racing
+from petrelhaven.runtime.errors import Conflict, Fault, Malformed, NotReady
 from petrelhaven.runtime.events import emit
 
 __all__ = ["Reform"]
@@ -29,7 +29,7 @@
                 more={"faults": [["lost", f"no core {n}"] for n in odd]},
             )
         if len(ids) - len(lost) > len(ids) // 2:
-            raise Racing(
+            raise Conflict(
                 "a majority of the disks is left; the chain mends itself", more={"ids": sorted(ids)}
             )
         infos = {}
@@ -40,7 +40,7 @@
             if infos[n] is None:
                 raise NotReady(f"{n} does not answer; start it over an empty folder first")
             if infos[n]["disk"] == ids[n]:
-                raise Racing(f"{n} answers with the disk that the view names; it is not lost")
+                raise Conflict(f"{n} answers with the disk that the view names; it is not lost")
         frame, src = await self._newest()
         n = max([v["n"]] + [i["view"]["n"] for i in infos.values() if i and i["view"]]) + _GAP
         self._above(frame)
@@ -74,7 +74,7 @@
 
     async def _newest(self):
         c = self._c
-        best, src = c.chain.realm.frame(), c.name
+        best, src = c.chain.control_state.frame(), c.name
         for n, f in sorted((await c.frames()).items()):
             if f["seq"] > best["seq"]:
                 best, src = f, n
--- a/src/petrelhaven/control/consensus/register.py
+++ b/src/petrelhaven/control/consensus/register.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from petrelhaven.runtime.errors import Fault, Racing
+from petrelhaven.runtime.errors import Conflict, Fault
 
 __all__ = ["Voter", "Proposer"]
 
@@ -64,14 +64,14 @@
         best = max(got, key=lambda r: (r["num"], r["who"]), default=None)
         if len(ok) < need:
             v = best["value"] if best else None
-            raise Racing("no majority promised", more={"value": v})
+            raise Conflict("no majority promised", more={"value": v})
         best = max(ok, key=lambda r: (r["num"], r["who"]))
         new = fn(best["value"])
         got = await self._round(
             ids, "vote.accept", {"num": num, "who": me, "ids": ids, "value": new}
         )
         if sum(r["ok"] for r in got) < need:
-            raise Racing("no majority accepted")
+            raise Conflict("no majority accepted")
         return new
 
     async def _round(self, ids, kind, body):
--- a/src/petrelhaven/control/core_changes.py
+++ b/src/petrelhaven/control/core_changes.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any
 
 if TYPE_CHECKING:
-    from petrelhaven.control.node import Seat
+    from petrelhaven.control.node import ControlNode
 
 __all__ = ["CoreChanges", "ViewChange"]
 
@@ -30,7 +30,7 @@
     follows from what may be lost at once.
     """
 
-    def __init__(self, core: Seat, most: int) -> None:
+    def __init__(self, core: ControlNode, most: int) -> None:
         """Uses the roster, the clock and the disk watch of `core`."""
         self._core, self._most = core, most
         self._born = core.clock.now()
--- a/src/petrelhaven/control/embargo/agreed_time.py
+++ b/src/petrelhaven/control/embargo/agreed_time.py
@@ -5,12 +5,12 @@
 from petrelhaven.runtime.events import emit
 from petrelhaven.runtime.wall_clock import agreed
 
-__all__ = ["TrueTime", "widened"]
+__all__ = ["AgreedTime", "widened"]
 
 _ASK_US = 500_000
 _CALL_US = 400_000
 _OLD_US = 3_000_000
-_DOUBT_US = 60_000_000
+_SUSPICION_US = 60_000_000
 
 
 def widened(lo, hi, us):
@@ -18,15 +18,21 @@
     return lo + int(us / DRIFT), hi + int(us * DRIFT)
 
 
-class TrueTime:
+class AgreedTime:
     """Asks the other cores for their readings while embargoes are on. `ids()` names all cores, `bounds()` is a dict."""
 
-    def __init__(self, clock, wall, name, ids, bounds, call, nest, log=None):
-        self.clock, self.wall, self.name, self._ids, self._bounds = clock, wall, name, ids, bounds
-        self._call, self.nest, self.log = call, nest, log
+    def __init__(self, clock, wall_clock, name, ids, bounds, call, tasks, log=None):
+        self.clock, self.wall_clock, self.name, self._ids, self._bounds = (
+            clock,
+            wall_clock,
+            name,
+            ids,
+            bounds,
+        )
+        self._call, self.tasks, self.log = call, tasks, log
         self._got = {}
         self._was = None
-        self._doubted = 0
+        self._suspected = 0
         self._told = {}
 
     async def run(self):
@@ -34,14 +40,14 @@
         while True:
             if self._bounds():
                 for n in self._ids():
-                    self.nest.spawn(self._ask(n))
+                    self.tasks.spawn(self._ask(n))
                 self._watch()
             await self.clock.sleep(_ASK_US)
 
     async def _ask(self, n):
         a = self.clock.now()
         if n == self.name:
-            w = self.wall.now()
+            w = self.wall_clock.now()
         else:
             try:
                 w = (await self._call(n, "wall.read", {"name": self.name}, _CALL_US))["wall"]
@@ -72,10 +78,10 @@
         if self._was is not None:
             lo, hi = widened(*self._was[1], now - self._was[0])
             if got[1] < lo or got[0] > hi:
-                self._doubted = now + _DOUBT_US
+                self._suspected = now + _SUSPICION_US
                 emit(self.log, 334, us=got[0] - lo)
         self._was = (now, got)
-        if now < self._doubted or got[1] - got[0] > m["wall_us"]:
+        if now < self._suspected or got[1] - got[0] > m["wall_us"]:
             return None
         return got
 
--- a/src/petrelhaven/control/embargo/duty.py
+++ b/src/petrelhaven/control/embargo/duty.py
@@ -2,11 +2,11 @@
 
 import asyncio
 
-from petrelhaven.control.embargo.agreed_time import TrueTime
-from petrelhaven.control.embargo.rules import Table, of_manifest, placed, rules_of, told
+from petrelhaven.control.embargo.agreed_time import AgreedTime
+from petrelhaven.control.embargo.rules import Table, of_configuration, placed, rules_of, told
 from petrelhaven.runtime.errors import Duplicate, Fault, Invalid, NotReady
 from petrelhaven.runtime.events import emit
-from petrelhaven.runtime.wall_clock import Wall
+from petrelhaven.runtime.wall_clock import WallClock
 
 __all__ = ["EmbargoDuty"]
 
@@ -16,17 +16,17 @@
 class EmbargoDuty:
     """Made by a seat when it first has to do with embargoes."""
 
-    def __init__(self, seat, wall=None):
-        self.s = seat
-        self.time = TrueTime(
-            seat.clock,
-            wall or Wall(),
-            seat.name,
+    def __init__(self, node, wall_clock=None):
+        self.s = node
+        self.time = AgreedTime(
+            node.clock,
+            wall_clock or WallClock(),
+            node.name,
             self._cores,
             self._bounds,
-            seat.call,
-            seat.nest,
-            seat.log,
+            node.call,
+            node.tasks,
+            node.log,
         )
         self._on = False
 
@@ -35,13 +35,13 @@
         return sorted(v["ids"]) if v else []
 
     def _bounds(self):
-        return (self.s.chain.realm.doc["manifest"] or {}).get("embargo")
+        return (self.s.chain.control_state.doc["manifest"] or {}).get("embargo")
 
     def start(self):
         """Keeps the time from now on."""
         if not self._on:
             self._on = True
-            self.s.nest.spawn(self.time.run())
+            self.s.tasks.spawn(self.time.run())
 
     def edge_time(self):
         """The interval around true time, as an edge is told it."""
@@ -53,7 +53,7 @@
 
         An edge that never heard that a group is embargoed does not withhold its reads when it loses touch.
         """
-        doc = await self.s.realm()
+        doc = await self.s.control_state()
         since = max(doc.get("embargo_since", {}).values(), default=0)
         v = self.s.chain.view
         rs = await asyncio.gather(*[self._ask(n, since) for n in v["chain"]])
@@ -75,7 +75,7 @@
     async def apply(self, m, rec):
         """Enters manifest `m`, which embargoes something; returns once it is in force and every edge is aware."""
         try:
-            r = await self.s.enter({**rec, **of_manifest(m)}, True)
+            r = await self.s.enter({**rec, **of_configuration(m)}, True)
         except Duplicate:
             await self.aware()
             raise
@@ -118,7 +118,7 @@
 
     async def list(self):
         """All rules, the groups, the newest changes and the time, as the tail answers them."""
-        return {**told(await self.s.realm()), "time": self.time.status()}
+        return {**told(await self.s.control_state()), "time": self.time.status()}
 
     async def why(self, d):
         """Which rules cover a thing, and what an edge that holds a lease answers to a visitor now."""
@@ -129,7 +129,7 @@
         ]
         if bad or not d.get("thing"):
             raise Invalid("question declined", more={"faults": bad or [["thing", "missing"]]})
-        doc = await self.s.realm()
+        doc = await self.s.control_state()
         t = Table(rules_of(doc))
         got = self.time.interval()
         hit = t.held(d.get("group", ""), [d["thing"]], d.get("visitor", ""), got[0] if got else 0)
--- a/src/petrelhaven/control/embargo/interface.py
+++ b/src/petrelhaven/control/embargo/interface.py
@@ -5,21 +5,21 @@
 __all__ = ["serve"]
 
 
-def serve(face, seat):
+def serve(http_server, node):
     """Adds the routes; nothing is loaded until one is called."""
 
     async def change(q):
-        return await seat.embargoes.change(q.doc())
+        return await node.embargoes.change(q.doc())
 
     async def listed(q):
-        return await seat.embargoes.list()
+        return await node.embargoes.list()
 
     async def why(q):
         d = q.doc()
         if not isinstance(d, dict):
             raise Malformed("the question must be an object")
-        return await seat.embargoes.why(d)
+        return await node.embargoes.why(d)
 
-    face.on("POST", "/embargoes", change)
-    face.on("GET", "/embargoes", listed)
-    face.on("POST", "/embargoes-why", why)
+    http_server.on("POST", "/embargoes", change)
+    http_server.on("GET", "/embargoes", listed)
+    http_server.on("POST", "/embargoes-why", why)
--- a/src/petrelhaven/control/embargo/rules.py
+++ b/src/petrelhaven/control/embargo/rules.py
@@ -6,18 +6,18 @@
 
 from sortedcontainers import SortedDict
 
-from petrelhaven.runtime.errors import Duplicate, Invalid, Oversize, Racing, Stale
+from petrelhaven.runtime.errors import Conflict, Duplicate, Invalid, Stale, TooLarge
 from petrelhaven.runtime.limits import NAME
 
 __all__ = [
     "Embargo",
     "Table",
     "apply",
-    "apply_manifest",
+    "apply_configuration",
     "check",
-    "check_manifest",
+    "check_configuration",
     "faults",
-    "of_manifest",
+    "of_configuration",
     "placed",
     "rules_of",
     "told",
@@ -102,7 +102,7 @@
         out.append(("bounds.wall_us", "must be above twice skew_us"))
 
 
-def of_manifest(m):
+def of_configuration(m):
     """What a record of manifest `m` carries of embargoes: nothing while they are off."""
     if not m.embargoing and not m.embargoes:
         return {}
@@ -193,19 +193,19 @@
                 more={"n": have["n"]},
             )
         if sum(map(_size, doc.get("embargoes", {}).values())) + _size(r) > _MOST:
-            raise Oversize("no room for one more embargo; lift old ones, or place one on a prefix")
+            raise TooLarge("no room for one more embargo; lift old ones, or place one on a prefix")
         return
     if have is None:
         if r["do"] == "lift":
             raise Duplicate(f"no embargo {r['name']} stands")
         raise Stale(f"no embargo {r['name']}")
     if r["n"] and r["n"] != have["n"] + 1:
-        raise Racing(f"embargo {r['name']} was changed meanwhile", more={"n": have["n"]})
+        raise Conflict(f"embargo {r['name']} was changed meanwhile", more={"n": have["n"]})
     if r["do"] == "move" and have["until"] == r["until"]:
         raise Duplicate(f"embargo {r['name']} is released then already", more={"n": have["n"]})
 
 
-def check_manifest(doc, r):
+def check_configuration(doc, r):
     """Declines a manifest that no longer names a group for which embargoes are placed."""
     scope = r.get("embargo", {}).get("scope", ())
     lost = sorted({e["group"] for e in doc.get("embargoes", {}).values()} - set(scope))
@@ -221,7 +221,7 @@
         )
 
 
-def apply_manifest(doc, r, seq):
+def apply_configuration(doc, r, seq):
     """Notes since which record each group is embargoed."""
     was = doc.get("embargo_since", {})
     now = {g: was.get(g, seq) for g in r.get("embargo", {}).get("scope", ())}
@@ -344,14 +344,14 @@
             if not bound:
                 return
 
-    def held(self, group, things, visitor, now):
+    def held(self, group, things, client, now):
         """The (key, rule) with the latest release of those that hold `things` back from `visitor` at `now`, or None."""
         worst = None
         for t in things:
             for k, r in self.covering(group, t):
                 if (
                     r["until"] > now
-                    and visitor not in r["early"]
+                    and client not in r["early"]
                     and (worst is None or r["until"] > worst[1]["until"])
                 ):
                     worst = (k, r)
--- a/src/petrelhaven/control/failover/coordinator.py
+++ b/src/petrelhaven/control/failover/coordinator.py
@@ -6,7 +6,7 @@
 from petrelhaven.control.failover.departures import DepartureWatch
 from petrelhaven.control.failover.evidence import Position
 from petrelhaven.control.failover.interfaces import CoreServices, Platform
-from petrelhaven.control.failover.leader_change import OfficeMove
+from petrelhaven.control.failover.leader_change import LeaderChange
 from petrelhaven.control.failover.member_access import MemberHandle
 from petrelhaven.control.failover.observation import Observer
 from petrelhaven.runtime.errors import Fault
@@ -22,8 +22,8 @@
 _FAULT_PAUSE_US = 200_000
 _ADOPT_PAUSE_US = 300_000
 _RESUME_PAUSE_US = 200_000
-_SILENT_BEATS = 2.3
-_FORGOTTEN_BEATS = 12
+_SILENT_HEARTBEATS = 2.3
+_FORGOTTEN_HEARTBEATS = 12
 
 
 class FailoverCoordinator:
@@ -38,12 +38,12 @@
         self.core, self.platform = core, platform
         self.clock = core.clock
         self.why: dict[str, str] = {}
-        self.heirs: dict[str, str] = {}
+        self.candidates: dict[str, str] = {}
         self.observer = Observer(core)
         self.answer_look = self.observer.answer
         self.log = core.log
         self._tasks = {}
-        self._doubts: dict[str, str] = {}
+        self._suspicions: dict[str, str] = {}
         self._calm_until = {}
         self._fruitless = {}
         self._to_resume: dict[str, set[str]] = {}
@@ -57,23 +57,23 @@
         return bool(self.core.chain.head and self.core.chain.active)
 
     @property
-    def _offices(self) -> dict:
-        return self.core.chain.realm.doc["offices"]
+    def _leaderships(self) -> dict:
+        return self.core.chain.control_state.doc["offices"]
 
-    def office(self, group: str) -> dict:
+    def leadership(self, group: str) -> dict:
         """The office of a group, as recorded."""
-        return self._offices[group]
+        return self._leaderships[group]
 
     def pause_lock(self, group: str) -> asyncio.Lock:
         """Held while replicas of the group are paused or resumed together with their records."""
         return self._pause_locks.setdefault(group, asyncio.Lock())
 
-    def doubt(self, group: str, member: str, how: str) -> None:
+    def suspect(self, group: str, member: str, how: str) -> None:
         """Takes a doubt about a primary, or about a replica that nobody hears of any more."""
-        office = self._offices.get(group)
-        if office and office["primary"] == member:
-            self._doubts.setdefault(group, how)
-        elif office:
+        leadership = self._leaderships.get(group)
+        if leadership and leadership["primary"] == member:
+            self._suspicions.setdefault(group, how)
+        elif leadership:
             self._departures.suspect(group, member)
 
     async def run(self) -> None:
@@ -81,10 +81,10 @@
         while True:
             await self.clock.sleep(_TURN_US)
             chain = self.core.chain
-            if chain.realm.manifest is None:
+            if chain.control_state.configuration is None:
                 continue
-            self._doubt_silent_primaries()
-            self._doubt_silent_replicas()
+            self._suspect_silent_primaries()
+            self._suspect_silent_replicas()
             self._departures.observe()
             if not self.acts:
                 self._stand_down()
@@ -92,53 +92,61 @@
             if not self._began:
                 self._take_over()
             self._departures.turn()
-            for group in chain.realm.manifest["groups"]:
+            for group in chain.control_state.configuration["groups"]:
                 if group["name"] not in self._tasks:
                     self._attend(group["name"])
 
     def _stand_down(self) -> None:
         if self._began:
             self._departures.stop()
-            self.heirs.clear()
+            self.candidates.clear()
         self._began = False
-        self._doubts.clear()
+        self._suspicions.clear()
 
     def _take_over(self) -> None:
         """A new head can't know which replicas the former one left paused."""
         self._began = True
-        realm = self.core.chain.realm
+        control_state = self.core.chain.control_state
         self._to_resume = {
-            group: set(realm.group(group)) - {office["primary"]}
-            for group, office in self._offices.items()
+            group: set(control_state.group(group)) - {leadership["primary"]}
+            for group, leadership in self._leaderships.items()
         }
 
-    def _doubt_silent_primaries(self) -> None:
-        now, beat_us = self.clock.now(), self.core.beat_us
-        for group, office in self._offices.items():
-            heard_at, _ = self.core.heard.get(office["primary"], (None, 0))
-            if heard_at is None or office["phase"] != "serve":
+    def _suspect_silent_primaries(self) -> None:
+        now, heartbeat_us = self.clock.now(), self.core.heartbeat_us
+        for group, leadership in self._leaderships.items():
+            heard_at, _ = self.core.heard.get(leadership["primary"], (None, 0))
+            if heard_at is None or leadership["phase"] != "serve":
                 continue
             silent_us = now - heard_at
-            if not _SILENT_BEATS * beat_us < silent_us < _FORGOTTEN_BEATS * beat_us:
+            if (
+                not _SILENT_HEARTBEATS * heartbeat_us
+                < silent_us
+                < _FORGOTTEN_HEARTBEATS * heartbeat_us
+            ):
                 continue
             key = ("beat", group)
             if self._calm_until.get(key, 0) <= now:
-                self._calm_until[key] = now + beat_us
-                del self.core.heard[office["primary"]]
-                self.core.nest.spawn(self.core.doubt(group, office["primary"], "no beats"))
+                self._calm_until[key] = now + heartbeat_us
+                del self.core.heard[leadership["primary"]]
+                self.core.tasks.spawn(self.core.suspect(group, leadership["primary"], "no beats"))
 
-    def _doubt_silent_replicas(self) -> None:
+    def _suspect_silent_replicas(self) -> None:
         """Tells the head once of each replica whose beats this core heard and hears no longer."""
-        now, beat_us = self.clock.now(), self.core.beat_us
-        members = self.core.chain.realm.doc["members"]
-        primaries = {office["primary"] for office in self._offices.values()}
+        now, heartbeat_us = self.clock.now(), self.core.heartbeat_us
+        members = self.core.chain.control_state.doc["members"]
+        primaries = {leadership["primary"] for leadership in self._leaderships.values()}
         for name, (heard_at, _) in list(self.core.heard.items()):
             facts = members.get(name)
             if facts is None or facts["state"] != "ready" or name in primaries:
                 continue
-            if _SILENT_BEATS * beat_us < now - heard_at < _FORGOTTEN_BEATS * beat_us:
+            if (
+                _SILENT_HEARTBEATS * heartbeat_us
+                < now - heard_at
+                < _FORGOTTEN_HEARTBEATS * heartbeat_us
+            ):
                 del self.core.heard[name]
-                self.core.nest.spawn(self.core.doubt(facts["group"], name, "no beats"))
+                self.core.tasks.spawn(self.core.suspect(facts["group"], name, "no beats"))
 
     def _start(self, group: str, work: Callable[..., Awaitable], *args: object) -> None:
         async def run() -> None:
@@ -150,26 +158,26 @@
             finally:
                 self._tasks.pop(group, None)
 
-        self._tasks[group] = self.core.nest.spawn(run())
+        self._tasks[group] = self.core.tasks.spawn(run())
 
     def _attend(self, group: str) -> None:
         """Starts what the group needs now, if anything."""
-        office = self._offices.get(group)
-        members = self.core.chain.realm.group(group)
-        if office is None:
-            self._begin_office(group, members)
-        elif office["phase"] != "serve":
-            self._start(group, self._move, office["phase"] == "swap", office["cause"])
+        leadership = self._leaderships.get(group)
+        members = self.core.chain.control_state.group(group)
+        if leadership is None:
+            self._begin_leadership(group, members)
+        elif leadership["phase"] != "serve":
+            self._start(group, self._move, leadership["phase"] == "swap", leadership["cause"])
         else:
-            self._attend_serving(group, office["primary"], members)
+            self._attend_serving(group, leadership["primary"], members)
 
-    def _begin_office(self, group: str, members: dict) -> None:
+    def _begin_leadership(self, group: str, members: dict) -> None:
         announced = [
             n for n, m in members.items() if m["role"] == "primary" and m["state"] == "ready"
         ]
         if announced:
             cause = "announced as primary"
-            self._start(group, self.enter_office, "serve", announced[0], 0, cause)
+            self._start(group, self.enter_leadership, "serve", announced[0], 0, cause)
 
     def _attend_serving(self, group: str, primary: str, members: dict) -> None:
         facts = members.get(primary)
@@ -178,8 +186,8 @@
             self._start(group, self._adopt)
         elif facts is None:
             self._start(group, self._move, False, "the primary has left")
-        elif group in self._doubts and self._calm_until.get(group, 0) <= self.clock.now():
-            self._start(group, self._look_into, facts, self._doubts.pop(group))
+        elif group in self._suspicions and self._calm_until.get(group, 0) <= self.clock.now():
+            self._start(group, self._look_into, facts, self._suspicions.pop(group))
         elif self._starts_planned_move(group, primary, facts):
             return
         elif group in self._to_resume:
@@ -187,7 +195,7 @@
 
     def _starts_planned_move(self, group: str, primary: str, facts: dict) -> bool:
         draining = facts["state"] == "draining"
-        if not draining and self.core.chain.realm.hall(facts["hall"]) == "open":
+        if not draining and self.core.chain.control_state.zone(facts["hall"]) == "open":
             return False
         if not self.staying(group, primary):
             self.why[group] = "no heir for a planned move"
@@ -198,14 +206,14 @@
 
     def staying(self, group: str, primary: str) -> list[str]:
         """Replicas that may take the office over: ready, in an open hall."""
-        realm = self.core.chain.realm
+        control_state = self.core.chain.control_state
         return [
             n
-            for n, m in realm.group(group).items()
-            if n != primary and m["state"] == "ready" and realm.hall(m["hall"]) == "open"
+            for n, m in control_state.group(group).items()
+            if n != primary and m["state"] == "ready" and control_state.zone(m["hall"]) == "open"
         ]
 
-    async def enter_office(
+    async def enter_leadership(
         self,
         group: str,
         phase: str,
@@ -219,11 +227,11 @@
         requested: Iterable[str] = (),
     ) -> int:
         """Enters a record of the office; its number is the fence of what follows."""
-        office = self._offices.get(group)
+        leadership = self._leaderships.get(group)
         record = {
             "t": "office",
             "group": group,
-            "n": (office["n"] if office else 0) + 1,
+            "n": (leadership["n"] if leadership else 0) + 1,
             "phase": phase,
             "primary": primary,
             "term": term,
@@ -263,12 +271,12 @@
             emit(self.log, 328, group=group, note=reason)
         self.why[group] = reason
 
-    async def _look_into(self, group: str, facts: dict, doubt: str) -> None:
+    async def _look_into(self, group: str, facts: dict, suspect: str) -> None:
         """Several cores look at a doubted primary; one that reaches it leaves the office alone."""
-        primary = self.office(group)["primary"]
+        primary = self.leadership(group)["primary"]
         survey = await self.observer.survey(primary, facts)
         seen = ",".join(survey.seen)
-        emit(self.log, 327, group=group, primary=primary, doubt=doubt, seen=seen)
+        emit(self.log, 327, group=group, primary=primary, suspect=suspect, seen=seen)
         if survey.up:
             if survey.says_replica:
                 await self._find_primary(group)
@@ -276,7 +284,7 @@
         elif not survey.is_majority:
             self.why[group] = "too few cores to tell whether the primary is dark"
         else:
-            await self._move(group, False, f"{doubt}; seen {seen}")
+            await self._move(group, False, f"{suspect}; seen {seen}")
 
     def _note_fruitless(self, group: str) -> None:
         """Doubts that come again soon after a look in vain are looked into less often."""
@@ -288,13 +296,13 @@
 
     async def _find_primary(self, group: str) -> None:
         """Records the member that says itself that it leads, if the office names another."""
-        primary = self.office(group)["primary"]
-        for name, facts in self.core.chain.realm.group(group).items():
+        primary = self.leadership(group)["primary"]
+        for name, facts in self.core.chain.control_state.group(group).items():
             handle = MemberHandle(self.core.wire, self.clock, name, facts)
             row = await handle.status()
             handle.close()
             if row is not None and row.is_primary and name != primary:
-                await self.enter_office(
+                await self.enter_leadership(
                     group, "serve", name, row.term, "found in office", position=row.position
                 )
                 return
@@ -305,16 +313,16 @@
 
     async def _move(self, group: str, planned: bool, cause: str) -> None:
         self.why.pop(group, None)
-        await OfficeMove(self, group, planned, cause).run()
+        await LeaderChange(self, group, planned, cause).run()
 
     async def settled(
         self, group: str, others: Iterable[str], handles: dict[str, MemberHandle]
     ) -> None:
         """A new primary is in office."""
-        self.heirs.pop(group, None)
+        self.candidates.pop(group, None)
         self.why.pop(group, None)
         self._calm_until[group] = self.clock.now() + _SETTLED_CALM_US
-        self._doubts.pop(group, None)
+        self._suspicions.pop(group, None)
         self._to_resume[group] = set(others)
         await self._resume(group, handles)
 
@@ -322,7 +330,7 @@
         self, group: str, others: Iterable[str], handles: dict[str, MemberHandle]
     ) -> None:
         """The old primary stays in office."""
-        self.heirs.pop(group, None)
+        self.candidates.pop(group, None)
         self.why.pop(group, None)
         self._calm_until[group] = self.clock.now() + _CALM_US
         self._to_resume[group] = set(others)
@@ -335,7 +343,7 @@
     async def _resume(self, group: str, handles: dict[str, MemberHandle] | None = None) -> None:
         """Lets every paused replica receive again, but for those that are counted out."""
         left = self._to_resume[group]
-        members = self.core.chain.realm.group(group)
+        members = self.core.chain.control_state.group(group)
         own = handles is None
         if own:
             handles = {
@@ -360,9 +368,9 @@
 
     async def _resume_one(self, group: str, handle: MemberHandle) -> bool:
         async with self.pause_lock(group):
-            if handle.name in self.core.chain.realm.evidence(group).counted_out:
+            if handle.name in self.core.chain.control_state.evidence(group).counted_out:
                 return True
-            if not self.acts or self.office(group)["phase"] != "serve":
+            if not self.acts or self.leadership(group)["phase"] != "serve":
                 return False
             answered = await handle.resume()
             if handle.refuses:
--- a/src/petrelhaven/control/failover/departures.py
+++ b/src/petrelhaven/control/failover/departures.py
@@ -55,17 +55,17 @@
     def observe(self) -> None:
         """Notes since when members drain; every core does, so that a new head knows it."""
         now = self._clock.now()
-        members = self._core.chain.realm.doc["members"]
+        members = self._core.chain.control_state.doc["members"]
         draining = {n for n, m in members.items() if m["state"] == "draining"}
         self._draining_since = {n: self._draining_since.get(n, now) for n in draining}
 
     def turn(self) -> None:
         """Starts a round for each group that needs one and has none running."""
-        for group in self._core.chain.realm.doc["offices"]:
+        for group in self._core.chain.control_state.doc["offices"]:
             if group in self._tasks:
                 continue
             if self._concerned(group):
-                self._tasks[group] = self._core.nest.spawn(self._round(group))
+                self._tasks[group] = self._core.tasks.spawn(self._round(group))
             else:
                 self._forget(group)
 
@@ -80,10 +80,10 @@
         return now - self._draining_since.get(name, now)
 
     def _evidence(self, group: str) -> Evidence:
-        return self._core.chain.realm.evidence(group)
+        return self._core.chain.control_state.evidence(group)
 
     def _leaving(self, group: str) -> list[str]:
-        members = self._core.chain.realm.group(group)
+        members = self._core.chain.control_state.group(group)
         return [n for n, m in members.items() if m["state"] == "draining"]
 
     def _concerned(self, group: str) -> bool:
@@ -118,24 +118,24 @@
                 self._forget(group)
 
     async def _attend(self, group: str) -> None:
-        office = self._core.chain.realm.doc["offices"][group]
+        leadership = self._core.chain.control_state.doc["offices"][group]
         await self._sign_off_overdue(group)
-        if office["phase"] == "move" or not self._coordinator.acts:
+        if leadership["phase"] == "move" or not self._coordinator.acts:
             return
         ended = await self._ended(group)
-        lost = await self._lost(group, office["primary"])
+        lost = await self._lost(group, leadership["primary"])
         if not self._has_work(group, lost):
             return
         handles = self._refreshed(group)
-        primary = handles.get(office["primary"])
+        primary = handles.get(leadership["primary"])
         row = await primary.status() if primary is not None else None
         if row is None or not row.is_primary:
             return
-        followed = await self._followed(group, office["primary"], row.position)
+        followed = await self._followed(group, leadership["primary"], row.position)
         if ended and (followed or self._seen_for(group, "unfollowed end") > _ENDED_US):
             self._not_seen(group, "unfollowed end")
             await self._bound(group, ended, row.position)
-        await self._count_out(group, office["primary"], row.term + 1, followed, lost)
+        await self._count_out(group, leadership["primary"], row.term + 1, followed, lost)
         if followed:
             await self._count_out_lost(group, lost, row.position)
 
@@ -148,7 +148,7 @@
     async def _lost(self, group: str, primary: str) -> list[str]:
         """Which replicas ended without a word: at their addresses nobody answers for a while."""
         now = self._clock.now()
-        members = self._core.chain.realm.group(group)
+        members = self._core.chain.control_state.group(group)
         suspects = {name for of, name in self._suspected if of == group}
         lost = []
         for name in sorted(suspects | set(self._evidence(group).counted_out)):
@@ -177,7 +177,7 @@
 
     def _refreshed(self, group: str) -> dict[str, MemberHandle]:
         handles = self._handles.setdefault(group, {})
-        members = self._core.chain.realm.group(group)
+        members = self._core.chain.control_state.group(group)
         for name in [n for n in handles if n not in members]:
             handles.pop(name).close()
         for name, facts in members.items():
@@ -220,10 +220,10 @@
                 await self._pause(group, name, term)
             elif name in counted_out:
                 await self._undo_if_unfollowed(group, name)
-        if self._core.chain.realm.doc["offices"][group]["phase"] != "serve":
+        if self._core.chain.control_state.doc["offices"][group]["phase"] != "serve":
             return
         for name in counted_out:
-            facts = self._core.chain.realm.group(group).get(name)
+            facts = self._core.chain.control_state.group(group).get(name)
             if facts is not None and facts["state"] == "ready" and name not in lost:
                 await self._undo(group, name)
 
@@ -248,13 +248,13 @@
 
     def _may_be_promoted(self, group: str, name: str) -> bool:
         """Whether the member is to take over, or was asked for by whoever was the head before."""
-        office = self._core.chain.realm.doc["offices"][group]
-        requested = office.get("requested", ()) if office["phase"] != "serve" else ()
-        return self._coordinator.heirs.get(group) == name or name in requested
+        leadership = self._core.chain.control_state.doc["offices"][group]
+        requested = leadership.get("requested", ()) if leadership["phase"] != "serve" else ()
+        return self._coordinator.candidates.get(group) == name or name in requested
 
     async def _undo_if_unfollowed(self, group: str, name: str) -> None:
         since = self._unfollowed_since.setdefault(group, self._clock.now())
-        serving = self._core.chain.realm.doc["offices"][group]["phase"] == "serve"
+        serving = self._core.chain.control_state.doc["offices"][group]["phase"] == "serve"
         if serving and self._clock.now() - since > _UNFOLLOWED_US:
             await self._undo(group, name)
 
@@ -274,7 +274,7 @@
         unproven = self._evidence(group).unproven
         ended = []
         for name in unproven:
-            facts = self._core.chain.realm.doc["members"].get(name)
+            facts = self._core.chain.control_state.doc["members"].get(name)
             seen_for = self._seen_for(group, "unproven " + name)
             if facts is None:
                 ended.append(name)
@@ -299,7 +299,7 @@
 
     async def _sign_off_overdue(self, group: str) -> None:
         """Signs off members that drained for their time and refuse: they ended without a word."""
-        members = self._core.chain.realm.group(group)
+        members = self._core.chain.control_state.group(group)
         for name in self._leaving(group):
             if self._drained_for(name) < _DRAIN_US:
                 continue
--- a/src/petrelhaven/control/failover/group_members.py
+++ b/src/petrelhaven/control/failover/group_members.py
@@ -6,7 +6,7 @@
 from petrelhaven.control.failover.evidence import MemberRow
 from petrelhaven.control.failover.interfaces import CoreServices
 from petrelhaven.control.failover.member_access import ASK_US, MemberHandle
-from petrelhaven.runtime.errors import Late
+from petrelhaven.runtime.errors import DeadlineExceeded
 
 __all__ = ["GroupMembers"]
 
@@ -36,7 +36,7 @@
 
     def refresh(self) -> None:
         """Takes the members that the group has now."""
-        members = self._core.chain.realm.group(self._group)
+        members = self._core.chain.control_state.group(self._group)
         for name in [n for n in self.handles if n not in members]:
             self.handles.pop(name).close()
         for name, facts in members.items():
@@ -52,7 +52,7 @@
         """
         primary = self.handles.get(self._old)
         if primary is not None and (primary.pending is None or primary.pending.done()):
-            primary.pending = self._core.nest.spawn(primary.status())
+            primary.pending = self._core.tasks.spawn(primary.status())
         answers = await asyncio.gather(*[handle.status() for handle in replicas])
         rows = {h.name: row for h, row in zip(replicas, answers, strict=True) if row is not None}
         if primary is None:
@@ -62,7 +62,7 @@
     async def _pending_row(self, primary: MemberHandle, limit_us: int) -> MemberRow | None:
         try:
             return await self._core.clock.limit(primary.pending, limit_us, keep=True)
-        except Late:
+        except DeadlineExceeded:
             return None
 
     def unheard(
@@ -77,8 +77,8 @@
 
     def spared(self, replicas: Iterable[MemberHandle]) -> list[str]:
         """Who need not be heard: those that left paused, and the lost while nobody is there."""
-        members = self._core.chain.realm.group(self._group)
-        counted_out = self._core.chain.realm.evidence(self._group).counted_out
+        members = self._core.chain.control_state.group(self._group)
+        counted_out = self._core.chain.control_state.evidence(self._group).counted_out
         return [
             handle.name
             for handle in replicas
@@ -105,7 +105,7 @@
 
     def changed(self, replicas: list[MemberHandle]) -> bool:
         """Whether the group has other replicas now."""
-        now = set(self._core.chain.realm.group(self._group)) - {self._old}
+        now = set(self._core.chain.control_state.group(self._group)) - {self._old}
         return now != {handle.name for handle in replicas}
 
     async def pause_newcomers(self, term: int) -> None:
--- a/src/petrelhaven/control/failover/interfaces.py
+++ b/src/petrelhaven/control/failover/interfaces.py
@@ -46,16 +46,16 @@
     """One core machine, as the coordinator uses it."""
 
     name: str
-    hall: str
+    zone: str
     clock: Clock
-    nest: Tasks
+    tasks: Tasks
     log: Any
     wire: MemberWire
     chain: Any
     reach: Any
-    desk: Any
+    lease_table: Any
     heard: dict[str, tuple[int, int]]
-    beat_us: int
+    heartbeat_us: int
 
-    async def doubt(self, group: str, member: str, how: str) -> None:
+    async def suspect(self, group: str, member: str, how: str) -> None:
         """Tells the head of a doubt about a primary."""
--- a/src/petrelhaven/control/failover/leader_change.py
+++ b/src/petrelhaven/control/failover/leader_change.py
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from petrelhaven.control.failover.coordinator import FailoverCoordinator
 
-__all__ = ["OfficeMove"]
+__all__ = ["LeaderChange"]
 
 _ATTEMPT_US = 60_000
 _PLANNED_US = 9_000_000
@@ -33,7 +33,7 @@
 _PROMOTE_TURN_US = 40_000
 
 
-class OfficeMove:
+class LeaderChange:
     """Moves the office to a member that provably has every acknowledged commit, or not at all.
 
     Attributes:
@@ -49,9 +49,9 @@
         self._coordinator, self._core = coordinator, coordinator.core
         self._clock, self._log = coordinator.clock, coordinator.core.log
         self._cause = cause
-        office = coordinator.office(group)
-        self.old = office["primary"]
-        self._term = office["term"]
+        leadership = coordinator.leadership(group)
+        self.old = leadership["primary"]
+        self._term = leadership["term"]
         self._requests = PromotionRequests(coordinator, group, planned)
         self._members = GroupMembers(coordinator.core, group, self.old)
         self._entered = 0
@@ -86,7 +86,7 @@
             await self._requests.enter(stuck=True, cause=reason)
 
     def _evidence(self) -> Evidence:
-        return self._core.chain.realm.evidence(self.group)
+        return self._core.chain.control_state.evidence(self.group)
 
     def _waits(self, reason: str) -> bool:
         self._coordinator.waits(self.group, reason)
@@ -96,7 +96,7 @@
         """One attempt; true once the office has settled."""
         replicas = self._members.replicas()
         old_row, rows = await self._members.rows(replicas, patient=self.planned)
-        if not self.planned and self._stays_in_office(old_row):
+        if not self.planned and self._stays_in_leadership(old_row):
             return await self._give_back("the primary answers again")
         leading = next((n for n, row in rows.items() if row.is_primary), None)
         if leading is not None:
@@ -107,7 +107,7 @@
             return await self._relieve(replicas, rows, term)
         return await self._replace(replicas, rows, term)
 
-    def _stays_in_office(self, old_row: MemberRow | None) -> bool:
+    def _stays_in_leadership(self, old_row: MemberRow | None) -> bool:
         """Whether the old primary leads and the move is better taken back than carried on.
 
         Once the platform was asked, taking it back takes longer: it is done only if the move does
@@ -135,43 +135,43 @@
         left = ", ".join(self._evidence().unproven_beside(self.old))
         if left:
             return self._waits("members that left are looked at: " + left)
-        heir = self._heir_of_planned(rows)
-        if heir is None:
+        candidate = self._candidate_of_planned(rows)
+        if candidate is None:
             return self._waits("no heir for a planned move")
-        if self._requests.pending_besides(heir.name):
+        if self._requests.pending_besides(candidate.name):
             return await self._give_back("another member may still be promoted")
         async with self._coordinator.pause_lock(self.group):
-            self._coordinator.heirs[self.group] = heir.name
-            row = await heir.status()
-            if row is None or (row.held_term and not await heir.resume()):
+            self._coordinator.candidates[self.group] = candidate.name
+            row = await candidate.status()
+            if row is None or (row.held_term and not await candidate.resume()):
                 return False
-        others = [h for h in replicas if h is not heir and h.name in rows]
+        others = [h for h in replicas if h is not candidate and h.name in rows]
         if not all(await asyncio.gather(*[h.pause(term) for h in others])):
             return self._waits("a replica could not be paused")
-        if not await self._catches_up(heir):
-            return self._waits(f"{heir.name} catches up with {self.old}")
-        await self._requests.announce(heir.name, self._stuck)
-        await self._core.desk.in_force(self._entered)
-        if not await self._still_holds(heir, others, replicas, term):
+        if not await self._catches_up(candidate):
+            return self._waits(f"{candidate.name} catches up with {self.old}")
+        await self._requests.announce(candidate.name, self._stuck)
+        await self._core.lease_table.in_force(self._entered)
+        if not await self._still_holds(candidate, others, replicas, term):
             return self._waits("what was paused is not any more")
-        return await self._promote(heir, term)
+        return await self._promote(candidate, term)
 
     async def _still_holds(
         self,
-        heir: MemberHandle,
+        candidate: MemberHandle,
         others: list[MemberHandle],
         replicas: list[MemberHandle],
         term: int,
     ) -> bool:
         """Whether only the heir receives and it stays, as it was before the wait for the edges."""
-        row = await heir.status()
+        row = await candidate.status()
         if row is None or row.held_term or self._members.changed(replicas):
             return False
-        if heir.name not in self._coordinator.staying(self.group, self.old):
+        if candidate.name not in self._coordinator.staying(self.group, self.old):
             return False
         return await self._members.paused_rows(others, term) is not None
 
-    def _heir_of_planned(self, rows: dict[str, MemberRow]) -> MemberHandle | None:
+    def _candidate_of_planned(self, rows: dict[str, MemberRow]) -> MemberHandle | None:
         staying = set(self._coordinator.staying(self.group, self.old))
         names = [n for n in rows if n in staying]
         names = [n for n in names if n in self._requests.requested] or names
@@ -179,14 +179,14 @@
         name = max(names, key=lambda n: (rows[n].position, n), default=None)
         return self._members.handles[name] if name is not None else None
 
-    async def _catches_up(self, heir: MemberHandle) -> bool:
+    async def _catches_up(self, candidate: MemberHandle) -> bool:
         """Whether the heir holds all that the primary had after the others were paused."""
         primary = await self._members.handles[self.old].status()
         if primary is None or not primary.is_primary:
             return False
         end = self._clock.now() + _CATCH_UP_US
         while self._clock.now() < end:
-            row = await heir.status()
+            row = await candidate.status()
             if row is None:
                 return False
             if row.position >= primary.position:
@@ -212,18 +212,18 @@
         verdict = self._decide(replicas, {h.name: h.row for h in heard})
         if isinstance(verdict, Unproven):
             return self._waits_for_proof(verdict)
-        heir = self._preferred(verdict.candidates)
-        await self._requests.announce(heir.name, self._stuck)
-        await self._core.desk.in_force(self._entered)
+        candidate = self._preferred(verdict.candidates)
+        await self._requests.announce(candidate.name, self._stuck)
+        await self._core.lease_table.in_force(self._entered)
         again = await self._members.paused_rows(heard, term)
         if again is None or self._members.changed(replicas):
             return self._waits("what was paused is not any more")
         if not await self._members.stay_away(replicas, heard):
             return self._waits("a member that was lost is back")
         verdict = self._decide(replicas, again)
-        if isinstance(verdict, Unproven) or heir.name not in verdict.candidates:
+        if isinstance(verdict, Unproven) or candidate.name not in verdict.candidates:
             return self._waits("what was paused is not any more")
-        return await self._promote(heir, term)
+        return await self._promote(candidate, term)
 
     def _decide(
         self, replicas: list[MemberHandle], rows: dict[str, MemberRow]
@@ -246,7 +246,7 @@
             return (
                 handle.name not in self._requests.requested,
                 handle.name not in staying,
-                handle.facts["hall"] != self._core.hall,
+                handle.facts["hall"] != self._core.zone,
                 handle.name,
             )
 
@@ -256,7 +256,7 @@
         self, replicas: list[MemberHandle], rows: dict[str, MemberRow], term: int
     ) -> None:
         """Pauses and records the members that leave: their logs may go with them at any time."""
-        members = self._core.chain.realm.group(self.group)
+        members = self._core.chain.control_state.group(self.group)
         counted_out = self._evidence().counted_out
         for handle in replicas:
             facts = members.get(handle.name)
@@ -276,48 +276,48 @@
         term: int,
     ) -> bool:
         """Elects the member that an operator named, whatever is lost by that."""
-        heir = self._members.handles.get(order.member)
-        if heir is None or order.member not in rows:
+        candidate = self._members.handles.get(order.member)
+        if candidate is None or order.member not in rows:
             return self._waits(f"{order.member}, ordered by {order.by}, is not heard")
-        others = [h for h in replicas if h is not heir and h.name in rows]
+        others = [h for h in replicas if h is not candidate and h.name in rows]
         await asyncio.gather(*[h.pause(term) for h in others])
-        await self._requests.announce(heir.name, self._stuck)
-        await self._core.desk.in_force(self._entered)
+        await self._requests.announce(candidate.name, self._stuck)
+        await self._core.lease_table.in_force(self._entered)
         emit(self._log, 344, group=self.group, member=order.member, by=order.by)
-        return await self._promote(heir, term, accepted_loss=order.by)
+        return await self._promote(candidate, term, accepted_loss=order.by)
 
-    async def _promote(self, heir: MemberHandle, term: int, accepted_loss: str = "") -> bool:
+    async def _promote(self, candidate: MemberHandle, term: int, accepted_loss: str = "") -> bool:
         if not self._coordinator.acts:
             raise NotHead("not the active head any more")
-        position = heir.row.position
-        emit(self._log, 326, group=self.group, heir=heir.name, pos=position)
-        end = self._clock.now() + await self._requests.send(heir.name)
+        position = candidate.row.position
+        emit(self._log, 326, group=self.group, candidate=candidate.name, pos=position)
+        end = self._clock.now() + await self._requests.send(candidate.name)
         while self._clock.now() < end:
-            row = await heir.status()
+            row = await candidate.status()
             if row is not None and row.is_primary:
-                return await self._settle(heir, accepted_loss)
+                return await self._settle(candidate, accepted_loss)
             await self._members.pause_newcomers(term)
             await self._clock.sleep(_PROMOTE_TURN_US)
         return False
 
-    async def _settle(self, heir: MemberHandle, accepted_loss: str = "") -> bool:
+    async def _settle(self, candidate: MemberHandle, accepted_loss: str = "") -> bool:
         """Records who leads, once nobody else can be promoted; whether that is so."""
-        if self._requests.pending_besides(heir.name):
-            await self._requests.fence_off(heir.name, self._stuck)
-            if not await self._leads(heir):
+        if self._requests.pending_besides(candidate.name):
+            await self._requests.fence_off(candidate.name, self._stuck)
+            if not await self._leads(candidate):
                 return False
-        row = heir.row
-        await self._coordinator.enter_office(
+        row = candidate.row
+        await self._coordinator.enter_leadership(
             self.group,
             "serve",
-            heir.name,
+            candidate.name,
             row.term,
             f"elected after {self.old}",
             position=row.position,
             accepted_loss=accepted_loss,
         )
-        emit(self._log, 324, group=self.group, primary=heir.name, term=row.term)
-        others = {name for name in self._members.handles if name != heir.name}
+        emit(self._log, 324, group=self.group, primary=candidate.name, term=row.term)
+        others = {name for name in self._members.handles if name != candidate.name}
         await self._coordinator.settled(self.group, others, self._members.handles)
         return True
 
@@ -328,7 +328,7 @@
             await self._requests.fence_off(self.old, self._stuck)
             if not await self._leads(self._members.handles[self.old]):
                 return False
-        await self._coordinator.enter_office(self.group, "serve", self.old, self._term, cause)
+        await self._coordinator.enter_leadership(self.group, "serve", self.old, self._term, cause)
         others = {name for name in self._members.handles if name != self.old}
         await self._coordinator.given_back(self.group, others, self._members.handles)
         return True
--- a/src/petrelhaven/control/failover/member_access.py
+++ b/src/petrelhaven/control/failover/member_access.py
@@ -3,7 +3,7 @@
 from petrelhaven.control.failover.evidence import MemberRow
 from petrelhaven.control.failover.interfaces import Connection, MemberWire
 from petrelhaven.runtime.clock import Clock
-from petrelhaven.runtime.errors import Fault, Gone, Unsent
+from petrelhaven.runtime.errors import Fault, MemberReplaced, NotSent
 
 __all__ = ["ASK_US", "MemberHandle"]
 
@@ -90,7 +90,7 @@
 
     def _note(self, fault: Fault) -> None:
         self.fault = f"{fault.code} {fault.note}"
-        self.refuses = isinstance(fault, Unsent | Gone) and fault.note != _MUTE
+        self.refuses = isinstance(fault, NotSent | MemberReplaced) and fault.note != _MUTE
 
     def close(self) -> None:
         """Closes the connection; the next question opens another one."""
--- a/src/petrelhaven/control/failover/observation.py
+++ b/src/petrelhaven/control/failover/observation.py
@@ -5,7 +5,15 @@
 
 from petrelhaven.control.failover.interfaces import CoreServices
 from petrelhaven.control.failover.member_access import MemberHandle
-from petrelhaven.runtime.errors import Busy, Fault, Gone, Late, MemberFault, Unreached, Unsent
+from petrelhaven.runtime.errors import (
+    Busy,
+    DeadlineExceeded,
+    Fault,
+    MemberDeclined,
+    MemberReplaced,
+    NotSent,
+    Unreachable,
+)
 
 __all__ = ["MUTE", "REFUSED", "Observer", "Survey"]
 
@@ -50,11 +58,11 @@
         try:
             row = await self._core.clock.limit(handle.ask("status"), _LOOK_US)
             return UP + row.role
-        except (Busy, MemberFault):
+        except (Busy, MemberDeclined):
             return _BUSY
-        except (Unsent, Gone) as e:
+        except (NotSent, MemberReplaced) as e:
             return MUTE if e.note == MUTE else REFUSED
-        except (Late, Unreached):
+        except (DeadlineExceeded, Unreachable):
             return MUTE
         finally:
             handle.close()
--- a/src/petrelhaven/control/failover/promotion.py
+++ b/src/petrelhaven/control/failover/promotion.py
@@ -7,7 +7,7 @@
 
 from typing import TYPE_CHECKING
 
-from petrelhaven.runtime.errors import Fault, Fenced, Unsent
+from petrelhaven.runtime.errors import Fault, Fenced, NotSent
 from petrelhaven.runtime.events import emit
 
 if TYPE_CHECKING:
@@ -30,10 +30,12 @@
     def __init__(self, coordinator: "FailoverCoordinator", group: str, planned: bool) -> None:
         self._coordinator, self._group = coordinator, group
         self.planned = planned
-        office = coordinator.office(group)
-        self._primary, self._term = office["primary"], office["term"]
-        moving = office["phase"] != "serve"
-        self.requested: frozenset[str] = frozenset(office.get("requested", ()) if moving else ())
+        leadership = coordinator.leadership(group)
+        self._primary, self._term = leadership["primary"], leadership["term"]
+        moving = leadership["phase"] != "serve"
+        self.requested: frozenset[str] = frozenset(
+            leadership.get("requested", ()) if moving else ()
+        )
         self._fence = 0
         self._recorded = ""
 
@@ -41,42 +43,42 @@
         """Whether somebody other than `member` may still be promoted."""
         return not self.requested <= {member}
 
-    async def enter(self, stuck: bool, cause: str, heir: str = "") -> int:
+    async def enter(self, stuck: bool, cause: str, candidate: str = "") -> int:
         """Enters the move's record, with `heir` among those asked for; its number is a new fence."""
         phase = "swap" if self.planned else "move"
-        requested = sorted(self.requested | {heir}) if heir else sorted(self.requested)
-        self._recorded = heir
-        self._fence = await self._coordinator.enter_office(
+        requested = sorted(self.requested | {candidate}) if candidate else sorted(self.requested)
+        self._recorded = candidate
+        self._fence = await self._coordinator.enter_leadership(
             self._group, phase, self._primary, self._term, cause, stuck=stuck, requested=requested
         )
         return self._fence
 
-    async def announce(self, heir: str, stuck: bool) -> None:
+    async def announce(self, candidate: str, stuck: bool) -> None:
         """Records that `heir` is to be asked for, under a fence that no request has used."""
-        if self._recorded != heir:
-            await self.enter(stuck, f"{heir} is to take over", heir)
+        if self._recorded != candidate:
+            await self.enter(stuck, f"{candidate} is to take over", candidate)
 
-    async def send(self, heir: str) -> int:
+    async def send(self, candidate: str) -> int:
         """Asks the platform for `heir`, announced before; how long it may take to show, in us."""
         before = self.requested
-        self.requested = before | {heir}
+        self.requested = before | {candidate}
         self._recorded = ""
         try:
-            await self._call(heir)
+            await self._call(candidate)
         except Fault as e:
             emit(
                 self._coordinator.log,
                 323,
                 group=self._group,
-                target=heir,
+                target=candidate,
                 fault=e.code,
                 note=e.note,
             )
-            if isinstance(e, Unsent | Fenced):
+            if isinstance(e, NotSent | Fenced):
                 self.requested = before
             if isinstance(e, Fenced):
                 raise
-            return _DECLINED_WAIT_US if isinstance(e, Unsent) else _TAKES_EFFECT_US
+            return _DECLINED_WAIT_US if isinstance(e, NotSent) else _TAKES_EFFECT_US
         return _ACCEPTED_WAIT_US
 
     async def fence_off(self, member: str, stuck: bool) -> None:
--- a/src/petrelhaven/control/interface/control_interface.py
+++ b/src/petrelhaven/control/interface/control_interface.py
@@ -4,21 +4,21 @@
 from urllib.parse import unquote
 
 from petrelhaven.control.embargo.interface import serve
-from petrelhaven.control.interface.documents import manifest_of, number, why_of
+from petrelhaven.control.interface.documents import configuration_of, number, why_of
 from petrelhaven.runtime.errors import Invalid, Malformed, NoRoute, NotReady
 
-__all__ = ["SeatFace"]
+__all__ = ["ControlInterface"]
 
 _BY = 120
 
 
-class SeatFace:
+class ControlInterface:
     """Routes of the operators' face; with `announced` members are heard here too."""
 
-    def __init__(self, seat, face, settings=dict, announced=False):
-        self._c, self._settings = seat, settings
-        self._herald = None
-        serve(face, seat)
+    def __init__(self, node, http_server, settings=dict, announced=False):
+        self._c, self._settings = node, settings
+        self._event_feed = None
+        serve(http_server, node)
         for v, p, f in (
             ("POST", "/manifest", self._apply),
             ("GET", "/manifest", self._show),
@@ -30,18 +30,18 @@
             ("GET", "/why", self._why),
             ("GET", "/belief", self._belief),
             ("GET", "/ready", self._ready),
-            ("GET", "/realm", self._realm),
+            ("GET", "/realm", self._control_state),
             ("GET", "/events", self._events),
             *([("POST", "/announce", self._announce)] if announced else []),
         ):
-            face.on(v, p, f)
+            http_server.on(v, p, f)
 
     @staticmethod
     def _by(q):
         return q.query.get("by", "")[:_BY]
 
     async def _forced(self, r):
-        return {**r, "in_force_us": await self._c.desk.in_force(r["change"])}
+        return {**r, "in_force_us": await self._c.lease_table.in_force(r["change"])}
 
     async def _apply(self, q):
         text = q.text()
@@ -51,13 +51,13 @@
 
     async def _show(self, q):
         sure = q.query.get("unconfirmed") != "true"
-        d = await self._c.realm() if sure else self._c.unconfirmed()
+        d = await self._c.control_state() if sure else self._c.unconfirmed()
         m = d["manifest"]
         if "version" in q.query:
             m = self._version(number(q.query, "version"), m, sure)
         if m is None:
             raise NoRoute("no such manifest")
-        return manifest_of(m["text"], sure)
+        return configuration_of(m["text"], sure)
 
     def _version(self, n, now, sure):
         """The manifest of version `n`: the one in force, or an older one while its record is kept here."""
@@ -73,39 +73,39 @@
             None,
         )
 
-    async def _hall(self, q, hall, state):
-        hall = unquote(hall)
-        m = self._c.chain.realm.manifest
-        halls = m["halls"] if m else ()
-        if hall not in halls:
+    async def _zone(self, q, zone, state):
+        zone = unquote(zone)
+        m = self._c.chain.control_state.configuration
+        zones = m["halls"] if m else ()
+        if zone not in zones:
             raise Invalid(
-                f"no hall {hall[:60]}", more={"faults": [["hall", f"no hall {hall[:60]}"]]}
+                f"no hall {zone[:60]}", more={"faults": [["hall", f"no hall {zone[:60]}"]]}
             )
         if state == "emptied" and not any(
-            h != hall and self._c.chain.realm.hall(h) == "open" for h in halls
+            h != zone and self._c.chain.control_state.zone(h) == "open" for h in zones
         ):
             raise Invalid(
                 "last open hall", more={"faults": [["hall", "the last open hall can't be emptied"]]}
             )
-        return await self._forced(await self._c.hall_to(hall, state, self._by(q)))
+        return await self._forced(await self._c.set_zone_state(zone, state, self._by(q)))
 
-    async def _evacuate(self, q, hall):
-        return await self._hall(q, hall, "emptied")
+    async def _evacuate(self, q, zone):
+        return await self._zone(q, zone, "emptied")
 
-    async def _restore(self, q, hall):
-        return await self._hall(q, hall, "open")
+    async def _restore(self, q, zone):
+        return await self._zone(q, zone, "open")
 
     async def _elect(self, q, group):
         """Elects a member without proof; only where the caller accepts that commits may be lost."""
-        member, office = q.query.get("member", ""), number(q.query, "office")
-        if not member or office is None:
+        member, leadership = q.query.get("member", ""), number(q.query, "office")
+        if not member or leadership is None:
             raise Malformed("member and office must be said")
         if q.query.get("accept_loss") != "true":
             raise Invalid(
                 "acknowledged commits may be lost",
                 more={"faults": [["accept_loss", "must be true"]]},
             )
-        return await self._c.elect(unquote(group), member, office, self._by(q))
+        return await self._c.elect(unquote(group), member, leadership, self._by(q))
 
     async def _reform(self, q):
         d = q.doc()
@@ -125,9 +125,11 @@
 
     async def _why(self, q):
         g = q.query.get("group", "")
-        realm = await self._c.realm()
-        answer = why_of(realm, q.query, self._c.duty.why.get(g) if self._c.chain.head else None)
-        return {**answer, "evidence": realm["evidence"].get(g)}
+        control_state = await self._c.control_state()
+        answer = why_of(
+            control_state, q.query, self._c.duty.why.get(g) if self._c.chain.head else None
+        )
+        return {**answer, "evidence": control_state["evidence"].get(g)}
 
     async def _belief(self, q):
         return self._c.belief()
@@ -137,16 +139,16 @@
             raise NotReady("not ruling yet")
         return {"ready": True}
 
-    async def _realm(self, q):
-        return await self._c.realm()
+    async def _control_state(self, q):
+        return await self._c.control_state()
 
     async def _events(self, q):
         n = number(q.query, "after", 0)
-        if self._herald is None:
-            from petrelhaven.control.interface.event_feed import Herald
+        if self._event_feed is None:
+            from petrelhaven.control.interface.event_feed import EventFeed
 
-            self._herald = Herald(self._c.chain)
-        body = json.dumps(self._herald.since(n)).encode()
+            self._event_feed = EventFeed(self._c.chain)
+        body = json.dumps(self._event_feed.since(n)).encode()
         return 200, body, (("Content-Type", "application/cloudevents-batch+json"),)
 
     async def _announce(self, q):
--- a/src/petrelhaven/control/interface/documents.py
+++ b/src/petrelhaven/control/interface/documents.py
@@ -4,7 +4,7 @@
 
 from petrelhaven.runtime.errors import Malformed, NoRoute
 
-__all__ = ["manifest_of", "number", "why_of"]
+__all__ = ["configuration_of", "number", "why_of"]
 
 _NUMBER = re.compile(r"[0-9]{1,18}")
 
@@ -36,6 +36,6 @@
     }
 
 
-def manifest_of(text, sure):
+def configuration_of(text, sure):
     """The answer that hands a manifest back, byte for byte."""
     return 200, text.encode(), (("Confirmed-By-Majority", "yes" if sure else "no"),)
--- a/src/petrelhaven/control/interface/event_feed.py
+++ b/src/petrelhaven/control/interface/event_feed.py
@@ -5,13 +5,13 @@
 from cloudevents.core.formats.json import JSONFormat
 from cloudevents.core.v1.event import CloudEvent
 
-__all__ = ["Herald"]
+__all__ = ["EventFeed"]
 
 _MOST = 200
 _LEFT_OUT = {"shares", "stores", "where"}
 
 
-class Herald:
+class EventFeed:
     """Tells the changes after a number, in order."""
 
     def __init__(self, chain):
@@ -24,7 +24,7 @@
         return [json.loads(f.write(self._event(*r))) for r in rows]
 
     def _event(self, seq, view, rec):
-        m = self._chain.realm.manifest
+        m = self._chain.control_state.configuration
         name = m.get("name") if isinstance(m, dict) else m and m.name
         keys = ("name",) if rec["t"] == "member" else ("group", "hall", "name")
         subject = next((rec[k] for k in keys if rec.get(k)), "manifest")
--- a/src/petrelhaven/control/leases.py
+++ b/src/petrelhaven/control/leases.py
@@ -3,21 +3,21 @@
 import asyncio
 
 from petrelhaven.control.consensus.chain import CONFIRM_US, DRIFT
-from petrelhaven.runtime.errors import Fault, Late
+from petrelhaven.runtime.errors import DeadlineExceeded, Fault
 from petrelhaven.runtime.events import emit
 from petrelhaven.transport.channel import Channel
 
-__all__ = ["Desk", "LEASE_US", "LAPSE_US", "TiedDesk"]
+__all__ = ["LeaseTable", "LEASE_US", "LAPSE_US", "ConnectionLeaseTable"]
 
 LEASE_US = 1_500_000
 LAPSE_US = int((LEASE_US + CONFIRM_US) * DRIFT)
 
 
-class Desk:
+class LeaseTable:
     """Grants leases under the newest held change and counts acknowledgements."""
 
-    def __init__(self, clock, nest, chain, call, log=None, lapse_us=LAPSE_US):
-        self.clock, self.nest, self.chain, self._call, self.log = clock, nest, chain, call, log
+    def __init__(self, clock, tasks, chain, call, log=None, lapse_us=LAPSE_US):
+        self.clock, self.tasks, self.chain, self._call, self.log = clock, tasks, chain, call, log
         self._lapse = lapse_us
         self.live = {}
         self.acked = {}
@@ -37,13 +37,13 @@
     async def lease(self, ch, b):
         """Renews an edge's lease, or says why not."""
         c = self.chain
-        e = c.realm.doc["edges"].get(b["edge"])
+        e = c.control_state.doc["edges"].get(b["edge"])
         same = bool(e) and e["inc"] == b["inc"] and e.get("boot", b["boot"]) == b["boot"]
         if same:
             self.acked[b["edge"]] = max(self.acked.get(b["edge"], 0), b["acked"])
             self._wake()
         ok = bool(c.ruling and same and e["state"] != "gone")
-        need = c.realm.seq
+        need = c.control_state.seq
         if ok:
             self.live[b["edge"]] = self.clock.now() + int(LEASE_US * DRIFT)
         return {"ok": ok, "us": LEASE_US, "need": need}
@@ -57,7 +57,7 @@
         old = self._hold.pop(ch, None)
         if old:
             old.cancel()
-        task = self.nest.spawn(self._push(ch, b["edge"], b["applied"]))
+        task = self.tasks.spawn(self._push(ch, b["edge"], b["applied"]))
         if task is not None:
             self._hold[ch] = task
             task.add_done_callback(lambda _: self._forget(ch, task))
@@ -78,10 +78,10 @@
                 body = {"frame": None, "recs": [], "commit": c.commit}
                 rs = c.mem.since(at) if at >= 0 else None
                 if rs is None or at == 0:
-                    if c.commit != c.realm.seq:
+                    if c.commit != c.control_state.seq:
                         await self.clock.sleep(20_000)
                         continue
-                    body["frame"] = c.realm.frame()
+                    body["frame"] = c.control_state.frame()
                 else:
                     body["recs"] = self.slim([[s, r] for s, _, r in rs if s <= c.commit][:200])
                 try:
@@ -125,10 +125,10 @@
                 emit(self.log, 306, seq=seq, us=self.clock.now() - t0)
                 return self.clock.now() - t0
             if self.clock.now() - t0 > horizon:
-                raise Late("not in force yet; it stays committed")
+                raise DeadlineExceeded("not in force yet; it stays committed")
             try:
                 await self.clock.limit(news.wait(), 40_000)
-            except Late:
+            except DeadlineExceeded:
                 pass
 
     def _held(self, rs, seq, sure):
@@ -140,7 +140,7 @@
                 acked[e] = max(acked.get(e, 0), s)
         known = live | {
             n
-            for n, e in self.chain.realm.doc["edges"].items()
+            for n, e in self.chain.control_state.doc["edges"].items()
             if e["state"] != "gone" or not e.get("lapsed")
         }
         late = {e for e in known if acked.get(e, 0) < seq}
@@ -159,7 +159,7 @@
             return None
 
 
-class TiedDesk(Desk):
+class ConnectionLeaseTable(LeaseTable):
     """The desk of ties: edges stand in no record, so those that a lost core may have lent to are waited for by time."""
 
     def slim(self, rows):
@@ -167,7 +167,7 @@
         last = max((s for s, r in rows if r["t"] == "manifest"), default=0)
         return [[s, {"t": "pass"} if r["t"] == "manifest" and s < last else r] for s, r in rows]
 
-    def lend(self, edge, us):
+    def grant(self, edge, us):
         """Notes that `edge` may hold a lease for `us` from now."""
         self.live[edge] = self.clock.now() + int(us * DRIFT)
 
--- a/src/petrelhaven/control/node.py
+++ b/src/petrelhaven/control/node.py
@@ -2,21 +2,28 @@
 
 import asyncio
 
-from petrelhaven.control.base_node import _ADDR, Core
+from petrelhaven.control.base_node import _ADDR, BaseControlNode
 from petrelhaven.control.configuration.document import read
 from petrelhaven.control.consensus.chain import DRIFT
-from petrelhaven.control.consensus.proxy_survey import Muster
+from petrelhaven.control.consensus.proxy_survey import ProxySurvey
 from petrelhaven.control.core_changes import CoreChanges
 from petrelhaven.control.failover.coordinator import FailoverCoordinator
-from petrelhaven.control.leases import TiedDesk
+from petrelhaven.control.leases import ConnectionLeaseTable
 from petrelhaven.control.orders import ANSWER_US, OrderRouter
-from petrelhaven.control.state.control_state import Ledger
-from petrelhaven.runtime.errors import Duplicate, Fault, Late, Malformed, NotReady, Stale
+from petrelhaven.control.state.control_state import ControlState
+from petrelhaven.runtime.errors import (
+    DeadlineExceeded,
+    Duplicate,
+    Fault,
+    Malformed,
+    NotReady,
+    Stale,
+)
 from petrelhaven.runtime.limits import NAME
 
-__all__ = ["LENT_US", "Seat"]
+__all__ = ["CONNECTION_LEASE_US", "ControlNode"]
 
-LENT_US = 700_000
+CONNECTION_LEASE_US = 700_000
 
 _FACTS = {
     "member": str,
@@ -34,51 +41,51 @@
 _LATE_US = 3_000_000
 _YOUNG_US = 1_500_000
 _TOLD_US = 3_000_000
-_TIED_US = 3_500_000
+_CONNECTED_US = 3_500_000
 
 
-class Seat(Core):
+class ControlNode(BaseControlNode):
     """One core daemon's logic; `wire` opens connections to members, `platform` moves offices."""
 
-    state_of = Ledger
-    mend_us, confirm_us, ask_us, probe_us = 300_000, 600_000, 200_000, 200_000
+    state_of = ControlState
+    repair_interval_us, confirm_us, ask_us, probe_us = 300_000, 600_000, 200_000, 200_000
     suspect_us = 500_000
 
     def __init__(
         self,
         name,
-        hall,
+        zone,
         seeds,
         clock,
-        nest,
+        tasks,
         link,
         disk,
         rng,
         platform,
         wire,
-        beat_us,
+        heartbeat_us,
         log=None,
         founds=True,
         losses=1,
-        wall=None,
+        wall_clock=None,
     ):
-        self._wall_clock, self._embargoes = wall, None
-        self.wire, self.beat_us = wire, beat_us
+        self._wall_clock, self._embargoes = wall_clock, None
+        self.wire, self.heartbeat_us = wire, heartbeat_us
         self._born = clock.now()
-        self.heard, self.tied = {}, {}
-        self.muster = Muster(clock, nest, log)
-        super().__init__(name, hall, seeds, clock, nest, link, disk, rng, platform, log)
+        self.heard, self.connected_proxies = {}, {}
+        self.proxy_survey = ProxySurvey(clock, tasks, log)
+        super().__init__(name, zone, seeds, clock, tasks, link, disk, rng, platform, log)
         self.changes = CoreChanges(self, 2 * losses + 1)
         self.founds = founds and link.addr in seeds
         self.orders = OrderRouter(clock, self.chain, self.reach, name, self.roster.state)
         self.chain.sparing = True
         self.roster.quiet = 12
         self.prober.join_us = 6_000_000
-        self.chain.tied = lambda: len(self.tied)
+        self.chain.connected_proxies = lambda: len(self.connected_proxies)
         self._news = asyncio.Event()
         self.roster.on_turn.append(self._peer_turned)
         self.chain.on_view.append(self._news.set)
-        self.chain.on_view.append(lambda: nest.spawn(self._ask_who_moved()))
+        self.chain.on_view.append(lambda: tasks.spawn(self._ask_who_moved()))
         self.chain.on_commit.append(self._committed)
 
     @property
@@ -91,19 +98,19 @@
         return self._embargoes
 
     def _committed(self):
-        if "embargo" in (self.chain.realm.doc["manifest"] or ()):
+        if "embargo" in (self.chain.control_state.doc["manifest"] or ()):
             self.embargoes.start()
 
-    async def _wall_read(self, ch, b):
-        return {"wall": self.embargoes.time.wall.now()}
+    async def _read_wall_clock(self, ch, b):
+        return {"wall": self.embargoes.time.wall_clock.now()}
 
     async def _true_time(self, ch, b):
         return self.embargoes.edge_time()
 
-    def make_desk(self):
+    def make_lease_table(self):
         """The desk of the edges' ties."""
-        lapse = int((LENT_US + self.confirm_us) * DRIFT)
-        return TiedDesk(self.clock, self.nest, self.chain, self.call, self.log, lapse)
+        lapse = int((CONNECTION_LEASE_US + self.confirm_us) * DRIFT)
+        return ConnectionLeaseTable(self.clock, self.tasks, self.chain, self.call, self.log, lapse)
 
     def make_duty(self, platform):
         """The duty that keeps a primary in office for each group."""
@@ -113,11 +120,11 @@
         """What edges and other cores ask."""
         return {
             "edge.hold": self._hold,
-            "chain.force": self.desk.force,
+            "chain.force": self.lease_table.force,
             "tie.pulse": self._pulse,
-            "warden.doubt": self._doubted,
+            "warden.doubt": self._suspected,
             "warden.look": self.duty.answer_look,
-            "wall.read": self._wall_read,
+            "wall.read": self._read_wall_clock,
             "tie.wall": self._true_time,
         }
 
@@ -132,11 +139,17 @@
             and not self.changes.wiped(v, self.news())
         )
         busy = v is None or self.undecided or self.changes.has_place_for_newcomer(v, self.news())
-        us = self.mend_us // 4 if busy else 2_000_000 if whole else self.mend_us
+        us = (
+            self.repair_interval_us // 4
+            if busy
+            else 2_000_000
+            if whole
+            else self.repair_interval_us
+        )
         self._news.clear()
         try:
             await self.clock.limit(self._news.wait(), us + self.rng.randrange(50_000))
-        except Late:
+        except DeadlineExceeded:
             pass
 
     def _peer_turned(self, peer, _was):
@@ -167,7 +180,7 @@
         await self.clock.sleep(_SPREAD_US)
         if self.chain.active_at > self.clock.now():
             for address in self.others():
-                self.nest.spawn(self._info(address))
+                self.tasks.spawn(self._info(address))
 
     def others(self):
         """The seeds, and every core that is known by now."""
@@ -189,51 +202,55 @@
 
     async def frames(self):
         """The ledgers that living edges hold, by their names; edges are met as they come round."""
-        return await self.muster.gather()
+        return await self.proxy_survey.gather()
 
     async def _hold(self, ch, b):
         if not self.chain.active:
-            await self.muster.meet(ch, b["edge"])
+            await self.proxy_survey.meet(ch, b["edge"])
             return {"ok": False, "note": "not confirmed by a majority"}
         self._applied(b["edge"], b["applied"])
-        return await self.desk.hold(ch, b)
+        return await self.lease_table.hold(ch, b)
 
     def _applied(self, edge, seq):
         """An edge says what it has applied, also what another core pushed to it."""
-        self.desk.acked[edge] = max(self.desk.acked.get(edge, 0), seq)
+        self.lease_table.acked[edge] = max(self.lease_table.acked.get(edge, 0), seq)
 
     async def _pulse(self, ch, b):
         now = self.clock.now()
         self._applied(b["name"], b["seq"])
-        self.tied[b["name"]] = now
-        if self.muster.on:
-            self.nest.spawn(self.muster.meet(ch, b["name"]))
-        for n in [n for n, at in self.tied.items() if now - at > _TIED_US]:
-            del self.tied[n]
+        self.connected_proxies[b["name"]] = now
+        if self.proxy_survey.on:
+            self.tasks.spawn(self.proxy_survey.meet(ch, b["name"]))
+        for n in [n for n, at in self.connected_proxies.items() if now - at > _CONNECTED_US]:
+            del self.connected_proxies[n]
         for d in b["doubts"]:
-            self.nest.spawn(self.doubt(*d))
+            self.tasks.spawn(self.suspect(*d))
         v = self.chain.view
         cores = []
         if v and b["cores"] != v["n"]:
             for n in sorted(v["ids"]):
                 a = self.roster.addr_of(n)
                 if a:
-                    cores.append([n, self.hall if n == self.name else self.roster.peers[n].hall, a])
+                    cores.append([n, self.zone if n == self.name else self.roster.peers[n].zone, a])
         ok = self.chain.active
         if ok:
-            self.desk.lend(b["name"], LENT_US)
+            self.lease_table.grant(b["name"], CONNECTION_LEASE_US)
         return {
             "ok": ok,
-            "us": LENT_US,
+            "us": CONNECTION_LEASE_US,
             "age": self.chain.confirmation_age(),
-            "need": self.chain.realm.seq,
+            "need": self.chain.control_state.seq,
             "view": v["n"] if v else 0,
-            "edges": len(self.tied)
-            + sum(n for at, n in self.chain.tied_at.values() if now - at < _TIED_US),
+            "edges": len(self.connected_proxies)
+            + sum(
+                n
+                for at, n in self.chain.connected_proxy_counts.values()
+                if now - at < _CONNECTED_US
+            ),
             "cores": cores,
         }
 
-    async def doubt(self, group, member, how):
+    async def suspect(self, group, member, how):
         """An edge or a core doubts a primary: the head is told."""
         v = self.chain.view
         if v is None:
@@ -244,14 +261,14 @@
         except Fault:
             pass
 
-    async def _doubted(self, ch, b):
-        self.duty.doubt(b["group"], b["member"], b["how"])
+    async def _suspected(self, ch, b):
+        self.duty.suspect(b["group"], b["member"], b["how"])
 
     async def enter(self, rec, force=True, within_us=_FORCED_US):
         """Enters a record at the head, wherever that is or moves to; with `force`, returns once it is in force."""
         return await self.orders.submit(rec, force, within_us, lambda b: self._enter(None, b))
 
-    async def realm(self, within_us=_OWN_US):
+    async def control_state(self, within_us=_OWN_US):
         """The control state as the tail answers it."""
         return await self.orders.read(within_us)
 
@@ -260,12 +277,12 @@
         try:
             return await super()._enter(ch, b)
         except (Duplicate, Stale) as e:
-            seq = self.chain.realm.seq
+            seq = self.chain.control_state.seq
             await self.clock.limit(self.chain.settled(seq, self.chain.mem.mark), 5_000_000)
             if not self.chain.active:
                 raise NotReady("not the active head any more") from None
             if b["force"] and isinstance(e, Duplicate):
-                await self.desk.in_force(seq)
+                await self.lease_table.in_force(seq)
             raise
 
     async def apply(self, text, by="", retire=True, within_us=_OWN_US):
@@ -284,13 +301,13 @@
             r = await self.enter(rec, False, within_us)
         return {"version": m.version, "change": r["seq"]}
 
-    async def hall_to(self, hall, state, by="", within_us=_OWN_US):
+    async def set_zone_state(self, zone, state, by="", within_us=_OWN_US):
         """Empties or restores a hall."""
-        rec = {"t": "hall", "hall": hall, "state": state, "by": by}
+        rec = {"t": "hall", "hall": zone, "state": state, "by": by}
         r = await self.enter(rec, False, within_us)
-        return {"hall": hall, "state": state, "change": r["seq"]}
+        return {"hall": zone, "state": state, "change": r["seq"]}
 
-    async def elect(self, group: str, member: str, office: int, by: str = "") -> dict:
+    async def elect(self, group: str, member: str, leadership: int, by: str = "") -> dict:
         """Records an operator's order to elect `member` although acknowledged commits may be lost.
 
         `office` is the number of the waiting office that the operator saw: an order that was held
@@ -301,7 +318,7 @@
             "group": group,
             "what": "order",
             "member": member,
-            "n": office,
+            "n": leadership,
             "by": by or "operator",
         }
         answer = await self.enter(order, False)
@@ -328,29 +345,29 @@
         if doc["count"] < count and now - at < _LATE_US:
             return
         self.heard[n] = (now, doc["count"])
-        m = self.chain.realm.doc["members"].get(n)
+        m = self.chain.control_state.doc["members"].get(n)
         rec = {"t": "member", "name": n, **{k: doc[k] for k in _FACTS if k != "member"}}
         if m and all(
             m.get(k) == rec[k] for k in ("group", "hall", "addr", "role", "state", "slots")
         ):
-            return await self._confirm_ledger()
+            return await self._confirm_control_state()
         await self._heard(rec)
 
     async def depart(self, member):
         """A member says that it ends."""
-        m = self.chain.realm.doc["members"].get(member)
+        m = self.chain.control_state.doc["members"].get(member)
         self.heard.pop(member, None)
         if m is None or m["state"] == "gone":
-            return await self._confirm_ledger()
+            return await self._confirm_control_state()
         await self._heard({"t": "member", "name": member, "state": "gone", "addr": m["addr"]})
 
-    async def _confirm_ledger(self):
+    async def _confirm_control_state(self):
         """Returns once all that this core's ledger says is committed, and a majority has confirmed this core since.
 
         A head, or any core before the tail, holds records that are not committed yet and may go with it.
         """
         chain = self.chain
-        await self.clock.limit(chain.settled(chain.realm.seq, chain.mem.mark), ANSWER_US)
+        await self.clock.limit(chain.settled(chain.control_state.seq, chain.mem.mark), ANSWER_US)
         if not chain.ruling:
             raise NotReady("not confirmed by a majority")
 
@@ -360,14 +377,14 @@
         except (Duplicate, Stale):
             pass
 
-    def core_near(self, hall):
+    def core_near(self, zone):
         """The link address of the core in `hall`, if one is in the view and alive."""
         v = self.chain.view
         for n in v["chain"] if v else ():
             p = self.roster.peers.get(n)
-            if n == self.name and hall == self.hall:
+            if n == self.name and zone == self.zone:
                 return self.link.addr
-            if p is not None and p.hall == hall and p.state == "alive":
+            if p is not None and p.zone == zone and p.state == "alive":
                 return p.addr
         return None
 
@@ -379,7 +396,7 @@
             "active": self.chain.active,
             "head": self.chain.head,
             "waiting": dict(self.duty.why),
-            "tied": sorted(self.tied),
+            "tied": sorted(self.connected_proxies),
             "garbage": self.link.garbage,
             **({"time": self._embargoes.time.status()} if self._embargoes else {}),
         }
--- a/src/petrelhaven/control/orders.py
+++ b/src/petrelhaven/control/orders.py
@@ -14,13 +14,13 @@
 from petrelhaven.control.consensus.peer_clocks import Expiry
 from petrelhaven.runtime.clock import Clock
 from petrelhaven.runtime.errors import (
-    Deposed,
+    DeadlineExceeded,
     Duplicate,
     Expired,
-    Late,
     NotHead,
     NotReady,
-    Unreached,
+    Unreachable,
+    ViewSuperseded,
 )
 from petrelhaven.transport.reach import Reach
 
@@ -34,7 +34,7 @@
 _TRANSITION_US = 1_000_000
 _PAUSE_SHARE = 0.7
 _AFTER_PAUSE_US = 300_000
-_TRY_AGAIN = (NotHead, NotReady, Deposed, Expired, Unreached, Late)
+_TRY_AGAIN = (NotHead, NotReady, ViewSuperseded, Expired, Unreachable, DeadlineExceeded)
 
 Document: TypeAlias = dict[str, Any]
 Attempt: TypeAlias = Callable[[str, int], Awaitable[Any]]
@@ -66,7 +66,11 @@
                 if tries == 1:
                     raise
                 # what an earlier try of this very call has entered
-                return {"seq": self._chain.realm.seq, "forced": force, "doc": {"in_force_us": 0}}
+                return {
+                    "seq": self._chain.control_state.seq,
+                    "forced": force,
+                    "doc": {"in_force_us": 0},
+                }
 
         async def once(head: str, us: int) -> Document:
             if head == self._name:
@@ -122,7 +126,7 @@
         try:
             while not task.done():
                 if self._clock.now() >= end:
-                    raise Late("not confirmed yet; the order may be sent again")
+                    raise DeadlineExceeded("not confirmed yet; the order may be sent again")
                 if self._chain.view is not view:
                     raise NotReady("the view changed")
                 self._require_majority()
--- a/src/petrelhaven/control/resumable/control_interface.py
+++ b/src/petrelhaven/control/resumable/control_interface.py
@@ -5,33 +5,33 @@
 import aiohttp
 from aiohttp import web
 
-from petrelhaven.control.interface.event_feed import Herald
-from petrelhaven.runtime.errors import Malformed, NoRoute, NotReady, Unreached, rebuild
+from petrelhaven.control.interface.event_feed import EventFeed
+from petrelhaven.runtime.errors import Malformed, NoRoute, NotReady, Unreachable, rebuild
 from petrelhaven.transport.http_server import body_of
 
-__all__ = ["CoreFace", "Platform"]
+__all__ = ["ResumableControlInterface", "Platform"]
 
 
-class CoreFace:
+class ResumableControlInterface:
     """Routes of the operators' and members' face."""
 
-    def __init__(self, core, face):
+    def __init__(self, core, http_server):
         self._c = core
-        self._herald = Herald(core.chain)
+        self._event_feed = EventFeed(core.chain)
         for v, p, f in (
             ("POST", "/announce", self._announce),
             ("POST", "/manifest", self._apply),
             ("GET", "/manifest", self._show),
-            ("POST", "/halls/{hall}/{verb}", self._hall),
+            ("POST", "/halls/{hall}/{verb}", self._zone),
             ("POST", "/reform", self._reform),
             ("GET", "/status", self._status),
             ("GET", "/why", self._why),
             ("GET", "/belief", self._belief),
             ("GET", "/ready", self._ready),
-            ("GET", "/realm", self._realm),
+            ("GET", "/realm", self._control_state),
             ("GET", "/events", self._events),
         ):
-            face.on(v, p, f)
+            http_server.on(v, p, f)
 
     async def _announce(self, req):
         self._c.announce(await body_of(req))
@@ -44,7 +44,7 @@
 
     async def _show(self, req):
         sure = req.query.get("unconfirmed") != "true"
-        d = await self._c.realm() if sure else self._c.unconfirmed()
+        d = await self._c.control_state() if sure else self._c.unconfirmed()
         m = d["manifest"]
         if "version" in req.query:
             m = next(
@@ -65,11 +65,11 @@
             raise Malformed("lost must be a list of names of cores")
         return await self._c.reform(lost, req.query.get("by", ""))
 
-    async def _hall(self, req):
+    async def _zone(self, req):
         verb = req.match_info["verb"]
         if verb not in ("evacuate", "restore"):
             raise Malformed("evacuate or restore")
-        return await self._c.hall_to(
+        return await self._c.set_zone_state(
             req.match_info["hall"],
             "emptied" if verb == "evacuate" else "open",
             req.query.get("by", ""),
@@ -78,19 +78,19 @@
     async def _status(self, req):
         return self._c.status()
 
-    async def _realm(self, req):
-        return await self._c.realm()
+    async def _control_state(self, req):
+        return await self._c.control_state()
 
     async def _events(self, req):
         n = req.query.get("after", "0")
         if not n.isdigit():
             raise Malformed("after must be a whole number")
         return web.json_response(
-            self._herald.since(int(n)), content_type="application/cloudevents-batch+json"
+            self._event_feed.since(int(n)), content_type="application/cloudevents-batch+json"
         )
 
     async def _why(self, req):
-        d = await self._c.realm()
+        d = await self._c.control_state()
         g = req.query.get("group", "")
         if g not in d["past"]:
             raise NoRoute(f"no group {g}")
@@ -139,7 +139,7 @@
             ) as r:
                 d = await r.json()
         except (aiohttp.ClientError, OSError, ValueError, asyncio.TimeoutError):
-            raise Unreached("platform") from None
+            raise Unreachable("platform") from None
         if not isinstance(d, dict):
             raise Malformed("platform answer must be an object")
         if r.status != 200:
--- a/src/petrelhaven/control/resumable/control_state.py
+++ b/src/petrelhaven/control/resumable/control_state.py
@@ -4,14 +4,16 @@
 import hashlib
 
 from petrelhaven.control.configuration.document import read
-from petrelhaven.runtime.errors import Duplicate, Invalid, Racing, Stale
+from petrelhaven.runtime.errors import Conflict, Duplicate, Invalid, Stale
 
-__all__ = ["Realm"]
+__all__ = ["ResumableControlState"]
 
+# The names of methods, where they differ from the kinds of records as stored.
+_SUBJECTS = {"manifest": "configuration", "hall": "zone"}
 _KEEP = 64
 
 
-class Realm:
+class ResumableControlState:
     """Checks and applies records: manifest, hall, edge, lapse, epoch, settle."""
 
     __slots__ = ("seq", "doc", "_read")
@@ -30,7 +32,7 @@
         self._read = None
 
     @property
-    def manifest(self):
+    def configuration(self):
         """The manifest in force, or None."""
         if self._read is None and self.doc["manifest"]:
             self._read = read(self.doc["manifest"]["text"])
@@ -42,15 +44,15 @@
 
     def check(self, r):
         """Raises a typed fault if `r` must be declined now."""
-        getattr(self, "_check_" + r["t"])(r)
+        getattr(self, "_check_" + _SUBJECTS.get(r["t"], r["t"]))(r)
 
     def apply(self, seq, r):
         """Applies a numbered record."""
         assert seq == self.seq + 1, (seq, self.seq)
-        getattr(self, "_apply_" + r["t"])(r)
+        getattr(self, "_apply_" + _SUBJECTS.get(r["t"], r["t"]))(r)
         self.seq = self.doc["seq"] = seq
 
-    def _check_manifest(self, r):
+    def _check_configuration(self, r):
         m = read(r["text"])
         now = self.doc["manifest"]
         if now:
@@ -68,7 +70,7 @@
                 raise Stale(
                     f"version {now['version']} is in force", more={"version": now["version"]}
                 )
-            gone = {g.name for g in self.manifest.groups} - {g.name for g in m.groups}
+            gone = {g.name for g in self.configuration.groups} - {g.name for g in m.groups}
             live = [g for g in gone if g in self.doc["epochs"] and not r.get("retire")]
             if live:
                 raise Invalid(
@@ -81,7 +83,7 @@
                     },
                 )
 
-    def _apply_manifest(self, r):
+    def _apply_configuration(self, r):
         m = read(r["text"])
         if self.doc["manifest"]:
             self.doc["old"] = (self.doc["old"] + [self.doc["manifest"]])[-_KEEP:]
@@ -97,8 +99,8 @@
             if g not in names:
                 self.doc["epochs"].pop(g)
 
-    def _check_hall(self, r):
-        if not self.manifest or r["hall"] not in self.manifest.halls:
+    def _check_zone(self, r):
+        if not self.configuration or r["hall"] not in self.configuration.zones:
             raise Invalid(
                 f"no hall {r['hall']}", more={"faults": [["hall", f"no hall {r['hall']}"]]}
             )
@@ -109,7 +111,7 @@
         if r["state"] == "emptied":
             rest = [
                 h
-                for h in self.manifest.halls
+                for h in self.configuration.zones
                 if h != r["hall"] and self.doc["halls"].get(h, "open") == "open"
             ]
             if not rest:
@@ -118,7 +120,7 @@
                     more={"faults": [["hall", "the last open hall can't be emptied"]]},
                 )
 
-    def _apply_hall(self, r):
+    def _apply_zone(self, r):
         self.doc["halls"][r["hall"]] = r["state"]
 
     def _check_edge(self, r):
@@ -152,19 +154,19 @@
     def _check_lapse(self, r):
         e = self.doc["edges"].get(r["name"])
         if not e or e["inc"] != r["inc"] or e["state"] != "gone" or e.get("lapsed"):
-            raise Racing("edge moved on")
+            raise Conflict("edge moved on")
 
     def _apply_lapse(self, r):
         self.doc["edges"][r["name"]]["lapsed"] = True
 
     def _check_epoch(self, r):
-        if not self.manifest or r["group"] not in {g.name for g in self.manifest.groups}:
+        if not self.configuration or r["group"] not in {g.name for g in self.configuration.groups}:
             raise Stale(f"no group {r['group']}")
         now = self.doc["epochs"].get(
             r["group"], {"n": self.doc["past"].get(r["group"], [{"n": 0}])[-1]["n"]}
         )
         if r["n"] != now["n"] + 1:
-            raise Racing(f"epoch {r['n']} does not follow {now['n']}")
+            raise Conflict(f"epoch {r['n']} does not follow {now['n']}")
 
     def _apply_epoch(self, r):
         g = r["group"]
@@ -209,7 +211,7 @@
     def _check_settle(self, r):
         e = self.doc["epochs"].get(r["group"])
         if not e or e["n"] != r["n"] or e["settled"]:
-            raise Racing("epoch moved on")
+            raise Conflict("epoch moved on")
 
     def _apply_settle(self, r):
         self.doc["epochs"][r["group"]]["settled"] = True
@@ -235,6 +237,6 @@
             "edges": {n: [e["inc"], e["state"]] for n, e in sorted(d["edges"].items())},
         }
 
-    def hall(self, h):
+    def zone(self, h):
         """The state of a hall."""
         return self.doc["halls"].get(h, "open")
--- a/src/petrelhaven/control/resumable/member_protocol.py
+++ b/src/petrelhaven/control/resumable/member_protocol.py
@@ -1,6 +1,6 @@
 """A seat's questions to members of the product's own interface, which has no PAUSE: there, moves of offices wait."""
 
-from petrelhaven.runtime.errors import Gone, Late, MemberFault, Unsent
+from petrelhaven.runtime.errors import DeadlineExceeded, MemberDeclined, MemberReplaced, NotSent
 
 __all__ = ["MemberWire"]
 
@@ -18,10 +18,10 @@
     async def own(self, verb, *args):
         """The member's row for STATUS; any other verb is declined."""
         if verb != "status":
-            raise MemberFault(f"members of this interface have no {verb}")
+            raise MemberDeclined(f"members of this interface have no {verb}")
         d = await self._w.status(self._addr, _ASK_US)
         if d.get("member", self._name) != self._name:
-            raise Gone(f"{d['member']} answers there")
+            raise MemberReplaced(f"{d['member']} answers there")
         return {"role": d["role"], "term": d["term"], "pos": d["log"], "held": 0}
 
     def close(self):
@@ -40,8 +40,8 @@
         m = _Member(self._wire, addr, member)
         try:
             await self.clock.limit(m.own("status"), us)
-        except Late:
-            raise Unsent("mute") from None
-        except Unsent:
-            raise Unsent("refused") from None
+        except DeadlineExceeded:
+            raise NotSent("mute") from None
+        except NotSent:
+            raise NotSent("refused") from None
         return m
--- a/src/petrelhaven/control/resumable/plan.py
+++ b/src/petrelhaven/control/resumable/plan.py
@@ -1,9 +1,9 @@
 """From the manifest and the members' announcements to the plan of the next epoch. Pure: no clock, no links."""
 
-__all__ = ["Sight", "after", "step"]
+__all__ = ["GroupObservation", "after", "step"]
 
 
-class Sight:
+class GroupObservation:
     """All that a plan may look at for one group."""
 
     __slots__ = (
@@ -13,7 +13,7 @@
         "last",
         "members",
         "edges",
-        "halls",
+        "zones",
         "forced",
         "marks",
         "waited",
@@ -21,10 +21,10 @@
     )
 
     def __init__(
-        self, group, bounds, epoch, last, members, edges, halls, forced, marks, waited, target=None
+        self, group, bounds, epoch, last, members, edges, zones, forced, marks, waited, target=None
     ):
         self.group, self.bounds, self.epoch, self.last = group, bounds, epoch, last
-        self.members, self.edges, self.halls = members, edges, halls
+        self.members, self.edges, self.zones = members, edges, zones
         self.forced, self.marks, self.waited, self.target = forced, marks, waited, target
 
     def live(self, n):
@@ -35,7 +35,7 @@
     def leaving(self, n):
         """Draining or in an emptied hall."""
         m = self.members[n]
-        return m["draining"] or self.halls.get(m["hall"], "open") != "open"
+        return m["draining"] or self.zones.get(m["hall"], "open") != "open"
 
     def sound(self, n):
         """A replica that may hold commits: live, staying, its log moving."""
--- a/src/petrelhaven/control/resumable/planning_duty.py
+++ b/src/petrelhaven/control/resumable/planning_duty.py
@@ -3,22 +3,28 @@
 import asyncio
 
 from petrelhaven.control.leases import LAPSE_US, LEASE_US
-from petrelhaven.control.resumable.plan import Sight, after, step
-from petrelhaven.runtime.errors import Fault, Late, Malformed
+from petrelhaven.control.resumable.plan import GroupObservation, after, step
+from petrelhaven.runtime.errors import DeadlineExceeded, Fault, Malformed
 from petrelhaven.runtime.events import emit
 
-__all__ = ["Duty"]
+__all__ = ["PlanningDuty"]
 
 _TURN_US = 80_000
 _FORGET_US = 600_000_000
 _REKEEP_US = LAPSE_US + 2_500_000
 
 
-class Duty:
+class PlanningDuty:
     """Watches members and edges, decides epochs, asks the platform to promote."""
 
-    def __init__(self, clock, nest, chain, desk, roster, call, platform, log=None):
-        self.clock, self.nest, self.chain, self.desk, self.roster = clock, nest, chain, desk, roster
+    def __init__(self, clock, tasks, chain, lease_table, roster, call, platform, log=None):
+        self.clock, self.tasks, self.chain, self.lease_table, self.roster = (
+            clock,
+            tasks,
+            chain,
+            lease_table,
+            roster,
+        )
         self._call, self.platform, self.log = call, platform, log
         self.heard = {}
         self._others = {}
@@ -43,7 +49,7 @@
         self.heard[d["member"]] = {"doc": d, "at": now}
 
     def _forget(self, now):
-        es = self.chain.realm.doc["epochs"].values()
+        es = self.chain.control_state.doc["epochs"].values()
         roles = {n for e in es for n in (e["primary"], *e["hold"], *e["safe"])}
         for n in [
             n for n, h in self.heard.items() if now - h["at"] > _FORGET_US and n not in roles
@@ -58,13 +64,13 @@
                 "members": {
                     m: {"doc": h["doc"], "age": now - h["at"]} for m, h in self.heard.items()
                 },
-                "edges": {e: t - now for e, t in self.desk.live.items()},
+                "edges": {e: t - now for e, t in self.lease_table.live.items()},
             }
         }
 
     async def run(self):
         """Plans for good while this core is the active head."""
-        self.nest.spawn(self._listen())
+        self.tasks.spawn(self._listen())
         while True:
             await self.clock.sleep(_TURN_US)
             c = self.chain
@@ -78,7 +84,7 @@
             if self._began is None:
                 self._began = now
                 self._since.clear()
-            m = c.realm.manifest
+            m = c.control_state.configuration
             if m is None:
                 continue
             self._edges(now)
@@ -93,7 +99,7 @@
             if v and self.chain.head:
                 for n in v["ids"]:
                     if n != self.chain.me:
-                        self.nest.spawn(self._hear(n))
+                        self.tasks.spawn(self._hear(n))
             await self.clock.sleep(200_000)
 
     async def _hear(self, n):
@@ -137,17 +143,17 @@
 
     def _edges(self, now):
         seen = {}
-        for e, t in self.desk.live.items():
+        for e, t in self.lease_table.live.items():
             seen[e] = max(seen.get(e, -1 << 60), t - now)
         for at, d in self._others.values():
             for e, left in d["edges"].items():
                 seen[e] = max(seen.get(e, -1 << 60), left - (now - at))
-        for n, e in sorted(self.chain.realm.doc["edges"].items()):
+        for n, e in sorted(self.chain.control_state.doc["edges"].items()):
             if ("edge", n) in self._busy:
                 continue
             if e["state"] == "gone":
                 if not e.get("lapsed") and now - self._began > LAPSE_US:
-                    self._do(("edge", n), self._lapse, n, e["inc"], self.chain.realm.seq)
+                    self._do(("edge", n), self._lapse, n, e["inc"], self.chain.control_state.seq)
                 continue
             born = self._born.setdefault((n, e["inc"]), now)
             if (
@@ -159,33 +165,37 @@
             quiet = max(seen.get(n, -1 << 60), born + 2 * LEASE_US - now)
             st = self.roster.state(n)
             p = self.roster.peers.get(n)
-            lost = st == "gone" and p.inc >= e["inc"] and seen.get(n, 0) < 600_000
-            mute = quiet < -2_500_000 and now - self._began > 2_500_000 and self.desk.floor <= now
+            lost = st == "gone" and p.incarnation >= e["inc"] and seen.get(n, 0) < 600_000
+            mute = (
+                quiet < -2_500_000
+                and now - self._began > 2_500_000
+                and self.lease_table.floor <= now
+            )
             if lost or mute:
                 self._let_go[e["hall"]] = now
-                emit(self.log, 308, edge=n, inc=e["inc"], kith=st, lease_us=quiet)
+                emit(self.log, 308, edge=n, incarnation=e["inc"], kith=st, lease_us=quiet)
                 self._do(("edge", n), self._gone, n, e["inc"], st)
 
     def _keepers(self):
-        m = self.chain.realm.manifest
+        m = self.chain.control_state.configuration
         return min(m.bounds.keepers, 2) if m else 1
 
-    async def _gone(self, n, inc, st):
+    async def _gone(self, n, incarnation, st):
         seq = await self.chain.enter(
             {
                 "t": "edge",
                 "name": n,
-                "inc": inc,
+                "inc": incarnation,
                 "state": "gone",
                 "cause": f"kith: {st}, no lease",
                 "by": self.chain.me,
             }
         )
-        await self._lapse(n, inc, seq)
+        await self._lapse(n, incarnation, seq)
 
-    async def _lapse(self, n, inc, seq):
-        await self.desk.in_force(seq)
-        await self.chain.enter({"t": "lapse", "name": n, "inc": inc})
+    async def _lapse(self, n, incarnation, seq):
+        await self.lease_table.in_force(seq)
+        await self.chain.enter({"t": "lapse", "name": n, "inc": incarnation})
 
     def _do(self, key, fn, *a):
         async def run():
@@ -197,25 +207,25 @@
             finally:
                 self._busy.pop(key, None)
 
-        self._busy[key] = self.nest.spawn(run())
+        self._busy[key] = self.tasks.spawn(run())
 
     def _group(self, g, m, ms, now):
         c = self.chain
-        e = c.realm.doc["epochs"].get(g.name)
+        e = c.control_state.doc["epochs"].get(g.name)
         mine = {n: d for n, d in ms.items() if d["group"] == g.name}
         self._track(g, m, mine, e, now)
         n = e["n"] if e else 0
         key = (g.name, n)
         if e and key not in self._forced and key not in self._forcing:
             self._prune(g.name, n)
-            self._forcing[key] = self.nest.spawn(self._force(key, e, c.realm.seq))
+            self._forcing[key] = self.tasks.spawn(self._force(key, e, c.control_state.seq))
         if e and key in self._forced and not e["settled"] and e["phase"] == "serve":
             self._do(g.name, c.enter, {"t": "settle", "group": g.name, "n": n})
             return
         if e and now - self._began < m.bounds.lost_us and any(x not in mine for x in e["where"]):
             self.why[g.name] = "members are being heard again"
             return
-        s = self._sight(g, m, e, mine, now)
+        s = self._observe_group(g, m, e, mine, now)
         verb, arg = step(s)
         if self.why.get(g.name) != arg and verb == "wait":
             if arg.startswith("no safe"):
@@ -232,12 +242,12 @@
             for k in [k for k in d if k[0] == g and k[1] < n]:
                 del d[k]
 
-    def _sight(self, g, m, e, mine, now):
+    def _observe_group(self, g, m, e, mine, now):
         key = (g.name, e["n"] if e else 0)
-        d = self.chain.realm.doc
+        d = self.chain.control_state.doc
         past = d["past"].get(g.name)
         last = e["n"] if e else (past[-1]["n"] if past else 0)
-        return Sight(
+        return GroupObservation(
             g,
             m.bounds,
             e,
@@ -296,7 +306,7 @@
 
     async def _force(self, key, e, seq):
         try:
-            await self.desk.in_force(seq, e["grace"], horizon=60_000_000)
+            await self.lease_table.in_force(seq, e["grace"], horizon=60_000_000)
             self._forced[key] = self.clock.now()
         except Fault:
             pass
@@ -331,7 +341,7 @@
                                 f"platform answer: {k} must be {want}, is {str(r.get(k))[:40]}"
                             )
                     return r
-                except Late:
+                except DeadlineExceeded:
                     d = self._members(self.clock.now()).get(target)
                     if d and d["role"] == "primary" and d["term"] == key[1]:
                         emit(self.log, 325, group=g.name, primary=target, epoch=key[1])
@@ -352,7 +362,7 @@
             )
             self.why[g.name] = f"platform: {f.code} {f.note}"
             if f.code == "fenced":
-                e = self.chain.realm.doc["epochs"].get(g.name)
+                e = self.chain.control_state.doc["epochs"].get(g.name)
                 if e and e["n"] == key[1]:
                     await self._epoch(
                         {
@@ -367,9 +377,9 @@
             return
         emit(self.log, 324, group=g.name, primary=target, epoch=key[1])
         now = self.clock.now()
-        e = self.chain.realm.doc["epochs"].get(g.name)
+        e = self.chain.control_state.doc["epochs"].get(g.name)
         if not e or e["n"] != key[1]:
             return
         mine = {n: d for n, d in self._members(now).items() if d["group"] == g.name}
         self._track(g, m, mine, e, now)
-        await self._epoch(after(self._sight(g, m, e, mine, now), target))
+        await self._epoch(after(self._observe_group(g, m, e, mine, now), target))
--- a/src/petrelhaven/control/state/control_state.py
+++ b/src/petrelhaven/control/state/control_state.py
@@ -5,10 +5,12 @@
 import json
 
 from petrelhaven.control.failover.evidence import ElectionOrder, Evidence
-from petrelhaven.runtime.errors import Duplicate, Invalid, NoRoute, Racing, Stale, Taken
+from petrelhaven.runtime.errors import Conflict, Duplicate, Invalid, NoRoute, Stale, VersionTaken
 
-__all__ = ["Ledger"]
+__all__ = ["ControlState"]
 
+# The names of methods, where they differ from the kinds of records as stored.
+_SUBJECTS = {"manifest": "configuration", "hall": "zone", "office": "leadership"}
 _GONE = 64
 _KEEP = 16
 _ACCEPTED = 128
@@ -18,10 +20,10 @@
     return hashlib.sha256(text.encode()).hexdigest()
 
 
-class Ledger:
+class ControlState:
     """Checks and applies numbered records. `reader` turns a manifest's text into what `manifest` answers."""
 
-    __slots__ = ("seq", "doc", "_manifest")
+    __slots__ = ("seq", "doc", "_configuration")
     reader = staticmethod(json.loads)
 
     def __init__(self, doc=None):
@@ -38,16 +40,16 @@
             **(doc or {}),
         }
         self.seq = self.doc["seq"]
-        self._manifest = None
+        self._configuration = None
         if doc and "evidence" not in doc:
             self._evidence_of_older_version()
 
     @property
-    def manifest(self):
+    def configuration(self):
         """The manifest in force, or None."""
-        if self._manifest is None and self.doc["manifest"]:
-            self._manifest = self.reader(self.doc["manifest"]["text"])
-        return self._manifest
+        if self._configuration is None and self.doc["manifest"]:
+            self._configuration = self.reader(self.doc["manifest"]["text"])
+        return self._configuration
 
     def frame(self):
         """A deep copy of the whole state."""
@@ -55,15 +57,15 @@
 
     def check(self, r):
         """Raises a typed fault if `r` must be declined now."""
-        getattr(self, "_check_" + r["t"])(r)
+        getattr(self, "_check_" + _SUBJECTS.get(r["t"], r["t"]))(r)
 
     def apply(self, seq, r):
         """Applies a numbered record."""
         assert seq == self.seq + 1, (seq, self.seq)
-        getattr(self, "_apply_" + r["t"])(r)
+        getattr(self, "_apply_" + _SUBJECTS.get(r["t"], r["t"]))(r)
         self.seq = self.doc["seq"] = seq
 
-    def hall(self, h):
+    def zone(self, h):
         """The state of a hall."""
         return self.doc["halls"].get(h, "open")
 
@@ -90,27 +92,27 @@
                 names = tuple(f"unrecorded-{i + 1}" for i in range(missing))
                 self._put_evidence(group, Evidence(unproven=names))
 
-    def _check_manifest(self, r):
+    def _check_configuration(self, r):
         now = self.doc["manifest"]
         if not now:
             return
         if "embargoes" in self.doc:
-            from petrelhaven.control.embargo.rules import check_manifest
+            from petrelhaven.control.embargo.rules import check_configuration
 
-            check_manifest(self.doc, r)
+            check_configuration(self.doc, r)
         version, digest = r["version"], self._accepted(r["version"])
         if digest is not None and digest == _digest(r["text"]):
             state = "in force" if version == now["version"] else "accepted"
             raise Duplicate(f"version {version} is {state} already", more={"version": version})
         if digest is not None:
-            raise Taken(
+            raise VersionTaken(
                 f"version {version} is taken by another manifest",
                 more={"version": now["version"], "taken": version, "digest": digest},
             )
         if version < now["version"]:
             raise Stale(f"version {now['version']} is in force", more={"version": now["version"]})
         if r.get("retire") is False:
-            gone = {g["name"] for g in self.manifest["groups"]} - {
+            gone = {g["name"] for g in self.configuration["groups"]} - {
                 g["name"] for g in json.loads(r["text"])["groups"]
             }
             live = sorted(gone & set(self.doc["offices"]))
@@ -132,7 +134,7 @@
             return now["digest"]
         return next((d for v, d in reversed(self.doc["accepted"]) if v == version), None)
 
-    def _apply_manifest(self, r):
+    def _apply_configuration(self, r):
         self.doc["manifest"] = {
             "version": r["version"],
             "text": r["text"],
@@ -143,21 +145,21 @@
         self.doc["accepted"].append([r["version"], self.doc["manifest"]["digest"]])
         del self.doc["accepted"][:-_ACCEPTED]
         if "embargo" in r or "embargo_since" in self.doc:
-            from petrelhaven.control.embargo.rules import apply_manifest
+            from petrelhaven.control.embargo.rules import apply_configuration
 
-            apply_manifest(self.doc, r, self.seq + 1)
-        self._manifest = None
+            apply_configuration(self.doc, r, self.seq + 1)
+        self._configuration = None
 
     def _apply_pass(self, r):
         """A manifest was replaced before this node heard of it."""
 
-    def _check_hall(self, r):
+    def _check_zone(self, r):
         if r["state"] not in ("open", "emptied"):
             raise Invalid("hall state", more={"faults": [["state", "must be open or emptied"]]})
-        if self.hall(r["hall"]) == r["state"]:
+        if self.zone(r["hall"]) == r["state"]:
             raise Duplicate(f"hall {r['hall']} is {r['state']} already")
 
-    def _apply_hall(self, r):
+    def _apply_zone(self, r):
         self.doc["halls"][r["hall"]] = r["state"]
 
     def _check_member(self, r):
@@ -194,8 +196,8 @@
         member = self.doc["members"][name]
         group = member["group"]
         member["state"] = "gone"
-        office = self.doc["offices"].get(group)
-        moving = bool(office) and office["phase"] != "serve"
+        leadership = self.doc["offices"].get(group)
+        moving = bool(leadership) and leadership["phase"] != "serve"
         evidence = self.evidence(group)
         self._put_evidence(group, evidence.with_departure(name, moving))
         if name in evidence.counted_out and not moving:
@@ -221,21 +223,21 @@
 
     def _check_evidence(self, r):
         """Evidence may be added about members that are there, and orders about groups that halt."""
-        group, office = r["group"], self.doc["offices"].get(r["group"])
-        if office is None:
+        group, leadership = r["group"], self.doc["offices"].get(r["group"])
+        if leadership is None:
             raise NoRoute(f"no group {group[:60]} is served")
         if r["what"] == "counted_out" and r["member"] not in self.group(group):
             raise Stale(f"member {r['member']} is gone")
         if r["what"] == "order":
-            self._check_order(r, office)
+            self._check_order(r, leadership)
 
-    def _check_order(self, r, office):
+    def _check_order(self, r, leadership):
         group, member = r["group"], r["member"]
-        if office["phase"] != "move":
-            faults = [["group", f"group {group[:60]} is served by {office['primary']}"]]
+        if leadership["phase"] != "move":
+            faults = [["group", f"group {group[:60]} is served by {leadership['primary']}"]]
             raise Invalid("no election is waited for", more={"faults": faults})
-        if r["n"] != office["n"]:
-            raise Racing(f"office {office['n']} of {group[:60]} waits, not {r['n']}")
+        if r["n"] != leadership["n"]:
+            raise Conflict(f"office {leadership['n']} of {group[:60]} waits, not {r['n']}")
         if member not in self.group(group):
             faults = [["member", f"no member {member[:60]} in group {group[:60]}"]]
             raise Invalid("no such member", more={"faults": faults})
@@ -260,17 +262,17 @@
             evidence = evidence.with_order(ElectionOrder(r["member"], r["by"]))
         self._put_evidence(group, evidence)
 
-    def _check_office(self, r):
+    def _check_leadership(self, r):
         o = self.doc["offices"].get(r["group"])
         if r["n"] != (o["n"] if o else 0) + 1:
-            raise Racing(f"office {r['n']} does not follow {o['n'] if o else 0}")
+            raise Conflict(f"office {r['n']} does not follow {o['n'] if o else 0}")
 
-    def _apply_office(self, r):
+    def _apply_leadership(self, r):
         before = self.doc["offices"].get(r["group"])
         o = self.doc["offices"][r["group"]] = {
             k: v for k, v in r.items() if k not in ("t", "group")
         }
-        o["since"] = self._office_since(before, o)
+        o["since"] = self._leadership_since(before, o)
         if o["phase"] == "serve" and before is not None:
             changed = before["primary"] != o["primary"]
             position = tuple(o.get("pos") or (0, 0))
@@ -284,7 +286,7 @@
         del past[:-_KEEP]
 
     @staticmethod
-    def _office_since(before, now):
+    def _leadership_since(before, now):
         """The number of the first record from which primary and phase are what they are."""
         if before and all(before[part] == now[part] for part in ("primary", "phase")):
             return before.get("since", before["n"])
--- a/src/petrelhaven/control/storage/core_store.py
+++ b/src/petrelhaven/control/storage/core_store.py
@@ -18,7 +18,7 @@
 )
 from petrelhaven.control.storage.record_log import FILE_SIZE, Disk, RecordLog
 from petrelhaven.control.storage.set_aside import SetAside
-from petrelhaven.runtime.errors import Damaged, DiskRefused, Misplaced
+from petrelhaven.runtime.errors import Damaged, DiskRefused, WrongNode
 from petrelhaven.runtime.events import emit
 
 __all__ = ["CoreStore", "replayed"]
@@ -35,20 +35,20 @@
 
 
 def _default_state(document: dict | None = None) -> Any:  # noqa: ANN401
-    from petrelhaven.control.resumable.control_state import Realm
+    from petrelhaven.control.resumable.control_state import ResumableControlState
 
-    return Realm(document)
+    return ResumableControlState(document)
 
 
 def replayed(documents: list[dict], state: Callable[..., Any]) -> Any:  # noqa: ANN401
     """The control state that `documents` add up to; None if there are none."""
-    realm = None
+    control_state = None
     for entry in map(from_document, documents):
         if isinstance(entry, StateFrame | Reset):
-            realm = state(entry.realm)
+            control_state = state(entry.control_state)
         elif isinstance(entry, ChainRecord):
-            realm.apply(entry.seq, entry.record)
-    return realm
+            control_state.apply(entry.seq, entry.record)
+    return control_state
 
 
 class CoreStore:
@@ -91,7 +91,7 @@
             return False
         for document in documents:
             self._replay(from_document(document))
-        emit(self.log, 309, seq=self.realm.seq, torn=self._log.torn)
+        emit(self.log, 309, seq=self.control_state.seq, torn=self._log.torn)
         return True
 
     def _start(self) -> None:
@@ -129,8 +129,8 @@
         self.done = 0
         self._forget_state(self._state(), 0)
 
-    def _forget_state(self, realm: Any, mark: int) -> None:  # noqa: ANN401
-        self.realm, self.mark = realm, mark
+    def _forget_state(self, control_state: Any, mark: int) -> None:  # noqa: ANN401
+        self.control_state, self.mark = control_state, mark
         self.recs: list[list] = []
         self._text_bytes = 0
 
@@ -150,10 +150,12 @@
     @property
     def fresh(self) -> bool:
         """True while this core has neither voted nor held anything."""
-        return self.vote["value"] is None and self.realm.seq == 0
+        return self.vote["value"] is None and self.control_state.seq == 0
 
     def _frame(self) -> StateFrame:
-        return StateFrame(self.disk, self.name, self.vote, self.done, self.realm.frame(), self.mark)
+        return StateFrame(
+            self.disk, self.name, self.vote, self.done, self.control_state.frame(), self.mark
+        )
 
     def _frame_document(self) -> dict:
         return to_document(self._frame())
@@ -186,13 +188,13 @@
 
     def _replay(self, entry: Entry | None) -> None:
         match entry:
-            case StateFrame(disk, name, vote, done, realm, mark):
+            case StateFrame(disk, name, vote, done, control_state, mark):
                 if self._any_name:
                     self.name = name
                 elif name != self.name:
-                    raise Misplaced(f"the data folder belongs to {name}, not {self.name}")
+                    raise WrongNode(f"the data folder belongs to {name}, not {self.name}")
                 self.disk, self.vote, self.done = disk, vote, done
-                self._forget_state(self._state(realm), mark)
+                self._forget_state(self._state(control_state), mark)
             case Vote(vote, done):
                 self.vote = vote
                 self.done = self.done if done is None else done
@@ -200,11 +202,11 @@
                 self.done = view
             case ChainRecord(seq, view, record):
                 self._take(seq, view, record)
-            case Reset(realm, mark):
-                self._forget_state(self._state(realm), mark)
+            case Reset(control_state, mark):
+                self._forget_state(self._state(control_state), mark)
 
     def _take(self, seq: int, view: int, record: dict) -> None:
-        self.realm.apply(seq, record)
+        self.control_state.apply(seq, record)
         self.recs.append([seq, view, record])
         self.mark = view
         self._text_bytes += len(record.get("text", ""))
@@ -237,7 +239,7 @@
         """Drops the copies of damaged files once this core has been fed at least what they hold."""
         try:
             held = replayed(self._aside.documents(), self._state)
-            if held is not None and self.realm.seq < held.seq:
+            if held is not None and self.control_state.seq < held.seq:
                 return
             self._aside.drop()
         except OSError:
@@ -246,20 +248,20 @@
 
     def put_rec(self, seq: int, view: int, record: dict) -> None:
         """Adds a numbered record."""
-        if seq != self.realm.seq + 1:
-            raise AssertionError(f"record {seq} does not follow {self.realm.seq}")
+        if seq != self.control_state.seq + 1:
+            raise AssertionError(f"record {seq} does not follow {self.control_state.seq}")
         self._keep(ChainRecord(seq, view, record))
         self._take(seq, view, record)
 
-    def reset(self, realm: dict, mark: int) -> None:
+    def reset(self, control_state: dict, mark: int) -> None:
         """Replaces the control state by another core's frame."""
-        state = self._state(realm)
-        self._keep(Reset(realm, mark))
+        state = self._state(control_state)
+        self._keep(Reset(control_state, mark))
         self._forget_state(state, mark)
 
     def since(self, seq: int, mark: int | None = None) -> list[list] | None:
         """Records after `seq`, or None if they are no longer kept (or `mark` does not fit)."""
-        if seq == self.realm.seq:
+        if seq == self.control_state.seq:
             return [] if mark in (None, self.mark) else None
         if seq == 0 and self.recs and self.recs[0][0] == 1:
             return list(self.recs)
--- a/src/petrelhaven/control/storage/data_folder.py
+++ b/src/petrelhaven/control/storage/data_folder.py
@@ -4,15 +4,15 @@
 from dataclasses import dataclass
 from typing import Any
 
-from petrelhaven.control.resumable.control_state import Realm
-from petrelhaven.control.state.control_state import Ledger
+from petrelhaven.control.resumable.control_state import ResumableControlState
+from petrelhaven.control.state.control_state import ControlState
 from petrelhaven.control.storage.core_store import CoreStore, replayed
 from petrelhaven.control.storage.documents import StateFrame, from_document
 from petrelhaven.control.storage.record_log import log_file_names, readable_documents
 from petrelhaven.control.storage.set_aside import SetAside
 from petrelhaven.runtime.errors import Damaged
 
-__all__ = ["Relic", "Salvage", "salvage"]
+__all__ = ["DataFolder", "Salvage", "salvage"]
 
 
 class _ReadOnly:
@@ -36,14 +36,18 @@
         """Removes nothing."""
 
 
-class Relic:
+class DataFolder:
     """Name, disk identity and control state of a folder; `name` is None for an empty one."""
 
     def __init__(self, path: str) -> None:
         store = CoreStore(_ReadOnly(path), "", _NoChance(), keep=True, state=_state)
         if store.damaged:
             raise Damaged(f"{path}: the ring is damaged")
-        self.name, self.disk, self.realm = store.name or None, store.disk, store.realm
+        self.name, self.disk, self.control_state = (
+            store.name or None,
+            store.disk,
+            store.control_state,
+        )
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,7 +55,7 @@
     """The newest control state that can still be read of a folder, damaged or not."""
 
     name: str
-    realm: Any
+    control_state: Any
 
 
 def salvage(path: str) -> Salvage:
@@ -62,7 +66,7 @@
     readable = [state for state in found if state is not None]
     if not readable:
         raise Damaged(f"{path}: nothing in it can be read")
-    return max(readable, key=lambda state: state.realm.seq)
+    return max(readable, key=lambda state: state.control_state.seq)
 
 
 def _salvaged(documents: list[dict]) -> Salvage | None:
@@ -74,8 +78,12 @@
     return Salvage(first.name, replayed(documents, _state))
 
 
-def _state(document: dict | None = None) -> Ledger | Realm:
-    return Ledger(document) if document and "offices" in document else Realm(document)
+def _state(document: dict | None = None) -> ControlState | ResumableControlState:
+    return (
+        ControlState(document)
+        if document and "offices" in document
+        else ResumableControlState(document)
+    )
 
 
 class _NoChance:
--- a/src/petrelhaven/control/storage/documents.py
+++ b/src/petrelhaven/control/storage/documents.py
@@ -23,7 +23,7 @@
     name: str
     vote: dict
     done: int
-    realm: dict
+    control_state: dict
     mark: int
 
 
@@ -55,7 +55,7 @@
 class Reset:
     """The control state was replaced by that of another core."""
 
-    realm: dict
+    control_state: dict
     mark: int
 
 
@@ -70,14 +70,14 @@
 def to_document(entry: Entry) -> dict:
     """The JSON document of an entry."""
     match entry:
-        case StateFrame(disk, name, vote, done, realm, mark):
+        case StateFrame(disk, name, vote, done, control_state, mark):
             return {
                 "t": "frame",
                 "disk": disk,
                 "name": name,
                 "vote": vote,
                 "done": done,
-                "realm": realm,
+                "realm": control_state,
                 "mark": mark,
             }
         case Vote(vote, None):
@@ -88,8 +88,8 @@
             return {"t": "done", "n": view}
         case ChainRecord(seq, view, record):
             return {"t": "rec", "seq": seq, "view": view, "rec": record}
-        case Reset(realm, mark):
-            return {"t": "reset", "realm": realm, "mark": mark}
+        case Reset(control_state, mark):
+            return {"t": "reset", "realm": control_state, "mark": mark}
     raise TypeError(type(entry).__name__)
 
 
--- a/src/petrelhaven/emulator/balancer.py
+++ b/src/petrelhaven/emulator/balancer.py
@@ -4,17 +4,17 @@
 
 from petrelhaven.runtime.errors import Fault, NotReady
 
-__all__ = ["Usher"]
+__all__ = ["LoadBalancer"]
 
 
-class Usher:
+class LoadBalancer:
     """Routes by readiness; warns a node, then kills it at its deadline whether or not it has finished.
 
     `ready(name)` asks a node, `warn(name)` tells it to leave and returns once it has, `kill(name)` takes its machine.
     """
 
-    def __init__(self, clock, nest, names, ready, warn, kill, gap_us=200_000):
-        self.clock, self.nest, self.names, self.gap_us = clock, nest, names, gap_us
+    def __init__(self, clock, tasks, names, ready, warn, kill, gap_us=200_000):
+        self.clock, self.tasks, self.names, self.gap_us = clock, tasks, names, gap_us
         self._ready, self._warn, self._kill = ready, warn, kill
         self.open = []
         self._turn = 0
@@ -44,7 +44,7 @@
     async def stop(self, name, us):
         """Warns `name` and kills it after `us`; answers whether it had left by then."""
         self.open = [n for n in self.open if n != name]
-        t = self.nest.spawn(self._warn(name))
+        t = self.tasks.spawn(self._warn(name))
         try:
             await self.clock.limit(t, us, keep=True)
             left = True
--- a/src/petrelhaven/emulator/main.py
+++ b/src/petrelhaven/emulator/main.py
@@ -7,14 +7,14 @@
 
 import aiohttp
 
-from petrelhaven.emulator.balancer import Usher
+from petrelhaven.emulator.balancer import LoadBalancer
 from petrelhaven.emulator.member import Member
 from petrelhaven.emulator.platform import PlatformLogic
-from petrelhaven.runtime.clock import Clock, Nest
+from petrelhaven.runtime.clock import BackgroundTasks, Clock
 from petrelhaven.runtime.daemon import say
-from petrelhaven.runtime.errors import Fenced, Unreached
+from petrelhaven.runtime.errors import Fenced, Unreachable
 from petrelhaven.transport.http import fetch
-from petrelhaven.transport.http_server import Face, body_of
+from petrelhaven.transport.http_server import HttpServer, body_of
 
 __all__ = ["main"]
 
@@ -47,10 +47,10 @@
 
 
 async def _platform(a):
-    clock, nest = Clock(), Nest()
+    clock, tasks = Clock(), BackgroundTasks()
     members = {}
     h, p = a.http.rsplit(":", 1)
-    face = Face(h, int(p))
+    http_server = HttpServer(h, int(p))
     http = aiohttp.ClientSession()
 
     async def tell(member, verb, kw):
@@ -64,7 +64,7 @@
                 if r.status != 200:
                     raise Fenced((await r.json()).get("fault", "?"))
         except (aiohttp.ClientError, OSError, asyncio.TimeoutError):
-            raise Unreached(member) from None
+            raise Unreachable(member) from None
 
     logic = PlatformLogic(
         clock, tell, lambda g: [n for n, (x, _) in members.items() if x == g], a.took_us
@@ -99,11 +99,11 @@
         await fetch(addr, "GET", "/ready", us=500_000, http=http)
         return True
 
-    usher = Usher(clock, nest, lambda: edges, ready, None, None)
-    nest.spawn(usher.run())
+    load_balancer = LoadBalancer(clock, tasks, lambda: edges, ready, None, None)
+    tasks.spawn(load_balancer.run())
 
     async def route(req):
-        return {"edge": usher.pick()}
+        return {"edge": load_balancer.pick()}
 
     for v, path, fn in (
         ("POST", "/members", register),
@@ -113,8 +113,8 @@
         ("POST", "/edges", enroll),
         ("GET", "/route", route),
     ):
-        face.on(v, path, fn)
-    say(f"started name=platform http={await face.start()}")
+        http_server.on(v, path, fn)
+    say(f"started name=platform http={await http_server.start()}")
     await logic.tend()
 
 
--- a/src/petrelhaven/emulator/member.py
+++ b/src/petrelhaven/emulator/member.py
@@ -9,11 +9,11 @@
 from aiohttp import web
 
 from petrelhaven.emulator.store import Declined, Store, Unanswered
-from petrelhaven.runtime.clock import Clock, Nest
+from petrelhaven.runtime.clock import BackgroundTasks, Clock
 from petrelhaven.runtime.daemon import say
 from petrelhaven.runtime.errors import Fault
 from petrelhaven.runtime.events import emit, logger
-from petrelhaven.transport.http_server import Face, body_of
+from petrelhaven.transport.http_server import HttpServer, body_of
 
 __all__ = ["Member"]
 
@@ -24,7 +24,7 @@
     def __init__(self, a):
         self.a = a
         self.log = logger(a.name)
-        self.clock, self.nest = Clock(), Nest(self.log)
+        self.clock, self.tasks = Clock(), BackgroundTasks(self.log)
         self.s = Store(
             self.clock, a.name, a.group, a.hall, a.role, a.cap, random.SystemRandom(), a.warm_us
         )
@@ -85,7 +85,7 @@
 
     async def run(self):
         """Serves for good."""
-        f = Face(*self._place(), most=4 << 20)
+        f = HttpServer(*self._place(), most=4 << 20)
         for v, p, h in (
             ("POST", "/open", self._open),
             ("POST", "/run", self._run),
@@ -107,8 +107,8 @@
             self.cores = (await asyncio.get_running_loop().run_in_executor(None, input)).split(",")
         else:
             self.cores = self.a.cores.split(",")
-        self.nest.spawn(self._announce())
-        self.nest.spawn(self._sweep())
+        self.tasks.spawn(self._announce())
+        self.tasks.spawn(self._sweep())
         await self._pull()
 
     def _place(self):
@@ -229,8 +229,8 @@
             await self.clock.sleep(200_000)
 
     async def _once(self):
-        self._beat = getattr(self, "_beat", 0) + 1
-        d = self.s.announcement(self.addr, self._beat)
+        self._heartbeat = getattr(self, "_beat", 0) + 1
+        d = self.s.announcement(self.addr, self._heartbeat)
 
         async def say_to(c):
             try:
@@ -242,7 +242,7 @@
                 pass
 
         for c in self.cores:
-            self.nest.spawn(say_to(c))
+            self.tasks.spawn(say_to(c))
 
     async def _pull(self):
         s = self.s
--- a/src/petrelhaven/emulator/store.py
+++ b/src/petrelhaven/emulator/store.py
@@ -65,7 +65,7 @@
         clock: Clock,
         name: str,
         group: str,
-        hall: str,
+        zone: str,
         role: str,
         cap: int,
         rng: random.Random,
@@ -73,7 +73,7 @@
         cold_most: int = 6,
     ) -> None:
         """An empty member that has just started; it is warm after `warm_us`."""
-        self.clock, self.name, self.group, self.hall = clock, name, group, hall
+        self.clock, self.name, self.group, self.zone = clock, name, group, zone
         self.cap, self.rng = cap, rng
         self.role = role
         self.warm_us, self.cold_most = warm_us, cold_most
@@ -125,12 +125,12 @@
             "conns": len(self.conns),
         }
 
-    def announcement(self, address: str, beat: int) -> dict[str, Any]:
+    def announcement(self, address: str, heartbeat: int) -> dict[str, Any]:
         """What the member tells control regularly."""
         return {
             "member": self.name,
             "group": self.group,
-            "hall": self.hall,
+            "hall": self.zone,
             "addr": address,
             "role": self.role,
             "log": self.log,
@@ -140,7 +140,7 @@
             "store": self.store,
             "warm": self.warm,
             "term": self.term,
-            "beat": beat,
+            "beat": heartbeat,
         }
 
     def open(self, owner: object) -> str:
--- a/src/petrelhaven/membership/peer.py
+++ b/src/petrelhaven/membership/peer.py
@@ -22,9 +22,9 @@
     __slots__ = (
         "name",
         "role",
-        "hall",
+        "zone",
         "addr",
-        "inc",
+        "incarnation",
         "state",
         "since",
         "spread",
@@ -51,9 +51,9 @@
         """Takes a peer that is first heard of, as alive."""
         self.name = news.name
         self.role = news.role
-        self.hall = news.zone
+        self.zone = news.zone
         self.addr = news.address
-        self.inc = news.incarnation
+        self.incarnation = news.incarnation
         self.since = now
         self.spread = 0
         self.heard = _NEVER_US
@@ -65,12 +65,12 @@
         if state == SUSPECT and self.state == GONE:
             self.hear()
         getattr(self, self._TRIGGER[state])()
-        self.inc, self.since, self.spread = incarnation, now, 0
+        self.incarnation, self.since, self.spread = incarnation, now, 0
         self.departed = self.departed and state == GONE
 
     def news(self) -> PeerNews:
         """What this node says of the peer."""
-        return PeerNews(self.name, self.role, self.hall, self.addr, self.inc, self.state)
+        return PeerNews(self.name, self.role, self.zone, self.addr, self.incarnation, self.state)
 
     def forget(self) -> None:
         """Detaches the peer from its machine."""
--- a/src/petrelhaven/membership/prober.py
+++ b/src/petrelhaven/membership/prober.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from petrelhaven.membership.peer import Peer
     from petrelhaven.membership.roster import Roster
-    from petrelhaven.runtime.clock import Clock, Nest
+    from petrelhaven.runtime.clock import BackgroundTasks, Clock
     from petrelhaven.transport.link import Channel, Link
 
 __all__ = ["Prober"]
@@ -45,7 +45,7 @@
         self,
         clock: Clock,
         link: Link,
-        nest: Nest,
+        tasks: BackgroundTasks,
         rng: random.Random,
         roster: Roster,
         seeds: Sequence[str],
@@ -57,7 +57,7 @@
 
         A peer has `wait_us` to answer; else `aides` others are asked to probe it.
         """
-        self.clock, self.link, self.nest, self.rng = clock, link, nest, rng
+        self.clock, self.link, self.tasks, self.rng = clock, link, tasks, rng
         self.roster, self.seeds = roster, seeds
         self.period_us, self.wait_us, self.aides = period_us, wait_us, aides
         self.join_us = _JOIN_PERIOD_US
@@ -71,14 +71,14 @@
 
     async def run(self) -> None:
         """Joins through the seeds, then probes for good."""
-        self.nest.spawn(self._join())
-        self.nest.spawn(self._knock())
+        self.tasks.spawn(self._join())
+        self.tasks.spawn(self._knock())
         while True:
             await self.clock.sleep(self.period_us)
             self.roster.ripen()
             peer = self._next()
             if peer is not None:
-                self.nest.spawn(self._check(peer))
+                self.tasks.spawn(self._check(peer))
 
     def leave(self, most: int | None = None) -> None:
         """Says to living peers, `most` of them, that this node is leaving."""
@@ -142,7 +142,7 @@
             ]
         )
         if not any(reached):
-            self.roster.doubt(peer.name)
+            self.roster.suspect(peer.name)
 
     async def _ping(
         self, address: str, kind: str, more: dict[str, Any] | None = None, times: int = 1
@@ -188,7 +188,7 @@
 
     def _asked(self, body: dict[str, Any]) -> None:
         self._spoke(body)
-        self.nest.spawn(self._second_opinion(body))
+        self.tasks.spawn(self._second_opinion(body))
 
     async def _second_opinion(self, body: dict[str, Any]) -> None:
         """Probes a peer for another node, which learns only if it answers."""
--- a/src/petrelhaven/membership/roster.py
+++ b/src/petrelhaven/membership/roster.py
@@ -43,7 +43,7 @@
         A peer that is suspected for `suspect_us` without denying it counts as gone.
         """
         self.clock, self.log = clock, log
-        self.name, self.role, self.hall, self.addr, self.inc = me
+        self.name, self.role, self.zone, self.addr, self.incarnation = me
         self.peers: dict[str, Peer] = {}
         self.on_turn: list[Callable[[Peer, str | None], object]] = []
         self.suspect_us = suspect_us
@@ -54,7 +54,7 @@
     def me(self) -> PeerNews:
         """What this node says of itself."""
         state = GONE if self.left else ALIVE
-        return PeerNews(self.name, self.role, self.hall, self.addr, self.inc, state)
+        return PeerNews(self.name, self.role, self.zone, self.addr, self.incarnation, state)
 
     def heard(self, address: str) -> None:
         """A peer spoke to this node itself."""
@@ -77,25 +77,25 @@
             peer = self.peers.get(news.name)
             if peer is None:
                 self._add(news)
-            elif news.supersedes(peer.state, peer.inc):
+            elif news.supersedes(peer.state, peer.incarnation):
                 self._update(peer, news, source)
 
     def _merge_me(self, news: PeerNews) -> None:
         """Denies that this node is suspect or gone, and passes what a former run of it said."""
         if self.left:
             return
-        denied = news.state != ALIVE and news.incarnation >= self.inc
+        denied = news.state != ALIVE and news.incarnation >= self.incarnation
         if denied:
             self._told_of_me = 0
-        if denied or news.incarnation > self.inc:
-            self.inc = news.incarnation + 1
+        if denied or news.incarnation > self.incarnation:
+            self.incarnation = news.incarnation + 1
 
     def _add(self, news: PeerNews) -> None:
         peer = self.peers[news.name] = Peer(news, self.clock.now())
         if news.state != ALIVE:
             self._turn(peer, news.state, news.incarnation)
             return
-        emit(self.log, _NEW_PEER_EVENT, peer=news.name, inc=news.incarnation)
+        emit(self.log, _NEW_PEER_EVENT, peer=news.name, incarnation=news.incarnation)
         for tell in self.on_turn:
             tell(peer, None)
 
@@ -104,7 +104,7 @@
             if peer.state == ALIVE:
                 self._turn(peer, SUSPECT, news.incarnation)
             return
-        peer.role, peer.hall, peer.addr = news.role, news.zone, news.address
+        peer.role, peer.zone, peer.addr = news.role, news.zone, news.address
         self._turn(peer, news.state, news.incarnation)
         peer.departed = news.state == GONE and news.address == source
 
@@ -122,7 +122,7 @@
 
     def _is_hearsay(self, peer: Peer, news: PeerNews, source: str | None) -> bool:
         """Whether others say what the peer's own words to this node contradict."""
-        if news.address == source or news.incarnation != peer.inc:
+        if news.address == source or news.incarnation != peer.incarnation:
             return False
         return self.clock.now() - peer.heard < self.suspect_us
 
@@ -131,22 +131,22 @@
         peer.turn(state, incarnation, self.clock.now())
         if old == state:
             return
-        emit(self.log, _EVENTS[state], peer=peer.name, inc=incarnation)
+        emit(self.log, _EVENTS[state], peer=peer.name, incarnation=incarnation)
         for tell in self.on_turn:
             tell(peer, old)
 
-    def doubt(self, name: str) -> None:
+    def suspect(self, name: str) -> None:
         """Suspects a peer that did not answer."""
         peer = self.peers.get(name)
         if peer is not None and peer.state == ALIVE:
-            self._turn(peer, SUSPECT, peer.inc)
+            self._turn(peer, SUSPECT, peer.incarnation)
 
     def ripen(self) -> None:
         """Turns suspicion that nobody denied into gone."""
         now = self.clock.now()
         for peer in list(self.peers.values()):
             if peer.state == SUSPECT and now - peer.since >= self.suspect_us:
-                self._turn(peer, GONE, peer.inc)
+                self._turn(peer, GONE, peer.incarnation)
 
     def news(self, most: int = _ROWS_A_PROBE) -> list[WireRow]:
         """Rows for a probe: this node first, then the least spread.
--- a/src/petrelhaven/proxy/bounds.py
+++ b/src/petrelhaven/proxy/bounds.py
@@ -2,11 +2,11 @@
 
 from dataclasses import dataclass
 
-__all__ = ["HeldBounds"]
+__all__ = ["ProxyBounds"]
 
 
 @dataclass(slots=True)
-class HeldBounds:
+class ProxyBounds:
     """Times in microseconds.
 
     `fetch_us` is how long a position fetch may take before another is started beside it, `join_us`
--- a/src/petrelhaven/proxy/core_connection.py
+++ b/src/petrelhaven/proxy/core_connection.py
@@ -2,26 +2,26 @@
 
 import asyncio
 
-from petrelhaven.control.state.control_state import Ledger
+from petrelhaven.control.state.control_state import ControlState
 from petrelhaven.runtime.errors import Fault
 from petrelhaven.runtime.events import emit
 
-__all__ = ["Tie"]
+__all__ = ["CoreConnection"]
 
 _PULSE_US = 250_000
 _CONFIRMED_US = 600_000
 _BAD_US = 1_500_000
 _PATIENT_US = 3_000_000
-_DOUBT_US = 250_000
+_SUSPICION_US = 250_000
 
 
-class Tie:
+class CoreConnection:
     """Holds the ledger as pushed. `near(hall)` ranks halls; the nearest core that rules is held."""
 
-    def __init__(self, clock, nest, link, rng, name, seeds, near, log=None):
-        self.clock, self.nest, self.link, self.rng, self.log = clock, nest, link, rng, log
+    def __init__(self, clock, tasks, link, rng, name, seeds, near, log=None):
+        self.clock, self.tasks, self.link, self.rng, self.log = clock, tasks, link, rng, log
         self.name, self.seeds, self._near = name, seeds, near
-        self.ledger = Ledger()
+        self.control_state = ControlState()
         self.joined = False
         self.view = 0
         self.cores = {}
@@ -37,7 +37,7 @@
 
     def start(self):
         """Starts the task of the tie."""
-        self.nest.spawn(self._run())
+        self.tasks.spawn(self._run())
 
     @property
     def holds(self):
@@ -92,7 +92,7 @@
             self._bad[a] = max(self._bad.get(a, 0), self.clock.now() + 100_000)
 
     async def _hold(self, a, ch):
-        at = self.ledger.seq if self.joined else -1
+        at = self.control_state.seq if self.joined else -1
         r = await ch.call("edge.hold", {"edge": self.name, "inc": 0, "applied": at}, 800_000)
         if not r["ok"]:
             self._bad[a] = self.clock.now() + 150_000
@@ -104,7 +104,7 @@
             try:
                 ok = await self._pulse([])
                 if self.time is not None:
-                    self.nest.spawn(self.time.ask(ch))
+                    self.tasks.spawn(self.time.ask(ch))
                 mute = 0
                 good = self.clock.now() if ok else good
             except Fault:
@@ -120,14 +120,19 @@
                 return
             await asyncio.wait([ch.gone], timeout=(_PULSE_US if not mute else 200_000) / 1e6)
 
-    async def _pulse(self, doubts):
+    async def _pulse(self, suspicions):
         ch = self._ch
         if ch is None:
             return False
         t0 = self.clock.now()
         r = await ch.call(
             "tie.pulse",
-            {"name": self.name, "seq": self.ledger.seq, "cores": self.view, "doubts": doubts},
+            {
+                "name": self.name,
+                "seq": self.control_state.seq,
+                "cores": self.view,
+                "doubts": suspicions,
+            },
             450_000,
         )
         if r["edges"] != self.edges:
@@ -138,40 +143,42 @@
             self.view = r["view"]
             self.cores = {a: self._near(h) for _, h, a in r["cores"]}
         if r["ok"]:
-            if self.ledger.seq >= r["need"]:
+            if self.control_state.seq >= r["need"]:
                 self._renew(t0, r["us"], r["age"])
             else:
                 self._need = (r["need"], t0, r["us"], r["age"])
         return r["ok"]
 
-    def doubt(self, group, member, how):
+    def suspect(self, group, member, how):
         """Tells the core that a primary seems lost; said again at most every quarter of a second."""
         now = self.clock.now()
         if self._asked.get(group, 0) > now or self._ch is None:
             return
-        self._asked[group] = now + _DOUBT_US
+        self._asked[group] = now + _SUSPICION_US
         emit(self.log, 423, group=group, member=member, how=how)
-        self.nest.spawn(self._pulse([[group, member, how]]))
+        self.tasks.spawn(self._pulse([[group, member, how]]))
 
     async def _frame(self, ch, b):
-        return {"frame": self.ledger.frame() if self.joined else None}
+        return {"frame": self.control_state.frame() if self.joined else None}
 
     async def _push(self, ch, b):
         if ch is not self._ch and self._ch is not None:
             ch.close()
-            return {"applied": self.ledger.seq, "acked": self.ledger.seq}
+            return {"applied": self.control_state.seq, "acked": self.control_state.seq}
         recs, fresh = [], False
-        if b["frame"] is not None and (b["frame"]["seq"] > self.ledger.seq or not self.joined):
-            self.ledger = Ledger(b["frame"])
+        if b["frame"] is not None and (
+            b["frame"]["seq"] > self.control_state.seq or not self.joined
+        ):
+            self.control_state = ControlState(b["frame"])
             self.joined = fresh = True
         for s, r in b["recs"]:
-            if s == self.ledger.seq + 1:
-                self.ledger.apply(s, r)
+            if s == self.control_state.seq + 1:
+                self.control_state.apply(s, r)
                 recs.append(r)
         if fresh or recs:
             for f in self.on_change:
                 f(recs, fresh)
-        if self._need and self.ledger.seq >= self._need[0]:
+        if self._need and self.control_state.seq >= self._need[0]:
             self._renew(*self._need[1:])
             self._need = None
-        return {"applied": self.ledger.seq, "acked": self.ledger.seq}
+        return {"applied": self.control_state.seq, "acked": self.control_state.seq}
--- a/src/petrelhaven/proxy/embargo.py
+++ b/src/petrelhaven/proxy/embargo.py
@@ -8,7 +8,7 @@
 from petrelhaven.runtime.errors import Fault
 from petrelhaven.runtime.events import emit
 
-__all__ = ["EdgeTime", "EmbargoGate"]
+__all__ = ["EdgeTime", "EmbargoFilter"]
 
 _CALL_US = 450_000
 _BACK_US = 500_000
@@ -55,21 +55,21 @@
         return self._floor
 
 
-class EmbargoGate:
+class EmbargoFilter:
     """Decides what an edge withholds. Made when the control state first names embargoes; `turn` follows it."""
 
-    def __init__(self, gate):
-        self.g = gate
-        self.time = EdgeTime(gate.clock, gate.name, 0)
+    def __init__(self, proxy):
+        self.g = proxy
+        self.time = EdgeTime(proxy.clock, proxy.name, 0)
         self.scope, self.spread_us = frozenset(), 0
         self.table = Table()
         self.count = collections.Counter()
         self._second, self._named, self._more = 0, 0, 0
         self._led = True
 
-    def turn(self, ledger, recs, fresh):
+    def turn(self, control_state, recs, fresh):
         """Takes the rules of the control state."""
-        doc = ledger.doc
+        doc = control_state.doc
         m = (doc["manifest"] or {}).get("embargo") or {}
         self.scope = frozenset(m.get("scope", ()))
         self.time.wall_us, self.spread_us = m.get("wall_us", 0), m.get("spread_us", 0)
@@ -87,12 +87,12 @@
         """Whether there is anything to withhold."""
         return bool(self.scope) or len(self.table) > 0
 
-    def held(self, group, things, visitor):
+    def held(self, group, things, client):
         """Why a read is withheld now and until when in true time (0: not known), or None."""
-        if group in self.scope and not self.g.tie.holds:
+        if group in self.scope and not self.g.core_connection.holds:
             return "lease", 0, ""
         now = self.time.lowest()
-        hit = self.table.held(group, things, visitor, now)
+        hit = self.table.held(group, things, client, now)
         if hit is None:
             return None
         (_, name), rule = hit
@@ -102,7 +102,7 @@
         """The reply to a read that must not be served now, or None."""
         if a.writes or a.verb not in ("read", "execute"):
             return None
-        why = self.held(group, a.things, v.visitor)
+        why = self.held(group, a.things, v.client)
         self._lease(group)
         if why is None:
             return None
@@ -130,7 +130,7 @@
         return r
 
     def _lease(self, group):
-        if group in self.scope and self.g.tie.holds != self._led:
+        if group in self.scope and self.g.core_connection.holds != self._led:
             self._led = not self._led
             emit(self.g.log, 433 if self._led else 432)
 
@@ -150,7 +150,7 @@
             group=group,
             why=why,
             embargo=rule or "-",
-            visitor=v.visitor[:60] or "-",
+            client=v.client[:60] or "-",
         )
 
     def status(self):
@@ -159,6 +159,6 @@
             "scope": sorted(self.scope),
             "rules": len(self.table),
             "time": self.time.interval(),
-            "lease": self.g.tie.holds,
+            "lease": self.g.core_connection.holds,
             "count": dict(self.count),
         }
--- a/src/petrelhaven/proxy/node.py
+++ b/src/petrelhaven/proxy/node.py
@@ -11,27 +11,27 @@
 from transitions import Machine
 
 from petrelhaven.control.configuration.defaults import fill
-from petrelhaven.proxy.bounds import HeldBounds
+from petrelhaven.proxy.bounds import ProxyBounds
 from petrelhaven.proxy.reads.read_clock import Order
 from petrelhaven.proxy.routing.group import MemberGroup
 from petrelhaven.proxy.routing.outside_contact import OutsideContact
 from petrelhaven.proxy.routing.request import Request
-from petrelhaven.proxy.routing.request_slots import Slab
+from petrelhaven.proxy.routing.request_slots import RequestSlots
 from petrelhaven.proxy.routing.route import Route
 from petrelhaven.proxy.routing.statement_path import StatementPath
 from petrelhaven.proxy.session.client_session import ClientSession
 from petrelhaven.proxy.session.immediate_reply import reply_at_once
 from petrelhaven.proxy.session.statement import Ask, Reply
-from petrelhaven.runtime.clock import Clock, Nest
-from petrelhaven.runtime.errors import Busy, Late, NoRoute
+from petrelhaven.runtime.clock import BackgroundTasks, Clock
+from petrelhaven.runtime.errors import Busy, DeadlineExceeded, NoRoute
 from petrelhaven.runtime.events import emit
 
 if TYPE_CHECKING:
     import logbook
 
-    from petrelhaven.control.state.control_state import Ledger
-    from petrelhaven.proxy.core_connection import Tie
-    from petrelhaven.proxy.embargo import EmbargoGate
+    from petrelhaven.control.state.control_state import ControlState
+    from petrelhaven.proxy.core_connection import CoreConnection
+    from petrelhaven.proxy.embargo import EmbargoFilter
     from petrelhaven.proxy.routing.member_wire import MemberWire
 
 __all__ = ["ProxyNode"]
@@ -57,9 +57,9 @@
         name: str,
         zone: str,
         clock: Clock,
-        nest: Nest,
+        tasks: BackgroundTasks,
         rng: random.Random,
-        tie: Tie,
+        core_connection: CoreConnection,
         wire: MemberWire,
         near: Callable[[str], int],
         drain_us: int,
@@ -68,18 +68,18 @@
     ) -> None:
         """Puts a proxy together; `start` starts it."""
         self.name, self.zone, self.log = name, zone, log
-        self.clock, self.nest, self.rng = clock, nest, rng
-        self.tie, self.wire, self.near = tie, wire, near
+        self.clock, self.tasks, self.rng = clock, tasks, rng
+        self.core_connection, self.wire, self.near = core_connection, wire, near
         self.drain_us, self.empty_us = drain_us, empty_us
         self.order = Order()
         self.outside_contact = OutsideContact(clock)
-        self.slab = Slab(clock, _SLOTS)
+        self.request_slots = RequestSlots(clock, _SLOTS)
         self.routes: dict[str, Route] = {}
         self.groups: dict[str, MemberGroup] = {}
         self.sessions: set[ClientSession] = set()
         self.count: collections.Counter[str] = collections.Counter()
-        self.embargo: EmbargoGate | None = None
-        self._bounds = HeldBounds()
+        self.embargo: EmbargoFilter | None = None
+        self._bounds = ProxyBounds()
         self._path = StatementPath(self)
         self._opened: asyncio.Future[None] | None = None
         Machine(
@@ -93,14 +93,14 @@
                 {"trigger": "finish", "source": "leaving", "dest": "left"},
             ],
         )
-        tie.on_change.append(self._changed)
+        core_connection.on_change.append(self._changed)
 
     def start(self) -> None:
         """Starts the proxy's tasks."""
-        emit(self.log, 101, name=self.name, hall=self.zone)
-        self.tie.start()
+        emit(self.log, 101, name=self.name, zone=self.zone)
+        self.core_connection.start()
 
-    def bounds(self) -> HeldBounds:
+    def bounds(self) -> ProxyBounds:
         """The bounds in force."""
         return self._bounds
 
@@ -121,36 +121,38 @@
             self._opened = asyncio.get_running_loop().create_future()
         try:
             await self.clock.limit(asyncio.shield(self._opened), limit_us)
-        except Late:
+        except DeadlineExceeded:
             raise Busy("this edge knows no manifest yet") from None
 
     def _changed(self, records: list[dict[str, Any]], fresh: bool) -> None:
         """Takes records of the control state, or with `fresh` a whole state."""
-        ledger = self.tie.ledger
-        configuration = ledger.manifest
+        control_state = self.core_connection.control_state
+        configuration = control_state.configuration
         if configuration is None:
             return
-        if self.embargo is not None or "embargo" in ledger.doc["manifest"]:
-            self._follow_embargoes(ledger, records, fresh)
+        if self.embargo is not None or "embargo" in control_state.doc["manifest"]:
+            self._follow_embargoes(control_state, records, fresh)
         if fresh or any(record["t"] == "manifest" for record in records):
             self._configure(configuration)
         for group in self.groups.values():
-            group.turn(ledger, fresh)
+            group.turn(control_state, fresh)
         if self.state == "starting":
             self.serve()
             if self._opened is not None:
                 self._opened.set_result(None)
             emit(self.log, 102, name=self.name)
 
-    def _follow_embargoes(self, ledger: Ledger, records: list[dict[str, Any]], fresh: bool) -> None:
+    def _follow_embargoes(
+        self, control_state: ControlState, records: list[dict[str, Any]], fresh: bool
+    ) -> None:
         if self.embargo is None:
-            from petrelhaven.proxy.embargo import EmbargoGate
+            from petrelhaven.proxy.embargo import EmbargoFilter
 
-            self.embargo, fresh = EmbargoGate(self), True
-        self.embargo.turn(ledger, records, fresh)
+            self.embargo, fresh = EmbargoFilter(self), True
+        self.embargo.turn(control_state, records, fresh)
         if not self.embargo.on:
             self.embargo = None
-        self.tie.time = self.embargo and self.embargo.time
+        self.core_connection.time = self.embargo and self.embargo.time
 
     def _configure(self, configuration: dict[str, Any]) -> None:
         configuration = fill(configuration)
@@ -166,7 +168,12 @@
                 group = self.groups[name] = MemberGroup(name, self)
             group.connection_cap, group.sync_replicas = row["cap"], row["sync"]
         self._bounds.idle_txn_us = configuration["bounds"]["idle_txn_us"]
-        emit(self.log, 403, seq=self.tie.ledger.seq, version=configuration["version"])
+        emit(
+            self.log,
+            403,
+            seq=self.core_connection.control_state.seq,
+            version=configuration["version"],
+        )
 
     def route(self, host: str) -> tuple[Route, MemberGroup]:
         """The route and group of a host.
@@ -180,14 +187,14 @@
             raise NoRoute(f"no database {host[:60]}")
         return route, group
 
-    def open(self, host: str, visitor: str = "") -> ClientSession:
+    def open(self, host: str, client: str = "") -> ClientSession:
         """A new session.
 
         Raises:
             NoRoute: no route of the configuration has this host.
         """
         route, group = self.route(host)
-        session = ClientSession(host, visitor)
+        session = ClientSession(host, client)
         self.sessions.add(session)
         if route.reads == "strong":
             session.counted_in = group
@@ -251,10 +258,10 @@
         session = request.session
         inside = session.transaction is not None
         try:
-            return await self.slab.enter(self._path.run(request), horizon_us)
+            return await self.request_slots.enter(self._path.run(request), horizon_us)
         except Busy as fault:
             code, text = "busy", self.retry_after(fault.back)
-        except Late:
+        except DeadlineExceeded:
             code, text = "timeout", "the statement ran out of time"
         if inside:
             session.fail()
@@ -270,8 +277,10 @@
             code=reply.code,
             us=took_us,
             note=reply.text,
-            visit=id(request.session) & _SESSION_ID_BITS,
-            stocks=",".join(f"{n[-4:]}:{m.pool.plight()}" for n, m in group.members.items()),
+            start_clients=id(request.session) & _SESSION_ID_BITS,
+            connection_pools=",".join(
+                f"{n[-4:]}:{m.pool.saturation()}" for n, m in group.members.items()
+            ),
             visits=group.strong_sessions,
         )
 
@@ -290,12 +299,12 @@
         """What this proxy believes and counts."""
         groups = sorted(self.groups.items())
         return {
-            **self.tie.ledger.belief(),
+            **self.core_connection.control_state.belief(),
             "name": self.name,
             "state": self.state,
             "ready": self.ready,
             "visits": len(self.sessions),
-            "slots_used": self.slab.used,
+            "slots_used": self.request_slots.used,
             "count": dict(self.count),
             "clocks": {name: dict(group.read_clock.count) for name, group in groups},
             "stocks": {
