--- a/src/petrelhaven/proxy/pool/connection_pool.py
+++ b/src/petrelhaven/proxy/pool/connection_pool.py
@@ -3,18 +3,18 @@
 import asyncio
 import collections
 
-from petrelhaven.runtime.errors import Busy, Fault, Unsent
+from petrelhaven.runtime.errors import Busy, Fault, NotSent
 
-__all__ = ["Stock"]
+__all__ = ["ConnectionPool"]
 
 _FULL_US = 2_000_000
 
 
-class Stock:
+class ConnectionPool:
     """Hands out connections; `most` bounds how many are held, `want()` how many are worth opening."""
 
-    def __init__(self, clock, nest, opener, most, want):
-        self.clock, self.nest, self._open, self.most, self._want = clock, nest, opener, most, want
+    def __init__(self, clock, tasks, opener, most, want):
+        self.clock, self.tasks, self._open, self.most, self._want = clock, tasks, opener, most, want
         self._full = None
         self.idle, self.busy = [], set()
         self._opening = 0
@@ -25,17 +25,17 @@
     def total(self):
         return len(self.idle) + len(self.busy) + self._opening
 
-    def plight(self):
+    def saturation(self):
         """Idle, busy, opening and waiting, in one word for a log."""
         return f"{len(self.idle)}/{len(self.busy)}/{self._opening}/{len(self._wait)}"
 
-    def take(self, visit):
+    def take(self, start_clients):
         """A future of a connection."""
         f = asyncio.get_running_loop().create_future()
         if self.closed:
-            f.set_exception(Unsent("member left the plan"))
+            f.set_exception(NotSent("member left the plan"))
             return f
-        c, cost = self._best(visit)
+        c, cost = self._best(start_clients)
         most = self.limit
         full = self.total >= min(most, self._want())
         if cost == 3 and full:
@@ -47,7 +47,7 @@
             f.set_result(c)
         elif self.total < most:
             self._opening += 1
-            self.nest.spawn(self._fresh(f))
+            self.tasks.spawn(self._fresh(f))
         elif len(self._wait) >= 4 * self.most:
             f.set_exception(Busy("too many wait for a connection"))
         else:
@@ -63,10 +63,10 @@
         self._full = None
         self._next()
 
-    def _best(self, visit):
+    def _best(self, start_clients):
         best, cost = None, 9
         for c in reversed(self.idle):
-            k = 0 if c.owner is visit else c.cost(visit)
+            k = 0 if c.owner is start_clients else c.cost(start_clients)
             if k < cost:
                 best, cost = c, k
                 if not k:
@@ -98,7 +98,7 @@
         if self.closed:
             c.close()
             if not f.done():
-                f.set_exception(Unsent("member left the plan"))
+                f.set_exception(NotSent("member left the plan"))
         elif f.done():
             self.idle.append(c)
             self._next()
@@ -123,7 +123,7 @@
                 f.set_result(c)
             else:
                 self._opening += 1
-                self.nest.spawn(self._fresh(f))
+                self.tasks.spawn(self._fresh(f))
 
     def give(self, c):
         """Takes a connection back; one that still waits for replies is closed, for nobody knows its state."""
@@ -156,4 +156,4 @@
         w, self._wait = self._wait, collections.deque()
         for f in w:
             if not f.done():
-                f.set_exception(Unsent("member left the plan"))
+                f.set_exception(NotSent("member left the plan"))
--- a/src/petrelhaven/proxy/pool/member_connection.py
+++ b/src/petrelhaven/proxy/pool/member_connection.py
@@ -1,11 +1,11 @@
 """A connection to a member that remembers whose values and which shapes it has."""
 
-__all__ = ["Strand"]
+__all__ = ["MemberConnection"]
 
 _SHAPES = 64
 
 
-class Strand:
+class MemberConnection:
     """Base of a wire's connection. A wire adds `ask`, `own`, `plain` and `close`; replies come in the order asked.
 
     `ask(ask, after, alias)` gives a future of a Reply, `own(verb, *args)` one of a status row, `plain(verb, args,
@@ -21,32 +21,36 @@
         self.lost = self.odd = False
         self.on_lost = None
 
-    def cost(self, visit):
+    def cost(self, start_clients):
         """0 fits as it is, 1 fits but for shapes, 2 lacks values, 3 has values of others."""
         if self.odd:
             return 3
-        v = visit.values
+        v = start_clients.values
         if self.values == v:
-            return 0 if all(s in self.shapes for s in visit.prepared.values()) else 1
+            return 0 if all(s in self.shapes for s in start_clients.prepared.values()) else 1
         return 2 if self.values.keys() <= v.keys() else 3
 
-    def outfit(self, visit, ask=None):
+    def outfit(self, start_clients, ask=None):
         """What must be said before `ask` of `visit`: a list of (verb, args, number), and the prepared name to use."""
         out = []
-        if self.odd or not self.values.keys() <= visit.values.keys() or len(self.shapes) > _SHAPES:
+        if (
+            self.odd
+            or not self.values.keys() <= start_clients.values.keys()
+            or len(self.shapes) > _SHAPES
+        ):
             out.append(("reset", (), "-"))
             self.values, self.shapes, self.odd = {}, {}, False
-        for k, v in visit.values.items():
+        for k, v in start_clients.values.items():
             if self.values.get(k) != v:
-                out.append(("set", (k, v), visit.nums[k]))
+                out.append(("set", (k, v), start_clients.nums[k]))
         alias = None
         if ask is not None and ask.verb == "execute":
-            s = visit.prepared[ask.name]
+            s = start_clients.prepared[ask.name]
             alias = self.shapes.get(s)
             if alias is None:
                 alias = f"p{len(self.shapes) + 1}"
                 self.shapes[s] = alias
-                out.append(("prepare", (alias, s), visit.nums["", ask.name]))
-        self.values = dict(visit.values)
-        self.owner = visit
+                out.append(("prepare", (alias, s), start_clients.nums["", ask.name]))
+        self.values = dict(start_clients.values)
+        self.owner = start_clients
         return out, alias
--- a/src/petrelhaven/proxy/proxy_interface.py
+++ b/src/petrelhaven/proxy/proxy_interface.py
@@ -1,29 +1,29 @@
 """The operators' face of a gate: what this edge believes and counts. Clients come in by the wire that they speak."""
 
-from petrelhaven.control.interface.documents import manifest_of, why_of
+from petrelhaven.control.interface.documents import configuration_of, why_of
 from petrelhaven.runtime.errors import Malformed, NoRoute, NotReady
 
-__all__ = ["GateFace"]
+__all__ = ["ProxyInterface"]
 
 
-class GateFace:
+class ProxyInterface:
     """Routes of an edge's face. What the core's majority must confirm is declined here."""
 
-    def __init__(self, gate, face, settings=dict):
-        self._g, self._settings = gate, settings
+    def __init__(self, proxy, http_server, settings=dict):
+        self._g, self._settings = proxy, settings
         for p, f in (
             ("/status", self._status),
             ("/belief", self._belief),
             ("/ready", self._ready),
-            ("/realm", self._realm),
+            ("/realm", self._control_state),
             ("/why", self._why),
             ("/manifest", self._show),
         ):
-            face.on("GET", p, f)
+            http_server.on("GET", p, f)
 
     def belief(self):
         """What this node believes."""
-        led = self._g.tie.ledger
+        led = self._g.core_connection.control_state
         return {
             **led.belief(),
             "name": self._g.name,
@@ -34,7 +34,7 @@
         }
 
     async def _status(self, q):
-        t = self._g.tie
+        t = self._g.core_connection
         return {
             **self._g.status(),
             **self.belief(),
@@ -53,16 +53,16 @@
             raise NotReady(f"the edge is {self._g.state}")
         return {"ready": True}
 
-    async def _realm(self, q):
-        return self._g.tie.ledger.doc
+    async def _control_state(self, q):
+        return self._g.core_connection.control_state.doc
 
     async def _why(self, q):
-        return why_of(self._g.tie.ledger.doc, q.query)
+        return why_of(self._g.core_connection.control_state.doc, q.query)
 
     async def _show(self, q):
         if q.query.get("unconfirmed") != "true":
             raise Malformed("an edge confirms no manifest; ask a core, or say unconfirmed=true")
-        m = self._g.tie.ledger.doc["manifest"]
+        m = self._g.core_connection.control_state.doc["manifest"]
         if m is None or q.query.get("version", str(m["version"])) != str(m["version"]):
             raise NoRoute("no such manifest")
-        return manifest_of(m["text"], False)
+        return configuration_of(m["text"], False)
--- a/src/petrelhaven/proxy/reads/log_progress.py
+++ b/src/petrelhaven/proxy/reads/log_progress.py
@@ -10,7 +10,7 @@
 
 if TYPE_CHECKING:
     from petrelhaven.proxy.reads.position import LogPosition
-    from petrelhaven.runtime.clock import Clock, Nest
+    from petrelhaven.runtime.clock import BackgroundTasks, Clock
 
 __all__ = ["LogProgress"]
 
@@ -29,12 +29,12 @@
     def __init__(
         self,
         clock: Clock,
-        nest: Nest,
+        tasks: BackgroundTasks,
         ask: Callable[[], Awaitable[tuple[int, int]]] | None,
         gap_us: int = _PERIOD_US,
     ) -> None:
         """Asks by `ask`, which answers (position, term), every `gap_us`; never if it is None."""
-        self.clock, self.nest, self._ask, self.gap_us = clock, nest, ask, gap_us
+        self.clock, self.tasks, self._ask, self.gap_us = clock, tasks, ask, gap_us
         self.log: LogPosition = _NOTHING_KNOWN
         self.term = 0
         self.asked = 0
@@ -87,7 +87,7 @@
         self._waiting.append((position, risen))
         if not self._polling:
             self._polling = True
-            self.nest.spawn(self._poll())
+            self.tasks.spawn(self._poll())
         return risen
 
     def _forget_done(self) -> None:
--- a/src/petrelhaven/proxy/reads/read_clock.py
+++ b/src/petrelhaven/proxy/reads/read_clock.py
@@ -48,10 +48,10 @@
 class ReadClock:
     """One group's clock on one edge. `fetch(key)` asks the primary of `key` for its position."""
 
-    def __init__(self, clock, nest, order, fetch, bounds, vary=None):
-        self.clock, self.nest, self.order, self._fetch, self.bounds = (
+    def __init__(self, clock, tasks, order, fetch, bounds, vary=None):
+        self.clock, self.tasks, self.order, self._fetch, self.bounds = (
             clock,
-            nest,
+            tasks,
             order,
             fetch,
             bounds,
@@ -90,7 +90,7 @@
         self._bad = 0
         self._pump()
 
-    def gate(self, arr, since=None):
+    def position_for(self, arr, since=None):
         """A future of the position that a read which arrived at `arr` must wait for.
 
         With `since`, a browsing read: any fetch that started at that moment or later will do.
@@ -178,7 +178,7 @@
         self.count["fetches"] += 1
         self._flights.append(f)
         f.tick = self.clock.later(self.bounds().fetch_us, lambda: self._stick(f))
-        self.nest.spawn(self._fly(f))
+        self.tasks.spawn(self._fly(f))
 
     def _stick(self, f):
         if f in self._flights and not f.stuck:
--- a/src/petrelhaven/proxy/resumable/connection_pool.py
+++ b/src/petrelhaven/proxy/resumable/connection_pool.py
@@ -3,7 +3,7 @@
 import asyncio
 import collections
 
-from petrelhaven.runtime.errors import Busy, Fault, Unsent
+from petrelhaven.runtime.errors import Busy, Fault, NotSent
 
 __all__ = ["Pool"]
 
@@ -13,8 +13,8 @@
 class Pool:
     """Hands out connections; a bounded queue waits for one."""
 
-    def __init__(self, clock, nest, opener, queue=64):
-        self.clock, self.nest, self._open, self._most = clock, nest, opener, queue
+    def __init__(self, clock, tasks, opener, queue=64):
+        self.clock, self.tasks, self._open, self._most = clock, tasks, opener, queue
         self.share = 0
         self.born = clock.now()
         self.warm_us = 0
@@ -45,7 +45,7 @@
         """A future of a connection, the one last used for `tag` if it is idle."""
         f = asyncio.get_running_loop().create_future()
         if self.closed or self.share == 0:
-            f.set_exception(Unsent("no connections to this member now"))
+            f.set_exception(NotSent("no connections to this member now"))
         elif len(self._wait) >= self._most:
             f.set_exception(Busy("too many wait for a connection"))
         else:
@@ -73,7 +73,7 @@
             if c is None and self.total < self.limit:
                 self._wait.popleft()
                 self._opening += 1
-                self.nest.spawn(self._fresh(f))
+                self.tasks.spawn(self._fresh(f))
                 continue
             if c is None and self.idle:
                 c = self.idle[0]
@@ -112,7 +112,7 @@
         if self.closed or self.total >= self.share:
             c.close()
             if not f.done():
-                f.set_exception(Unsent("share shrank"))
+                f.set_exception(NotSent("share shrank"))
         elif f.done():
             self.idle.append(c)
         else:
@@ -174,7 +174,7 @@
         w, self._wait = self._wait, collections.deque()
         for _, f in w:
             if not f.done():
-                f.set_exception(Unsent("member left the plan"))
+                f.set_exception(NotSent("member left the plan"))
 
     def reopen(self):
         """The member is taken back: gradually, along the ramp."""
--- a/src/petrelhaven/proxy/resumable/control_client.py
+++ b/src/petrelhaven/proxy/resumable/control_client.py
@@ -2,8 +2,8 @@
 
 import asyncio
 
-from petrelhaven.control.resumable.control_state import Realm
-from petrelhaven.runtime.errors import Fault, Stale, Unsent
+from petrelhaven.control.resumable.control_state import ResumableControlState
+from petrelhaven.runtime.errors import Fault, NotSent, Stale
 from petrelhaven.runtime.events import emit
 
 __all__ = ["Control"]
@@ -14,11 +14,11 @@
 class Control:
     """Holds the realm as pushed; `sends` tells, right before a send, whether this edge may send."""
 
-    def __init__(self, clock, nest, link, rng, roster, seeds, me, log=None):
-        self.clock, self.nest, self.link, self.rng, self.log = clock, nest, link, rng, log
-        self.name, self.inc, self.seeds, self._me = roster.name, 0, seeds, me
+    def __init__(self, clock, tasks, link, rng, roster, seeds, me, log=None):
+        self.clock, self.tasks, self.link, self.rng, self.log = clock, tasks, link, rng, log
+        self.name, self.incarnation, self.seeds, self._me = roster.name, 0, seeds, me
         self._roster, self._boot = roster, "%016x" % rng.getrandbits(64)
-        self.realm = Realm()
+        self.control_state = ResumableControlState()
         self.lease = 0
         self._had = False
         self._need = None
@@ -43,48 +43,48 @@
     @property
     def me(self):
         """This edge by name and incarnation."""
-        return f"{self.name}/{self.inc}"
+        return f"{self.name}/{self.incarnation}"
 
     def lives(self, who):
         """Whether `name/incarnation` is still an edge of the fleet."""
         n, _, i = who.partition("/")
-        e = self.realm.doc["edges"].get(n)
+        e = self.control_state.doc["edges"].get(n)
         return bool(e) and str(e["inc"]) == i and e["state"] != "gone"
 
     def others(self):
         """The other edges of the fleet, by name."""
         return [
             n
-            for n, e in sorted(self.realm.doc["edges"].items())
+            for n, e in sorted(self.control_state.doc["edges"].items())
             if e["state"] != "gone" and n != self.name
         ]
 
     @property
     def dead(self):
         """Whether this incarnation was declared gone, or another came after it."""
-        e = self.realm.doc["edges"].get(self.name)
+        e = self.control_state.doc["edges"].get(self.name)
         return (
             bool(e)
-            and self.inc > 0
+            and self.incarnation > 0
             and (
-                e["inc"] > self.inc
-                or e["inc"] == self.inc
+                e["inc"] > self.incarnation
+                or e["inc"] == self.incarnation
                 and (e["state"] == "gone" or e.get("boot", self._boot) != self._boot)
             )
         )
 
     @property
     def applied(self):
-        return self.realm.seq
+        return self.control_state.seq
 
     @property
     def acked(self):
         """The newest change for which everything it stops has stopped."""
         self._calm = {s: f for s, f in self._calm.items() if not f.done()}
-        return min(self._calm, default=self.realm.seq + 1) - 1
+        return min(self._calm, default=self.control_state.seq + 1) - 1
 
     async def _frame(self, ch, b):
-        return {"frame": self.realm.frame() if self.joined else None}
+        return {"frame": self.control_state.frame() if self.joined else None}
 
     def hold_ack(self, seq, fut):
         """Keeps change `seq` unacknowledged until `fut` is done."""
@@ -93,8 +93,8 @@
 
     def start(self):
         """Starts the tasks of the tie."""
-        self.nest.spawn(self._hold())
-        self.nest.spawn(self._renew())
+        self.tasks.spawn(self._hold())
+        self.tasks.spawn(self._renew())
 
     async def _hold(self):
         k = self.rng.randrange(len(self.seeds))
@@ -111,7 +111,7 @@
                     "edge.hold",
                     {
                         "edge": self.name,
-                        "inc": self.inc,
+                        "inc": self.incarnation,
                         "applied": self.applied if self.joined else -1,
                     },
                     800_000,
@@ -132,19 +132,21 @@
             ch.close()
             return {"applied": self.applied, "acked": self.acked}
         recs = []
-        if b["frame"] is not None and (b["frame"]["seq"] > self.realm.seq or not self.joined):
-            self.realm = Realm(b["frame"])
+        if b["frame"] is not None and (
+            b["frame"]["seq"] > self.control_state.seq or not self.joined
+        ):
+            self.control_state = ResumableControlState(b["frame"])
             self.joined = True
             recs = None
         for s, r in b["recs"]:
-            if s == self.realm.seq + 1:
-                self.realm.apply(s, r)
+            if s == self.control_state.seq + 1:
+                self.control_state.apply(s, r)
                 recs.append((s, r))
         if recs is None or recs:
-            emit(self.log, 403, seq=self.realm.seq)
+            emit(self.log, 403, seq=self.control_state.seq)
             for f in self.on_change:
                 f(recs)
-        if self._need and self.realm.seq >= self._need[0]:
+        if self._need and self.control_state.seq >= self._need[0]:
             self._set(self._need[1])
             self._need = None
         return {"applied": self.applied, "acked": self.acked}
@@ -188,7 +190,7 @@
                 "edge.lease",
                 {
                     "edge": self.name,
-                    "inc": self.inc,
+                    "inc": self.incarnation,
                     "boot": self._boot,
                     "applied": self.applied,
                     "acked": self.acked,
@@ -199,7 +201,7 @@
             ch.close()
             return
         if r["ok"]:
-            if self.realm.seq >= r["need"]:
+            if self.control_state.seq >= r["need"]:
                 self._set(t0 + r["us"])
             else:
                 self._need = (r["need"], t0 + r["us"])
@@ -208,21 +210,26 @@
 
     def _anew(self):
         """Takes an incarnation above every one that was handed out under this name; no clock is asked."""
-        e = self.realm.doc["edges"].get(self.name)
-        self.inc = max(e["inc"] if e else 0, self.inc, self._roster.inc) + 1
-        self._roster.inc = max(self._roster.inc, self.inc)
+        e = self.control_state.doc["edges"].get(self.name)
+        self.incarnation = max(e["inc"] if e else 0, self.incarnation, self._roster.incarnation) + 1
+        self._roster.incarnation = max(self._roster.incarnation, self.incarnation)
         self._boot = "%016x" % self.rng.getrandbits(64)
 
     async def _enter(self, ch):
-        e = self.realm.doc["edges"].get(self.name)
-        if self.inc == 0:
+        e = self.control_state.doc["edges"].get(self.name)
+        if self.incarnation == 0:
             self._anew()
-        if e and e["inc"] == self.inc and e["state"] != "gone" and e.get("boot") == self._boot:
+        if (
+            e
+            and e["inc"] == self.incarnation
+            and e["state"] != "gone"
+            and e.get("boot") == self._boot
+        ):
             if self.clock.now() - self.lease > 1_000_000:
                 ch.close()
             return
         if self.dead:
-            emit(self.log, 404, inc=self.inc)
+            emit(self.log, 404, incarnation=self.incarnation)
             self._anew()
             for f in self.on_anew:
                 f()
@@ -238,9 +245,15 @@
         self._state = state
         ch = self._ch
         if ch is None:
-            raise Unsent("no core")
+            raise NotSent("no core")
         return await ch.call(
             "edge.enter",
-            {"edge": self.name, "inc": self.inc, "state": state, "boot": self._boot, **self._me()},
+            {
+                "edge": self.name,
+                "inc": self.incarnation,
+                "state": state,
+                "boot": self._boot,
+                **self._me(),
+            },
             3_000_000,
         )
--- a/src/petrelhaven/proxy/resumable/delivery.py
+++ b/src/petrelhaven/proxy/resumable/delivery.py
@@ -3,12 +3,12 @@
 import asyncio
 
 from petrelhaven.proxy.resumable.verbs import WRITES
-from petrelhaven.runtime.errors import Fault, Moving, NoLease, NoSession, Unsent, rebuild
+from petrelhaven.runtime.errors import Fault, NoLease, NoSession, NotSent, SessionMoving, rebuild
 
-__all__ = ["Deliver"]
+__all__ = ["Delivery"]
 
 
-class Deliver:
+class Delivery:
     """Both ends of a delivery."""
 
     def __init__(self, edge):
@@ -17,17 +17,17 @@
 
     async def _find(self, sid):
         es = self.e.control.others()
-        got = await asyncio.gather(*[self.e.vault.ask(n, [sid], 600_000) for n in es])
+        got = await asyncio.gather(*[self.e.session_replicas.ask(n, [sid], 600_000) for n in es])
         rs = [(n, *(rows[0][1:] if rows else (None, 0))) for n, rows in zip(es, got)]
         homes = [(epoch, n) for n, role, epoch in rs if role in ("home", "unsure")]
         if homes:
             return max(homes)[1]
         if (
-            sid in self.e.vault.kept
+            sid in self.e.session_replicas.kept
             or any(role in (None, "kept") for _, role, _ in rs)
             or sid in self.e.homes
         ):
-            raise Moving("the session is being moved")
+            raise SessionMoving("the session is being moved")
         raise NoSession("no edge knows this session")
 
     async def out(self, sid, d):
@@ -46,11 +46,11 @@
                     self.e.bounds().statement_us + 2_000_000,
                 )
                 break
-            except Unsent:
+            except NotSent:
                 self.at.pop(sid, None)
                 n = None
                 if again:
-                    raise Moving("the session's home can't be reached") from None
+                    raise SessionMoving("the session's home can't be reached") from None
             except Fault:
                 self.at.pop(sid, None)
                 if (
@@ -62,7 +62,7 @@
                 raise
         if r["res"].get("not_here"):
             self.at.pop(sid, None)
-            raise Moving("the session is being moved")
+            raise SessionMoving("the session is being moved")
         if len(self.at) > 10_000:
             self.at.clear()
         self.at[sid] = n
--- a/src/petrelhaven/proxy/resumable/handover.py
+++ b/src/petrelhaven/proxy/resumable/handover.py
@@ -5,23 +5,23 @@
 from petrelhaven.runtime.errors import Fault
 from petrelhaven.runtime.events import emit
 
-__all__ = ["Move"]
+__all__ = ["SessionHandover"]
 
 
-class Move:
+class SessionHandover:
     """Hands sessions over to their keepers."""
 
     def __init__(self, edge):
         self.e = edge
 
-    def _heir(self, s):
-        es = self.e.control.realm.doc["edges"]
+    def _candidate(self, s):
+        es = self.e.control.control_state.doc["edges"]
         ks = [
             k
             for k in s.keepers
             if self.e.control.lives(k)
             and es[k.split("/")[0]]["state"] == "up"
-            and self.e.control.realm.hall(es[k.split("/")[0]]["hall"]) == "open"
+            and self.e.control.control_state.zone(es[k.split("/")[0]]["hall"]) == "open"
         ]
         return ks[0] if ks else self.e.keeper.elect([], s.release)
 
@@ -33,7 +33,7 @@
             self.e.end_txn(s)
             s.move()
             for _ in range(12):
-                k = self._heir(s)
+                k = self._candidate(s)
                 if k is None or s.state != "moving":
                     break
                 try:
@@ -52,7 +52,7 @@
                     )
                     if r["ok"]:
                         self.e.keeper.part(s)
-                        self.e.vault.fence[s.sid] = s.epoch + 1
+                        self.e.session_replicas.fence[s.sid] = s.epoch + 1
                         self.e.deliver.at[s.sid] = k.split("/")[0]
                         return
                 except Fault as f:
@@ -85,18 +85,23 @@
 
     async def drain(self, us=9_000_000):
         """Leaves: tells control, hands every session over, waits until nothing is kept here and control has heard."""
-        emit(self.e.log, 103, sessions=len(self.e.homes), kept=len(self.e.vault.kept))
+        emit(self.e.log, 103, sessions=len(self.e.homes), kept=len(self.e.session_replicas.kept))
         self.e.leave()
         end = self.e.clock.now() + us
-        self.e.nest.spawn(self._say("leaving", us))
-        while self.e.clock.now() < end and (self.e.homes or self.e.vault.kept):
+        self.e.tasks.spawn(self._say("leaving", us))
+        while self.e.clock.now() < end and (self.e.homes or self.e.session_replicas.kept):
             if self.e.homes:
                 await self.hand_all()
             await self.e.clock.sleep(50_000)
-        for t in self.e.troops.values():
+        for t in self.e.member_groups.values():
             t.close()
         self.e.control.lease = 0
         await self._say("gone", 3_000_000)
         self.e.prober.leave(4)
         self.e.end()
-        emit(self.e.log, 104, left_sessions=len(self.e.homes), left_kept=len(self.e.vault.kept))
+        emit(
+            self.e.log,
+            104,
+            left_sessions=len(self.e.homes),
+            left_kept=len(self.e.session_replicas.kept),
+        )
--- a/src/petrelhaven/proxy/resumable/member_group.py
+++ b/src/petrelhaven/proxy/resumable/member_group.py
@@ -3,38 +3,38 @@
 from petrelhaven.proxy.reads.log_progress import LogProgress
 from petrelhaven.proxy.reads.read_clock import ReadClock
 from petrelhaven.proxy.resumable.connection_pool import Pool
-from petrelhaven.runtime.errors import Unreached
+from petrelhaven.runtime.errors import Unreachable
 
-__all__ = ["Post", "Troop"]
+__all__ = ["ResumableMember", "ResumableMemberGroup"]
 
 
-class Post:
+class ResumableMember:
     """One member: its address, connections, and what is known of its log."""
 
-    __slots__ = ("name", "addr", "hall", "boot", "pool", "tide", "stop_at", "writes")
+    __slots__ = ("name", "addr", "zone", "boot", "pool", "log_progress", "stop_at", "writes")
 
-    def __init__(self, name, addr, hall, boot, pool, tide):
-        self.name, self.addr, self.hall, self.boot = name, addr, hall, boot
-        self.pool, self.tide = pool, tide
+    def __init__(self, name, addr, zone, boot, pool, log_progress):
+        self.name, self.addr, self.zone, self.boot = name, addr, zone, boot
+        self.pool, self.log_progress = pool, log_progress
         self.stop_at = None
         self.writes = 0
 
 
-class Troop:
+class ResumableMemberGroup:
     """Follows the epochs of one group."""
 
-    def __init__(self, name, clock, nest, order, wire, sends, bounds, vary=None):
-        self.name, self.clock, self.nest, self.wire, self.sends, self.bounds = (
+    def __init__(self, name, clock, tasks, order, wire, sends, bounds, vary=None):
+        self.name, self.clock, self.tasks, self.wire, self.sends, self.bounds = (
             name,
             clock,
-            nest,
+            tasks,
             wire,
             sends,
             bounds,
         )
         self.epoch = None
         self.posts = {}
-        self.reads = ReadClock(clock, nest, order, self._fetch, bounds, vary)
+        self.reads = ReadClock(clock, tasks, order, self._fetch, bounds, vary)
         self.fetched = 0
 
     @property
@@ -46,18 +46,18 @@
     async def _fetch(self, key):
         p = self.posts.get(key[1])
         if p is None or not self.sends(p) or self.key != key:
-            raise Unreached("no primary to ask")
+            raise Unreachable("no primary to ask")
         self.fetched += 1
         r = await self.wire.status(p.addr, self.bounds().join_us)
         if r["role"] != "primary" or r["term"] != self.epoch["term"]:
-            raise Unreached("not the primary of this epoch")
+            raise Unreachable("not the primary of this epoch")
         return r["log"]
 
     def _ask(self, name):
         async def ask():
             p = self.posts.get(name)
             if p is None or not self.sends(p):
-                raise Unreached("no lease")
+                raise Unreachable("no lease")
             r = await self.wire.status(p.addr, 250_000)
             return r["log"], r["term"]
 
@@ -67,12 +67,12 @@
         async def opened():
             p = self.posts.get(name)
             if p is None or not self.sends(p):
-                raise Unreached("no lease")
+                raise Unreachable("no lease")
             return await self.wire.open(p.addr, 600_000)
 
         return opened
 
-    def turn(self, e, share, halls):
+    def turn(self, e, share, zones):
         """Enters epoch `e`; returns the posts that must fall silent and by when."""
         new = self.epoch is None or self.epoch["n"] != e["n"]
         self.epoch = e
@@ -83,27 +83,27 @@
                 p.pool.close()
                 p = None
             if p is None:
-                p = self.posts[n] = Post(
+                p = self.posts[n] = ResumableMember(
                     n,
                     w["addr"],
                     w["hall"],
                     w["boot"],
                     None,
-                    LogProgress(self.clock, self.nest, self._ask(n)),
+                    LogProgress(self.clock, self.tasks, self._ask(n)),
                 )
-                p.pool = Pool(self.clock, self.nest, self._opener(n))
+                p.pool = Pool(self.clock, self.tasks, self._opener(n))
             elif p.boot != w["boot"]:
                 p.boot = w["boot"]
                 p.pool.renew()
             p.pool.warm_us = b.warm_us
-            p.tide.turn(e["term"])
+            p.log_progress.turn(e["term"])
         for n in [n for n in self.posts if n not in e["where"]]:
             self.posts.pop(n).pool.close()
         out = []
         now = self.clock.now()
         for n, p in sorted(self.posts.items()):
             stays = n in e["gates"] or n == e["primary"]
-            if halls(p.hall) != "open" or not stays:
+            if zones(p.zone) != "open" or not stays:
                 if p.stop_at is None:
                     p.stop_at = now + (2_500_000 if stays else b.grace_us)
                     out.append(p)
--- a/src/petrelhaven/proxy/resumable/member_protocol.py
+++ b/src/petrelhaven/proxy/resumable/member_protocol.py
@@ -5,7 +5,7 @@
 
 import aiohttp
 
-from petrelhaven.runtime.errors import Late, MemberFault, Unreached, Unsent
+from petrelhaven.runtime.errors import DeadlineExceeded, MemberDeclined, NotSent, Unreachable
 
 __all__ = ["Wire", "raise_first"]
 
@@ -13,7 +13,7 @@
 def raise_first(rs):
     """Raises the typed fault of the batch's last step, if it has one; what came before it was run."""
     if rs and "fault" in rs[-1]:
-        raise MemberFault(rs[-1]["fault"], more=rs[-1])
+        raise MemberDeclined(rs[-1]["fault"], more=rs[-1])
     return rs
 
 
@@ -38,9 +38,9 @@
                 or len(rs) < len(ops)
                 and "fault" not in (rs or [{}])[-1]
             ):
-                raise Unreached(f"{self._addr} answered oddly: results")
+                raise Unreachable(f"{self._addr} answered oddly: results")
             return raise_first(rs)
-        except MemberFault:
+        except MemberDeclined:
             raise
         except BaseException:
             self.lost = True
@@ -49,14 +49,14 @@
     def close(self):
         """Closes the connection."""
         self.lost = True
-        self._w.nest.spawn(self._http.close())
+        self._w.tasks.spawn(self._http.close())
 
 
 class Wire:
     """Opens connections and asks STATUS."""
 
-    def __init__(self, clock, nest):
-        self.clock, self.nest = clock, nest
+    def __init__(self, clock, tasks):
+        self.clock, self.tasks = clock, tasks
         self._http = None
 
     async def post(self, http, addr, path, doc, us):
@@ -70,16 +70,16 @@
             ) as r:
                 d = await r.json()
                 if not isinstance(d, dict):
-                    raise Unreached(f"{addr} answered oddly: not an object")
+                    raise Unreachable(f"{addr} answered oddly: not an object")
                 if r.status != 200:
-                    raise MemberFault(d.get("fault", "?"), more=d)
+                    raise MemberDeclined(d.get("fault", "?"), more=d)
                 return d
         except aiohttp.ClientConnectorError:
-            raise Unsent(addr) from None
+            raise NotSent(addr) from None
         except (asyncio.TimeoutError, TimeoutError):
-            raise Late(addr) from None
+            raise DeadlineExceeded(addr) from None
         except (aiohttp.ClientError, OSError, ValueError):
-            raise Unreached(addr) from None
+            raise Unreachable(addr) from None
 
     async def open(self, addr, us=1_000_000):
         """A new connection, one TCP connection of its own."""
@@ -93,7 +93,7 @@
             raise
         if "conn" not in d:
             await http.close()
-            raise Unreached(f"{addr} answered oddly: conn")
+            raise Unreachable(f"{addr} answered oddly: conn")
         return _Conn(self, addr, http, d["conn"])
 
     async def status(self, addr, us):
@@ -103,7 +103,7 @@
         d = await self.post(self._http, addr, "/status", {}, us)
         for k, t in (("role", str), ("log", int), ("term", int)):
             if type(d.get(k)) is not t:
-                raise Unreached(f"{addr} answered oddly: {k}")
+                raise Unreachable(f"{addr} answered oddly: {k}")
         return d
 
     async def close(self):
--- a/src/petrelhaven/proxy/resumable/node.py
+++ b/src/petrelhaven/proxy/resumable/node.py
@@ -10,66 +10,76 @@
 from petrelhaven.membership.roster import Roster
 from petrelhaven.proxy.reads.read_clock import Order
 from petrelhaven.proxy.resumable.control_client import Control
-from petrelhaven.proxy.resumable.delivery import Deliver
-from petrelhaven.proxy.resumable.handover import Move
+from petrelhaven.proxy.resumable.delivery import Delivery
+from petrelhaven.proxy.resumable.handover import SessionHandover
 from petrelhaven.proxy.resumable.session import Session
-from petrelhaven.proxy.resumable.session_keeper import Keeper
-from petrelhaven.proxy.resumable.session_replicas import Vault
-from petrelhaven.proxy.resumable.state_follower import Follow
-from petrelhaven.proxy.resumable.statement_flow import Flow
-from petrelhaven.proxy.routing.request_slots import Slab
-from petrelhaven.runtime.errors import Busy, Fault, Late, Malformed, Moving, NoSession, NotReady
+from petrelhaven.proxy.resumable.session_keeper import SessionKeeper
+from petrelhaven.proxy.resumable.session_replicas import SessionReplicas
+from petrelhaven.proxy.resumable.state_follower import StateFollower
+from petrelhaven.proxy.resumable.statement_flow import StatementFlow
+from petrelhaven.proxy.routing.request_slots import RequestSlots
+from petrelhaven.runtime.errors import (
+    Busy,
+    DeadlineExceeded,
+    Fault,
+    Malformed,
+    NoSession,
+    NotReady,
+    SessionMoving,
+)
 from petrelhaven.runtime.events import emit
 from petrelhaven.transport.reach import Reach
 
-__all__ = ["Edge"]
+__all__ = ["ResumableProxy"]
 
 
-class Edge:
+class ResumableProxy:
     """One edge daemon's logic; clock, link and wire are given."""
 
     states = ["starting", "serving", "emptied", "leaving", "left"]
 
     def __init__(
-        self, name, hall, seeds, clock, nest, link, rng, wire, http="", log=None, vary=None
+        self, name, zone, seeds, clock, tasks, link, rng, wire, http="", log=None, vary=None
     ):
-        self.name, self.hall = name, hall
-        self.clock, self.nest, self.link, self.rng, self.wire, self.log = (
+        self.name, self.zone = name, zone
+        self.clock, self.tasks, self.link, self.rng, self.wire, self.log = (
             clock,
-            nest,
+            tasks,
             link,
             rng,
             wire,
             log,
         )
         self.http, self.vary = http, vary
-        self.roster = Roster(clock, (name, "edge", hall, link.addr, 0), log)
+        self.roster = Roster(clock, (name, "edge", zone, link.addr, 0), log)
         self.reach = Reach(clock, link, self.roster, rng)
-        self.prober = Prober(clock, link, nest, rng, self.roster, seeds)
+        self.prober = Prober(clock, link, tasks, rng, self.roster, seeds)
         self.control = Control(
             clock,
-            nest,
+            tasks,
             link,
             rng,
             self.roster,
             seeds,
-            lambda: {"hall": hall, "addr": link.addr, "http": self.http},
+            lambda: {"hall": zone, "addr": link.addr, "http": self.http},
             log,
         )
         self.order = Order()
-        self.slab = Slab(clock)
+        self.request_slots = RequestSlots(clock)
         self.homes = {}
-        self.keeper = Keeper(
-            clock, nest, rng, self.control, self.reach, self.homes, hall, self.bounds, log
+        self.keeper = SessionKeeper(
+            clock, tasks, rng, self.control, self.reach, self.homes, zone, self.bounds, log
+        )
+        self.session_replicas = SessionReplicas(
+            clock, tasks, rng, self.control, self.reach, self.homes, self.keeper, log
         )
-        self.vault = Vault(clock, nest, rng, self.control, self.reach, self.homes, self.keeper, log)
         self.flow, self.follow, self.deliver, self.move = (
-            Flow(self),
-            Follow(self),
-            Deliver(self),
-            Move(self),
+            StatementFlow(self),
+            StateFollower(self),
+            Delivery(self),
+            SessionHandover(self),
         )
-        self.routes, self.troops = {}, {}
+        self.routes, self.member_groups = {}, {}
         self._std = Bounds()
         self.sent = 0
         self.settings = dict
@@ -88,28 +98,28 @@
         )
         self.control.on_change.append(self.follow.changed)
         self.control.on_lapse.append(self.follow.let_go)
-        self.control.on_anew += [self.vault.clear, self.keeper.clear]
+        self.control.on_anew += [self.session_replicas.clear, self.keeper.clear]
         for k, f in {
             "span.deliver": self.deliver.taken,
-            "span.keep": self.vault.hold,
-            "span.take": self.vault.take,
-            "span.drop": self.vault.drop,
-            "span.cede": self.vault.cede,
-            "span.seen": self.vault.seen,
+            "span.keep": self.session_replicas.hold,
+            "span.take": self.session_replicas.take,
+            "span.drop": self.session_replicas.drop,
+            "span.cede": self.session_replicas.cede,
+            "span.seen": self.session_replicas.seen,
             "creed.belief": self._belief,
         }.items():
             link.on(k, f)
 
     def start(self):
         """Starts the edge's tasks."""
-        emit(self.log, 101, name=self.name, hall=self.hall, addr=self.link.addr)
-        self.nest.spawn(self.prober.run())
-        self.nest.spawn(self.vault.run())
+        emit(self.log, 101, name=self.name, zone=self.zone, addr=self.link.addr)
+        self.tasks.spawn(self.prober.run())
+        self.tasks.spawn(self.session_replicas.run())
         self.control.start()
 
     def bounds(self):
         """The bounds in force."""
-        m = self.control.realm.manifest
+        m = self.control.control_state.configuration
         return m.bounds if m else self._std
 
     def sends(self, post):
@@ -119,7 +129,7 @@
     @property
     def ready(self):
         """Whether the platform should send new connections here."""
-        return self.state == "serving" and self.control.sends and bool(self.troops)
+        return self.state == "serving" and self.control.sends and bool(self.member_groups)
 
     def end_txn(self, s, clean=False):
         """Ends a session's transaction; without `clean` its connection is closed, so the member drops it."""
@@ -146,8 +156,8 @@
         ps = [p for p in ps if self.sends(p) and p.pool.limit > 0 and not p.pool.closed]
         if not ps:
             return None
-        ahead = [p for p in ps if p.tide.log >= pos] or ps
-        ws = [p.pool.limit * (2 if p.hall == self.hall else 1) for p in ahead]
+        ahead = [p for p in ps if p.log_progress.log >= pos] or ps
+        ws = [p.pool.limit * (2 if p.zone == self.zone else 1) for p in ahead]
         return self.rng.choices(ahead, ws)[0]
 
     async def held(self, t, primary, term, pos):
@@ -157,15 +167,17 @@
             e = t.epoch
             if e["term"] != term or e["primary"] != primary:
                 return False
-            miss = [t.posts[n] for n in e["hold"] if t.posts[n].tide.log < pos]
+            miss = [t.posts[n] for n in e["hold"] if t.posts[n].log_progress.log < pos]
             if not miss and e["open"] and self.control.sends:
                 return True
             try:
                 await self.clock.limit(
-                    miss[0].tide.reach(pos) if miss else asyncio.get_running_loop().create_future(),
+                    miss[0].log_progress.reach(pos)
+                    if miss
+                    else asyncio.get_running_loop().create_future(),
                     40_000,
                 )
-            except Late:
+            except DeadlineExceeded:
                 pass
         return False
 
@@ -211,10 +223,12 @@
             return await self.close_session(sid)
         us = self.bounds().statement_us
         try:
-            return await self.slab.enter(self.flow.run(s, d, arr, self.clock.now() + us), us)
+            return await self.request_slots.enter(
+                self.flow.run(s, d, arr, self.clock.now() + us), us
+            )
         except Fault as f:
             if isinstance(f, Busy):
-                emit(self.log, 422, used=self.slab.used)
+                emit(self.log, 422, used=self.request_slots.used)
             if f.back is not None:
                 f.back = int(f.back * self.rng.uniform(0.75, 1.25))
             raise
@@ -224,12 +238,12 @@
         return (
             NoSession("the session has ended")
             if s.state == "closed"
-            else Moving("the session lives elsewhere now")
+            else SessionMoving("the session lives elsewhere now")
         )
 
     def belief(self):
         """What this node believes."""
-        r = self.control.realm
+        r = self.control.control_state
         return {
             **r.belief(),
             "name": self.name,
@@ -256,25 +270,28 @@
             "ready": self.ready,
             "lease_us": max(0, self.control.lease - now),
             "sessions": len(self.homes),
-            "kept": len(self.vault.kept),
+            "kept": len(self.session_replicas.kept),
             "unkept": sum(not s.keepers for s in self.homes.values()),
             "thin": sum(
                 not s.sure or len(s.keepers) < self.bounds().keepers for s in self.homes.values()
             ),
-            "slots_used": self.slab.used,
-            "shed": self.slab.shed,
+            "slots_used": self.request_slots.used,
+            "shed": self.request_slots.shed,
             "sent": self.sent,
             "waits": dict(self.waits),
-            "clocks": {g: dict(t.reads.count) for g, t in sorted(self.troops.items())},
+            "clocks": {g: dict(t.reads.count) for g, t in sorted(self.member_groups.items())},
             "tides": {
-                g: {n: [p.tide.log, p.tide.asked] for n, p in sorted(t.posts.items())}
-                for g, t in sorted(self.troops.items())
+                g: {
+                    n: [p.log_progress.log, p.log_progress.asked]
+                    for n, p in sorted(t.posts.items())
+                }
+                for g, t in sorted(self.member_groups.items())
             },
             "pools": {
                 g: {
                     n: {"share": p.pool.share, "held": p.pool.total, "limit": p.pool.limit}
                     for n, p in sorted(t.posts.items())
                 }
-                for g, t in sorted(self.troops.items())
+                for g, t in sorted(self.member_groups.items())
             },
         }
--- a/src/petrelhaven/proxy/resumable/proxy_interface.py
+++ b/src/petrelhaven/proxy/resumable/proxy_interface.py
@@ -3,13 +3,13 @@
 from petrelhaven.runtime.errors import NotReady
 from petrelhaven.transport.http_server import body_of
 
-__all__ = ["EdgeFace"]
+__all__ = ["ResumableProxyInterface"]
 
 
-class EdgeFace:
+class ResumableProxyInterface:
     """Routes of the visitors' face."""
 
-    def __init__(self, edge, face):
+    def __init__(self, edge, http_server):
         self._e = edge
         for v, p, f in (
             ("POST", "/sessions", self._open),
@@ -19,7 +19,7 @@
             ("GET", "/status", self._status),
             ("GET", "/belief", self._belief),
         ):
-            face.on(v, p, f)
+            http_server.on(v, p, f)
 
     async def _open(self, req):
         return await self._e.open_session()
--- a/src/petrelhaven/proxy/resumable/reads.py
+++ b/src/petrelhaven/proxy/resumable/reads.py
@@ -1,6 +1,12 @@
 """Single reads: a position, a member whose log holds it, the primary as the last resort."""
 
-from petrelhaven.runtime.errors import Busy, Halted, Late, MemberFault, Unreached
+from petrelhaven.runtime.errors import (
+    Busy,
+    DeadlineExceeded,
+    MemberDeclined,
+    NoPrimary,
+    Unreachable,
+)
 
 __all__ = ["Reader"]
 
@@ -28,7 +34,7 @@
         bad, key, pos, last = set(), None, None, None
         while e.clock.now() < min(end, stop) and t.epoch is not None:
             if key is None or key != t.key:
-                pos = yield t.reads.gate(arr, since)
+                pos = yield t.reads.position_for(arr, since)
                 key = t.key
                 if pos is None or key is None:
                     break
@@ -36,11 +42,11 @@
             post = e.pick(t, pos, bad)
             if post is None:
                 break
-            if post.tide.busy and post.tide.log < pos:
+            if post.log_progress.busy and post.log_progress.log < pos:
                 e.waits["tide"] += 1
                 try:
-                    yield e.nest.spawn(e.clock.limit(post.tide.reach(pos), b.wait_us // 2))
-                except Late:
+                    yield e.tasks.spawn(e.clock.limit(post.log_progress.reach(pos), b.wait_us // 2))
+                except DeadlineExceeded:
                     e.waits["stalled"] += 1
                     bad.add(post.name)
                     continue
@@ -58,20 +64,22 @@
                         pin,
                     )
                 )
-            except MemberFault as f:
+            except MemberDeclined as f:
                 last = f
                 if f.note == "LAGGING":
                     e.waits["lagging"] += 1
-                    post.tide.note(f.more.get("log", -1), f.more.get("term", -1))
+                    post.log_progress.note(f.more.get("log", -1), f.more.get("term", -1))
                     left = min(stop, e.clock.now() + b.wait_us // 2) - e.clock.now()
                     try:
-                        yield e.nest.spawn(e.clock.limit(post.tide.reach(pos), max(left, 1000)))
+                        yield e.tasks.spawn(
+                            e.clock.limit(post.log_progress.reach(pos), max(left, 1000))
+                        )
                         continue
-                    except Late:
+                    except DeadlineExceeded:
                         e.waits["stalled"] += 1
                 bad.add(post.name)
-            except (Late, Unreached, Busy) as f:
-                if isinstance(f, Late) and e.clock.now() >= end:
+            except (DeadlineExceeded, Unreachable, Busy) as f:
+                if isinstance(f, DeadlineExceeded) and e.clock.now() >= end:
                     raise
                 last = f
                 bad.add(post.name)
@@ -81,7 +89,7 @@
         """The last resort: the primary, which needs no AFTER."""
         e = self.e
         if t.key is None:
-            raise Halted("the group has no primary now", more={"epoch": t.epoch["n"]})
+            raise NoPrimary("the group has no primary now", more={"epoch": t.epoch["n"]})
         post = t.posts[t.epoch["primary"]]
         e.waits["primary"] += 1
         try:
@@ -96,8 +104,8 @@
                     pin,
                 )
             )
-        except MemberFault as f:
-            raise Halted(f"the primary declined: {f.note}") from None
+        except MemberDeclined as f:
+            raise NoPrimary(f"the primary declined: {f.note}") from None
 
     def try_at(self, post, s, ops, end, first, pos, pin):
         """One try at one member: results, or with `pin` the connection itself."""
--- a/src/petrelhaven/proxy/resumable/sender.py
+++ b/src/petrelhaven/proxy/resumable/sender.py
@@ -2,12 +2,12 @@
 
 from petrelhaven.runtime.errors import (
     Busy,
-    Halted,
-    Late,
-    MemberFault,
-    MemberSaid,
+    DeadlineExceeded,
+    MemberDeclined,
     NoLease,
-    Unreached,
+    NoPrimary,
+    StatementRejected,
+    Unreachable,
 )
 from petrelhaven.runtime.events import emit
 
@@ -41,22 +41,22 @@
             raise (
                 NoLease("this edge may not send now")
                 if not e.control.sends
-                else Halted("the member is leaving")
+                else NoPrimary("the member is leaving")
             )
         was, conn.tag = conn.tag, None
         try:
-            rs = yield e.nest.spawn(conn.run(list(first) + pre + ops, us))
-        except MemberFault as f:
+            rs = yield e.tasks.spawn(conn.run(list(first) + pre + ops, us))
+        except MemberDeclined as f:
             if f.note == "LAGGING":
                 conn.tag = was
             elif f.note == "NOCONN":
                 conn.lost = True
             if f.note not in _NOTHING:
-                raise MemberSaid(
+                raise StatementRejected(
                     f.note, more={k: v for k, v in f.more.items() if k != "fault"}
                 ) from None
             raise
-        except (Late, Unreached) as f:
+        except (DeadlineExceeded, Unreachable) as f:
             conn.lost = True
             emit(e.log, 421, member=post.name, fault=f.code)
             raise
@@ -69,7 +69,7 @@
         e = self.e
         f = post.pool.take(self.tag(s))
         try:
-            c = yield e.nest.spawn(e.clock.limit(f, us, keep=True))
+            c = yield e.tasks.spawn(e.clock.limit(f, us, keep=True))
             if not f.done():
                 raise Busy("no connection in time")
             return c
@@ -89,7 +89,7 @@
             )
             ok = True
             return rs
-        except (MemberFault, MemberSaid, NoLease, Halted):
+        except (MemberDeclined, StatementRejected, NoLease, NoPrimary):
             ok = not c.lost
             raise
         finally:
--- a/src/petrelhaven/proxy/resumable/session_keeper.py
+++ b/src/petrelhaven/proxy/resumable/session_keeper.py
@@ -2,37 +2,37 @@
 
 import asyncio
 
-from petrelhaven.runtime.errors import Deposed, Fault, Moving
+from petrelhaven.runtime.errors import Fault, SessionMoving, ViewSuperseded
 from petrelhaven.runtime.events import emit
 
-__all__ = ["Keeper"]
+__all__ = ["SessionKeeper"]
 
 
-class Keeper:
+class SessionKeeper:
     """Keeps the sessions at home here with keepers in other halls; nothing counts before all of them hold it."""
 
-    def __init__(self, clock, nest, rng, control, reach, homes, hall, bounds, log=None):
-        self.clock, self.nest, self.rng, self.control = clock, nest, rng, control
-        self.reach, self.homes, self.hall, self.bounds, self.log = reach, homes, hall, bounds, log
+    def __init__(self, clock, tasks, rng, control, reach, homes, zone, bounds, log=None):
+        self.clock, self.tasks, self.rng, self.control = clock, tasks, rng, control
+        self.reach, self.homes, self.zone, self.bounds, self.log = reach, homes, zone, bounds, log
         self._tending = set()
 
     def _places(self, ks):
-        es = self.control.realm.doc["edges"]
+        es = self.control.control_state.doc["edges"]
         return {es[k.split("/")[0]]["hall"] for k in ks if k.split("/")[0] in es}
 
-    def _open(self, hall):
-        return hall != self.hall and self.control.realm.hall(hall) == "open"
+    def _open(self, zone):
+        return zone != self.zone and self.control.control_state.zone(zone) == "open"
 
     def elect(self, ks, but=()):
         """One more keeper beside `ks`: a hall not used yet first, then any other hall, then any other edge."""
-        es = self.control.realm.doc["edges"]
+        es = self.control.control_state.doc["edges"]
         used = self._places(ks)
         names = {k.split("/")[0] for k in [*ks, *but]} | {self.control.name}
         cs = [
             (
                 not self._open(e["hall"]) or e["hall"] in used,
-                e["hall"] == self.hall,
-                self.control.realm.hall(e["hall"]) != "open",
+                e["hall"] == self.zone,
+                self.control.control_state.zone(e["hall"]) != "open",
                 n,
             )
             for n, e in sorted(es.items())
@@ -44,7 +44,7 @@
         n = self.rng.choice([c[3] for c in cs if c[:3] == best])
         return f"{n}/{es[n]['inc']}"
 
-    def _muster(self, s):
+    def _proxy_survey(self, s):
         ks = [k for k in s.keepers if self.control.lives(k)]
         if len(ks) < len(s.keepers):
             emit(self.log, 412, sid=s.sid, was=",".join(s.keepers), left=",".join(ks))
@@ -63,8 +63,8 @@
         held = {}
         while True:
             if self.homes.get(s.sid) is not s:
-                raise Moving("the session is no longer at home here")
-            self._muster(s)
+                raise SessionMoving("the session is no longer at home here")
+            self._proxy_survey(s)
             ks = list(s.keepers)
             if not ks:
                 s.sure = True
@@ -74,14 +74,14 @@
             for k, ok in zip(todo, await asyncio.gather(*[self._send(s, k, doc) for k in todo])):
                 if ok is False:
                     self.part(s)
-                    raise Moving("the session lives elsewhere now")
+                    raise SessionMoving("the session lives elsewhere now")
                 if ok:
                     held[k] = ks
             if all(held.get(k) == s.keepers for k in s.keepers) and self.homes.get(s.sid) is s:
                 s.sure = not s.release
                 return True
             if self.clock.now() > end or s.state == "closed":
-                raise Moving("a keeper of the session can't be reached")
+                raise SessionMoving("a keeper of the session can't be reached")
             await self.clock.sleep(30_000)
 
     async def _send(self, s, k, doc):
@@ -100,7 +100,7 @@
                 700_000,
             )
             return r["ok"]
-        except Deposed:
+        except ViewSuperseded:
             return False
         except Fault:
             return None
@@ -126,14 +126,16 @@
                     break
                 except Fault:
                     if self.clock.now() > end:
-                        raise Moving("a former keeper of the session can't be reached") from None
+                        raise SessionMoving(
+                            "a former keeper of the session can't be reached"
+                        ) from None
                     await self.clock.sleep(60_000)
         s.release = []
         s.sure = True
 
     def _poor(self, s):
         """Keepers to be replaced: those leaving, else one that shares a hall while another hall could help."""
-        es = self.control.realm.doc["edges"]
+        es = self.control.control_state.doc["edges"]
         ks = [k for k in s.keepers if self.control.lives(k)]
         out = [k for k in ks if es[k.split("/")[0]]["state"] == "leaving"]
         if out or len(ks) < self.bounds().keepers:
@@ -168,7 +170,7 @@
         for sid, s in sorted(self.homes.items()):
             if sid not in self._tending and self._wants(s):
                 self._tending.add(sid)
-                self.nest.spawn(self._tend(s))
+                self.tasks.spawn(self._tend(s))
 
     async def _tend(self, s):
         await s.lock()
@@ -194,7 +196,7 @@
         s.over = True
         await self.keep(s)
         for k in [*s.keepers, *s.release]:
-            self.nest.spawn(self._drop(k, s))
+            self.tasks.spawn(self._drop(k, s))
         self.homes.pop(s.sid, None)
         if s.state in ("home", "moving"):
             s.end()
--- a/src/petrelhaven/proxy/resumable/session_replicas.py
+++ b/src/petrelhaven/proxy/resumable/session_replicas.py
@@ -4,24 +4,30 @@
 
 from petrelhaven.control.leases import LAPSE_US
 from petrelhaven.proxy.resumable.session import Session
-from petrelhaven.runtime.errors import Fault, Unreached
+from petrelhaven.runtime.errors import Fault, Unreachable
 from petrelhaven.runtime.events import emit
 
-__all__ = ["Vault"]
+__all__ = ["SessionReplicas"]
 
 _FENCES = 20_000
 _LOOK_US = 1_500_000
 
 
-class Vault:
+class SessionReplicas:
     """Holds copies. A copy is taken over only with the consent of every other living keeper that it names."""
 
-    def __init__(self, clock, nest, rng, control, reach, homes, keeper, log=None):
-        self.clock, self.nest, self.rng, self.control, self.reach = clock, nest, rng, control, reach
+    def __init__(self, clock, tasks, rng, control, reach, homes, keeper, log=None):
+        self.clock, self.tasks, self.rng, self.control, self.reach = (
+            clock,
+            tasks,
+            rng,
+            control,
+            reach,
+        )
         self.homes, self.keeper, self.log = homes, keeper, log
         self.kept = {}
         self.fence = {}
-        self.lent = {}
+        self.granted = {}
         self._due = {}
         self._claims = set()
         self._odd = {}
@@ -32,13 +38,13 @@
 
     def _mine(self, b):
         if b["to"] != self.me:
-            raise Unreached(f"{b['to']} is no more; this is {self.me}")
+            raise Unreachable(f"{b['to']} is no more; this is {self.me}")
 
     async def hold(self, ch, b):
         """Takes a copy meant for this incarnation, unless a later home is known."""
         self._mine(b)
         sid, at = b["sid"], (b["epoch"], b["ver"])
-        h, c, rec = self.homes.get(sid), self.kept.get(sid), self.lent.get(sid)
+        h, c, rec = self.homes.get(sid), self.kept.get(sid), self.granted.get(sid)
         low = max(self.fence.get(sid, 0), h.epoch if h else 0, c["epoch"] if c else 0)
         if (
             b["epoch"] < low
@@ -65,7 +71,7 @@
                 "home": b["home"],
                 "state": b["state"],
             }
-            self.lent.pop(sid, None)
+            self.granted.pop(sid, None)
             if not self.control.lives(b["home"]):
                 self._later(sid, LAPSE_US)
         return {"ok": True, "epoch": b["epoch"]}
@@ -80,7 +86,7 @@
                 "ok": h is not None and h.epoch == b["epoch"],
                 "epoch": h.epoch if h else self.fence[sid],
             }
-        if c and (c["epoch"], c["ver"]) > (b["epoch"] - 1, b["ver"]) or sid in self.lent:
+        if c and (c["epoch"], c["ver"]) > (b["epoch"] - 1, b["ver"]) or sid in self.granted:
             return {"ok": False, "epoch": c["epoch"] if c else 0}
         self._home(sid, b["epoch"], b["ver"], b["state"], b["home"])
         emit(self.log, 411, sid=sid, by=b["home"])
@@ -97,7 +103,7 @@
         s.keepers, s.release = old[:n], old[n:]
         self.homes[sid] = s
         self.kept.pop(sid, None)
-        self.lent.pop(sid, None)
+        self.granted.pop(sid, None)
         self.fence[sid] = epoch
         if len(self.fence) > _FENCES:
             self.fence.pop(next(iter(self.fence)))
@@ -114,7 +120,7 @@
         """Consents to another keeper's takeover, unless this one has the better claim or promised it away."""
         self._mine(b)
         sid, me = b["sid"], b["me"]
-        h, c, rec = self.homes.get(sid), self.kept.get(sid), self.lent.get(sid)
+        h, c, rec = self.homes.get(sid), self.kept.get(sid), self.granted.get(sid)
         if h is not None or self.fence.get(sid, 0) > b["epoch"] or c and c["epoch"] > b["epoch"]:
             return {"ok": False, "epoch": 0}
         if rec and rec[0] != me:
@@ -124,7 +130,7 @@
                 return {"ok": False, "epoch": rec[1]}
         elif c and not rec and (c["epoch"], c["ver"], self.me) > (b["epoch"], b["ver"], me):
             return {"ok": False, "epoch": 0}
-        self.lent[sid] = (me, b["want"])
+        self.granted[sid] = (me, b["want"])
         return {"ok": True, "epoch": b["want"]}
 
     def _later(self, sid, us):
@@ -135,14 +141,14 @@
     def _start(self, sid, home):
         if sid not in self._claims:
             self._claims.add(sid)
-            self.nest.spawn(self._claim(sid, home))
+            self.tasks.spawn(self._claim(sid, home))
 
     async def _claim(self, sid, home, orphan=False):
         try:
             got = []
             end = self.clock.now() + 6_000_000
             while self.clock.now() < end:
-                c, rec = self.kept.get(sid), self.lent.get(sid)
+                c, rec = self.kept.get(sid), self.granted.get(sid)
                 if (
                     c is None
                     or c["home"] != home
@@ -169,7 +175,7 @@
                 if r and r["ok"]:
                     got.append(todo[0])
                 elif r and r["epoch"]:
-                    self.lent[sid] = (self.me, r["epoch"])
+                    self.granted[sid] = (self.me, r["epoch"])
                     got = []
                 else:
                     await self.clock.sleep(60_000 + self.rng.randrange(60_000))
@@ -204,7 +210,7 @@
 
     def _forget(self, sid):
         self.kept.pop(sid, None)
-        self.lent.pop(sid, None)
+        self.granted.pop(sid, None)
 
     def changed(self, recs):
         """Looks at who is gone and takes over what they had at home, once their leases have certainly lapsed."""
@@ -231,7 +237,7 @@
     def clear(self):
         """This edge was declared gone: its copies are nobody's any more."""
         self.kept.clear()
-        self.lent.clear()
+        self.granted.clear()
 
     def role(self, sid):
         """What this edge is to a session: home, unsure (home, not kept yet), kept or none."""
@@ -293,6 +299,6 @@
                 and sid not in self._claims
             ):
                 low = max([ep for _, ep in said] + [c["epoch"]])
-                self.lent[sid] = (self.me, max(low, self.lent.get(sid, ("", 0))[1]))
+                self.granted[sid] = (self.me, max(low, self.granted.get(sid, ("", 0))[1]))
                 self._claims.add(sid)
-                self.nest.spawn(self._claim(sid, c["home"], True))
+                self.tasks.spawn(self._claim(sid, c["home"], True))
--- a/src/petrelhaven/proxy/resumable/state_follower.py
+++ b/src/petrelhaven/proxy/resumable/state_follower.py
@@ -2,14 +2,14 @@
 
 import asyncio
 
-from petrelhaven.proxy.resumable.member_group import Troop
-from petrelhaven.runtime.errors import Late
+from petrelhaven.proxy.resumable.member_group import ResumableMemberGroup
+from petrelhaven.runtime.errors import DeadlineExceeded
 from petrelhaven.runtime.events import emit
 
-__all__ = ["Follow"]
+__all__ = ["StateFollower"]
 
 
-class Follow:
+class StateFollower:
     """Turns applied changes into what an edge does."""
 
     def __init__(self, edge):
@@ -17,44 +17,44 @@
 
     def changed(self, recs):
         """Takes changes that were applied: routes, epochs, halls; acknowledged once what they stop has stopped."""
-        r = self.e.control.realm
-        m = r.manifest
+        r = self.e.control.control_state
+        m = r.configuration
         kinds = (
             {x["t"] for _, x in recs} if recs is not None else {"manifest", "epoch", "hall", "edge"}
         )
         if m is not None and "manifest" in kinds:
             self.e.routes = {x.name: x for x in m.routes}
-            self.e.slab.resize(m.bounds.slots)
-            for g in [g for g in self.e.troops if g not in {x.name for x in m.groups}]:
-                self.e.troops.pop(g).close()
+            self.e.request_slots.resize(m.bounds.slots)
+            for g in [g for g in self.e.member_groups if g not in {x.name for x in m.groups}]:
+                self.e.member_groups.pop(g).close()
         calm = []
         if kinds & {"epoch", "settle", "hall", "manifest"}:
             for g, e in sorted(r.doc["epochs"].items()):
                 calm += self._follow(g, e)
         if calm:
-            self.e.control.hold_ack(r.seq, self.e.nest.spawn(self._calm(calm)))
-        self.e.vault.changed(recs)
+            self.e.control.hold_ack(r.seq, self.e.tasks.spawn(self._calm(calm)))
+        self.e.session_replicas.changed(recs)
         self._turn()
 
     def _turn(self):
-        r = self.e.control.realm
-        if self.e.state in ("leaving", "left") or r.manifest is None:
+        r = self.e.control.control_state
+        if self.e.state in ("leaving", "left") or r.configuration is None:
             return
-        if r.hall(self.e.hall) != "open":
+        if r.zone(self.e.zone) != "open":
             if self.e.state != "emptied":
                 self.e.empty()
-                self.e.nest.spawn(self.e.move.hand_all())
+                self.e.tasks.spawn(self.e.move.hand_all())
         elif self.e.state != "serving":
             self.e.serve()
             emit(self.e.log, 102, name=self.e.name)
 
     def _follow(self, g, e):
-        t = self.e.troops.get(g)
+        t = self.e.member_groups.get(g)
         if t is None:
-            t = self.e.troops[g] = Troop(
+            t = self.e.member_groups[g] = ResumableMemberGroup(
                 g,
                 self.e.clock,
-                self.e.nest,
+                self.e.tasks,
                 self.e.order,
                 self.e.wire,
                 self.e.sends,
@@ -63,11 +63,13 @@
             )
         old = t.epoch
         for p in t.turn(
-            e, lambda n: self.e.control.realm.share(g, self.e.name, n), self.e.control.realm.hall
+            e,
+            lambda n: self.e.control.control_state.share(g, self.e.name, n),
+            self.e.control.control_state.zone,
         ):
             self.e.clock.later(p.stop_at - self.e.clock.now(), lambda p=p, t=t: self._stop(t, p))
         calm = [
-            self.e.nest.spawn(self._within(p))
+            self.e.tasks.spawn(self._within(p))
             for p in t.posts.values()
             if p.pool.total > p.pool.share
         ]
@@ -77,7 +79,7 @@
             and (e["phase"] == "halt" and old["phase"] == "serve" or old["primary"] != e["primary"])
         ):
             calm.append(
-                self.e.nest.spawn(
+                self.e.tasks.spawn(
                     self._quiet(t, old["primary"], e["grace"] if e["phase"] == "halt" else 0)
                 )
             )
@@ -89,7 +91,7 @@
     async def _within(self, p):
         try:
             await self.e.clock.limit(p.pool.calm(), 1_000_000)
-        except Late:
+        except DeadlineExceeded:
             for s in list(self.e.homes.values()):
                 if s.txn is not None and s.txn.pool is p and p.pool.total > p.pool.share:
                     self.e.end_txn(s)
@@ -128,6 +130,6 @@
         for s in list(self.e.homes.values()):
             if s.txn is not None:
                 self.e.end_txn(s)
-        for t in self.e.troops.values():
+        for t in self.e.member_groups.values():
             for p in t.posts.values():
                 p.pool.let_go()
--- a/src/petrelhaven/proxy/resumable/statement_flow.py
+++ b/src/petrelhaven/proxy/resumable/statement_flow.py
@@ -2,31 +2,31 @@
 
 from petrelhaven.proxy.resumable.reads import Reader
 from petrelhaven.proxy.resumable.sender import Sender
-from petrelhaven.proxy.resumable.transactions import Trader
-from petrelhaven.proxy.resumable.value_changes import Changer
+from petrelhaven.proxy.resumable.transactions import TransactionRunner
+from petrelhaven.proxy.resumable.value_changes import ValueChanger
 from petrelhaven.proxy.resumable.verbs import WRITES, op
 from petrelhaven.proxy.resumable.writes import Writer
 from petrelhaven.runtime.errors import (
     Busy,
-    Ended,
-    Halted,
+    InvalidSequence,
     Malformed,
+    NoPrimary,
     NoRoute,
     NoSession,
     Superseded,
-    Unordered,
+    TransactionEnded,
 )
 
-__all__ = ["Flow"]
+__all__ = ["StatementFlow"]
 
 
-class Flow:
+class StatementFlow:
     """Runs one statement of one session on an edge."""
 
     def __init__(self, edge):
         self.e = edge
         self.sender, self.reader, self.writer = Sender(edge), Reader(edge), Writer(edge)
-        self.changer, self.trader = Changer(edge), Trader(edge)
+        self.changer, self.transaction_runner = ValueChanger(edge), TransactionRunner(edge)
 
     def run(self, s, d, arr, end):
         """The continuation of statement `d`, which arrived at order point `arr`."""
@@ -42,36 +42,38 @@
             if s.over:
                 raise NoSession("the session has ended")
             if not s.sure:
-                yield e.nest.spawn(e.keeper.settle(s))
+                yield e.tasks.spawn(e.keeper.settle(s))
             self._in_turn(s, d)
             if s.txn is not None and s.txn.conn.lost:
                 e.end_txn(s)
             if "txn" in d and (s.txn is None or d["txn"] != s.txn.num):
                 if v == "commit" and type(d.get("try")) is int and d["try"] in s.tries:
                     return {**s.tries[d["try"]], "repeated": True}
-                raise Ended(
+                raise TransactionEnded(
                     "that transaction has ended; nothing of it was kept unless a commit said so",
                     more={"txn": d["txn"]},
                 )
             if s.txn is not None and "txn" not in d:
-                raise Unordered("a transaction is open; name it by txn", more={"txn": s.txn.num})
+                raise InvalidSequence(
+                    "a transaction is open; name it by txn", more={"txn": s.txn.num}
+                )
             if v in ("set", "unset"):
                 return (yield from self.changer.set(s, d))
             if v == "prepare":
                 return (yield from self.changer.prepare(s, d))
             if v == "begin":
-                return (yield from self.trader.begin(s, d, arr, end))
+                return (yield from self.transaction_runner.begin(s, d, arr, end))
             if v in ("commit", "rollback"):
-                return (yield from self.trader.finish(s, d, end))
+                return (yield from self.transaction_runner.finish(s, d, end))
             step = op(d)
             kind = v
             if v == "exec":
                 if d["name"] not in s.prepared:
-                    raise Unordered(f"no prepared statement {d['name'][:40]}")
+                    raise InvalidSequence(f"no prepared statement {d['name'][:40]}")
                 kind = s.prepared[d["name"]]["verb"]
             if s.txn is not None:
-                return (yield from self.trader.inside(s, step, kind, end))
-            t, r = self.troop(d)
+                return (yield from self.transaction_runner.inside(s, step, kind, end))
+            t, r = self.member_group(d)
             if kind in WRITES:
                 return (yield from self.writer.run(s, d, step, t, end))
             return (yield from self.reader.run(s, step, t, r.reads == "browsing", arr, end))
@@ -94,14 +96,14 @@
             )
         s.said = k
 
-    def troop(self, d):
+    def member_group(self, d):
         """The group that a statement's route names, and the route."""
         if not isinstance(d.get("route"), str):
             raise Malformed("route must be the name of a route")
         r = self.e.routes.get(d["route"])
         if r is None:
             raise NoRoute(f"no route {str(d.get('route'))[:40]}")
-        t = self.e.troops.get(r.group)
+        t = self.e.member_groups.get(r.group)
         if t is None or t.epoch is None:
-            raise Halted("the group has no epoch yet")
+            raise NoPrimary("the group has no epoch yet")
         return t, r
--- a/src/petrelhaven/proxy/resumable/transactions.py
+++ b/src/petrelhaven/proxy/resumable/transactions.py
@@ -3,23 +3,23 @@
 from petrelhaven.proxy.resumable.session import Txn
 from petrelhaven.proxy.resumable.verbs import WRITES
 from petrelhaven.runtime.errors import (
-    Ended,
-    Halted,
-    Late,
+    DeadlineExceeded,
+    InvalidSequence,
     Malformed,
-    MemberFault,
-    MemberSaid,
+    MemberDeclined,
     NoLease,
-    Unordered,
-    Unreached,
-    Unsent,
+    NoPrimary,
+    NotSent,
+    StatementRejected,
+    TransactionEnded,
+    Unreachable,
 )
 from petrelhaven.runtime.events import emit
 
-__all__ = ["Trader"]
+__all__ = ["TransactionRunner"]
 
 
-class Trader:
+class TransactionRunner:
     """Runs transactions."""
 
     def __init__(self, edge):
@@ -29,11 +29,11 @@
         """Opens a transaction pinned to one connection."""
         e = self.e
         if s.txn is not None:
-            raise Unordered("a transaction is open already", more={"txn": s.txn.num})
+            raise InvalidSequence("a transaction is open already", more={"txn": s.txn.num})
         mode = d.get("mode", "write")
         if mode not in ("read", "write"):
             raise Malformed("mode must be read or write")
-        t, r = self.e.flow.troop(d)
+        t, r = self.e.flow.member_group(d)
         ops = [{"v": "begin", "mode": mode}]
         if mode == "read":
             b = e.bounds()
@@ -58,18 +58,18 @@
         """One statement inside the open transaction."""
         e, x = self.e, s.txn
         if kind in WRITES and x.mode == "read":
-            raise Unordered("the transaction only reads")
+            raise InvalidSequence("the transaction only reads")
         x.since = e.clock.now()
         try:
             rs = yield from self.e.flow.sender.on(
                 x.pool, x.conn, s, [op], e.bounds().statement_us // 2, pinned=True
             )
-        except (Late, Unreached, MemberFault):
+        except (DeadlineExceeded, Unreachable, MemberDeclined):
             e.end_txn(s)
-            raise Ended(
+            raise TransactionEnded(
                 "the transaction's connection was lost; nothing of it was kept", more={"txn": x.num}
             ) from None
-        except (NoLease, Halted):
+        except (NoLease, NoPrimary):
             raise
         return {**rs[-1], "from": x.member}
 
@@ -77,13 +77,13 @@
         """Commits or rolls back."""
         e, x = self.e, s.txn
         if x is None:
-            raise Unordered(f"{d['verb']} without a transaction")
+            raise InvalidSequence(f"{d['verb']} without a transaction")
         if d["verb"] == "rollback" or x.mode == "read":
             try:
                 yield from self.e.flow.sender.on(
                     x.pool, x.conn, s, [{"v": "rollback"}], 500_000, pinned=True
                 )
-            except (Late, Unreached, MemberFault, NoLease, Halted):
+            except (DeadlineExceeded, Unreachable, MemberDeclined, NoLease, NoPrimary):
                 x.conn.lost = True
             e.end_txn(s, clean=True)
             return {"outcome": "kept" if d["verb"] == "commit" else "not kept"}
@@ -94,15 +94,15 @@
             raise NoLease("this edge may not send now")
         s.begin_try(n)
         try:
-            yield e.nest.spawn(e.keeper.keep(s))
+            yield e.tasks.spawn(e.keeper.keep(s))
         except BaseException:
             s.tries.pop(n, None)
             raise
-        t = e.troops.get(x.route)
+        t = e.member_groups.get(x.route)
         if s.txn is not x or x.conn.lost or t is None or t.epoch["term"] != x.epoch:
             s.tries.pop(n, None)
             e.end_txn(s)
-            raise Ended(
+            raise TransactionEnded(
                 "the transaction ended before its commit left; nothing was kept",
                 more={"txn": x.num},
             )
@@ -111,19 +111,19 @@
             rs = yield from self.e.flow.sender.on(
                 x.pool, x.conn, s, [{"v": "commit"}], e.bounds().statement_us // 2, pinned=True
             )
-        except (Unsent, NoLease, Halted):
+        except (NotSent, NoLease, NoPrimary):
             s.tries.pop(n, None)
             raise
-        except MemberFault:
+        except MemberDeclined:
             e.end_txn(s)
             s.tries.pop(n, None)
-            raise Ended(
+            raise TransactionEnded(
                 "the member declined the commit; nothing was kept", more={"txn": x.num}
             ) from None
-        except MemberSaid as f:
+        except StatementRejected as f:
             e.end_txn(s)
             return (yield from self.e.flow.writer.settled(s, n, {"outcome": "not kept", **f.doc()}))
-        except (Late, Unreached):
+        except (DeadlineExceeded, Unreachable):
             e.end_txn(s)
             emit(e.log, 420, sid=s.sid, n=n)
             return {"outcome": "unknown", "retry_after_us": 300_000}
--- a/src/petrelhaven/proxy/resumable/value_changes.py
+++ b/src/petrelhaven/proxy/resumable/value_changes.py
@@ -1,14 +1,20 @@
 """Changes of a session itself: values and prepared statements."""
 
 from petrelhaven.proxy.resumable.verbs import op
-from petrelhaven.runtime.errors import Fault, Late, Malformed, MemberFault, Unreached
+from petrelhaven.runtime.errors import (
+    DeadlineExceeded,
+    Fault,
+    Malformed,
+    MemberDeclined,
+    Unreachable,
+)
 
-__all__ = ["Changer"]
+__all__ = ["ValueChanger"]
 
 _MOST = 64
 
 
-class Changer:
+class ValueChanger:
     """Changes values and prepared statements once every keeper has them."""
 
     def __init__(self, edge):
@@ -52,7 +58,7 @@
     def _change(self, s, values, prepared, ops):
         s.mark += 1
         try:
-            yield self.e.nest.spawn(self.e.keeper.keep(s))
+            yield self.e.tasks.spawn(self.e.keeper.keep(s))
         except Fault:
             s.values, s.prepared = values, prepared
             s.mark += 1
@@ -62,5 +68,5 @@
                 yield from self.e.flow.sender.on(
                     s.txn.pool, s.txn.conn, s, ops, 500_000, pinned=True
                 )
-            except (Late, Unreached, MemberFault):
+            except (DeadlineExceeded, Unreachable, MemberDeclined):
                 self.e.end_txn(s)
--- a/src/petrelhaven/proxy/resumable/writes.py
+++ b/src/petrelhaven/proxy/resumable/writes.py
@@ -1,15 +1,15 @@
 """Single writes: the try written down, sent once, held by the in-sync replicas, its outcome written down."""
 
 from petrelhaven.runtime.errors import (
+    DeadlineExceeded,
     Fault,
-    Halted,
-    Late,
     Malformed,
-    MemberFault,
-    MemberSaid,
+    MemberDeclined,
     NoLease,
-    Unreached,
-    Unsent,
+    NoPrimary,
+    NotSent,
+    StatementRejected,
+    Unreachable,
 )
 from petrelhaven.runtime.events import emit
 
@@ -36,11 +36,11 @@
     def open(self, t):
         """The primary, if writes are taken now."""
         if t.key is None:
-            raise Halted(
+            raise NoPrimary(
                 "writes are stopped while a primary is elected", more={"epoch": t.epoch["n"]}
             )
         if not t.epoch["open"]:
-            raise Halted(
+            raise NoPrimary(
                 "too few in-sync replicas to keep a write safe", more={"epoch": t.epoch["n"]}
             )
         return t.posts[t.epoch["primary"]]
@@ -57,7 +57,7 @@
         s.begin_try(n)
         post = None
         try:
-            yield e.nest.spawn(e.keeper.keep(s))
+            yield e.tasks.spawn(e.keeper.keep(s))
             post = self.open(t)
             c = yield from self.e.flow.sender.take(
                 post, s, min(max(end - e.clock.now(), 1000), 500_000)
@@ -70,23 +70,25 @@
         key = t.key
         try:
             if key is None or key[1] != post.name:
-                raise Halted("the primary changed")
+                raise NoPrimary("the primary changed")
             first = [{"v": "ready", "role": "primary", "term": t.epoch["term"]}]
             term = t.epoch["term"]
             rs = yield from self.e.flow.sender.on(
                 post, c, s, [op], e.bounds().statement_us // 2, first
             )
             ok = True
-        except (Unsent, MemberFault, NoLease, Halted) as f:
+        except (NotSent, MemberDeclined, NoLease, NoPrimary) as f:
             ok = not c.lost
             s.tries.pop(n, None)
             raise (
-                f if not isinstance(f, MemberFault) else Halted(f"the primary declined: {f.note}")
+                f
+                if not isinstance(f, MemberDeclined)
+                else NoPrimary(f"the primary declined: {f.note}")
             ) from None
-        except MemberSaid as f:
+        except StatementRejected as f:
             ok = True
             return (yield from self.settled(s, n, {"outcome": "not kept", **f.doc()}))
-        except (Late, Unreached):
+        except (DeadlineExceeded, Unreachable):
             emit(e.log, 420, sid=s.sid, n=n)
             return {"outcome": "unknown", "retry_after_us": 300_000}
         finally:
@@ -98,8 +100,8 @@
         """The outcome once every in-sync replica holds `r`, or unknown."""
         e = self.e
         try:
-            held = yield e.nest.spawn(e.held(t, post.name, term, r["pos"]))
-        except Late:
+            held = yield e.tasks.spawn(e.held(t, post.name, term, r["pos"]))
+        except DeadlineExceeded:
             held = False
         if not held:
             emit(e.log, 420, sid=s.sid, n=n, pos=r["pos"])
@@ -121,7 +123,7 @@
         if n in s.tries:
             s.tries[n] = out
         try:
-            yield self.e.nest.spawn(self.e.keeper.keep(s))
+            yield self.e.tasks.spawn(self.e.keeper.keep(s))
         except Fault:
             return {"outcome": "unknown", "retry_after_us": 300_000}
         return out
--- a/src/petrelhaven/proxy/routing/group.py
+++ b/src/petrelhaven/proxy/routing/group.py
@@ -7,18 +7,18 @@
 from typing import TYPE_CHECKING, Any
 
 from petrelhaven.control.failover.evidence import NO_POSITION
-from petrelhaven.proxy.pool.connection_pool import Stock
+from petrelhaven.proxy.pool.connection_pool import ConnectionPool
 from petrelhaven.proxy.reads.log_progress import LogProgress
 from petrelhaven.proxy.reads.read_clock import ReadClock
 from petrelhaven.proxy.routing.leadership import Leadership
 from petrelhaven.proxy.routing.member import Member
 from petrelhaven.proxy.routing.member_proofs import MemberProofs
-from petrelhaven.runtime.errors import Fault, Gone, Late, Unreached, Unsent
+from petrelhaven.runtime.errors import DeadlineExceeded, Fault, MemberReplaced, NotSent, Unreachable
 
 if TYPE_CHECKING:
-    from petrelhaven.control.state.control_state import Ledger
+    from petrelhaven.control.state.control_state import ControlState
     from petrelhaven.proxy.node import ProxyNode
-    from petrelhaven.proxy.pool.member_connection import Strand
+    from petrelhaven.proxy.pool.member_connection import MemberConnection
     from petrelhaven.proxy.reads.position import Position
     from petrelhaven.proxy.routing.attempt import Attempt
     from petrelhaven.proxy.routing.route import Route
@@ -66,7 +66,9 @@
         self.connection_cap = _CONNECTION_CAP
         self.sync_replicas = self.size = self.strong_sessions = 0
         self.floor: Position = NO_POSITION
-        self.read_clock = ReadClock(proxy.clock, proxy.nest, proxy.order, self._fetch, proxy.bounds)
+        self.read_clock = ReadClock(
+            proxy.clock, proxy.tasks, proxy.order, self._fetch, proxy.bounds
+        )
         self.proofs = MemberProofs(self, proxy)
         self._turned: asyncio.Future[None] | None = None
         self._second_tries = _SECOND_TRIES
@@ -83,7 +85,7 @@
     def sure(self) -> Member | None:
         """The primary that leads under this proxy's lease, or None; asked right before a send."""
         now = self.leadership
-        if now is None or now.phase != "serve" or not self._proxy.tie.holds:
+        if now is None or now.phase != "serve" or not self._proxy.core_connection.holds:
             return None
         return self.members.get(now.primary)
 
@@ -98,23 +100,25 @@
         """Whether statements that begin anew may go to the primary `member` now."""
         return member.stop_at is None or self._clock.now() < member.stop_at
 
-    def turn(self, ledger: Ledger, fresh: bool) -> None:
+    def turn(self, control_state: ControlState, fresh: bool) -> None:
         """Takes the leadership, the members and the zones as the control state has them.
 
         `fresh` tells that the whole state was handed over: how old its changes are is not known.
         """
-        rows = ledger.group(self.name)
-        self.size = ledger.doc["sizes"].get(self.name, 0)
-        self.floor = ledger.evidence(self.name).floor
+        rows = control_state.group(self.name)
+        self.size = control_state.doc["sizes"].get(self.name, 0)
+        self.floor = control_state.evidence(self.name).floor
         for name, row in rows.items():
-            self._turn_member(name, row, ledger, fresh)
+            self._turn_member(name, row, control_state, fresh)
         for name in [name for name in self.members if name not in rows]:
             self.members.pop(name).close()
-        record = ledger.doc["offices"].get(self.name)
+        record = control_state.doc["offices"].get(self.name)
         if record != self._leadership_record:
             self._turn_leadership(record)
 
-    def _turn_member(self, name: str, row: dict[str, Any], ledger: Ledger, fresh: bool) -> None:
+    def _turn_member(
+        self, name: str, row: dict[str, Any], control_state: ControlState, fresh: bool
+    ) -> None:
         member = self.members.get(name)
         if member is not None and member.address != row["addr"]:
             member.pool.close()
@@ -122,11 +126,11 @@
         if member is None:
             member = self.members[name] = self._new_member(name, row)
         member.state = row["state"]
-        proxies = max(self._proxy.tie.edges, _FEWEST_PROXIES)
+        proxies = max(self._proxy.core_connection.edges, _FEWEST_PROXIES)
         share = (self.connection_cap - _RESERVED_CONNECTIONS) // proxies - 1
         member.pool.most = max(1, share)
         draining = member.state == "draining"
-        evacuated = ledger.hall(member.zone) != "open"
+        evacuated = control_state.zone(member.zone) != "open"
         if not draining and not evacuated:
             member.stop_at = None
         elif member.stop_at is None:
@@ -139,14 +143,14 @@
     def _new_member(self, name: str, row: dict[str, Any]) -> Member:
         proxy = self._proxy
         proxy.outside_contact.expect(proxy.near(row["hall"]))
-        pool = Stock(
+        pool = ConnectionPool(
             self._clock,
-            proxy.nest,
+            proxy.tasks,
             lambda: self._open(member),
             1,
             lambda: self.strong_sessions + _SPARE_CONNECTIONS,
         )
-        log_progress = LogProgress(self._clock, proxy.nest, None)
+        log_progress = LogProgress(self._clock, proxy.tasks, None)
         log_progress.log = (0, 0)
         member = Member(name, row, proxy.near(row["hall"]), pool, log_progress)
         return member
@@ -223,7 +227,7 @@
         leadership = self.leadership
         if leadership is None or leadership.primary != member.name or leadership.phase == "move":
             return
-        self._proxy.tie.doubt(self.name, member.name, how)
+        self._proxy.core_connection.suspect(self.name, member.name, how)
 
     def note_position(self, attempt: Attempt, position: Position) -> None:
         """A statement that only a leading primary answers came back with its log at `position`."""
@@ -243,19 +247,19 @@
             return 0
         return self._clock.now() - member.last_heard
 
-    async def _open(self, member: Member) -> Strand:
+    async def _open(self, member: Member) -> MemberConnection:
         """A new connection to the member."""
         try:
             connection = await self._proxy.wire.open(
                 member.address, self.name, member.name, _OPEN_US
             )
-        except Gone:
+        except MemberReplaced:
             member.down_until = self._clock.now() + _MEMBER_GONE_US
             raise
-        except Unsent as fault:
+        except NotSent as fault:
             self.missed(member, fault.note)
             raise
-        except (Late, Unreached):
+        except (DeadlineExceeded, Unreachable):
             self.missed(member, "mute")
             raise
         self.fine(member)
@@ -270,7 +274,7 @@
             row = await self._clock.limit(
                 member.status_connection.own("status"), self._proxy.bounds().join_us // 2
             )
-        except (Late, Unreached):
+        except (DeadlineExceeded, Unreachable):
             member.status_connection.close()
             self.missed(member, "mute")
             raise
@@ -281,7 +285,7 @@
         """The primary's position; where it does not answer, what all others together prove."""
         primary = self.members.get(leading[1])
         if self.leading != leading:
-            raise Unreached("no primary to ask")
+            raise Unreachable("no primary to ask")
         if primary is None or self.proofs.is_silent(primary):
             return await self.proofs.position_of_others(leading[1])
         try:
@@ -289,8 +293,8 @@
         except Fault:
             return await self.proofs.position_of_others(leading[1])
         if row["role"] != "primary":
-            self._proxy.tie.doubt(self.name, primary.name, "replica")
-            raise Unreached("not the primary")
+            self._proxy.core_connection.suspect(self.name, primary.name, "replica")
+            raise Unreachable("not the primary")
         return row["pos"]
 
     def close(self) -> None:
@@ -299,7 +303,7 @@
             member.close()
         self.read_clock.turn(None)
 
-    async def settle(self, connection: Strand, member: Member, number: str) -> None:
+    async def settle(self, connection: MemberConnection, member: Member, number: str) -> None:
         """Rolls a connection back at its client's word; keeps it if that works in time."""
         try:
             reply = await self._clock.limit(connection.plain("rollback", (), number), _ROLLBACK_US)
--- a/src/petrelhaven/proxy/routing/member.py
+++ b/src/petrelhaven/proxy/routing/member.py
@@ -7,8 +7,8 @@
 from petrelhaven.proxy.reads.log_progress import LogProgress
 
 if TYPE_CHECKING:
-    from petrelhaven.proxy.pool.connection_pool import Stock
-    from petrelhaven.proxy.pool.member_connection import Strand
+    from petrelhaven.proxy.pool.connection_pool import ConnectionPool
+    from petrelhaven.proxy.pool.member_connection import MemberConnection
     from petrelhaven.proxy.reads.position import Position
 
 __all__ = ["Member"]
@@ -49,7 +49,12 @@
     )
 
     def __init__(
-        self, name: str, row: dict[str, Any], distance: int, pool: Stock, log_progress: LogProgress
+        self,
+        name: str,
+        row: dict[str, Any],
+        distance: int,
+        pool: ConnectionPool,
+        log_progress: LogProgress,
     ) -> None:
         """Takes a member's `row` of the control state."""
         self.name = name
@@ -60,7 +65,7 @@
         self.distance = distance
         self.pool = pool
         self.log_progress = log_progress
-        self.status_connection: Strand | None = None
+        self.status_connection: MemberConnection | None = None
         self.down_until = self.failures = self.in_flight = self.last_heard = 0
         self.asked_at = 0
         self.refuses = False
--- a/src/petrelhaven/proxy/routing/member_calls.py
+++ b/src/petrelhaven/proxy/routing/member_calls.py
@@ -6,11 +6,17 @@
 from collections.abc import Sequence
 from typing import TYPE_CHECKING
 
-from petrelhaven.runtime.errors import Gone, Late, MemberFault, Unreached, Unsent
+from petrelhaven.runtime.errors import (
+    DeadlineExceeded,
+    MemberDeclined,
+    MemberReplaced,
+    NotSent,
+    Unreachable,
+)
 
 if TYPE_CHECKING:
     from petrelhaven.proxy.node import ProxyNode
-    from petrelhaven.proxy.pool.member_connection import Strand
+    from petrelhaven.proxy.pool.member_connection import MemberConnection
     from petrelhaven.proxy.reads.position import Position
     from petrelhaven.proxy.routing.attempt import Attempt
     from petrelhaven.proxy.routing.group import MemberGroup
@@ -26,8 +32,10 @@
 
 def note_fault(group: MemberGroup, member: Member, fault: BaseException) -> None:
     """Counts a fault against the member, unless it shows that nothing was sent to it."""
-    if isinstance(fault, (Late, Unreached)) and not isinstance(fault, (Unsent, Gone)):
-        group.missed(member, "mute" if isinstance(fault, Late) else "reset")
+    if isinstance(fault, (DeadlineExceeded, Unreachable)) and not isinstance(
+        fault, (NotSent, MemberReplaced)
+    ):
+        group.missed(member, "mute" if isinstance(fault, DeadlineExceeded) else "reset")
 
 
 class MemberCalls:
@@ -60,7 +68,7 @@
             alias, _ = await self._set_up(connection, request.session, request.statement)
             if attempt.flight is not None and request.group.sure is not member:
                 reusable = True
-                raise Unsent("lease")
+                raise NotSent("lease")
             attempt.sent = True
             self._stamp(attempt)
             member.in_flight += 1
@@ -80,7 +88,7 @@
                 self._give_back(member, connection, reusable)
 
     async def send_pinned(
-        self, connection: Strand, session: ClientSession, statement: Ask
+        self, connection: MemberConnection, session: ClientSession, statement: Ask
     ) -> Reply:
         """The member's reply to a statement inside the transaction that has `connection`."""
         alias, _ = await self._set_up(connection, session, statement)
@@ -102,7 +110,7 @@
                 member, request.session, min(limit_us, _CONNECTION_WAIT_US)
             )
             if attempt.flight is not None and request.group.sure is not member:
-                raise Unsent("lease")
+                raise NotSent("lease")
             self._stamp(attempt)
             mode = "reads" if transaction.reads else "writes"
             begin = ("begin", (mode, after), transaction.number)
@@ -137,8 +145,10 @@
         attempt.started_us = self._clock.now()
         attempt.member.note_asked(attempt.started_us)
 
-    async def _connection(self, member: Member, session: ClientSession, limit_us: int) -> Strand:
-        waiting: asyncio.Future[Strand] = member.pool.take(session)
+    async def _connection(
+        self, member: Member, session: ClientSession, limit_us: int
+    ) -> MemberConnection:
+        waiting: asyncio.Future[MemberConnection] = member.pool.take(session)
         try:
             return await self._clock.limit(waiting, limit_us, keep=True)
         except BaseException:
@@ -147,7 +157,7 @@
 
     async def _set_up(
         self,
-        connection: Strand,
+        connection: MemberConnection,
         session: ClientSession,
         statement: Ask | None,
         more: Sequence[tuple[str, tuple, str]] = (),
@@ -162,7 +172,7 @@
         ]
         if any(not reply.ok for reply in replies[: len(needed)]):
             connection.odd = True
-            raise MemberFault("outfit")
+            raise MemberDeclined("outfit")
         return alias, replies[len(needed) :]
 
     @staticmethod
@@ -175,7 +185,7 @@
             group.read_clock.failed(attempt.flight)
 
     @staticmethod
-    def _give_back(member: Member, connection: Strand, reusable: bool) -> None:
+    def _give_back(member: Member, connection: MemberConnection, reusable: bool) -> None:
         if reusable:
             member.pool.give(connection)
         else:
--- a/src/petrelhaven/proxy/routing/member_proofs.py
+++ b/src/petrelhaven/proxy/routing/member_proofs.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING, Any
 
 from petrelhaven.proxy.routing.waiting import first_done
-from petrelhaven.runtime.errors import Fault, Unreached
+from petrelhaven.runtime.errors import Fault, Unreachable
 
 if TYPE_CHECKING:
     from petrelhaven.proxy.node import ProxyNode
@@ -49,7 +49,7 @@
             return True
         if not self._proxy.outside_contact.is_recent(answered.distance):
             return True
-        return not self._proxy.tie.confirmed
+        return not self._proxy.core_connection.confirmed
 
     def commit_shown(
         self, position: Position | None, answered: Member, end: int
@@ -60,13 +60,13 @@
         log of a later term does not show it: what an earlier primary wrote last may lack there.
         """
         end = min(end, self._clock.now() + _COMMIT_US)
-        if position is None or self._proxy.nest.shut:
+        if position is None or self._proxy.tasks.shut:
             return False
         unasked = self._replicas_by_distance(answered)
         pending: set[asyncio.Task[dict[str, Any]]] = set()
         while unasked or pending:
             asked, unasked = (unasked, []) if pending else (unasked[:1], unasked[1:])
-            pending |= {self._proxy.nest.spawn(self._group.status(member)) for member in asked}
+            pending |= {self._proxy.tasks.spawn(self._group.status(member)) for member in asked}
             left_us = end - self._clock.now()
             if left_us <= 0:
                 return False
@@ -95,18 +95,18 @@
         await self._silence_of(self._group.members.get(primary))
         others = [member for name, member in self._group.members.items() if name != primary]
         if not self._are_enough(others):
-            raise Unreached("no primary to ask")
+            raise Unreachable("no primary to ask")
         rows = await asyncio.gather(
             *[self._group.status(member) for member in others], return_exceptions=True
         )
         for row in rows:
             if isinstance(row, BaseException):
-                raise row if isinstance(row, Fault) else Unreached("not all others answered")
+                raise row if isinstance(row, Fault) else Unreachable("not all others answered")
         for member, row in zip(others, rows, strict=True):
             member.note_log(row["pos"])
         highest = max(row["pos"] for row in rows)
         if highest < self._group.floor:
-            raise Unreached("a member that left had more")
+            raise Unreachable("a member that left had more")
         self._proxy.count["fetched_others"] += 1
         return highest
 
@@ -114,7 +114,7 @@
         """Whether `others` are all members but one, as a proxy knows only under a lease."""
         sync_replicas = self._group.sync_replicas
         fewest = max(sync_replicas + 1, self._group.size - 1)
-        return sync_replicas > 0 and len(others) >= fewest and self._proxy.tie.holds
+        return sync_replicas > 0 and len(others) >= fewest and self._proxy.core_connection.holds
 
     def is_silent(self, member: Member) -> bool:
         """Whether asking the member is in vain: nobody is there, or it has not answered for long.
@@ -138,12 +138,12 @@
             return
         began = self._clock.now()
         if not primary.asked_at:
-            self._proxy.nest.spawn(self._ask_quietly(primary))
+            self._proxy.tasks.spawn(self._ask_quietly(primary))
         asked_at = primary.asked_at or began
         if began - asked_at < _SILENT_US:
             await self._clock.sleep(asked_at + _SILENT_US - began)
         if asked_at <= primary.last_heard < began:
-            raise Unreached("the primary answered a moment ago")
+            raise Unreachable("the primary answered a moment ago")
 
     async def _ask_quietly(self, member: Member) -> None:
         with contextlib.suppress(Fault):
--- a/src/petrelhaven/proxy/routing/member_wire.py
+++ b/src/petrelhaven/proxy/routing/member_wire.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, Protocol
 
 if TYPE_CHECKING:
-    from petrelhaven.proxy.pool.member_connection import Strand
+    from petrelhaven.proxy.pool.member_connection import MemberConnection
 
 __all__ = ["MemberWire"]
 
@@ -13,7 +13,7 @@
 class MemberWire(Protocol):
     """Opens connections to members."""
 
-    async def open(self, address: str, group: str, member: str, limit_us: int) -> Strand:
+    async def open(self, address: str, group: str, member: str, limit_us: int) -> MemberConnection:
         """A new connection.
 
         Raises:
--- a/src/petrelhaven/proxy/routing/read_path.py
+++ b/src/petrelhaven/proxy/routing/read_path.py
@@ -18,7 +18,7 @@
     from petrelhaven.proxy.routing.request import Request
     from petrelhaven.proxy.session.statement import Reply
 
-__all__ = ["HeldReads"]
+__all__ = ["ReadPath"]
 
 _RETRY_ELSEWHERE = ("busy", "crowded", "failed", "misdirected", "readonly", "unprepared")
 _HEDGE_LEAST_US = 60_000
@@ -64,7 +64,7 @@
         return pause_us
 
 
-class HeldReads:
+class ReadPath:
     """Runs reads outside transactions, each as a continuation that ends with a reply."""
 
     def __init__(self, proxy: ProxyNode, calls: MemberCalls, placement: ReadPlacement) -> None:
@@ -146,7 +146,7 @@
     def _launch(self, state: _ReadState, attempt: Attempt) -> None:
         limit_us = max(state.request.end - self._clock.now(), _LEAST_LIMIT_US)
         after = None if attempt.flight else state.position
-        attempt.task = self._proxy.nest.spawn(
+        attempt.task = self._proxy.tasks.spawn(
             self._calls.send(state.request, attempt, after, limit_us)
         )
         state.running.append(attempt)
--- a/src/petrelhaven/proxy/routing/read_placement.py
+++ b/src/petrelhaven/proxy/routing/read_placement.py
@@ -53,11 +53,11 @@
         running: Sequence[asyncio.Future] = (),
     ) -> Generator[asyncio.Future, None, Position | None]:
         """The position that a read must find; None if time or one of `running` ended first."""
-        gate = group.read_clock.gate(arrival, since)
-        yield first_done(self._clock, [gate, *running], limit_us)
-        if gate.done() and gate.result() is not None:
-            return gate.result()
-        gate.cancel()
+        position = group.read_clock.position_for(arrival, since)
+        yield first_done(self._clock, [position, *running], limit_us)
+        if position.done() and position.result() is not None:
+            return position.result()
+        position.cancel()
         return None
 
     def is_behind(self, member: Member, position: Position) -> bool:
--- a/src/petrelhaven/proxy/routing/request_slots.py
+++ b/src/petrelhaven/proxy/routing/request_slots.py
@@ -2,9 +2,9 @@
 
 import asyncio
 
-from petrelhaven.runtime.errors import Busy, Late
+from petrelhaven.runtime.errors import Busy, DeadlineExceeded
 
-__all__ = ["Slab"]
+__all__ = ["RequestSlots"]
 
 
 class _Slot:
@@ -14,7 +14,7 @@
         self.gen, self.cont, self.out, self.tick, self.wait = 0, None, None, None, None
 
 
-class Slab:
+class RequestSlots:
     """Fixed slots; a full slab declines at once. A continuation yields the future it waits for."""
 
     def __init__(self, clock, slots=512):
@@ -54,7 +54,7 @@
         s = self._slots[i]
         if s.gen == g:
             s.wait = None
-            self._resume(i, g, None, Late("horizon passed"))
+            self._resume(i, g, None, DeadlineExceeded("horizon passed"))
 
     def _woken(self, i, g, f):
         s = self._slots[i]
--- a/src/petrelhaven/proxy/routing/statement_path.py
+++ b/src/petrelhaven/proxy/routing/statement_path.py
@@ -7,11 +7,11 @@
 from typing import TYPE_CHECKING
 
 from petrelhaven.proxy.routing.member_calls import MemberCalls
-from petrelhaven.proxy.routing.read_path import HeldReads
+from petrelhaven.proxy.routing.read_path import ReadPath
 from petrelhaven.proxy.routing.read_placement import ReadPlacement
-from petrelhaven.proxy.routing.transaction_path import HeldTransactions
+from petrelhaven.proxy.routing.transaction_path import TransactionPath
 from petrelhaven.proxy.routing.transaction_start import TransactionStart
-from petrelhaven.proxy.routing.write_path import HeldWrites
+from petrelhaven.proxy.routing.write_path import WritePath
 
 if TYPE_CHECKING:
     from petrelhaven.proxy.node import ProxyNode
@@ -28,10 +28,10 @@
         """Uses the clock, the tasks and the counters of `proxy`."""
         calls = MemberCalls(proxy)
         placement = ReadPlacement(proxy)
-        self._reads = HeldReads(proxy, calls, placement)
-        self._writes = HeldWrites(proxy, calls)
+        self._reads = ReadPath(proxy, calls, placement)
+        self._writes = WritePath(proxy, calls)
         start = TransactionStart(proxy, calls, placement)
-        self.transactions = HeldTransactions(proxy, calls, start)
+        self.transactions = TransactionPath(proxy, calls, start)
 
     def run(self, request: Request) -> Generator[asyncio.Future, None, Reply]:
         """The continuation of one statement."""
--- a/src/petrelhaven/proxy/routing/transaction_path.py
+++ b/src/petrelhaven/proxy/routing/transaction_path.py
@@ -10,7 +10,7 @@
 from petrelhaven.proxy.routing.attempt import Attempt
 from petrelhaven.proxy.routing.waiting import first_done
 from petrelhaven.proxy.session.statement import Reply
-from petrelhaven.runtime.errors import Late
+from petrelhaven.runtime.errors import DeadlineExceeded
 from petrelhaven.runtime.events import emit
 
 if TYPE_CHECKING:
@@ -20,13 +20,13 @@
     from petrelhaven.proxy.routing.transaction_start import TransactionStart
     from petrelhaven.proxy.session.client_session import ClientSession, Transaction
 
-__all__ = ["HeldTransactions"]
+__all__ = ["TransactionPath"]
 
 _FIRST_PAUSE_US = 10_000
 _STATEMENT_LEAST_US = 100_000
 
 
-class HeldTransactions:
+class TransactionPath:
     """Runs statements inside transactions, and ends transactions."""
 
     def __init__(self, proxy: ProxyNode, calls: MemberCalls, start: TransactionStart) -> None:
@@ -54,10 +54,10 @@
             attempt.started = self._proxy.order.next()
             attempt.started_us = self._clock.now()
             attempt.member.note_asked(attempt.started_us)
-            attempt.task = self._proxy.nest.spawn(
+            attempt.task = self._proxy.tasks.spawn(
                 self._calls.send_pinned(connection, session, statement)
             )
-            with contextlib.suppress(Late):
+            with contextlib.suppress(DeadlineExceeded):
                 yield first_done(self._clock, [attempt.task], limit_us)
             reply = self._reply(transaction, attempt)
             if reply is None:
@@ -93,7 +93,7 @@
             return
         if transaction.has_set:
             connection.odd = True
-        self._proxy.nest.spawn(transaction.group.settle(connection, transaction.member, number))
+        self._proxy.tasks.spawn(transaction.group.settle(connection, transaction.member, number))
 
     def watch_idle(self, session: ClientSession, transaction: Transaction) -> None:
         """Ends a transaction that rests too long.
@@ -189,7 +189,7 @@
         session = request.session
         if reply.code == "readonly":
             member = session.transaction.member
-            self._proxy.tie.doubt(request.group.name, member.name, "replica")
+            self._proxy.core_connection.suspect(request.group.name, member.name, "replica")
         if request.statement.verb == "commit":
             self.release(session)
             session.settle()
--- a/src/petrelhaven/proxy/routing/transaction_start.py
+++ b/src/petrelhaven/proxy/routing/transaction_start.py
@@ -10,7 +10,7 @@
 from petrelhaven.proxy.routing.attempt import Attempt
 from petrelhaven.proxy.routing.member_calls import note_fault
 from petrelhaven.proxy.routing.waiting import first_done
-from petrelhaven.runtime.errors import Busy, Fault, Late
+from petrelhaven.runtime.errors import Busy, DeadlineExceeded, Fault
 
 if TYPE_CHECKING:
     from petrelhaven.proxy.node import ProxyNode
@@ -91,8 +91,8 @@
                 attempt = yield from self._write_attempt(state)
             if attempt is None:
                 continue
-            attempt.task = self._proxy.nest.spawn(self._begin(state, attempt))
-            with contextlib.suppress(Late):
+            attempt.task = self._proxy.tasks.spawn(self._begin(state, attempt))
+            with contextlib.suppress(DeadlineExceeded):
                 yield first_done(self._clock, [attempt.task], state.left_us)
             if not attempt.task.done():
                 attempt.task.cancel()
@@ -184,7 +184,7 @@
             ):
                 state.excluded.add(member.name)
         elif reply.code in ("readonly", "misdirected"):
-            self._proxy.tie.doubt(group.name, member.name, "replica")
+            self._proxy.core_connection.suspect(group.name, member.name, "replica")
             yield first_done(self._clock, [group.turned()], min(state.left_us, _REPLICA_WAIT_US))
         elif reply.code in ("busy", "crowded", "failed"):
             self._proxy.count[reply.code] += 1
--- a/src/petrelhaven/proxy/routing/write_path.py
+++ b/src/petrelhaven/proxy/routing/write_path.py
@@ -10,7 +10,7 @@
 from petrelhaven.proxy.routing.attempt import Attempt
 from petrelhaven.proxy.routing.waiting import first_done
 from petrelhaven.proxy.session.statement import Reply
-from petrelhaven.runtime.errors import Late
+from petrelhaven.runtime.errors import DeadlineExceeded
 from petrelhaven.runtime.events import emit
 
 if TYPE_CHECKING:
@@ -19,7 +19,7 @@
     from petrelhaven.proxy.routing.member_calls import MemberCalls
     from petrelhaven.proxy.routing.request import Request
 
-__all__ = ["HeldWrites"]
+__all__ = ["WritePath"]
 
 _LEADERSHIP_WAIT_US = 100_000
 _FIRST_PAUSE_US = 15_000
@@ -29,7 +29,7 @@
 _NOT_RUN = ("busy", "crowded", "misdirected", "readonly", "unprepared")
 
 
-class HeldWrites:
+class WritePath:
     """Runs writes outside transactions, each as a continuation that ends with a reply."""
 
     def __init__(self, proxy: ProxyNode, calls: MemberCalls) -> None:
@@ -53,8 +53,10 @@
                 yield first_done(self._clock, [group.turned()], min(left_us, _LEADERSHIP_WAIT_US))
                 continue
             attempt = Attempt(member, group.leading)
-            attempt.task = self._proxy.nest.spawn(self._calls.send(request, attempt, None, left_us))
-            with contextlib.suppress(Late):
+            attempt.task = self._proxy.tasks.spawn(
+                self._calls.send(request, attempt, None, left_us)
+            )
+            with contextlib.suppress(DeadlineExceeded):
                 yield first_done(self._clock, [attempt.task], left_us)
             if not attempt.task.done():
                 return self._unanswered(request, attempt)
@@ -93,7 +95,7 @@
             yield first_done(self._clock, [group.turned()], min(left_us, pause_us))
             return min(pause_us * 2, _UNSENT_PAUSE_MOST_US)
         if reply.code in ("readonly", "misdirected"):
-            self._proxy.tie.doubt(group.name, attempt.member.name, "replica")
+            self._proxy.core_connection.suspect(group.name, attempt.member.name, "replica")
             yield first_done(self._clock, [group.turned()], min(left_us, _REPLICA_WAIT_US))
         elif reply.code in ("busy", "crowded"):
             self._proxy.count[reply.code] += 1
--- a/src/petrelhaven/proxy/session/client_session.py
+++ b/src/petrelhaven/proxy/session/client_session.py
@@ -7,7 +7,7 @@
 from transitions import Machine
 
 if TYPE_CHECKING:
-    from petrelhaven.proxy.pool.member_connection import Strand
+    from petrelhaven.proxy.pool.member_connection import MemberConnection
     from petrelhaven.proxy.routing.group import MemberGroup
     from petrelhaven.proxy.routing.member import Member
     from petrelhaven.proxy.routing.route import Route
@@ -48,7 +48,7 @@
         self.route = route
         self.group: MemberGroup | None = None
         self.member: Member | None = None
-        self.connection: Strand | None = None
+        self.connection: MemberConnection | None = None
         self.wrote = self.has_set = self.timed_out = False
 
 
@@ -62,7 +62,7 @@
 
     __slots__ = (
         "host",
-        "visitor",
+        "client",
         "values",
         "prepared",
         "nums",
@@ -89,10 +89,10 @@
     )
     MARK = {"idle": "I", "trading": "T", "failed": "E", "ended": "I"}
 
-    def __init__(self, host: str, visitor: str = "") -> None:
+    def __init__(self, host: str, client: str = "") -> None:
         """Opens a session of `host`; `visitor` names who it is for, if anybody."""
         self.host = host
-        self.visitor = visitor
+        self.client = client
         self.values: dict[str, str] = {}
         self.prepared: dict[str, str] = {}
         self.nums: dict[str | tuple[str, str], str] = {}
--- a/src/petrelhaven/proxy/session/immediate_reply.py
+++ b/src/petrelhaven/proxy/session/immediate_reply.py
@@ -9,7 +9,7 @@
 
 if TYPE_CHECKING:
     from petrelhaven.proxy.node import ProxyNode
-    from petrelhaven.proxy.routing.transaction_path import HeldTransactions
+    from petrelhaven.proxy.routing.transaction_path import TransactionPath
     from petrelhaven.proxy.session.client_session import ClientSession
     from petrelhaven.proxy.session.statement import Ask
 
@@ -17,7 +17,7 @@
 
 
 def reply_at_once(
-    proxy: ProxyNode, transactions: HeldTransactions, session: ClientSession, statement: Ask
+    proxy: ProxyNode, transactions: TransactionPath, session: ClientSession, statement: Ask
 ) -> Reply | None:
     """The reply to a statement that needs no member, or None if it needs one."""
     verb = statement.verb
@@ -37,7 +37,7 @@
 
 
 def _in_failed_transaction(
-    transactions: HeldTransactions, session: ClientSession, verb: str
+    transactions: TransactionPath, session: ClientSession, verb: str
 ) -> Reply:
     if verb != "commit":
         return Reply(code="malformed", text="the transaction has failed; end it", state="E")
--- a/src/petrelhaven/runtime/clock.py
+++ b/src/petrelhaven/runtime/clock.py
@@ -8,13 +8,13 @@
 from collections.abc import Awaitable, Callable, Coroutine
 from typing import TYPE_CHECKING, Any, TypeVar
 
-from petrelhaven.runtime.errors import Fault, Late
+from petrelhaven.runtime.errors import DeadlineExceeded, Fault
 from petrelhaven.runtime.events import emit
 
 if TYPE_CHECKING:
     import logbook
 
-__all__ = ["Clock", "Nest"]
+__all__ = ["Clock", "BackgroundTasks"]
 
 _Result = TypeVar("_Result")
 
@@ -59,7 +59,7 @@
             await asyncio.wait([outcome, over], return_when=asyncio.FIRST_COMPLETED)
             if outcome.done():
                 return outcome.result()
-            raise Late("horizon passed")
+            raise DeadlineExceeded("horizon passed")
         finally:
             timer.cancel()
             if outcome.done():
@@ -68,7 +68,7 @@
                 outcome.cancel()
 
 
-class Nest:
+class BackgroundTasks:
     """The tasks of one node; closing it ends them all."""
 
     __slots__ = ("_tasks", "_log", "shut")
--- a/src/petrelhaven/runtime/daemon.py
+++ b/src/petrelhaven/runtime/daemon.py
@@ -9,12 +9,12 @@
 from collections.abc import Awaitable, Callable, Sequence
 from typing import Any
 
-from petrelhaven.runtime.clock import Clock, Nest
-from petrelhaven.runtime.errors import Misplaced
+from petrelhaven.runtime.clock import BackgroundTasks, Clock
+from petrelhaven.runtime.errors import WrongNode
 from petrelhaven.runtime.events import emit, logger, turn_level
 from petrelhaven.runtime.file_watch import Watch
 from petrelhaven.runtime.settings import SettingsFault, load, seeds_from_stdin
-from petrelhaven.transport.http_server import Face
+from petrelhaven.transport.http_server import HttpServer
 from petrelhaven.transport.link import Link
 
 __all__ = ["Daemon", "say"]
@@ -66,7 +66,7 @@
         except SettingsFault as fault:
             emit(self.log, 105, note=str(fault))
             return _SETTINGS_DECLINED
-        except Misplaced as fault:
+        except WrongNode as fault:
             emit(self.log, 105, note=fault.note)
             return _DATA_OF_ANOTHER_NODE
         except OSError as fault:
@@ -78,11 +78,11 @@
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, stop.set)
-        self.clock, self.nest = Clock(), Nest(self.log)
+        self.clock, self.tasks = Clock(), BackgroundTasks(self.log)
         host, port = self.set.link.rsplit(":", 1)
-        self.link = Link(self.clock, self.nest, self.log, host, int(port))
+        self.link = Link(self.clock, self.tasks, self.log, host, int(port))
         host, port = self.set.http.rsplit(":", 1)
-        self.face = self.make_face(host, int(port))
+        self.http_server = self.make_http_server(host, int(port))
         self.prepare()
         await self.link.start()
         node = None
@@ -93,25 +93,25 @@
             else:
                 self.seeds = self.set.seeds
             node = self._make(self)
-            await self.face.start()
-            node.http = self.face.addr
+            await self.http_server.start()
+            node.http = self.http_server.addr
             self._node = node
             node.start()
             self._mind(node)
-            say(f"started name={self.set.name} link={self.link.addr} http={self.face.addr}")
-            tell = self.nest.spawn(self._tell(node))
+            say(f"started name={self.set.name} link={self.link.addr} http={self.http_server.addr}")
+            tell = self.tasks.spawn(self._tell(node))
             await stop.wait()
             tell.cancel()
             await self._leave(node)
         finally:
-            await self.face.close()
+            await self.http_server.close()
             await self.link.close()
-            await self.nest.close()
+            await self.tasks.close()
         return 0
 
-    def make_face(self, host: str, port: int) -> Face:
+    def make_http_server(self, host: str, port: int) -> HttpServer:
         """The face that the node's routes are put on."""
-        return Face(host, port, log=self.log)
+        return HttpServer(host, port, log=self.log)
 
     def prepare(self) -> None:
         """Checks what must be checked before listening."""
@@ -126,7 +126,7 @@
         again = functools.partial(load, self.prog, self.doc, self.core, self._argv)
         watch = Watch(self.clock, again, self.set, self._turned, self.log)
         node.settings = watch.status
-        self.nest.spawn(watch.run())
+        self.tasks.spawn(watch.run())
 
     def _turned(self, field: str, value: Any) -> None:  # noqa: ANN401 (each field has its type)
         """Takes a setting that changed while the node runs."""
--- a/src/petrelhaven/runtime/errors.py
+++ b/src/petrelhaven/runtime/errors.py
@@ -71,7 +71,7 @@
     code, status = "stale", 409
 
 
-class Taken(Stale):
+class VersionTaken(Stale):
     """Another manifest was accepted under this version."""
 
     code = "taken"
@@ -83,7 +83,7 @@
     code, status = "duplicate", 409
 
 
-class Racing(Fault):
+class Conflict(Fault):
     """Another record was entered first; the same call may succeed later."""
 
     code, status, back = "racing", 409, 200_000
@@ -95,7 +95,7 @@
     code, status = "no-session", 404
 
 
-class Unordered(Fault):
+class InvalidSequence(Fault):
     """A statement that its session's state does not allow."""
 
     code, status = "unordered", 409
@@ -107,13 +107,13 @@
     code, status = "superseded", 409
 
 
-class Ended(Fault):
+class TransactionEnded(Fault):
     """The transaction has ended; nothing of it was kept."""
 
     code, status = "transaction-ended", 409
 
 
-class Oversize(Fault):
+class TooLarge(Fault):
     """A message or a value is too large."""
 
     code, status = "oversize", 413
@@ -137,43 +137,43 @@
     code, status, back = "no-lease", 503, 500_000
 
 
-class Halted(Fault):
+class NoPrimary(Fault):
     """The group has no primary that may be sent to now."""
 
     code, status, back = "halted", 503, 500_000
 
 
-class Leaving(Fault):
+class ShuttingDown(Fault):
     """This node is leaving."""
 
     code, status, back = "leaving", 503, 200_000
 
 
-class Moving(Fault):
+class SessionMoving(Fault):
     """The session is being handed over."""
 
     code, status, back = "moving", 503, 500_000
 
 
-class Late(Fault):
+class DeadlineExceeded(Fault):
     """A bound on time has passed; what was asked may still happen."""
 
     code, status, back = "late", 504, 300_000
 
 
-class Unreached(Fault):
+class Unreachable(Fault):
     """The other side did not answer; it may have got the message."""
 
     code, status, back = "unreached", 503, 300_000
 
 
-class Unsent(Unreached):
+class NotSent(Unreachable):
     """Nothing has left this node."""
 
     code = "unsent"
 
 
-class NotRelayed(Unsent):
+class NotRelayed(NotSent):
     """A relay's answer: nothing of the call that it was to send on has left it."""
 
     code = "not-relayed"
@@ -197,7 +197,7 @@
     code, status, back = "not-ready", 503, 500_000
 
 
-class Deposed(Fault):
+class ViewSuperseded(Fault):
     """The call rests on another view than this core does."""
 
     code, status = "deposed", 409
@@ -209,19 +209,19 @@
     code, status = "fenced", 409
 
 
-class Gone(Fault):
+class MemberReplaced(Fault):
     """The member at this address is another one."""
 
     code, status = "gone", 410
 
 
-class Unversed(Fault):
+class VersionMismatch(Fault):
     """The other side speaks another version."""
 
     code, status = "version", 400
 
 
-class Unspoken(Fault):
+class UnknownKind(Fault):
     """The other side does not know this kind of message."""
 
     code, status = "unknown-kind", 400
@@ -239,19 +239,19 @@
     code, status, back = "disk-refused", 503, 500_000
 
 
-class Misplaced(Fault):
+class WrongNode(Fault):
     """The data folder belongs to another node."""
 
     code = "misplaced"
 
 
-class MemberFault(Fault):
+class MemberDeclined(Fault):
     """A member declined and ran nothing."""
 
     code, status, back = "member-declined", 503, 200_000
 
 
-class MemberSaid(Fault):
+class StatementRejected(Fault):
     """A member declined a statement for its content."""
 
     code, status = "statement", 422
--- a/src/petrelhaven/runtime/limits.py
+++ b/src/petrelhaven/runtime/limits.py
@@ -5,7 +5,7 @@
 import re
 from typing import Any
 
-__all__ = ["NAME", "Whole", "Word"]
+__all__ = ["NAME", "IntegerRange", "TextPattern"]
 
 NAME = re.compile(r"[a-z][a-z0-9-]{0,31}")
 
@@ -32,7 +32,7 @@
         raise NotImplementedError
 
 
-class Whole(_Checked):
+class IntegerRange(_Checked):
     """A whole number within bounds."""
 
     __slots__ = ("lo", "hi", "std")
@@ -50,7 +50,7 @@
         return None
 
 
-class Word(_Checked):
+class TextPattern(_Checked):
     """A word that matches a pattern."""
 
     __slots__ = ("rx", "what", "std")
--- a/src/petrelhaven/runtime/settings.py
+++ b/src/petrelhaven/runtime/settings.py
@@ -12,7 +12,7 @@
 from collections.abc import Sequence
 from typing import Any
 
-from petrelhaven.runtime.limits import NAME, Word
+from petrelhaven.runtime.limits import NAME, TextPattern
 
 __all__ = ["LIVE", "Settings", "SettingsFault", "load"]
 
@@ -47,14 +47,14 @@
     file: str | None
     check: bool
     _seeds: list[str] | str
-    name = Word(NAME, "a name of lower-case letters, digits and hyphens")
-    hall = Word(NAME, "a name of lower-case letters, digits and hyphens")
-    link = Word(_ADDRESS, "an address like 127.0.0.1:7000")
-    http = Word(_ADDRESS, "an address like 127.0.0.1:8000")
-    platform = Word(_ADDRESS, "an address like 127.0.0.1:8000")
-    level = Word(re.compile("debug|info|warning|error"), "debug, info, warning or error")
-    data = Word(re.compile(r"[^\0]+"), "a folder")
-    path = Word(re.compile("held|kept"), "held or kept")
+    name = TextPattern(NAME, "a name of lower-case letters, digits and hyphens")
+    hall = TextPattern(NAME, "a name of lower-case letters, digits and hyphens")
+    link = TextPattern(_ADDRESS, "an address like 127.0.0.1:7000")
+    http = TextPattern(_ADDRESS, "an address like 127.0.0.1:8000")
+    platform = TextPattern(_ADDRESS, "an address like 127.0.0.1:8000")
+    level = TextPattern(re.compile("debug|info|warning|error"), "debug, info, warning or error")
+    data = TextPattern(re.compile(r"[^\0]+"), "a folder")
+    path = TextPattern(re.compile("held|kept"), "held or kept")
 
     @property
     def seeds(self) -> list[str] | str:
--- a/src/petrelhaven/runtime/wall_clock.py
+++ b/src/petrelhaven/runtime/wall_clock.py
@@ -3,12 +3,12 @@
 import time
 from collections.abc import Sequence
 
-__all__ = ["Wall", "agreed"]
+__all__ = ["WallClock", "agreed"]
 
 _OPENS, _CLOSES = -1, 1
 
 
-class Wall:
+class WallClock:
     """This node's wall clock, which may be wrong and may step.
 
     The simulator gives each node its own.
--- a/src/petrelhaven/simulator/connection_sessions/caller.py
+++ b/src/petrelhaven/simulator/connection_sessions/caller.py
@@ -6,8 +6,8 @@
 class FailoverCaller:
     """Asks the platform from one machine."""
 
-    def __init__(self, net, box, platform):
-        self._net, self._box, self._platform = net, box, platform
+    def __init__(self, net, machine, platform):
+        self._net, self._machine, self._platform = net, machine, platform
 
     async def promote(self, group, member, fence, holder):
         """One failover call."""
@@ -16,4 +16,4 @@
         async def there():
             return await p.node.promote(group, member, fence, holder)
 
-        return await self._net.trip(self._box, p, there, 3_000_000, fresh=True)
+        return await self._net.trip(self._machine, p, there, 3_000_000, fresh=True)
--- a/src/petrelhaven/simulator/connection_sessions/client.py
+++ b/src/petrelhaven/simulator/connection_sessions/client.py
@@ -1,7 +1,7 @@
 """A client of the path where sessions live with their connection: operations, tries, what it was told."""
 
 from petrelhaven.proxy.session.statement import Ask
-from petrelhaven.runtime.errors import Fault, Late
+from petrelhaven.runtime.errors import DeadlineExceeded, Fault
 from petrelhaven.simulator.connection_sessions.attempt import PROMISES, Attempt
 from petrelhaven.simulator.connection_sessions.front import Front
 from petrelhaven.simulator.connection_sessions.statement import Statement
@@ -141,7 +141,7 @@
         try:
             r = await self._clock.limit(self._front.ask(a), max(10_000, end - self._clock.now()))
         except Fault as e:
-            s.outcome = "silent" if isinstance(e, Late) else "cut"
+            s.outcome = "silent" if isinstance(e, DeadlineExceeded) else "cut"
             raise
         finally:
             s.ended = self.fleet.loop.time()
--- a/src/petrelhaven/simulator/connection_sessions/connection.py
+++ b/src/petrelhaven/simulator/connection_sessions/connection.py
@@ -35,7 +35,7 @@
             self._orders.append(order)
             if not self._on:
                 self._on = True
-                self.member.box.nest.spawn(self._serve())
+                self.member.machine.tasks.spawn(self._serve())
 
     def end(self):
         """The connection is over: its transaction is rolled back."""
--- a/src/petrelhaven/simulator/connection_sessions/control_answer.py
+++ b/src/petrelhaven/simulator/connection_sessions/control_answer.py
@@ -3,9 +3,9 @@
 import enum
 from dataclasses import dataclass
 
-from petrelhaven.control.node import Seat
+from petrelhaven.control.node import ControlNode
 from petrelhaven.control.orders import ANSWER_US
-from petrelhaven.runtime.errors import Duplicate, Fault, Stale, Taken
+from petrelhaven.runtime.errors import Duplicate, Fault, Stale, VersionTaken
 from petrelhaven.simulator.connection_sessions.operator_order import ConfigOrder, EvacuationOrder
 
 __all__ = ["Answer", "AnswerKind", "answer_order"]
@@ -38,13 +38,13 @@
         return self.status == 200
 
 
-async def answer_order(seat: Seat, order: ConfigOrder | EvacuationOrder) -> Answer:
+async def answer_order(node: ControlNode, order: ConfigOrder | EvacuationOrder) -> Answer:
     """Has a core carry out an order, as the platform's core daemon does."""
     try:
-        await seat.clock.limit(_carry_out(seat, order), _ACK_US)
+        await node.clock.limit(_carry_out(node, order), _ACK_US)
     except Duplicate as e:
         return Answer(AnswerKind.TAKEN_BEFORE, 200, e.note)
-    except Taken as e:
+    except VersionTaken as e:
         return Answer(AnswerKind.REFUSED, e.status, e.note)
     except Stale as e:
         if isinstance(order, ConfigOrder) and e.more.get("version", 0) > order.version:
@@ -56,8 +56,8 @@
     return Answer(AnswerKind.TAKEN, 200)
 
 
-async def _carry_out(seat: Seat, order: ConfigOrder | EvacuationOrder) -> None:
+async def _carry_out(node: ControlNode, order: ConfigOrder | EvacuationOrder) -> None:
     if isinstance(order, ConfigOrder):
-        await seat.apply(order.text, by="operator", within_us=ANSWER_US)
+        await node.apply(order.text, by="operator", within_us=ANSWER_US)
     else:
-        await seat.hall_to(order.hall, order.state, by="operator", within_us=ANSWER_US)
+        await node.set_zone_state(order.zone, order.state, by="operator", within_us=ANSWER_US)
--- a/src/petrelhaven/simulator/connection_sessions/control_faults.py
+++ b/src/petrelhaven/simulator/connection_sessions/control_faults.py
@@ -6,7 +6,7 @@
 
 from petrelhaven.simulator.connection_sessions.faults import Faults
 from petrelhaven.simulator.connection_sessions.operator_order import OrderRecord
-from petrelhaven.simulator.net import Box
+from petrelhaven.simulator.net import SimulatedMachine
 
 __all__ = ["CONTROL_KINDS", "ControlFaults"]
 
@@ -15,7 +15,7 @@
 _MANY_ROUTES = 1_000
 _MANY_CHANGES = 400
 _AT_ONCE = 8
-_HALLS = "abc"
+_ZONES = "abc"
 _WAIT_FOR_ACK_S = 8.0
 
 CORE_KINDS = [
@@ -61,16 +61,18 @@
         super().__init__(fleet)
         self.lost_share = 0.0
 
-    def _place(self, r: random.Random) -> Box:
+    def _place(self, r: random.Random) -> SimulatedMachine:
         chain = self.f.chain_order()
         if chain and r.random() < 0.6:
             return chain[r.choice((0, 0, len(chain) // 2, -1))]
         return r.choice(self.f.cores)
 
-    def _others(self, core: Box) -> list[str]:
+    def _others(self, core: SimulatedMachine) -> list[str]:
         return [c.name for c in self.f.cores if c is not core]
 
-    async def _down(self, cores: list[Box], seconds: float, silent: bool = False) -> None:
+    async def _down(
+        self, cores: list[SimulatedMachine], seconds: float, silent: bool = False
+    ) -> None:
         for c in cores:
             if silent:
                 self.f.net.silent.add(c.name)
@@ -103,7 +105,7 @@
         self._place(r).freeze(_LONG_FREEZE_US)
         await self._rest(r, 20, 20, "core")
 
-    async def _cut(self, core: Box, seconds: float, both: bool = True) -> None:
+    async def _cut(self, core: SimulatedMachine, seconds: float, both: bool = True) -> None:
         self.f.cut([core.name], self._others(core), int(seconds * 1e6), both)
         await asyncio.sleep(seconds)
 
@@ -138,14 +140,14 @@
         if self.f.may_lose_a_disk(core):
             await self._wipe(core, r)
 
-    async def _wipe(self, core: Box, r: random.Random) -> None:
+    async def _wipe(self, core: SimulatedMachine, r: random.Random) -> None:
         self.f.wipe(core)
         await self._rest(r, 0.1, 4, "core")
         core.up or self.f.boot_core(core)
 
     async def _replace_planned(self, r):
         core = self._place(r)
-        new = self.f.add_core(core.hall)
+        new = self.f.add_core(core.zone)
         await asyncio.sleep(r.uniform(0.5, 6))
         while core in self.f.cores and not self.f.may_lose_a_disk(core):
             await asyncio.sleep(0.1)
@@ -177,7 +179,7 @@
         """Runs `then(core)` right after the next acknowledgement that an operator hears."""
         heard = self.f.loop.create_future()
 
-        def note(core: Box, record: OrderRecord) -> None:
+        def note(core: SimulatedMachine, record: OrderRecord) -> None:
             if not heard.done():
                 heard.set_result(core)
 
@@ -252,7 +254,7 @@
             return
         self._emptying = True
         for _ in range(r.randrange(1, 4)):
-            await self.f.evacuate(self._operator(), r.choice(_HALLS), r.uniform(0.2, 4))
+            await self.f.evacuate(self._operator(), r.choice(_ZONES), r.uniform(0.2, 4))
         self._emptying = False
 
     async def _evacuate(self, r):
--- a/src/petrelhaven/simulator/connection_sessions/control_fleet.py
+++ b/src/petrelhaven/simulator/connection_sessions/control_fleet.py
@@ -5,7 +5,7 @@
 import random
 
 from petrelhaven.simulator.connection_sessions.control_judge import judge_orders
-from petrelhaven.simulator.connection_sessions.fleet import HeldFleet
+from petrelhaven.simulator.connection_sessions.fleet import SimulatedFleet
 from petrelhaven.simulator.connection_sessions.operator import Operator
 from petrelhaven.simulator.connection_sessions.operator_order import (
     ConfigOrder,
@@ -13,7 +13,7 @@
     OrderRecord,
     ReadRecord,
 )
-from petrelhaven.simulator.net import Box
+from petrelhaven.simulator.net import SimulatedMachine
 
 __all__ = ["CATCH_UP_S", "CONTACT_S", "ControlFleet"]
 
@@ -27,7 +27,7 @@
 _SEEDS = 3
 
 
-class ControlFleet(HeldFleet):
+class ControlFleet(SimulatedFleet):
     """`orders` and `reads` keep what operators sent and read; `trouble_at` when each core was last in trouble.
 
     A core is in trouble while it is down, frozen or cut from another core, as the users' pages count losses.
@@ -85,14 +85,14 @@
 
     def config(self, version: int, timeout_us: int = 2_000_000, routes: int = 0) -> ConfigOrder:
         """A configuration; what differs between two of one number is the timeout."""
-        doc = json.loads(self.manifest(version, timeout_us))
+        doc = json.loads(self.configuration(version, timeout_us))
         first = doc["routes"][0]
         doc["routes"] += [
             {**first, "name": f"more-{i}", "host": f"more-{i}"} for i in range(routes)
         ]
         return ConfigOrder(version, json.dumps(doc))
 
-    def listed_cores(self) -> list[Box]:
+    def listed_cores(self) -> list[SimulatedMachine]:
         """The cores on the operators' list, which lags."""
         now = self.loop.time()
         listed = [
@@ -102,19 +102,19 @@
         ]
         return listed or list(self.cores)
 
-    def order_answered(self, core: Box, record: OrderRecord) -> None:
+    def order_answered(self, core: SimulatedMachine, record: OrderRecord) -> None:
         """A core has answered an order well; the answer may still be lost."""
         for call in list(self.on_answered):
             call(core, record)
 
-    def order_acknowledged(self, core: Box, record: OrderRecord) -> None:
+    def order_acknowledged(self, core: SimulatedMachine, record: OrderRecord) -> None:
         """An operator has heard the acknowledgement of an order."""
         if isinstance(record.order, ConfigOrder):
             self.taken.append((self.loop.time(), record.order.version))
         for call in list(self.on_acknowledged):
             call(core, record)
 
-    def chain_order(self) -> list[Box]:
+    def chain_order(self) -> list[SimulatedMachine]:
         """The cores in the order of the newest view's chain."""
         views = [c.node.chain.view for c in self.cores if c.node and c.node.chain.view]
         newest = max(views, key=lambda view: view["n"], default=None)
@@ -125,45 +125,45 @@
         """Whether as many cores as can count are in the newest view's chain and hold all that its head holds."""
         chain = self.chain_order()
         most = 2 * self.losses + 1
-        seats = [c.node for c in chain]
-        if len(chain) != min(len(self.cores), most) or None in seats:
+        nodes = [c.node for c in chain]
+        if len(chain) != min(len(self.cores), most) or None in nodes:
             return False
-        newest = max(s.chain.view["n"] for s in seats if s.chain.view)
+        newest = max(s.chain.view["n"] for s in nodes if s.chain.view)
         counted = max(
-            (s.chain.view for s in seats if s.chain.view and s.chain.view["n"] == newest),
+            (s.chain.view for s in nodes if s.chain.view and s.chain.view["n"] == newest),
             key=lambda view: view["n"],
         )["ids"]
-        held = [s.mem.realm.seq for s in seats]
+        held = [s.mem.control_state.seq for s in nodes]
         return (
             len(counted) == len(chain)
-            and all(s.chain.view and s.chain.view["n"] == newest for s in seats)
-            and all(s.chain.complete for s in seats)
+            and all(s.chain.view and s.chain.view["n"] == newest for s in nodes)
+            and all(s.chain.complete for s in nodes)
             and max(held) - min(held) <= _UNDER_WAY
         )
 
-    def may_lose_a_disk(self, core: Box) -> bool:
+    def may_lose_a_disk(self, core: SimulatedMachine) -> bool:
         """Whether one more core may be lost with its disk: at most `losses` are lost at a time."""
         since = self.loop.time() - CATCH_UP_S
         others = [c for c in self.cores if c is not core]
         lost = sum(self.trouble_at.get(c.name, -1.0) > since for c in others)
         return lost + self._missing < self.losses
 
-    def wipe(self, core: Box) -> None:
+    def wipe(self, core: SimulatedMachine) -> None:
         """Ends a core and empties its disk."""
         core.kill()
         core.disk.lose()
         self.note_trouble(core)
 
-    def add_core(self, hall: str) -> Box:
+    def add_core(self, zone: str) -> SimulatedMachine:
         """Powers on an empty core at a new address."""
         self._number += 1
-        box = Box(self.net, f"c{self._number}", hall, self._rate())
-        self.cores.append(box)
-        self.note_trouble(box)
-        self.boot_core(box)
-        return box
+        machine = SimulatedMachine(self.net, f"c{self._number}", zone, self._rate())
+        self.cores.append(machine)
+        self.note_trouble(machine)
+        self.boot_core(machine)
+        return machine
 
-    def retire(self, core: Box) -> None:
+    def retire(self, core: SimulatedMachine) -> None:
         """Takes a core away for good, and its address out of the settings files."""
         core.kill(silent=core.name in self.net.silent)
         self._retired.add(core.name)
@@ -171,26 +171,26 @@
         self.trouble_at.pop(core.name, None)
         self._renew_seeds()
 
-    async def replace_unplanned(self, core: Box, after_s: float) -> Box:
+    async def replace_unplanned(self, core: SimulatedMachine, after_s: float) -> SimulatedMachine:
         """A core is gone without a word, and an empty one comes later."""
         self.net.silent.add(core.name)
         self.retire(core)
         self._missing += 1
         await asyncio.sleep(after_s)
         self._missing -= 1
-        return self.add_core(core.hall)
+        return self.add_core(core.zone)
 
-    async def replace_planned(self, core: Box, overlap_s: float) -> Box:
+    async def replace_planned(self, core: SimulatedMachine, overlap_s: float) -> SimulatedMachine:
         """An empty core comes first, then the old one is told to leave and is gone after the grace time at most."""
-        new = self.add_core(core.hall)
+        new = self.add_core(core.zone)
         await asyncio.sleep(overlap_s)
         await self.leave_for(core, new)
         return new
 
-    async def leave_for(self, core: Box, new: Box) -> None:
+    async def leave_for(self, core: SimulatedMachine, new: SimulatedMachine) -> None:
         """A core whose successor has come is told to leave, and is gone for good."""
         if core.up and core.node is not None:
-            await asyncio.wait([core.nest.spawn(core.node.drain())], timeout=_GRACE_S)
+            await asyncio.wait([core.tasks.spawn(core.node.drain())], timeout=_GRACE_S)
         if core in self.cores:
             self.retire(core)
             self.note_trouble(new)
@@ -202,9 +202,9 @@
             if c.node is not None:
                 c.node.seeds[:] = self.seeds
 
-    def set_own_seeds(self, box: Box, names: list[str]) -> None:
+    def set_own_seeds(self, machine: SimulatedMachine, names: list[str]) -> None:
         """The settings file that `box` starts with next names these seeds."""
-        self._own_seeds[box.name] = [f"sim:{n}" for n in names]
+        self._own_seeds[machine.name] = [f"sim:{n}" for n in names]
 
     def _renew_seeds(self):
         alive = [c.name for c in self.cores]
@@ -212,11 +212,11 @@
         more = [n for n in alive if n not in kept]
         self.exchange_seeds((kept + more)[:_SEEDS])
 
-    def note_trouble(self, core: Box) -> None:
+    def note_trouble(self, core: SimulatedMachine) -> None:
         """Counts a core as lost from now on until it has had time to catch up."""
         self.trouble_at[core.name] = self.loop.time()
 
-    def core_in_trouble(self, core: Box) -> bool:
+    def core_in_trouble(self, core: SimulatedMachine) -> bool:
         """Whether a core is down, frozen, or not in touch, both ways, with more than half of the cores."""
         if not core.up or core.frozen:
             return True
@@ -287,31 +287,31 @@
             if not e.up or e.frozen or cut or not settled:
                 self._edge_trouble_at[e.name] = now
             elif now - self._edge_trouble_at.get(e.name, 0.0) > CONTACT_S:
-                manifest = e.node.tie.ledger.doc["manifest"]
-                held = manifest["version"] if manifest else 0
+                configuration = e.node.core_connection.control_state.doc["manifest"]
+                held = configuration["version"] if configuration else 0
                 if held < due:
                     self.find("NOT IN FORCE", f"{e.name} holds {held}, {due} was acknowledged")
 
-    async def evacuate(self, operator: Operator, hall: str, rest_s: float) -> list[bool]:
+    async def evacuate(self, operator: Operator, zone: str, rest_s: float) -> list[bool]:
         """Begins an evacuation and ends it; whether each order was acknowledged."""
         acknowledged = []
         for state in ("emptied", "open"):
             sent = self.loop.time()
-            self.halls_taken.pop(hall, None)
+            self.zones_taken.pop(zone, None)
             if state == "open":
-                self._end_evacuations(hall, sent)
-            heard = await operator.send(EvacuationOrder(hall, state))
+                self._end_evacuations(zone, sent)
+            heard = await operator.send(EvacuationOrder(zone, state))
             acknowledged.append(heard)
             if heard:
-                self.halls_taken[hall] = state
+                self.zones_taken[zone] = state
                 if state == "emptied":
-                    self.history.evacuations.append((hall, self.loop.time(), None))
+                    self.history.evacuations.append((zone, self.loop.time(), None))
                     await asyncio.sleep(rest_s)
         return acknowledged
 
-    def _end_evacuations(self, hall, at):
+    def _end_evacuations(self, zone, at):
         self.history.evacuations = [
-            (h, since, at if h == hall and until is None else until)
+            (h, since, at if h == zone and until is None else until)
             for h, since, until in self.history.evacuations
         ]
 
--- a/src/petrelhaven/simulator/connection_sessions/control_scenes.py
+++ b/src/petrelhaven/simulator/connection_sessions/control_scenes.py
@@ -73,7 +73,7 @@
     """Two cores get successors, and are told to leave once those have had time to catch up."""
     await fleet.start()
     leaving = fleet.chain_order()[:2]
-    new = [fleet.add_core(c.hall) for c in leaving]
+    new = [fleet.add_core(c.zone) for c in leaving]
     await asyncio.sleep(CATCH_UP_S)
     await asyncio.gather(*map(fleet.leave_for, leaving, new))
     return await _ended(fleet)
@@ -129,7 +129,7 @@
     head = fleet.chain_order()[0]
     for state, first in (("emptied", frozen), ("open", head)):
         if await fleet.operator().send(EvacuationOrder("c", state), first=first):
-            fleet.halls_taken["c"] = state
+            fleet.zones_taken["c"] = state
         await asyncio.sleep(0.5)
     await asyncio.sleep(18)
     return await _ended(fleet)
--- a/src/petrelhaven/simulator/connection_sessions/control_storm.py
+++ b/src/petrelhaven/simulator/connection_sessions/control_storm.py
@@ -34,14 +34,14 @@
     """Brings the faults about while operators work; what was violated."""
     await fleet.start()
     faults = ControlFaults(fleet)
-    fleet.visit(_CLIENTS)
+    fleet.start_clients(_CLIENTS)
     work = Work(fleet, faults)
     began = fleet.loop.time()
     for at, kind, pick in rows:
         await asyncio.sleep(max(0, began + at - fleet.loop.time()))
         faults.go(kind, pick)
     await asyncio.gather(*faults.tasks)
-    while any(fleet.net.cuts.values()) or any(b.frozen for b in fleet.net.boxes.values()):
+    while any(fleet.net.cuts.values()) or any(b.frozen for b in fleet.net.machines.values()):
         await asyncio.sleep(0.1)
     for core in fleet.cores:
         core.up or fleet.boot_core(core)
@@ -84,7 +84,12 @@
             return []
         await asyncio.sleep(0.02)
     rows = [
-        (c.name, c.node and c.node.state, c.node and c.node.mem.realm.seq, c.node.chain.view)
+        (
+            c.name,
+            c.node and c.node.state,
+            c.node and c.node.mem.control_state.seq,
+            c.node.chain.view,
+        )
         for c in fleet.cores
         if c.node
     ]
--- a/src/petrelhaven/simulator/connection_sessions/embargo.py
+++ b/src/petrelhaven/simulator/connection_sessions/embargo.py
@@ -5,13 +5,13 @@
 import random
 
 from petrelhaven.proxy.session.statement import Ask
-from petrelhaven.runtime.errors import Fault, Late, Unsent
+from petrelhaven.runtime.errors import DeadlineExceeded, Fault, NotSent
 from petrelhaven.simulator.connection_sessions.attempt import Attempt
-from petrelhaven.simulator.connection_sessions.fleet import HeldFleet
+from petrelhaven.simulator.connection_sessions.fleet import SimulatedFleet
 from petrelhaven.simulator.connection_sessions.front import Front
 from petrelhaven.simulator.connection_sessions.statement import Statement
 
-__all__ = ["BASE_US", "EmbargoedFleet", "EmbargoedRecord", "SimulatedWall"]
+__all__ = ["BASE_US", "EmbargoedFleet", "EmbargoedRecord", "SimulatedWallClock"]
 
 BASE_US = 1_780_000_000_000_000
 _SECRET = "secret"
@@ -19,7 +19,7 @@
 _STEPS = (-5_000_000, 5_000_000, -700_000, 700_000, 0)
 
 
-class SimulatedWall:
+class SimulatedWallClock:
     """A machine's time of day: true time and an error."""
 
     def __init__(self, true, off):
@@ -62,14 +62,14 @@
         )
 
 
-class EmbargoedFleet(HeldFleet):
+class EmbargoedFleet(SimulatedFleet):
     """A fleet whose groups are embargoed. Each reply of each edge is judged at the moment at which it is given."""
 
     def __init__(self, seed, records=3, **kw):
         super().__init__(seed, **kw)
         self._random = random.Random(seed * 31 + 7)
         self.walls = {
-            c.name: SimulatedWall(self.true, self._random.randrange(-80_000, 80_000))
+            c.name: SimulatedWallClock(self.true, self._random.randrange(-80_000, 80_000))
             for c in self.cores
         }
         self.records = {f"r{i}": EmbargoedRecord(f"r{i}") for i in range(records)}
@@ -80,17 +80,17 @@
         """True time in microseconds of UTC."""
         return BASE_US + int(self.loop.time() * 1e6)
 
-    def wall(self, b):
+    def wall_clock(self, b):
         """The wall clock of a core."""
         return self.walls[b.name]
 
     embargoed, spread_us = True, 2_000_000
 
-    def manifest(self, version, **kw):
+    def configuration(self, version, **kw):
         """The text of a manifest that names every group as embargoed."""
         if not self.embargoed:
-            return super().manifest(version, **kw)
-        m = json.loads(super().manifest(version, **kw))
+            return super().configuration(version, **kw)
+        m = json.loads(super().configuration(version, **kw))
         m["bounds"]["spread_us"] = self.spread_us
         return json.dumps({**m, "embargoing": sorted(self.groups)})
 
@@ -135,7 +135,7 @@
 
             async def there(c=c):
                 if c.node is None:
-                    raise Unsent(c.name)
+                    raise NotSent(c.name)
                 return await c.node.embargoes.change(d)
 
             try:
@@ -183,7 +183,7 @@
         try:
             r = await self.out.clock.limit(c.ask(a), 3_000_000)
         except Fault as e:
-            s.outcome = "silent" if isinstance(e, Late) else "cut"
+            s.outcome = "silent" if isinstance(e, DeadlineExceeded) else "cut"
             raise
         finally:
             s.ended = self.loop.time()
@@ -230,14 +230,14 @@
             await self._ask(g + r.choice(("", "-browse")), [*asks, read])
 
     async def _step(self):
-        wall = self.walls[self._random.choice(sorted(self.walls))]
+        wall_clock = self.walls[self._random.choice(sorted(self.walls))]
         while self._reading:
             await asyncio.sleep(self._random.uniform(0.5, 4))
-            wall.off = self._random.choice(_STEPS)
+            wall_clock.off = self._random.choice(_STEPS)
 
-    def visit(self, count, **kw):
+    def start_clients(self, count, **kw):
         """Starts clients, and what happens to the embargoed records."""
-        super().visit(count, **kw)
+        super().start_clients(count, **kw)
         lives = [self._life(t) for t in sorted(self.records)]
         self._tasks = [self.loop.create_task(c) for c in lives]
         for c in (self._step(), *(self._read(n) for n in range(_READERS))):
--- a/src/petrelhaven/simulator/connection_sessions/faults.py
+++ b/src/petrelhaven/simulator/connection_sessions/faults.py
@@ -167,8 +167,8 @@
         b.disk.tear = False
         b.up or self.f.boot_core(b)
 
-    def _in(self, hall):
-        return [b.name for b in self.f.net.boxes.values() if b.hall == hall]
+    def _in(self, zone):
+        return [b.name for b in self.f.net.machines.values() if b.zone == zone]
 
     async def _isolate(self, r):
         a = r.choice("abc")
@@ -195,18 +195,18 @@
     async def _primary_cut(self, r):
         """Cut from the cores alone: edges still reach it."""
         m = self._group(r).leader
-        self.f.cut([m.box.name], [c.name for c in self.f.cores], int(r.uniform(1, 7) * 1e6))
+        self.f.cut([m.machine.name], [c.name for c in self.f.cores], int(r.uniform(1, 7) * 1e6))
 
     async def _crash(self, r, m):
         if m.running:
             m.stop()
-            await self._rest(r, 0.2, 6, m.box.name)
-            if not m.box.up:
-                self.f.boot_member(m.box, m)
+            await self._rest(r, 0.2, 6, m.machine.name)
+            if not m.machine.up:
+                self.f.boot_member(m.machine, m)
 
     async def _isolate_primary(self, r):
         """Its hall, with the edges and the core there, is cut from the rest."""
-        a = self._group(r).leader.box.hall
+        a = self._group(r).leader.machine.zone
         rest = [n for h in "abc" if h != a for n in self._in(h)] + ["platform"]
         self.f.cut(self._in(a), rest, int(r.uniform(2, 6) * 1e6))
 
@@ -251,9 +251,9 @@
         m = self._replica(r)
         if m.running:
             m.stop()
-            await self._rest(r, 0.02, 0.3, m.box.name)
-            if not m.box.up:
-                self.f.boot_member(m.box, m)
+            await self._rest(r, 0.02, 0.3, m.machine.name)
+            if not m.machine.up:
+                self.f.boot_member(m.machine, m)
 
     async def _edge_cut(self, r):
         """An edge is cut from the cores alone: it still reaches the members, and clients it."""
@@ -269,7 +269,7 @@
     async def _dark(self, r, m):
         if m.running and not m.dark:
             m.dark = True
-            await self._rest(r, 0.3, 6, m.box.name)
+            await self._rest(r, 0.3, 6, m.machine.name)
             m.go_light()
 
     async def _primary_dark(self, r):
@@ -315,23 +315,23 @@
         if not m.running or m.state != "ready":
             return
         m.state = "draining"
-        m.beat_now.set()
+        m.heartbeat_now.set()
         for _ in range(50):
-            if "draining" in m.beats.acknowledged:
+            if "draining" in m.heartbeats.acknowledged:
                 break
             await asyncio.sleep(0.1)
         now = self.f.loop.time()
-        if "draining" in m.beats.acknowledged and self.f.history.in_touch("", now, 5.0):
+        if "draining" in m.heartbeats.acknowledged and self.f.history.in_touch("", now, 5.0):
             self.f.history.drained[m.name] = now
         await asyncio.sleep(r.uniform(5.3, 7))
         if m.running and not m.dark:
             await asyncio.wait(
-                [m.box.nest.spawn(m.beats.tell(lambda n: n.depart(m.name)))], timeout=5
+                [m.machine.tasks.spawn(m.heartbeats.tell(lambda n: n.depart(m.name)))], timeout=5
             )
         if m.running:
             m.stop()
         await asyncio.sleep(r.uniform(0.3, 2))
-        if not m.box.up:
+        if not m.machine.up:
             self.f.replace_member(m)
 
     async def _release_primary(self, r):
@@ -360,9 +360,9 @@
             return
         self._emptying = True
         h = r.choice("abc")
-        await self.f.hall(h, "emptied", r.randrange(3))
+        await self.f.zone(h, "emptied", r.randrange(3))
         await asyncio.sleep(r.uniform(3, 9))
-        await self.f.hall(h, "open", r.randrange(3))
+        await self.f.zone(h, "open", r.randrange(3))
         self._emptying = False
 
     async def _manifests(self, r):
@@ -391,7 +391,7 @@
     async def _vanish(self, r):
         """A hall loses power without a word."""
         a = r.choice("abc")
-        bs = [b for b in self.f.net.boxes.values() if b.hall == a and b.up]
+        bs = [b for b in self.f.net.machines.values() if b.zone == a and b.up]
         members = {b: b.node for b in bs if b in self.f.members}
         for b in bs:
             self.f.net.silent.add(b.name)
--- a/src/petrelhaven/simulator/connection_sessions/fleet.py
+++ b/src/petrelhaven/simulator/connection_sessions/fleet.py
@@ -4,37 +4,37 @@
 import json
 import random
 
-from petrelhaven.control.node import Seat
-from petrelhaven.proxy.core_connection import Tie
+from petrelhaven.control.node import ControlNode
+from petrelhaven.proxy.core_connection import CoreConnection
 from petrelhaven.proxy.node import ProxyNode
-from petrelhaven.runtime.errors import Fault, Unsent
+from petrelhaven.runtime.errors import Fault, NotSent
 from petrelhaven.simulator.connection_sessions.caller import FailoverCaller
 from petrelhaven.simulator.connection_sessions.client import Client
 from petrelhaven.simulator.connection_sessions.failover import FailoverService
 from petrelhaven.simulator.connection_sessions.group import DatabaseGroup
-from petrelhaven.simulator.connection_sessions.heartbeats import Beats
+from petrelhaven.simulator.connection_sessions.heartbeats import Heartbeats
 from petrelhaven.simulator.connection_sessions.history import History
 from petrelhaven.simulator.connection_sessions.judge import judge
 from petrelhaven.simulator.connection_sessions.member import DatabaseMember
 from petrelhaven.simulator.connection_sessions.wire import SimulatedWire
-from petrelhaven.simulator.net import Box, Net
+from petrelhaven.simulator.net import Net, SimulatedMachine
 
-__all__ = ["HeldFleet"]
+__all__ = ["SimulatedFleet"]
 
-_HALLS = ("a", "b", "c")
+_ZONES = ("a", "b", "c")
 _BOUND_US = 3_500_000
 _APPLY_S = 5.0
 _SEEDS = 3
 
 
-class HeldFleet:
+class SimulatedFleet:
     """Cores (three, or five where two may be lost), edges, groups of three members, a platform and clients.
 
     `history` keeps what the clients saw. The settings of every machine name the first three cores as seeds.
     """
 
     stale_us = 1_500_000
-    beat_us = 1_200_000
+    heartbeat_us = 1_200_000
 
     def __init__(self, seed, edges=4, groups=1, lag_us=30_000, cap=None, took_us=None, losses=1):
         self.rng = random.Random(seed)
@@ -46,27 +46,36 @@
         self.clients = []
         self.losses = losses
         self.cores = [
-            Box(self.net, f"c{i + 1}", _HALLS[i % 3], self._rate()) for i in range(2 * losses + 1)
+            SimulatedMachine(self.net, f"c{i + 1}", _ZONES[i % 3], self._rate())
+            for i in range(2 * losses + 1)
+        ]
+        self.edges = [
+            SimulatedMachine(self.net, f"e{i + 1}", _ZONES[i % 3], self._rate())
+            for i in range(edges)
         ]
-        self.edges = [Box(self.net, f"e{i + 1}", _HALLS[i % 3], self._rate()) for i in range(edges)]
         self.groups = {
             f"g{i + 1}": DatabaseGroup(f"g{i + 1}", self.net, self.history, 1, lag_us, cap)
             for i in range(groups)
         }
         self.members = []
         for i, g in enumerate(self.groups):
-            self.members += [Box(self.net, f"{g}-{j + 1}", _HALLS[(i + j) % 3]) for j in range(3)]
-        self.platform, self.out = Box(self.net, "platform", "out"), Box(self.net, "clients", "out")
+            self.members += [
+                SimulatedMachine(self.net, f"{g}-{j + 1}", _ZONES[(i + j) % 3]) for j in range(3)
+            ]
+        self.platform, self.out = (
+            SimulatedMachine(self.net, "platform", "out"),
+            SimulatedMachine(self.net, "clients", "out"),
+        )
         self.seeds = [f"sim:{c.name}" for c in self.cores[:_SEEDS]]
         self.version, self.taken = 0, []
-        self.halls_taken = {}
+        self.zones_taken = {}
         self._seen = {}
         self._lives = {}
 
     def _rate(self):
         return 1.0 + self.rng.uniform(-0.01, 0.01)
 
-    def manifest(self, version, timeout_us=2_000_000):
+    def configuration(self, version, timeout_us=2_000_000):
         """The text of a manifest."""
         routes = []
         for g in self.groups:
@@ -87,7 +96,7 @@
             {
                 "name": "fleet",
                 "version": version,
-                "halls": list(_HALLS),
+                "halls": list(_ZONES),
                 "groups": [
                     {"name": g, "cap": x.cap, "sync": x.sync} for g, x in self.groups.items()
                 ],
@@ -104,29 +113,29 @@
         """Whether the settings of core `b` say that the whole system starts for the first time."""
         return True
 
-    def wall(self, b):
+    def wall_clock(self, b):
         """The wall clock of a core; nothing asks for it while embargoes are off."""
 
     def boot_core(self, b):
         """Powers a core on."""
         b.boot()
         try:
-            b.node = Seat(
+            b.node = ControlNode(
                 b.name,
-                b.hall,
+                b.zone,
                 self.seeds_for(b),
                 b.clock,
-                b.nest,
+                b.tasks,
                 b.link,
                 b.disk,
                 random.Random(self.rng.random()),
                 FailoverCaller(self.net, b, self.platform),
                 SimulatedWire(self.net, b),
-                self.beat_us,
+                self.heartbeat_us,
                 b.log,
                 founds=self.founds(b),
                 losses=self.losses,
-                wall=self.wall(b),
+                wall_clock=self.wall_clock(b),
             )
         except asyncio.CancelledError:
             if b.up:
@@ -139,17 +148,19 @@
         b.boot()
         rng = random.Random(self.rng.random())
 
-        def near(hall):
-            return 0 if hall == b.hall else 1
+        def near(zone):
+            return 0 if zone == b.zone else 1
 
-        tie = Tie(b.clock, b.nest, b.link, rng, b.name, self.seeds_for(b), near, b.log)
+        core_connection = CoreConnection(
+            b.clock, b.tasks, b.link, rng, b.name, self.seeds_for(b), near, b.log
+        )
         b.node = ProxyNode(
             b.name,
-            b.hall,
+            b.zone,
             b.clock,
-            b.nest,
+            b.tasks,
             rng,
-            tie,
+            core_connection,
             SimulatedWire(self.net, b),
             near,
             _BOUND_US,
@@ -165,22 +176,22 @@
         if member is None:
             n = self._lives[b.name] = self._lives.get(b.name, 0) + 1
             member = DatabaseMember(g, f"{b.name}.{n}", b)
-            g.members = [m for m in g.members if m.box is not b] + [member]
+            g.members = [m for m in g.members if m.machine is not b] + [member]
         b.node = member
         member.start()
-        member.beats = Beats(self.net, member, self.cores, self.beat_us)
-        b.nest.spawn(member.beats.run())
+        member.heartbeats = Heartbeats(self.net, member, self.cores, self.heartbeat_us)
+        b.tasks.spawn(member.heartbeats.run())
         return member
 
     def replace_member(self, old):
         """A new member at the address of one that has ended, with its log; it leads if nobody else was promoted."""
-        g, b = old.group, old.box
+        g, b = old.group, old.machine
         m = self.boot_member(b)
         m.take_log(old)
         if g.leader is old:
             g.leader = m
         m.follow()
-        m.beat_now.set()
+        m.heartbeat_now.set()
         return m
 
     async def start(self):
@@ -228,7 +239,7 @@
 
             async def there(c=c):
                 if c.node is None:
-                    raise Unsent(c.name)
+                    raise NotSent(c.name)
                 return await fn(c.node)
 
             try:
@@ -241,25 +252,25 @@
 
     async def apply(self, version, by=0, **kw):
         """Applies a manifest; every clear answer but 422 acknowledges it."""
-        r = await self._order(lambda n: n.apply(self.manifest(version, **kw)), by)
+        r = await self._order(lambda n: n.apply(self.configuration(version, **kw)), by)
         if r is not None:
             self.taken.append((self.loop.time(), version))
         return r
 
-    async def hall(self, hall, state, by=0):
+    async def zone(self, zone, state, by=0):
         """Empties or restores a hall."""
         sent = self.loop.time()
-        self.halls_taken.pop(hall, None)
+        self.zones_taken.pop(zone, None)
         if state == "open":
             self.history.evacuations = [
-                (h, t, sent if h == hall and u is None else u)
+                (h, t, sent if h == zone and u is None else u)
                 for h, t, u in self.history.evacuations
             ]
-        r = await self._order(lambda n: n.hall_to(hall, state), by)
+        r = await self._order(lambda n: n.set_zone_state(zone, state), by)
         if r is not None:
-            self.halls_taken[hall] = state
+            self.zones_taken[zone] = state
             if state == "emptied":
-                self.history.evacuations.append((hall, self.loop.time(), None))
+                self.history.evacuations.append((zone, self.loop.time(), None))
         return r
 
     def cut(self, a, b, us, both=True):
@@ -283,9 +294,17 @@
             now = self.loop.time()
             due = max((v for t, v in self.taken if t < now - _APPLY_S), default=0)
             for b in self.cores + self.edges:
-                if b.node is None or b in self.cores and b.node.chain.commit < b.node.mem.realm.seq:
+                if (
+                    b.node is None
+                    or b in self.cores
+                    and b.node.chain.commit < b.node.mem.control_state.seq
+                ):
                     continue
-                d = (b.node.mem.realm if b in self.cores else b.node.tie.ledger).doc
+                d = (
+                    b.node.mem.control_state
+                    if b in self.cores
+                    else b.node.core_connection.control_state
+                ).doc
                 v = d["manifest"]["version"] if d["manifest"] else 0
                 k = b.name, b.life
                 if v < self._seen.get(k, 0):
@@ -295,13 +314,13 @@
                     self.find("acknowledged manifest not in force", f"{b.name} {v} {due}")
             await asyncio.sleep(0.1)
 
-    def visit(self, count, **kw):
+    def start_clients(self, count, **kw):
         """Starts clients, every third of them on a browsing route."""
         for _ in range(count):
             i = len(self.clients)
             c = Client(self, i, random.Random(self.rng.random()), browsing=i % 3 == 2, **kw)
             self.clients.append(c)
-            self.out.nest.spawn(c.run())
+            self.out.tasks.spawn(c.run())
 
     async def calm(self):
         """Stops the clients."""
@@ -317,8 +336,8 @@
 
             async def there(c=c):
                 if c.node is None:
-                    raise Unsent(c.name)
-                return json.loads(json.dumps(await c.node.realm()))
+                    raise NotSent(c.name)
+                return json.loads(json.dumps(await c.node.control_state()))
 
             try:
                 d = await self.net.trip(self.out, c, there, 2_500_000, fresh=True)
@@ -331,7 +350,7 @@
         out = [("LOST", f"the acknowledged manifest {top}, read back is {v}")] if v < top else []
         return out + [
             ("LOST", f"hall {h} was acknowledged as {s}")
-            for h, s in sorted(self.halls_taken.items())
+            for h, s in sorted(self.zones_taken.items())
             if d["halls"].get(h, "open") != s
         ]
 
--- a/src/petrelhaven/simulator/connection_sessions/front.py
+++ b/src/petrelhaven/simulator/connection_sessions/front.py
@@ -4,7 +4,7 @@
 import collections
 
 from petrelhaven.proxy.session.statement import Reply
-from petrelhaven.runtime.errors import Fault, NoRoute, Unreached, Unsent
+from petrelhaven.runtime.errors import Fault, NoRoute, NotSent, Unreachable
 from petrelhaven.simulator.net import _Pipe
 
 __all__ = ["Front"]
@@ -14,11 +14,11 @@
     """Statements are served one after the other, like those of a real connection."""
 
     def __init__(self, net, client, edge):
-        self.net, self.client, self.edge, self.gate = net, client, edge, edge.node
+        self.net, self.client, self.edge, self.proxy = net, client, edge, edge.node
         self._there, self._back = _Pipe(net, client, edge), _Pipe(net, edge, client)
         self.lost = False
         self._wait = collections.deque()
-        self._visit, self._gone, self._on = None, False, False
+        self._session, self._gone, self._on = None, False, False
         self._asked = collections.deque()
         self._key = next(net.num)
         client.pipes[self._key] = edge.pipes[self._key] = self
@@ -27,7 +27,7 @@
     async def open(cls, net, client, edge, host, us):
         """A session at `edge`; Unsent or Late otherwise."""
         if not edge.up or edge.node is None or net.is_cut(client.name, edge.name):
-            raise Unsent(edge.name)
+            raise NotSent(edge.name)
         c = cls(net, client, edge)
         try:
             r = await client.clock.limit(c.ask(host), us)
@@ -36,14 +36,14 @@
             raise
         if not r.ok:
             c.close()
-            raise Unsent(r.code)
+            raise NotSent(r.code)
         return c
 
     def ask(self, a):
         """A future of the Reply to a statement (or to a host's name)."""
         f = asyncio.get_running_loop().create_future()
         if self.lost:
-            f.set_exception(Unreached("connection lost"))
+            f.set_exception(Unreachable("connection lost"))
             return f
         self._wait.append(f)
         self._there.send(lambda: self._take(a))
@@ -74,27 +74,27 @@
         w, self._wait = self._wait, collections.deque()
         for f in w:
             if not f.done():
-                f.set_exception(Unreached("connection lost"))
+                f.set_exception(Unreachable("connection lost"))
                 f.exception()
 
     def _end(self):
         self._gone = True
-        if self._visit is not None:
-            self.gate.close(self._visit)
+        if self._session is not None:
+            self.proxy.close(self._session)
 
     def _take(self, a):
-        if self._visit is None:
+        if self._session is None:
             try:
-                if not self.gate.ready:
+                if not self.proxy.ready:
                     return self._say(Reply(code="busy"))
-                self._visit = self.gate.open(a)
+                self._session = self.proxy.open(a)
                 return self._say(Reply())
             except NoRoute:
                 return self._say(Reply(code="unknown"))
         self._asked.append(a)
         if not self._on:
             self._on = True
-            self.edge.nest.spawn(self._serve())
+            self.edge.tasks.spawn(self._serve())
 
     def _say(self, r):
         self._back.send(lambda: self._hear(r))
@@ -108,10 +108,10 @@
         try:
             while self._asked:
                 a = self._asked.popleft()
-                if a.verb == "execute" and a.name in self._visit.prepared:
-                    a.shape = self._visit.prepared[a.name]
+                if a.verb == "execute" and a.name in self._session.prepared:
+                    a.shape = self._session.prepared[a.name]
                     a.writes = a.shape.startswith("put")
-                r = await self.gate.serve_one(self._visit, a)
+                r = await self.proxy.serve_one(self._session, a)
                 if self._gone:
                     return
                 self._say(r)
--- a/src/petrelhaven/simulator/connection_sessions/group.py
+++ b/src/petrelhaven/simulator/connection_sessions/group.py
@@ -54,7 +54,7 @@
         f = asyncio.get_running_loop().create_future()
         self._waits.append((entry.number, f))
         try:
-            return await leader.box.clock.limit(f, _SYNC_US)
+            return await leader.machine.clock.limit(f, _SYNC_US)
         except Fault:
             return False
 
@@ -77,7 +77,7 @@
             m.held = 0
             if m.running and not m.dark:
                 m.follow()
-            m.beat_now.set()
+            m.heartbeat_now.set()
         self.ship()
 
     def step_down(self, member):
@@ -87,7 +87,7 @@
             w, self._waits = self._waits, []
             for _, f in w:
                 f.done() or f.set_result(False)
-            member.beat_now.set()
+            member.heartbeat_now.set()
 
     def ship(self):
         """Sends every replica what it lacks."""
@@ -100,7 +100,7 @@
                 and (m.log[-1:] != a.log[-1:] or self._received.get(m, 0) < len(m.log))
             ):
                 self.net.loop.call_later(
-                    self.net.delay(a.box, m.box), self._land, a, m, self.term, len(a.log)
+                    self.net.delay(a.machine, m.machine), self._land, a, m, self.term, len(a.log)
                 )
 
     def _hears(self, a, m):
@@ -111,7 +111,7 @@
             and not m.dark
             and not m.deaf
             and not m.held
-            and not self.net.is_cut(a.box.name, m.box.name)
+            and not self.net.is_cut(a.machine.name, m.machine.name)
         )
 
     def _land(self, a, m, term, upto):
@@ -120,15 +120,15 @@
         m.follow()
         if len(m.log) < upto:
             m.receive(a.log[len(m.log) : upto])
-        if not self.net.is_cut(m.box.name, a.box.name):
+        if not self.net.is_cut(m.machine.name, a.machine.name):
             self.net.loop.call_later(
-                self.net.delay(m.box, a.box), self._told, a, m, term, len(m.log)
+                self.net.delay(m.machine, a.machine), self._told, a, m, term, len(m.log)
             )
 
     def _told(self, a, m, term, n):
         if self.leader is not a or self.term != term or not a.running or a.dark:
             return
-        if self.net.is_cut(m.box.name, a.box.name):
+        if self.net.is_cut(m.machine.name, a.machine.name):
             return
         self._received[m] = max(n, self._received.get(m, 0))
         top = max(self._received.values())
--- a/src/petrelhaven/simulator/connection_sessions/heartbeats.py
+++ b/src/petrelhaven/simulator/connection_sessions/heartbeats.py
@@ -1,28 +1,28 @@
 """A simulated member's beats to the cores."""
 
-from petrelhaven.runtime.errors import Fault, Late, Unsent
+from petrelhaven.runtime.errors import DeadlineExceeded, Fault, NotSent
 
-__all__ = ["Beats"]
+__all__ = ["Heartbeats"]
 
 
-class Beats:
+class Heartbeats:
     """Tells one core after the other until one acknowledges; a change of role or state is told at once."""
 
-    def __init__(self, net, member, cores, beat_us):
-        self.net, self.member, self.cores, self.beat_us = net, member, cores, beat_us
+    def __init__(self, net, member, cores, heartbeat_us):
+        self.net, self.member, self.cores, self.heartbeat_us = net, member, cores, heartbeat_us
         self.acknowledged = set()
-        self._at = next((i for i, c in enumerate(cores) if c.hall == member.box.hall), 0)
+        self._at = next((i for i, c in enumerate(cores) if c.zone == member.machine.zone), 0)
 
     async def run(self):
         """Beats for as long as the machine runs."""
-        m, clock = self.member, self.member.box.clock
+        m, clock = self.member, self.member.machine.clock
         while True:
-            m.beat_now.clear()
+            m.heartbeat_now.clear()
             if not m.dark:
                 await self._say()
             try:
-                await clock.limit(m.beat_now.wait(), self.beat_us)
-            except Late:
+                await clock.limit(m.heartbeat_now.wait(), self.heartbeat_us)
+            except DeadlineExceeded:
                 pass
 
     async def _say(self):
@@ -31,8 +31,8 @@
         d = {
             "member": m.name,
             "group": m.group.name,
-            "hall": m.box.hall,
-            "addr": f"sim:{m.box.name}",
+            "hall": m.machine.zone,
+            "addr": f"sim:{m.machine.name}",
             "role": m.role,
             "state": m.state,
             "slots": m.slots,
@@ -48,11 +48,11 @@
 
             async def there(c=c):
                 if c.node is None:
-                    raise Unsent(c.name)
+                    raise NotSent(c.name)
                 return await fn(c.node)
 
             try:
-                await self.net.trip(self.member.box, c, there, 1_000_000, fresh=True)
+                await self.net.trip(self.member.machine, c, there, 1_000_000, fresh=True)
             except Fault:
                 continue
             if not self.member.dark:
--- a/src/petrelhaven/simulator/connection_sessions/judge.py
+++ b/src/petrelhaven/simulator/connection_sessions/judge.py
@@ -185,11 +185,11 @@
 
 
 def _emptied(history, empty_s, contact_s):
-    for hall, since, until in history.evacuations:
+    for zone, since, until in history.evacuations:
         for r in history.runs:
             late = r.sent - since
             if (
-                r.hall == hall
+                r.zone == zone
                 and late > empty_s
                 and (until is None or r.sent < until)
                 and history.in_touch(r.node, r.sent, contact_s)
@@ -198,6 +198,6 @@
                     "EVAC",
                     r.num,
                     r.text,
-                    f"sent to {r.member} {late:.2f} s after {hall} was emptied",
+                    f"sent to {r.member} {late:.2f} s after {zone} was emptied",
                     r.node,
                 )
--- a/src/petrelhaven/simulator/connection_sessions/line.py
+++ b/src/petrelhaven/simulator/connection_sessions/line.py
@@ -11,8 +11,13 @@
 class Line:
     """Carries orders there and replies back."""
 
-    def __init__(self, net, node, member, strand):
-        self.net, self.node, self.member, self.strand = net, node, member, strand
+    def __init__(self, net, node, member, member_connection):
+        self.net, self.node, self.member, self.member_connection = (
+            net,
+            node,
+            member,
+            member_connection,
+        )
         self._there, self._back = _Pipe(net, node, member), _Pipe(net, member, node)
         self._life = member.life
         self.connection = member.node.accept(self)
@@ -32,12 +37,12 @@
 
     def reply(self, r):
         """Sends a reply."""
-        self._back.send(lambda: self.strand.hear(r))
+        self._back.send(lambda: self.member_connection.hear(r))
 
     def reset(self):
         """The member ends the connection."""
         self._forget()
-        self._back.send(self.strand.close)
+        self._back.send(self.member_connection.close)
 
     def hang_up(self):
         """The node ends the connection; a member that does not hear it drops it by itself."""
@@ -57,9 +62,9 @@
         self._forget()
         if self.node.up:
             if silent:
-                self.net.loop.call_later(_SILENT_S, self.strand.close)
+                self.net.loop.call_later(_SILENT_S, self.member_connection.close)
             else:
-                self._back.send(self.strand.close)
+                self._back.send(self.member_connection.close)
         else:
             if not silent:
                 self._there.send(lambda: self.connection.take(None))
--- a/src/petrelhaven/simulator/connection_sessions/member.py
+++ b/src/petrelhaven/simulator/connection_sessions/member.py
@@ -16,8 +16,14 @@
 class DatabaseMember:
     """`dark` says nothing, `deaf` receives nothing, `losing` counts successes that won't be told (`lost_how`)."""
 
-    def __init__(self, group, name, box, slots=8, queue=16):
-        self.group, self.name, self.box, self.slots, self.queue = group, name, box, slots, queue
+    def __init__(self, group, name, machine, slots=8, queue=16):
+        self.group, self.name, self.machine, self.slots, self.queue = (
+            group,
+            name,
+            machine,
+            slots,
+            queue,
+        )
         self.state = "ready"
         self.log, self.data, self.held = [], {}, 0
         self.running = self.dark = self.deaf = self.busy = False
@@ -25,7 +31,7 @@
         self.lost_how = "silent"
         self.lag_us = group.lag_us
         self.connections = {}
-        self.beat_now = asyncio.Event()
+        self.heartbeat_now = asyncio.Event()
         self.count = 0
         self._seen, self._applied = [], 0
         self._busy_until = 0.0
@@ -52,7 +58,7 @@
     def stop(self, silent=False):
         """Power off."""
         self.running = self.dark = False
-        self.box.kill(silent)
+        self.machine.kill(silent)
         self.connections = {}
 
     def go_light(self):
@@ -63,7 +69,7 @@
         self.follow()
         for c in list(self.connections):
             c.reset()
-        self.beat_now.set()
+        self.heartbeat_now.set()
 
     def take_log(self, other):
         """Takes over the log of a member that has ended."""
@@ -163,7 +169,7 @@
         self._working += 1
         try:
             if us:
-                await self.box.clock.sleep(us)
+                await self.machine.clock.sleep(us)
             yield
         finally:
             self._working -= 1
@@ -178,7 +184,7 @@
             node=order.node,
             group=self.group.name,
             member=self.name,
-            hall=self.box.hall,
+            zone=self.machine.zone,
             connection=c.number,
             transaction=transaction,
             num=order.num,
--- a/src/petrelhaven/simulator/connection_sessions/member_connection.py
+++ b/src/petrelhaven/simulator/connection_sessions/member_connection.py
@@ -3,15 +3,15 @@
 import asyncio
 import collections
 
-from petrelhaven.proxy.pool.member_connection import Strand
-from petrelhaven.runtime.errors import Busy, MemberFault, Unreached
+from petrelhaven.proxy.pool.member_connection import MemberConnection
+from petrelhaven.runtime.errors import Busy, MemberDeclined, Unreachable
 from petrelhaven.simulator.connection_sessions.line import Line
 from petrelhaven.simulator.connection_sessions.order import Order
 
-__all__ = ["SimulatedStrand"]
+__all__ = ["SimulatedMemberConnection"]
 
 
-class SimulatedStrand(Strand):
+class SimulatedMemberConnection(MemberConnection):
     """Speaks the members' statements over a simulated line; replies come in the order asked."""
 
     def __init__(self, net, node, member):
@@ -22,7 +22,7 @@
     def _say(self, order, kind):
         f = asyncio.get_running_loop().create_future()
         if self.lost:
-            f.set_exception(Unreached("connection lost"))
+            f.set_exception(Unreachable("connection lost"))
             return f
         self._wait.append((f, kind))
         self._line.say(order)
@@ -61,7 +61,7 @@
             if kind != "row":
                 f.set_result(r)
             elif not r.ok:
-                f.set_exception(Busy("busy") if r.code == "busy" else MemberFault(r.code))
+                f.set_exception(Busy("busy") if r.code == "busy" else MemberDeclined(r.code))
             else:
                 f.set_result(r.rows[0])
         if kind == "connect" and not r.ok:
@@ -76,7 +76,7 @@
         w, self._wait = self._wait, collections.deque()
         for f, _ in w:
             if not f.done():
-                f.set_exception(Unreached("connection lost"))
+                f.set_exception(Unreachable("connection lost"))
                 f.exception()
         if self.on_lost is not None:
             self.on_lost(self)
--- a/src/petrelhaven/simulator/connection_sessions/operator.py
+++ b/src/petrelhaven/simulator/connection_sessions/operator.py
@@ -4,8 +4,8 @@
 import random
 from collections.abc import Awaitable, Callable
 
-from petrelhaven.control.node import Seat
-from petrelhaven.runtime.errors import Fault, NotReady, Unsent
+from petrelhaven.control.node import ControlNode
+from petrelhaven.runtime.errors import Fault, NotReady, NotSent
 from petrelhaven.simulator.connection_sessions.control_answer import (
     Answer,
     AnswerKind,
@@ -17,7 +17,7 @@
     OrderRecord,
     ReadRecord,
 )
-from petrelhaven.simulator.net import Box
+from petrelhaven.simulator.net import SimulatedMachine
 
 __all__ = ["Operator"]
 
@@ -36,7 +36,9 @@
     def __init__(self, fleet, rng: random.Random, lost_share: float = 0.0) -> None:
         self._fleet, self._rng, self.lost_share = fleet, rng, lost_share
 
-    async def send(self, order: ConfigOrder | EvacuationOrder, first: Box | None = None) -> bool:
+    async def send(
+        self, order: ConfigOrder | EvacuationOrder, first: SimulatedMachine | None = None
+    ) -> bool:
         """Sends one order until it is acknowledged or refused, or its time is over; whether it was acknowledged."""
         record = OrderRecord(order, self._now())
         self._fleet.orders.append(record)
@@ -56,17 +58,19 @@
         record.ended = self._now()
         return record.acknowledged is not None
 
-    async def _call_once(self, core: Box, record: OrderRecord, silence_us: int) -> None:
+    async def _call_once(
+        self, core: SimulatedMachine, record: OrderRecord, silence_us: int
+    ) -> None:
         lost = self._rng.random() < self.lost_share
 
-        async def ask(seat: Seat) -> Answer:
-            answer = await answer_order(seat, record.order)
+        async def ask(node: ControlNode) -> Answer:
+            answer = await answer_order(node, record.order)
             record.taken |= answer.kind in (AnswerKind.TAKEN, AnswerKind.TAKEN_BEFORE)
             if answer.acknowledges and record.answered is None:
                 record.answered = self._now()
                 self._fleet.order_answered(core, record)
             if lost:
-                await seat.clock.sleep(2 * silence_us)
+                await node.clock.sleep(2 * silence_us)
             return answer
 
         answer = await self._trip(core, ask, silence_us)
@@ -78,22 +82,22 @@
         elif answer.kind is AnswerKind.REFUSED:
             record.refusals.append(f"{core.name}: {answer.status} {answer.note}")
 
-    async def read_back(self, first: Box | None = None) -> ReadRecord | None:
+    async def read_back(self, first: SimulatedMachine | None = None) -> ReadRecord | None:
         """The configuration in force as any core answers it; None when none did for long."""
         end, core = self._now() + _READ_AGAIN_S, first or self._any_core(None)
         while self._now() < end:
             began = self._now()
 
-            async def ask(seat: Seat) -> dict:
-                manifest = (await seat.realm())["manifest"]
-                if manifest is None:
+            async def ask(node: ControlNode) -> dict:
+                configuration = (await node.control_state())["manifest"]
+                if configuration is None:
                     raise NotReady("no configuration yet")
-                return manifest
+                return configuration
 
-            manifest = await self._trip(core, ask, _SILENCE_US)
-            if manifest is not None:
+            configuration = await self._trip(core, ask, _SILENCE_US)
+            if configuration is not None:
                 read = ReadRecord(
-                    core.name, began, self._now(), manifest["version"], manifest["text"]
+                    core.name, began, self._now(), configuration["version"], configuration["text"]
                 )
                 self._fleet.reads.append(read)
                 return read
@@ -101,12 +105,12 @@
             core = self._any_core(core)
         return None
 
-    async def _trip(self, core: Box, ask: Callable[[Seat], Awaitable], us: int):
+    async def _trip(self, core: SimulatedMachine, ask: Callable[[ControlNode], Awaitable], us: int):
         """One call to a core; None for a silence or an answer that promises nothing."""
 
         async def there():
             if core.node is None:
-                raise Unsent(core.name)
+                raise NotSent(core.name)
             return await ask(core.node)
 
         try:
@@ -114,7 +118,7 @@
         except Fault:
             return None
 
-    def _any_core(self, last: Box | None) -> Box:
+    def _any_core(self, last: SimulatedMachine | None) -> SimulatedMachine:
         cores = [c for c in self._fleet.listed_cores() if c is not last]
         return self._rng.choice(cores or self._fleet.cores)
 
--- a/src/petrelhaven/simulator/connection_sessions/operator_order.py
+++ b/src/petrelhaven/simulator/connection_sessions/operator_order.py
@@ -17,7 +17,7 @@
 class EvacuationOrder:
     """The beginning (`emptied`) or the end (`open`) of the evacuation of a hall."""
 
-    hall: str
+    zone: str
     state: str
 
 
--- a/src/petrelhaven/simulator/connection_sessions/run.py
+++ b/src/petrelhaven/simulator/connection_sessions/run.py
@@ -12,7 +12,7 @@
         "node",
         "group",
         "member",
-        "hall",
+        "zone",
         "connection",
         "transaction",
         "num",
--- a/src/petrelhaven/simulator/connection_sessions/storm.py
+++ b/src/petrelhaven/simulator/connection_sessions/storm.py
@@ -5,7 +5,7 @@
 import traceback
 
 from petrelhaven.simulator.connection_sessions.faults import KINDS, PLANNED, Faults
-from petrelhaven.simulator.connection_sessions.fleet import HeldFleet
+from petrelhaven.simulator.connection_sessions.fleet import SimulatedFleet
 from petrelhaven.simulator.virtual_time import WarpLoop, end_all
 
 __all__ = ["KINDS", "inside", "play", "run", "schedule", "serves_again", "shrink"]
@@ -26,14 +26,14 @@
     """Starts the fleet, brings the faults about under load, and returns what was violated."""
     await f.start()
     s = Faults(f)
-    f.visit(clients)
+    f.start_clients(clients)
     await asyncio.sleep(0.5)
     t0 = f.loop.time()
     for at, kind, pick in rows:
         await asyncio.sleep(max(0, t0 + at - f.loop.time()))
         s.go(kind, pick)
     await asyncio.gather(*s.tasks)
-    while any(f.net.cuts.values()) or any(b.frozen for b in f.net.boxes.values()):
+    while any(f.net.cuts.values()) or any(b.frozen for b in f.net.machines.values()):
         await asyncio.sleep(0.1)
     bad = await serves_again(f, settle)
     await f.calm()
@@ -62,18 +62,18 @@
     return []
 
 
-def inside(fn, seed, fleet=HeldFleet, **kw):
+def inside(fn, seed, fleet=SimulatedFleet, **kw):
     """Runs `await fn(fleet)` in virtual time from nothing; returns (its answer, fleet)."""
     loop = WarpLoop()
     asyncio.set_event_loop(loop)
-    box = {}
+    machine = {}
 
     async def go():
-        box["f"] = fleet(seed, **kw)
-        return await fn(box["f"])
+        machine["f"] = fleet(seed, **kw)
+        return await fn(machine["f"])
 
     try:
-        return loop.run_until_complete(go()), box["f"]
+        return loop.run_until_complete(go()), machine["f"]
     finally:
         end_all(loop)
         loop.close()
--- a/src/petrelhaven/simulator/connection_sessions/wire.py
+++ b/src/petrelhaven/simulator/connection_sessions/wire.py
@@ -1,7 +1,7 @@
 """The wire to simulated members."""
 
-from petrelhaven.runtime.errors import Busy, Gone, Late, Unreached, Unsent
-from petrelhaven.simulator.connection_sessions.member_connection import SimulatedStrand
+from petrelhaven.runtime.errors import Busy, DeadlineExceeded, MemberReplaced, NotSent, Unreachable
+from petrelhaven.simulator.connection_sessions.member_connection import SimulatedMemberConnection
 
 __all__ = ["SimulatedWire"]
 
@@ -9,17 +9,17 @@
 class SimulatedWire:
     """Opens connections from one machine to members."""
 
-    def __init__(self, net, box):
-        self.net, self.box, self.clock = net, box, box.clock
+    def __init__(self, net, machine):
+        self.net, self.machine, self.clock = net, machine, machine.clock
 
     async def open(self, addr, group, member, us):
         """A connection to `member`.
 
         Unsent (`mute` if nothing came back), Gone if another answers there, Busy if it is full.
         """
-        to = self.net.boxes[addr.split(":")[1]]
+        to = self.net.machines[addr.split(":")[1]]
         end = self.clock.now() + us
-        for a, b in ((self.box, to), (to, self.box)):
+        for a, b in ((self.machine, to), (to, self.machine)):
             await self.clock.sleep(int(self.net.delay(a, b) * 1e6))
             if (
                 self.net.is_cut(a.name, b.name)
@@ -28,20 +28,20 @@
                 and to.node.dark
             ):
                 await self.clock.sleep(max(1000, end - self.clock.now()))
-                raise Unsent("mute")
+                raise NotSent("mute")
             if to.node is None:
-                raise Unsent("refused")
-        c = SimulatedStrand(self.net, self.box, to)
+                raise NotSent("refused")
+        c = SimulatedMemberConnection(self.net, self.machine, to)
         try:
             r = await self.clock.limit(c.connect(group, member), max(1000, end - self.clock.now()))
-        except Late:
+        except DeadlineExceeded:
             c.close()
-            raise Unsent("mute") from None
-        except Unreached:
+            raise NotSent("mute") from None
+        except Unreachable:
             raise Busy("reset") from None
         if r.ok:
             return c
         c.close()
         if r.code == "misdirected":
-            raise Gone(r.text)
+            raise MemberReplaced(r.text)
         raise Busy(r.code)
--- a/src/petrelhaven/simulator/control_gaps.py
+++ b/src/petrelhaven/simulator/control_gaps.py
@@ -6,7 +6,7 @@
 
 from petrelhaven.simulator.connection_sessions.control_fleet import ControlFleet
 from petrelhaven.simulator.connection_sessions.storm import inside
-from petrelhaven.simulator.net import Box
+from petrelhaven.simulator.net import SimulatedMachine
 
 __all__ = ["control_gaps"]
 
@@ -17,49 +17,49 @@
 _SHORT_FREEZE_US, _LONG_FREEZE_US, _CUT_US = 4_000_000, 20_000_000, 20_000_000
 
 
-async def _nothing(fleet: ControlFleet, core: Box) -> None:
+async def _nothing(fleet: ControlFleet, core: SimulatedMachine) -> None:
     """No trouble, to compare with."""
 
 
-async def _leave(fleet: ControlFleet, core: Box) -> None:
+async def _leave(fleet: ControlFleet, core: SimulatedMachine) -> None:
     """SIGTERM, and a start with the same disk right after the end."""
-    await asyncio.wait([core.nest.spawn(core.node.drain())], timeout=6)
+    await asyncio.wait([core.tasks.spawn(core.node.drain())], timeout=6)
     core.kill()
     await asyncio.sleep(1)
     fleet.boot_core(core)
 
 
-async def _planned(fleet: ControlFleet, core: Box) -> None:
+async def _planned(fleet: ControlFleet, core: SimulatedMachine) -> None:
     await fleet.replace_planned(core, 4.0)
 
 
-async def _unplanned(fleet: ControlFleet, core: Box) -> None:
+async def _unplanned(fleet: ControlFleet, core: SimulatedMachine) -> None:
     await fleet.replace_unplanned(core, 2.0)
 
 
-async def _wiped(fleet: ControlFleet, core: Box) -> None:
+async def _wiped(fleet: ControlFleet, core: SimulatedMachine) -> None:
     fleet.wipe(core)
     await asyncio.sleep(1)
     fleet.boot_core(core)
 
 
-async def _frozen_short(fleet: ControlFleet, core: Box) -> None:
+async def _frozen_short(fleet: ControlFleet, core: SimulatedMachine) -> None:
     core.freeze(_SHORT_FREEZE_US)
 
 
-async def _frozen_long(fleet: ControlFleet, core: Box) -> None:
+async def _frozen_long(fleet: ControlFleet, core: SimulatedMachine) -> None:
     core.freeze(_LONG_FREEZE_US)
 
 
-async def _cut_silent(fleet: ControlFleet, core: Box) -> None:
+async def _cut_silent(fleet: ControlFleet, core: SimulatedMachine) -> None:
     fleet.cut([core.name], [c.name for c in fleet.cores if c is not core], _CUT_US)
 
 
-async def _cut_one_way(fleet: ControlFleet, core: Box) -> None:
+async def _cut_one_way(fleet: ControlFleet, core: SimulatedMachine) -> None:
     fleet.cut([core.name], [c.name for c in fleet.cores if c is not core], _CUT_US, both=False)
 
 
-_TROUBLES: dict[str, Callable[[ControlFleet, Box], Awaitable[None]]] = {
+_TROUBLES: dict[str, Callable[[ControlFleet, SimulatedMachine], Awaitable[None]]] = {
     "none": _nothing,
     "leaves, comes back": _leave,
     "replaced, planned": _planned,
@@ -72,7 +72,7 @@
 }
 
 
-def _core_at(fleet: ControlFleet, place: str) -> Box:
+def _core_at(fleet: ControlFleet, place: str) -> SimulatedMachine:
     chain = fleet.chain_order()
     return {"head": chain[0], "middle": chain[len(chain) // 2], "tail": chain[-1]}[place]
 
