--- a/src/petrelhaven/simulator/fleet.py
+++ b/src/petrelhaven/simulator/fleet.py
@@ -9,12 +9,12 @@
 
 import aiohttp
 
-from petrelhaven.emulator.balancer import Usher
-from petrelhaven.runtime.clock import Clock, Nest
+from petrelhaven.emulator.balancer import LoadBalancer
+from petrelhaven.runtime.clock import BackgroundTasks, Clock
 from petrelhaven.runtime.errors import Fault
-from petrelhaven.simulator.load_client import Visitor
+from petrelhaven.simulator.load_client import LoadClient
 from petrelhaven.simulator.resumable.history_check import check
-from petrelhaven.simulator.resumable.world import SIZES, manifest
+from petrelhaven.simulator.resumable.world import SIZES, configuration
 from petrelhaven.transport.http import fetch
 
 __all__ = ["Fleet", "Proc", "until"]
@@ -145,8 +145,8 @@
         self.bounds, self.cuts = bounds, cuts
         self.rng = random.Random(seed)
         self.procs = {}
-        self.hist, self.visitors = [], []
-        self.nest, self.clock = Nest(), Clock()
+        self.hist, self.clients = [], []
+        self.tasks, self.clock = BackgroundTasks(), Clock()
         self._burnt = {}
         self.loop = None
 
@@ -248,19 +248,19 @@
             self.edges.append(_Edge(self, p))
             await p.start()
         await asyncio.gather(*[c.mark("ready") for c in cores])
-        self.manifest = manifest(self.size, 1, **self.bounds)
-        await self.apply(self.manifest)
+        self.configuration = configuration(self.size, 1, **self.bounds)
+        await self.apply(self.configuration)
         await asyncio.gather(*[e._p.mark("ready") for e in self.edges])
         await self.until(self.settled, 20)
-        self.usher = Usher(
+        self.load_balancer = LoadBalancer(
             self.clock,
-            self.nest,
+            self.tasks,
             lambda: [e._p.name for e in self.edges],
             self._is_ready,
             self._warned,
             self._taken,
         )
-        self.nest.spawn(self.usher.run())
+        self.tasks.spawn(self.load_balancer.run())
 
     async def apart(self):
         """Makes ways between halls as long as the deployment's; the fleet must have been started with `cuts`."""
@@ -270,14 +270,14 @@
                 far = [
                     q.facts[k]
                     for m, q in self.procs.items()
-                    if m != "platform" and self.hall_of(m) != self.hall_of(n)
+                    if m != "platform" and self.zone_of(m) != self.zone_of(n)
                     for k in (("link",) if m[0] in "ce" else ("http",))
                 ]
                 p.marks.pop("far", None)
                 p.tell(f"far {us} {','.join(far)}")
                 await p.mark("far", 5)
 
-    def hall_of(self, name):
+    def zone_of(self, name):
         """The hall a process stands in."""
         argv = self.procs[name].argv
         return argv[argv.index("--hall") + 1]
@@ -298,14 +298,14 @@
     def route(self):
         """The edge that the platform sends the next new connection to, or None."""
         try:
-            n = self.usher.pick()
+            n = self.load_balancer.pick()
         except Fault:
             return None
         return next(e for e in self.edges if e._p.name == n)
 
     async def served(self, secs):
         """Seconds until a session opens and every group keeps a write and reads it back; fails past `secs`."""
-        v = Visitor(self, 900, random.Random(4))
+        v = LoadClient(self, 900, random.Random(4))
         t = self.now()
         g = n = 0
         while g < self.z["groups"]:
@@ -400,20 +400,20 @@
         """A visitor's exchange with an edge."""
         return await asyncio.wait_for(fn(edge), us / 1e6 + 1)
 
-    def visit(self, count, **kw):
+    def start_clients(self, count, **kw):
         """Starts visitors."""
         for _ in range(count):
-            v = Visitor(self, len(self.visitors), random.Random(self.rng.random()), **kw)
-            self.visitors.append(v)
-            self.nest.spawn(v.run())
+            v = LoadClient(self, len(self.clients), random.Random(self.rng.random()), **kw)
+            self.clients.append(v)
+            self.tasks.spawn(v.run())
 
     async def calm(self):
         """Stops the visitors once each knows its last outcome."""
-        for v in self.visitors:
+        for v in self.clients:
             v.stop = True
 
         async def done():
-            return all(v.done for v in self.visitors)
+            return all(v.done for v in self.clients)
 
         await self.until(done, 60)
 
@@ -439,7 +439,7 @@
 
     async def close(self):
         """Ends every process of this fleet, by id."""
-        await self.nest.close()
+        await self.tasks.close()
         await self.http.close()
         for p in self.procs.values():
             if p.p and p.p.returncode is None:
@@ -451,7 +451,7 @@
 
     def longest(self, since=0.0):
         """The longest time a visitor's step took, of those begun after `since`."""
-        return max((d for v in self.visitors for t, d in v.gaps if t >= since), default=0)
+        return max((d for v in self.clients for t, d in v.gaps if t >= since), default=0)
 
     def now(self):
         """Seconds."""
--- a/src/petrelhaven/simulator/hollow_nodes.py
+++ b/src/petrelhaven/simulator/hollow_nodes.py
@@ -7,10 +7,10 @@
 import tempfile
 import time
 
-from petrelhaven.control.node import Seat
+from petrelhaven.control.node import ControlNode
 from petrelhaven.control.storage.disk import Folder
-from petrelhaven.proxy.core_connection import Tie
-from petrelhaven.runtime.clock import Clock, Nest
+from petrelhaven.proxy.core_connection import CoreConnection
+from petrelhaven.runtime.clock import BackgroundTasks, Clock
 from petrelhaven.transport import link as linking
 
 __all__ = ["hollow"]
@@ -33,8 +33,8 @@
 
 
 class _Link(linking.Link):
-    def __init__(self, clock, nest, count):
-        super().__init__(clock, nest)
+    def __init__(self, clock, tasks, count):
+        super().__init__(clock, tasks)
         self._count = count
 
     def _wrap(self, r, w):
@@ -54,7 +54,7 @@
         super().tell(addr, kind, body)
 
 
-def _manifest(version, routes):
+def _configuration(version, routes):
     return json.dumps(
         {
             "name": "hollow",
@@ -83,22 +83,22 @@
 
 
 async def _run(edges, routes, secs):
-    clock, nest = Clock(), Nest()
+    clock, tasks = Clock(), BackgroundTasks()
     tmp = tempfile.mkdtemp()
-    cores, ties = _Count(), _Count()
-    seats, links = [], []
+    cores, core_connections = _Count(), _Count()
+    nodes, links = [], []
     try:
-        ls = [_Link(clock, nest, cores) for _ in range(3)]
+        ls = [_Link(clock, tasks, cores) for _ in range(3)]
         for x in ls:
             await x.start()
         seeds = [x.addr for x in ls]
         for i, x in enumerate(ls):
-            s = Seat(
+            s = ControlNode(
                 f"core-{i}",
                 "abc"[i],
                 list(seeds),
                 clock,
-                nest,
+                tasks,
                 x,
                 Folder(f"{tmp}/{i}"),
                 random.Random(i),
@@ -106,17 +106,17 @@
                 None,
                 1_200_000,
             )
-            seats.append(s)
+            nodes.append(s)
             s.start()
-        await _until(lambda: all(s.chain.active for s in seats))
-        await seats[0].apply(_manifest(1, routes))
+        await _until(lambda: all(s.chain.active for s in nodes))
+        await nodes[0].apply(_configuration(1, routes))
         held = []
         for i in range(edges):
-            x = _Link(clock, nest, ties)
+            x = _Link(clock, tasks, core_connections)
             links.append(x)
-            t = Tie(
+            t = CoreConnection(
                 clock,
-                nest,
+                tasks,
                 x,
                 random.Random(i),
                 f"edge-{i}",
@@ -127,22 +127,38 @@
             t.start()
         await _until(lambda: all(t.holds for t in held))
         await asyncio.sleep(2)
-        a = (time.process_time(), cores.n, cores.size, ties.n, ties.size, time.monotonic())
+        a = (
+            time.process_time(),
+            cores.n,
+            cores.size,
+            core_connections.n,
+            core_connections.size,
+            time.monotonic(),
+        )
         await asyncio.sleep(secs)
-        b = (time.process_time(), cores.n, cores.size, ties.n, ties.size, time.monotonic())
+        b = (
+            time.process_time(),
+            cores.n,
+            cores.size,
+            core_connections.n,
+            core_connections.size,
+            time.monotonic(),
+        )
         calm = [(y - x) / (b[5] - a[5]) for x, y in zip(a, b)][:5]
         acks, alls, size = [], [], cores.size
         for v in range(2, 7):
             t0 = time.monotonic()
-            await seats[v % 3].apply(_manifest(v, routes))
+            await nodes[v % 3].apply(_configuration(v, routes))
             acks.append(time.monotonic() - t0)
-            await _until(lambda v=v: all(t.ledger.doc["manifest"]["version"] >= v for t in held))
+            await _until(
+                lambda v=v: all(t.control_state.doc["manifest"]["version"] >= v for t in held)
+            )
             alls.append(time.monotonic() - t0)
         return calm, sorted(acks)[2], sorted(alls)[2], (cores.size - size) / 5
     finally:
-        for x in [*links, *(s.link for s in seats)]:
+        for x in [*links, *(s.link for s in nodes)]:
             await x.close()
-        await nest.close()
+        await tasks.close()
         shutil.rmtree(tmp, ignore_errors=True)
 
 
--- a/src/petrelhaven/simulator/load_client.py
+++ b/src/petrelhaven/simulator/load_client.py
@@ -2,12 +2,12 @@
 
 import asyncio
 
-from petrelhaven.runtime.errors import Fault, Late, Unreached
+from petrelhaven.runtime.errors import DeadlineExceeded, Fault, Unreachable
 
-__all__ = ["Visitor"]
+__all__ = ["LoadClient"]
 
 
-class Visitor:
+class LoadClient:
     """Runs a mix of statements against a world; the same mix drives the real fleet."""
 
     def __init__(
@@ -51,13 +51,13 @@
             self.last.append((round(self.w.loop.time(), 3), getattr(b, "name", ""), e.code, e.note))
             del self.last[:-20]
             if (
-                isinstance(e, (Late, Unreached))
+                isinstance(e, (DeadlineExceeded, Unreachable))
                 and e.back is not None
                 and self.w.loop.time() - now > 0.9
             ):
                 self.bad[id(b)] = now
             if (
-                not isinstance(e, (Late, Unreached))
+                not isinstance(e, (DeadlineExceeded, Unreachable))
                 and e.status in (503, 504)
                 and e.code not in ("moving", "no-lease", "leaving", "not-ready")
                 and self.rng.random() < 0.7
@@ -274,7 +274,7 @@
 
     async def _read(self, browse):
         g = self._group()
-        k = f"v{self.rng.randrange(len(self.w.visitors))}"
+        k = f"v{self.rng.randrange(len(self.w.clients))}"
         t0 = self._now()
         try:
             r = await self._call(
--- a/src/petrelhaven/simulator/main.py
+++ b/src/petrelhaven/simulator/main.py
@@ -245,7 +245,7 @@
             + ",".join(e._p.facts["http"] for e in fl.edges),
             flush=True,
         )
-        fl.visit(a.visitors, pause=0.7)
+        fl.start_clients(a.visitors, pause=0.7)
         end = time.monotonic() + a.seconds
         bad = await _faults(fl, [x for x in a.faults.split(",") if x])
         await fl.clock.sleep(max(0, int((end - time.monotonic()) * 1e6)))
--- a/src/petrelhaven/simulator/measure.py
+++ b/src/petrelhaven/simulator/measure.py
@@ -8,10 +8,10 @@
 from petrelhaven.simulator.control_gaps import control_gaps
 from petrelhaven.simulator.embargo_cost import embargo
 from petrelhaven.simulator.hollow_nodes import hollow
-from petrelhaven.simulator.load_client import Visitor
-from petrelhaven.simulator.net import Box
+from petrelhaven.simulator.load_client import LoadClient
+from petrelhaven.simulator.net import SimulatedMachine
 from petrelhaven.simulator.resumable.storm import back, inside
-from petrelhaven.simulator.resumable.world import SIZES, manifest
+from petrelhaven.simulator.resumable.world import SIZES, configuration
 
 __all__ = ["MEASURES"]
 
@@ -25,14 +25,14 @@
     await w.start()
     await asyncio.sleep(3)
     for e in w.edges:
-        for t in e.node.troops.values():
+        for t in e.node.member_groups.values():
             t.reads.count = dict.fromkeys(t.reads.count, 0)
         e.node.waits.clear()
     took = []
-    w.visit(count // 4, pause=pause, writes=1.0, browse=0.0, txns=0.0, values=0.0)
+    w.start_clients(count // 4, pause=pause, writes=1.0, browse=0.0, txns=0.0, values=0.0)
 
     async def reader(i):
-        v = Visitor(w, 1000 + i, random.Random(i))
+        v = LoadClient(w, 1000 + i, random.Random(i))
         v.at = w.edges[i % len(w.edges)]
         v.sid = (await v._call(lambda e: e.open_session()))["session"]
         r = random.Random(i)
@@ -55,7 +55,7 @@
     await asyncio.gather(*ts)
     n = {}
     for e in w.edges:
-        for t in e.node.troops.values():
+        for t in e.node.member_groups.values():
             for k, v in t.reads.count.items():
                 n[k] = n.get(k, 0) + v
         for k, v in e.node.waits.items():
@@ -136,9 +136,9 @@
 
 def commit():
     """What waiting for every in-sync replica costs a write: latency with and without it, by lag."""
-    from petrelhaven.proxy.resumable.node import Edge
+    from petrelhaven.proxy.resumable.node import ResumableProxy
 
-    real = Edge.held
+    real = ResumableProxy.held
 
     async def at_once(self, t, primary, term, pos):
         return True
@@ -148,11 +148,11 @@
     )
     for lag in (10_000, 60_000):
         a = inside(_writes, 1, "small", lag_us=lag)[0]
-        Edge.held = at_once
+        ResumableProxy.held = at_once
         try:
             b = inside(_writes, 1, "small", lag_us=lag)[0]
         finally:
-            Edge.held = real
+            ResumableProxy.held = real
         x, y = statistics.median(a), statistics.median(b)
         print(
             f"{lag // 1000:>6} {1000 * x:>13.1f} ms {1000 * y:>9.1f} ms {x / y:>6.2f} {1000 * (x - y):>13.1f}"
@@ -179,7 +179,7 @@
 
 async def _gap(w, fault):
     await w.start()
-    w.visit(12, pause=0.05)
+    w.start_clients(12, pause=0.05)
     await asyncio.sleep(1)
     t = w.loop.time()
     await fault(w)
@@ -197,8 +197,8 @@
 
 
 async def _region(w):
-    for b in w.net.boxes.values():
-        if b.hall == w.z["halls"][0]:
+    for b in w.net.machines.values():
+        if b.zone == w.z["halls"][0]:
             w.net.silent.add(b.name)
             b.kill(silent=True)
 
@@ -224,13 +224,13 @@
 
 async def _force(w, cut):
     await w.start()
-    w.visit(6, pause=0.2)
+    w.start_clients(6, pause=0.2)
     xs = []
     for v in range(2, 8):
         if cut:
             w.net.cut([w.edges[0].name], [c.name for c in w.cores], 3_000_000)
         t = w.loop.time()
-        await w.apply(manifest(w.size, v))
+        await w.apply(configuration(w.size, v))
         xs.append(w.loop.time() - t)
         await asyncio.sleep(4 if cut else 0.2)
     return xs
@@ -259,13 +259,13 @@
     from petrelhaven.membership.prober import Prober
     from petrelhaven.membership.roster import Roster
 
-    boxes = [Box(w.net, f"n{i}", w.z["halls"][i % 3]) for i in range(9)]
-    for i, b in enumerate(boxes):
+    machines = [SimulatedMachine(w.net, f"n{i}", w.z["halls"][i % 3]) for i in range(9)]
+    for i, b in enumerate(machines):
         b.boot()
-        b.node = Roster(b.clock, (b.name, "edge", b.hall, b.link.addr, 1), b.log, suspect_us=us)
-        b.nest.spawn(
+        b.node = Roster(b.clock, (b.name, "edge", b.zone, b.link.addr, 1), b.log, suspect_us=us)
+        b.tasks.spawn(
             Prober(
-                b.clock, b.link, b.nest, random.Random(i), b.node, [f"sim:n{j}" for j in range(3)]
+                b.clock, b.link, b.tasks, random.Random(i), b.node, [f"sim:n{j}" for j in range(3)]
             ).run()
         )
     await asyncio.sleep(3)
@@ -273,7 +273,7 @@
     await asyncio.sleep(60)
     false = sum("E203" in x[2] for x in w.net.log)
     t = w.loop.time()
-    boxes[4].kill(silent=True)
+    machines[4].kill(silent=True)
     seen = []
     while w.loop.time() < t + 15 and len(seen) < 8:
         seen = [x[0] - t for x in w.net.log if "E203" in x[2] and "peer=n4 " in x[2] and x[0] > t]
--- a/src/petrelhaven/simulator/net.py
+++ b/src/petrelhaven/simulator/net.py
@@ -5,12 +5,12 @@
 import errno
 import itertools
 
-from petrelhaven.runtime.clock import Clock, Nest
-from petrelhaven.runtime.errors import Fault, Malformed, Unreached, Unsent
-from petrelhaven.transport.link import Channel, Held, Link
+from petrelhaven.runtime.clock import BackgroundTasks, Clock
+from petrelhaven.runtime.errors import Fault, Malformed, NotSent, Unreachable
+from petrelhaven.transport.link import Channel, Link, SharedConnections
 from petrelhaven.transport.messages import TELL, pack
 
-__all__ = ["Box", "Net", "SimDisk", "SimLink"]
+__all__ = ["SimulatedMachine", "Net", "SimDisk", "SimLink"]
 
 
 class _Handle:
@@ -29,27 +29,27 @@
 class SimClock(Clock):
     """A machine's own clock: it may run fast or slow, and stops with the machine."""
 
-    __slots__ = ("box", "rate", "base")
+    __slots__ = ("machine", "rate", "base")
 
-    def __init__(self, box, rate, base):
-        self.box, self.rate, self.base = box, rate, base
+    def __init__(self, machine, rate, base):
+        self.machine, self.rate, self.base = machine, rate, base
 
     def now(self):
-        return self.base + int(self.box.net.loop.time() * 1e6 * self.rate)
+        return self.base + int(self.machine.net.loop.time() * 1e6 * self.rate)
 
     def later(self, us, fn):
         k = _Handle()
-        life = self.box.life
+        life = self.machine.life
 
         def fire():
-            if k.off or self.box.life != life or not self.box.up:
+            if k.off or self.machine.life != life or not self.machine.up:
                 return
-            if self.box.frozen:
-                self.box.thaws.append(fire)
+            if self.machine.frozen:
+                self.machine.thaws.append(fire)
             else:
                 fn()
 
-        k.h = self.box.net.loop.call_later(max(us, 0) / 1e6 / self.rate, fire)
+        k.h = self.machine.net.loop.call_later(max(us, 0) / 1e6 / self.rate, fire)
         return k
 
 
@@ -69,8 +69,8 @@
 class SimDisk:
     """A disk that survives its machine; it can tear the next write, refuse writes, stand still, rot, or be lost."""
 
-    def __init__(self, box):
-        self._box = box
+    def __init__(self, machine):
+        self._machine = machine
         self.files = {}
         self.tear = False
         self.full = False
@@ -87,20 +87,20 @@
         A slow or stalled disk holds up the whole machine, as a process that waits for its disk does.
         """
         if self.slow_us:
-            self._box.stall(self.slow_us)
+            self._machine.stall(self.slow_us)
         f = self.files.setdefault(name, bytearray())
         if len(f) < off + len(data):
             f.extend(bytes(off + len(data) - len(f)))
         if self.full:
-            cut = self._box.net.rng.randrange(0, len(data))
+            cut = self._machine.net.rng.randrange(0, len(data))
             f[off : off + cut] = data[:cut]
             raise OSError(errno.ENOSPC, "no space left on the simulated disk")
         self.synced += 1
         if self.tear and len(data) < 60_000:
             self.tear = False
-            cut = self._box.net.rng.randrange(0, len(data))
+            cut = self._machine.net.rng.randrange(0, len(data))
             f[off : off + cut] = data[:cut]
-            self._box.kill()
+            self._machine.kill()
             raise asyncio.CancelledError
         f[off : off + len(data)] = data
 
@@ -113,29 +113,29 @@
         self.files = {}
 
 
-class Box:
+class SimulatedMachine:
     """One machine."""
 
-    def __init__(self, net, name, hall, rate=1.0):
-        self.net, self.name, self.hall = net, name, hall
+    def __init__(self, net, name, zone, rate=1.0):
+        self.net, self.name, self.zone = net, name, zone
         self.up, self.frozen, self.life = False, False, 0
         self.stalled = False
         self.thaws = []
         self.clock = SimClock(self, rate, net.rng.randrange(1, 1 << 40))
         self.disk = SimDisk(self)
-        self.nest = None
+        self.tasks = None
         self.link = None
         self.node = None
         self.log = SimLog(net, name)
         self.pipes = {}
-        net.boxes[name] = self
+        net.machines[name] = self
 
     def boot(self):
         """Power on with nothing but the disk."""
         self.up, self.frozen, self.thaws = True, False, []
         self.stalled = False
         self.life += 1
-        self.nest = Nest(self.log)
+        self.tasks = BackgroundTasks(self.log)
         self.link = SimLink(self)
         return self
 
@@ -146,7 +146,7 @@
         self.up = False
         self.life += 1
         self.thaws = []
-        self.nest.kill()
+        self.tasks.kill()
         for p in list(self.pipes.values()):
             p.cut(silent)
         self.pipes = {}
@@ -269,65 +269,65 @@
 
     def cut(self, silent):
         """A machine is gone."""
-        for box, ch, p in ((self.a, self.ca, self.ba), (self.b, self.cb, self.ab)):
-            box.pipes.pop(self.key, None)
-            if box.up and not silent:
+        for machine, ch, p in ((self.a, self.ca, self.ba), (self.b, self.cb, self.ab)):
+            machine.pipes.pop(self.key, None)
+            if machine.up and not silent:
                 p.send(ch.lose)
-            elif box.up:
+            elif machine.up:
                 self.net.loop.call_later(20, lambda ch=ch: ch.lose())
 
 
-class SimLink(Held):
+class SimLink(SharedConnections):
     """The links of a simulated machine; the same surface as the real ones."""
 
-    def __init__(self, box):
+    def __init__(self, machine):
         super().__init__()
-        self._box = box
-        self.clock, self.nest, self.log = box.clock, box.nest, box.log
+        self._machine = machine
+        self.clock, self.tasks, self.log = machine.clock, machine.tasks, machine.log
         self.handlers = {}
         self.garbage = 0
-        self.addr = f"sim:{box.name}"
+        self.addr = f"sim:{machine.name}"
 
     def on(self, kind, fn):
         """Answers calls of `kind`."""
         self.handlers[kind] = fn
 
-    def _box_of(self, addr):
-        return self._box.net.boxes[addr.split(":")[1]]
+    def _machine_of(self, addr):
+        return self._machine.net.machines[addr.split(":")[1]]
 
     def tell(self, addr, kind, body):
         """One datagram: it may be lost, late or doubled."""
-        if self._box.up:
-            net, to = self._box.net, self._box_of(addr)
+        if self._machine.up:
+            net, to = self._machine.net, self._machine_of(addr)
             raw = pack(kind, TELL, 0, body)
             for _ in range(2 if net.rng.random() < net.double else 1):
                 if net.rng.random() >= net.loss:
                     life = to.life
-                    net.loop.call_later(net.delay(self._box, to), self._land, to, life, raw)
+                    net.loop.call_later(net.delay(self._machine, to), self._land, to, life, raw)
 
     def _land(self, to, life, raw):
-        if not self._box.net.is_cut(self._box.name, to.name):
+        if not self._machine.net.is_cut(self._machine.name, to.name):
             to.do(life, lambda: to.link.heard(raw))
 
     heard = Link.heard
 
     async def open(self, addr):
         """A connection, unless the other machine is off or the way is cut."""
-        net, to = self._box.net, self._box_of(addr)
-        for way in ((self._box, to), (to, self._box)):
+        net, to = self._machine.net, self._machine_of(addr)
+        for way in ((self._machine, to), (to, self._machine)):
             await self.clock.sleep(int(net.delay(*way) * 1e6))
             if net.refuses(way[0].name, way[1].name):
-                raise Unsent(addr)
+                raise NotSent(addr)
             if (
                 net.is_cut(way[0].name, way[1].name)
                 or to.frozen
                 or (not to.up and to.name in net.silent)
             ):
                 await self.clock.sleep(1_000_000)
-                raise Unsent(addr)
+                raise NotSent(addr)
             if not to.up or to.node is None:
-                raise Unsent(addr)
-        return _End(net, self._box, to).ca
+                raise NotSent(addr)
+        return _End(net, self._machine, to).ca
 
 
 class Net:
@@ -335,7 +335,7 @@
 
     def __init__(self, loop, rng, apart_us=12_000):
         self.loop, self.rng = loop, rng
-        self.boxes = {}
+        self.machines = {}
         self.cuts = collections.Counter()
         self.refusals = collections.Counter()
         self.silent = set()
@@ -348,7 +348,7 @@
 
     def delay(self, a, b):
         """One way, in seconds."""
-        d = 0.0003 if a.hall == b.hall else self.apart
+        d = 0.0003 if a.zone == b.zone else self.apart
         return d * (0.9 + 0.2 * self.rng.random()) + 0.0001
 
     def is_cut(self, a, b):
@@ -399,10 +399,10 @@
             and (self.is_cut(src.name, dst.name) or self.is_cut(dst.name, src.name))
         ):
             await src.clock.sleep(min(us, 1_000_000))
-            raise Unsent(dst.name)
+            raise NotSent(dst.name)
         if not dst.up:
             await src.clock.sleep(int(self.delay(src, dst) * 2e6))
-            raise Unsent(dst.name)
+            raise NotSent(dst.name)
         go, back = _Pipe(self, src, dst), _Pipe(self, dst, src)
 
         def done(r, e):
@@ -416,11 +416,11 @@
                 r, e = None, x
             back.send(lambda: done(r, e))
 
-        go.send(lambda: dst.nest.spawn(there()))
+        go.send(lambda: dst.tasks.spawn(there()))
 
-        def gone(box, silent):
-            if box is dst and not silent:
-                back.send(lambda: done(None, Unreached(dst.name)))
+        def gone(machine, silent):
+            if machine is dst and not silent:
+                back.send(lambda: done(None, Unreachable(dst.name)))
 
         self.on_kill.append(gone)
         try:
--- a/src/petrelhaven/simulator/resumable/partition.py
+++ b/src/petrelhaven/simulator/resumable/partition.py
@@ -11,7 +11,7 @@
 from petrelhaven.commands import control, proxy
 from petrelhaven.proxy.resumable.member_protocol import Wire
 from petrelhaven.runtime import daemon
-from petrelhaven.runtime.errors import Unsent
+from petrelhaven.runtime.errors import NotSent
 from petrelhaven.transport.link import Link
 
 __all__ = ["main"]
@@ -72,7 +72,7 @@
         self._listen()
         if addr in _CUT:
             await self.clock.sleep(1_000_000)
-            raise Unsent(addr)
+            raise NotSent(addr)
         c = await super().open(addr)
         c._send, c.feed = self._way(addr, c._send), self._way(addr, c.feed)
         return c
--- a/src/petrelhaven/simulator/resumable/scenes/base.py
+++ b/src/petrelhaven/simulator/resumable/scenes/base.py
@@ -8,7 +8,7 @@
 async def load(w, n=12, secs=1.0, **kw):
     """Starts a world and puts `n` visitors on it."""
     await w.start()
-    w.visit(n, **{"pause": 0.05, **kw})
+    w.start_clients(n, **{"pause": 0.05, **kw})
     await asyncio.sleep(secs)
 
 
--- a/src/petrelhaven/simulator/resumable/scenes/cores.py
+++ b/src/petrelhaven/simulator/resumable/scenes/cores.py
@@ -5,7 +5,7 @@
 from petrelhaven.runtime.errors import Fault
 from petrelhaven.simulator.resumable.scenes.base import end, load
 from petrelhaven.simulator.resumable.storm import back
-from petrelhaven.simulator.resumable.world import manifest
+from petrelhaven.simulator.resumable.world import configuration
 
 __all__ = [
     "racing",
@@ -32,7 +32,7 @@
             r = await w.ask(w.cores[by], lambda n: n.apply(text))
             acked[v] = text
             for b in w.edges:
-                d = b.node.control.realm.doc["manifest"]
+                d = b.node.control.control_state.doc["manifest"]
                 if b.node.control.sends and d["version"] < v:
                     bad.append(("acknowledged manifest not in force", b.name, v))
             return r
@@ -42,12 +42,13 @@
 
     for v in range(2, 8):
         await asyncio.gather(
-            one(v, 0, manifest(w.size, v)), one(v, 2, manifest(w.size, v, wait_us=200_000))
+            one(v, 0, configuration(w.size, v)),
+            one(v, 2, configuration(w.size, v, wait_us=200_000)),
         )
     if not acked:
         bad.append(("no manifest was acknowledged",))
     await asyncio.sleep(9)
-    d = await w.ask(w.cores[1], lambda n: n.realm())
+    d = await w.ask(w.cores[1], lambda n: n.control_state())
     old = {m["version"]: m["text"] for m in d["old"] + [d["manifest"]]}
     for v, t in acked.items():
         if old.get(v) != t:
@@ -58,7 +59,7 @@
 async def disks(w):
     """All cores are killed at once, again and again; one comes back with an empty disk."""
     await load(w, 6, pause=0.2)
-    text = manifest(w.size, 2)
+    text = configuration(w.size, 2)
     await w.apply(text)
     for i in range(3):
         for b in w.cores:
@@ -71,7 +72,7 @@
         await asyncio.sleep(6)
     bad = [("group halted though its members were well", x) for x in w.net.log if "E321" in x[2]]
     try:
-        d = await w.ask(w.cores[0], lambda n: n.realm())
+        d = await w.ask(w.cores[0], lambda n: n.control_state())
         if d["manifest"]["text"] != text:
             bad.append(("acknowledged manifest lost", d["manifest"]["version"]))
     except (Fault, TypeError) as f:
@@ -87,19 +88,19 @@
     async def change():
         nonlocal v
         v += 1
-        await w.apply(manifest(w.size, v), by=v)
+        await w.apply(configuration(w.size, v), by=v)
 
     async def whole():
         await w.until(
             lambda: all(c.node and c.node.ready for c in w.cores), 15, "chain whole again"
         )
         for c in w.cores:
-            if c.node.mem.realm.doc["manifest"]["version"] != v:
+            if c.node.mem.control_state.doc["manifest"]["version"] != v:
                 bad.append(("a core slid back", c.name, v))
 
     for place in (0, 1, 2):
         names = next(c.node for c in w.cores if c.node.ready).chain.view["chain"]
-        b = w.net.boxes[names[place]]
+        b = w.net.machines[names[place]]
         await change()
         b.kill()
         await asyncio.sleep(3)
@@ -129,14 +130,16 @@
     w.net.cut([b.name], [x.name for x in w.cores[1:] + w.edges], 4_000_000)
     acked = 1
     try:
-        acked = (await w.ask(b, lambda n: n.apply(manifest(w.size, 2)), 700_000))["version"]
+        acked = (await w.ask(b, lambda n: n.apply(configuration(w.size, 2)), 700_000))["version"]
     except Fault as f:
         w.seen["told"] = f.code
     b.kill()
     b.disk.lose()
     bad = await back(w, 12)
     have = max(
-        e.node.control.realm.doc["manifest"]["version"] for e in w.edges if e.node.control.sends
+        e.node.control.control_state.doc["manifest"]["version"]
+        for e in w.edges
+        if e.node.control.sends
     )
     if have < acked:
         bad.append(("acknowledged manifest lost", acked, have))
@@ -182,13 +185,13 @@
     if behind:
         c.kill()
         await asyncio.sleep(3)
-    text = manifest(w.size, 2)
+    text = configuration(w.size, 2)
     await w.apply(text, by=1)
     w.members["g1m1"].node.draining = True
     await w.until(lambda: w.head_epochs()["g1"]["primary"] != "g1m1", 8, "another primary")
     await asyncio.sleep(1.5)
     w.members["g1m1"].node.draining = False
-    was = max(e.node.control.realm.seq for e in w.edges)
+    was = max(e.node.control.control_state.seq for e in w.edges)
     n = {g: e["n"] for g, e in w.head_epochs().items()}
     for x in (a, b):
         x.kill()
@@ -217,12 +220,12 @@
         await w.until(lambda: all(x.node.chain.active for x in w.cores), 10, "cores active")
     except AssertionError as e:
         return bad + [("the chain was not formed anew", str(e))]
-    d = await w.ask(c, lambda n: n.realm())
+    d = await w.ask(c, lambda n: n.control_state())
     if d["manifest"]["text"] != text:
         bad.append(("acknowledged manifest lost", d["manifest"]["version"]))
     if r["change"] <= was or any(e["n"] <= n[g] for g, e in d["epochs"].items()):
         bad.append(("a number handed out before came again", r["change"], was))
-    await w.apply(manifest(w.size, 3), by=0)
+    await w.apply(configuration(w.size, 3), by=0)
     w.members["g1m2"].kill()
     await asyncio.sleep(1)
     bad += await back(w, 12)
--- a/src/petrelhaven/simulator/resumable/scenes/edges.py
+++ b/src/petrelhaven/simulator/resumable/scenes/edges.py
@@ -5,7 +5,7 @@
 from petrelhaven.runtime.errors import Fault
 from petrelhaven.simulator.resumable.scenes.base import end, load
 from petrelhaven.simulator.resumable.storm import back
-from petrelhaven.simulator.resumable.world import manifest
+from petrelhaven.simulator.resumable.world import configuration
 
 __all__ = [
     "twins",
@@ -61,7 +61,7 @@
     """Every process is restarted in turn under load: no session is closed and few statements are declined."""
     await load(w, 18, pause=0.1)
     for b in w.edges:
-        await b.nest.spawn(b.node.drain())
+        await b.tasks.spawn(b.node.drain())
         b.kill()
         await asyncio.sleep(0.3)
         w.boot_edge(b)
@@ -191,16 +191,16 @@
                 if f.code in ("not-ready", "no-lease"):
                     odd.append((b.name, f.code))
 
-    new = w.out.nest.spawn(newcomers())
+    new = w.out.tasks.spawn(newcomers())
     for b in [w.edges[0], w.cores[2], w.edges[1], w.cores[0]]:
         t = w.loop.time()
-        if not await w.usher.stop(b.name, 6_000_000):
+        if not await w.load_balancer.stop(b.name, 6_000_000):
             bad.append(("not done when the warning ran out", b.name))
         w.seen[f"{b.name}_left_us"] = int((w.loop.time() - t) * 1e6)
         t = w.loop.time()
         bad += await back(w, 12)
         w.seen[f"{b.name}_gap_us"] = int((w.loop.time() - t) * 1e6)
-        await w.apply(manifest(w.size, len(w.usher.stopped) + 1), by=1)
+        await w.apply(configuration(w.size, len(w.load_balancer.stopped) + 1), by=1)
         (w.boot_core if b in w.cores else w.boot_edge)(b)
         await w.until(lambda b=b: b.node.ready, 12, f"{b.name} ready again")
         await asyncio.sleep(1)
@@ -215,7 +215,7 @@
     await load(w, 14, pause=0.06, writes=0.5)
     for i in range(8):
         b = w.edges[i % 3] if i % 4 != 3 else w.cores[i % 3]
-        await w.usher.stop(b.name, 90_000 * i)
+        await w.load_balancer.stop(b.name, 90_000 * i)
         await asyncio.sleep(4)
         (w.boot_core if b in w.cores else w.boot_edge)(b)
         await asyncio.sleep(3)
@@ -240,7 +240,7 @@
             await asyncio.sleep(calm)
             keep = b.node
             if (i + n) % 2 and hasattr(keep, "drain"):
-                await asyncio.wait([b.nest.spawn(keep.drain())])
+                await asyncio.wait([b.tasks.spawn(keep.drain())])
             b.kill()
             await asyncio.sleep(0.5)
             if b in w.cores or b in w.edges:
--- a/src/petrelhaven/simulator/resumable/scenes/members.py
+++ b/src/petrelhaven/simulator/resumable/scenes/members.py
@@ -36,10 +36,10 @@
     steady = tally(w, w.members)
     await asyncio.sleep(2)
     steady = (tally(w, w.members) - steady) / 20
-    fetches = sum(e.node.troops["g1"].reads.count["fetches"] for e in w.edges)
+    fetches = sum(e.node.member_groups["g1"].reads.count["fetches"] for e in w.edges)
     w.members["g1m1"].kill()
     await w.until(lambda: w.head_epochs()["g1"]["primary"] != "g1m1", 8, "another primary")
-    fetches = sum(e.node.troops["g1"].reads.count["fetches"] for e in w.edges) - fetches
+    fetches = sum(e.node.member_groups["g1"].reads.count["fetches"] for e in w.edges) - fetches
     peak, last = 0, tally(w, w.members)
     for _ in range(30):
         await asyncio.sleep(0.1)
@@ -169,9 +169,9 @@
     bad = []
     for i, n in enumerate(["g1m2", "g1m1", "g1m3"]):
         old, new = w.members[n], f"g1m{i + 4}"
-        here, there = ([b.name for b in w.net.boxes.values() if b.hall == h] for h in ("a", "c"))
+        here, there = ([b.name for b in w.net.machines.values() if b.zone == h] for h in ("a", "c"))
         w.net.cut(here, there, 5_000_000)
-        w.add_member(new, old.hall)
+        w.add_member(new, old.zone)
         try:
             await w.until(
                 lambda new=new: new in w.head_epochs()["g1"]["safe"], 20, f"{new} in sync"
--- a/src/petrelhaven/simulator/resumable/storm.py
+++ b/src/petrelhaven/simulator/resumable/storm.py
@@ -7,7 +7,7 @@
 
 from petrelhaven.commands.diff import differences
 from petrelhaven.runtime.errors import Fault
-from petrelhaven.simulator.resumable.world import World, manifest
+from petrelhaven.simulator.resumable.world import World, configuration
 from petrelhaven.simulator.virtual_time import WarpLoop, end_all
 
 __all__ = ["KINDS", "back", "inside", "play", "run", "schedule", "shrink", "told"]
@@ -77,14 +77,14 @@
             for s in b.node.homes.values()
         )
 
-    def _may(self, *halls):
+    def _may(self, *zones):
         """A third hall's edges are hit only once the fleet is whole again: three may be all who hold a session."""
         now = self.w.loop.time()
         if self._whole():
             self.hit = {h: t for h, t in self.hit.items() if now - t < 0.5}
-        if len({*self.hit, *halls}) > 2:
+        if len({*self.hit, *zones}) > 2:
             return False
-        self.hit.update({h: now for h in halls})
+        self.hit.update({h: now for h in zones})
         return True
 
     def _disk_may_go(self, b):
@@ -101,7 +101,7 @@
 
     async def _edge_kill(self, r):
         b = r.choice(self.w.edges)
-        if not self._may(b.hall):
+        if not self._may(b.zone):
             return
         b.kill()
         await asyncio.sleep(r.uniform(0.1, 5))
@@ -110,15 +110,15 @@
 
     async def _edge_freeze(self, r):
         b = r.choice(self.w.edges)
-        if self._may(b.hall):
+        if self._may(b.zone):
             b.freeze(int(r.uniform(0.2, 7) * 1e6))
 
     async def _edge_drain(self, r):
         b = r.choice(self.w.edges)
-        if b.node is None or not self._may(b.hall):
+        if b.node is None or not self._may(b.zone):
             return
         life = b.life
-        t = b.nest.spawn(b.node.drain())
+        t = b.tasks.spawn(b.node.drain())
         try:
             await asyncio.wait_for(t, 20)
         except (asyncio.TimeoutError, asyncio.CancelledError):
@@ -229,8 +229,8 @@
             if n.startswith(g) and b.node and b.node.role == "primary":
                 b.node.unanswered = r.randrange(1, 4)
 
-    def _in(self, hall):
-        return [b.name for b in self.w.net.boxes.values() if b.hall == hall]
+    def _in(self, zone):
+        return [b.name for b in self.w.net.machines.values() if b.zone == zone]
 
     async def _cut_two(self, r):
         a, b = r.sample(self.w.z["halls"], 2)
@@ -251,7 +251,7 @@
         a = r.choice(self.w.z["halls"])
         if not self._may(a):
             return
-        bs = [b for b in self.w.net.boxes.values() if b.hall == a and b.up]
+        bs = [b for b in self.w.net.machines.values() if b.zone == a and b.up]
         nodes = {b.name: b.node for b in bs}
         for b in bs:
             self.w.net.silent.add(b.name)
@@ -277,7 +277,7 @@
             p.slow_us = int(r.uniform(0.5, 3) * 1e6)
         else:
             self.w.net.cut(
-                ["platform"], [n for n in self.w.net.boxes if n != "platform"], 4_000_000
+                ["platform"], [n for n in self.w.net.machines if n != "platform"], 4_000_000
             )
         await asyncio.sleep(r.uniform(1, 5))
         p.decline, p.slow_us = False, 0
@@ -289,8 +289,8 @@
 
     async def _edge_warned(self, r):
         b = r.choice(self.w.edges)
-        if b.up and self._may(b.hall):
-            await self.w.usher.stop(b.name, int(r.choice([0.1, 0.5, 6]) * 1e6))
+        if b.up and self._may(b.zone):
+            await self.w.load_balancer.stop(b.name, int(r.choice([0.1, 0.5, 6]) * 1e6))
             await asyncio.sleep(r.uniform(0.1, 3))
             if not b.up:
                 self.w.boot_edge(b)
@@ -298,7 +298,7 @@
     async def _core_warned(self, r):
         b = r.choice(self.w.cores)
         if b.up:
-            await self.w.usher.stop(b.name, int(r.choice([0.1, 0.5, 6]) * 1e6))
+            await self.w.load_balancer.stop(b.name, int(r.choice([0.1, 0.5, 6]) * 1e6))
             await asyncio.sleep(r.uniform(0.1, 3))
             if not b.up:
                 self.w.boot_core(b)
@@ -311,7 +311,7 @@
             return
         self.replaced.add(g)
         new = f"{g}m9"
-        self.w.add_member(new, old.hall)
+        self.w.add_member(new, old.zone)
         for _ in range(200):
             await asyncio.sleep(0.1)
             if new in self.w.head_epochs().get(g, {"safe": []})["safe"]:
@@ -342,7 +342,7 @@
 
         async def one(n, by):
             try:
-                x = await self.w.apply(manifest(self.w.size, n, **self.w.bounds), by)
+                x = await self.w.apply(configuration(self.w.size, n, **self.w.bounds), by)
                 if "version" in x:
                     self.acked.append((self.w.loop.time(), n))
                     self._in_force(n)
@@ -365,7 +365,7 @@
             e = b.node
             if e is None or b.frozen or not e.control.sends:
                 continue
-            d = e.control.realm.doc["manifest"]
+            d = e.control.control_state.doc["manifest"]
             if (d["version"] if d else 0) < n:
                 self.w.net.findings.append(
                     (self.w.loop.time(), "acknowledged manifest not in force", b.name, n)
@@ -376,14 +376,14 @@
             return
         self.emptying = True
         h = r.choice(self.w.z["halls"])
-        x = await self.w.hall(h, "emptied", r.randrange(3))
+        x = await self.w.zone(h, "emptied", r.randrange(3))
         if "change" in x:
             t0 = self.w.loop.time()
             await asyncio.sleep(5.0)
             marks = {n: b.clock.now() for n, b in self.w.members.items()}
             await asyncio.sleep(r.uniform(0.5, 4))
             for n, b in self.w.members.items():
-                if b.hall == h and b.node and n in marks and b.node.last_statement > marks[n]:
+                if b.zone == h and b.node and n in marks and b.node.last_statement > marks[n]:
                     self.w.net.findings.append(
                         (
                             self.w.loop.time(),
@@ -392,7 +392,7 @@
                             self.w.loop.time() - t0,
                         )
                     )
-        await self.w.hall(h, "open", r.randrange(3))
+        await self.w.zone(h, "open", r.randrange(3))
         self.emptying = False
 
     async def _noise(self, r):
@@ -401,11 +401,11 @@
         self.w.net.loss = self.w.net.double = 0.0
 
 
-async def play(w, rows, visitors=12, settle=12.0):
+async def play(w, rows, clients=12, settle=12.0):
     """Starts the world, brings the faults about under load, and returns what was violated."""
     await w.start()
     s = _Storm(w)
-    w.visit(visitors, pause=0.12)
+    w.start_clients(clients, pause=0.12)
     await asyncio.sleep(0.5)
     t0 = w.loop.time()
     for at, kind, pick in rows:
@@ -413,7 +413,7 @@
         s.go(kind, pick)
     await asyncio.gather(*s.tasks)
     end = w.loop.time()
-    while any(w.net.cuts.values()) or any(b.frozen for b in w.net.boxes.values()):
+    while any(w.net.cuts.values()) or any(b.frozen for b in w.net.machines.values()):
         if w.loop.time() > end + 30:
             raise AssertionError("cuts never heal")
         await asyncio.sleep(0.1)
@@ -434,9 +434,9 @@
 async def back(w, secs):
     """Service must be back within `secs` of the last fault's end: a write and a strong read in each group."""
     end = w.loop.time() + secs
-    from petrelhaven.simulator.load_client import Visitor
+    from petrelhaven.simulator.load_client import LoadClient
 
-    v = Visitor(w, 9000, random.Random(1))
+    v = LoadClient(w, 9000, random.Random(1))
     sid = None
     for g in range(w.z["groups"]):
         n = 0
@@ -504,27 +504,27 @@
     """Runs `await fn(world)` in virtual time from nothing; returns (its answer, world)."""
     loop = WarpLoop()
     asyncio.set_event_loop(loop)
-    box = {}
+    machine = {}
 
     async def go():
-        box["w"] = World(seed, size, **bounds)
-        return await fn(box["w"])
+        machine["w"] = World(seed, size, **bounds)
+        return await fn(machine["w"])
 
     try:
-        return loop.run_until_complete(go()), box["w"]
+        return loop.run_until_complete(go()), machine["w"]
     finally:
         end_all(loop)
         loop.close()
         asyncio.set_event_loop(None)
 
 
-def run(seed, size="small", rows=None, visitors=12, count=6, kinds=None, **bounds):
+def run(seed, size="small", rows=None, clients=12, count=6, kinds=None, **bounds):
     """One seeded storm: (violations, world)."""
 
     async def go(w):
         try:
             return await play(
-                w, rows if rows is not None else schedule(seed, count, kinds), visitors
+                w, rows if rows is not None else schedule(seed, count, kinds), clients
             )
         except AssertionError as e:
             return [("stuck", str(e))] + w.net.findings
--- a/src/petrelhaven/simulator/resumable/world.py
+++ b/src/petrelhaven/simulator/resumable/world.py
@@ -4,18 +4,18 @@
 import json
 import random
 
-from petrelhaven.control.base_node import Core
-from petrelhaven.emulator.balancer import Usher
+from petrelhaven.control.base_node import BaseControlNode
+from petrelhaven.emulator.balancer import LoadBalancer
 from petrelhaven.emulator.platform import PlatformLogic
 from petrelhaven.emulator.store import Declined, Store, Unanswered
 from petrelhaven.proxy.resumable.member_protocol import raise_first
-from petrelhaven.proxy.resumable.node import Edge
-from petrelhaven.runtime.errors import Fault, MemberFault, Unreached, Unsent
-from petrelhaven.simulator.load_client import Visitor
-from petrelhaven.simulator.net import Box, Net
+from petrelhaven.proxy.resumable.node import ResumableProxy
+from petrelhaven.runtime.errors import Fault, MemberDeclined, NotSent, Unreachable
+from petrelhaven.simulator.load_client import LoadClient
+from petrelhaven.simulator.net import Net, SimulatedMachine
 from petrelhaven.simulator.resumable.history_check import check
 
-__all__ = ["SIZES", "World", "manifest"]
+__all__ = ["SIZES", "World", "configuration"]
 
 SIZES = {
     "nordvik": {
@@ -48,7 +48,7 @@
 }
 
 
-def manifest(size, version=1, **bounds):
+def configuration(size, version=1, **bounds):
     """A manifest for a fleet of that size."""
     z = SIZES[size]
     gs = [f"g{i + 1}" for i in range(z["groups"])]
@@ -67,31 +67,33 @@
 
 
 class _Conn:
-    __slots__ = ("wire", "box", "num", "tag", "lost")
+    __slots__ = ("wire", "machine", "num", "tag", "lost")
 
-    def __init__(self, wire, box, num):
-        self.wire, self.box, self.num, self.tag, self.lost = wire, box, num, None, False
+    def __init__(self, wire, machine, num):
+        self.wire, self.machine, self.num, self.tag, self.lost = wire, machine, num, None, False
 
     async def run(self, ops, us):
         """Runs a batch at the member."""
         try:
-            return raise_first(await self.wire.trip(self.box, lambda m: m.run(self.num, ops), us))
+            return raise_first(
+                await self.wire.trip(self.machine, lambda m: m.run(self.num, ops), us)
+            )
         except Fault as e:
-            if not isinstance(e, MemberFault):
+            if not isinstance(e, MemberDeclined):
                 self.lost = True
             raise
 
     def close(self):
         """Closes the connection."""
         self.lost = True
-        self.wire.shut(self.box, self.num)
+        self.wire.shut(self.machine, self.num)
 
 
 class SimWire:
     """The wire to members over simulated ways."""
 
-    def __init__(self, net, box):
-        self.net, self.box = net, box
+    def __init__(self, net, machine):
+        self.net, self.machine = net, machine
 
     async def trip(self, dst, fn, us):
         """One exchange with a member."""
@@ -103,19 +105,19 @@
             try:
                 return fn(m)
             except Declined as e:
-                raise MemberFault(e.document["fault"], more=e.document) from None
+                raise MemberDeclined(e.document["fault"], more=e.document) from None
             except Unanswered:
                 await dst.clock.sleep(3_600_000_000)
 
-        return await self.net.trip(self.box, dst, there, us)
+        return await self.net.trip(self.machine, dst, there, us)
 
     def _find(self, addr):
-        return self.net.boxes[addr.split(":")[1]]
+        return self.net.machines[addr.split(":")[1]]
 
     async def open(self, addr, us=1_000_000):
         """A new connection."""
         b = self._find(addr)
-        owner = f"{self.box.name}/{self.box.life}"
+        owner = f"{self.machine.name}/{self.machine.life}"
         made = []
 
         def opened(m):
@@ -137,7 +139,7 @@
         """Closes at the member too."""
         life = b.life
         self.net.loop.call_later(
-            self.net.delay(self.box, b), lambda: b.do(life, lambda: b.node.conns.pop(num, None))
+            self.net.delay(self.machine, b), lambda: b.do(life, lambda: b.node.conns.pop(num, None))
         )
 
     async def status(self, addr, us):
@@ -156,29 +158,34 @@
         self.net.on_kill.append(self._dead)
         self.lag_us = self.z["lag_us"] if lag_us is None else lag_us
         self.vary, self.bounds = vary, bounds
-        self.hist, self.visitors = [], []
+        self.hist, self.clients = [], []
         hs = self.z["halls"]
-        self.cores = [Box(self.net, f"c{i + 1}", hs[i], self._rate()) for i in range(3)]
+        self.cores = [
+            SimulatedMachine(self.net, f"c{i + 1}", hs[i], self._rate()) for i in range(3)
+        ]
         self.edges = [
-            Box(self.net, f"e{i + 1}", hs[i % 3], self._rate()) for i in range(self.z["edges"])
+            SimulatedMachine(self.net, f"e{i + 1}", hs[i % 3], self._rate())
+            for i in range(self.z["edges"])
         ]
         self.members = {}
         for g in range(self.z["groups"]):
             for i in range(3):
-                self.members[f"g{g + 1}m{i + 1}"] = Box(
+                self.members[f"g{g + 1}m{i + 1}"] = SimulatedMachine(
                     self.net, f"g{g + 1}m{i + 1}", hs[(g + i) % 3]
                 )
-        self.plat = Box(self.net, "platform", "out")
-        self.out = Box(self.net, "visitors", "out")
+        self.plat = SimulatedMachine(self.net, "platform", "out")
+        self.out = SimulatedMachine(self.net, "visitors", "out")
         self.seeds = [f"sim:{c.name}" for c in self.cores]
         self.seen = {}
 
     def _rate(self):
         return 1.0 + self.rng.uniform(-0.01, 0.01)
 
-    def _dead(self, box, silent):
-        if box in self.edges:
-            self.loop.call_later(5 if silent else 0.01, self._forget, f"{box.name}/{box.life - 1}")
+    def _dead(self, machine, silent):
+        if machine in self.edges:
+            self.loop.call_later(
+                5 if silent else 0.01, self._forget, f"{machine.name}/{machine.life - 1}"
+            )
 
     def _forget(self, owner):
         for m in self.members.values():
@@ -189,12 +196,12 @@
         """Powers a core on."""
         b.boot()
         try:
-            b.node = Core(
+            b.node = BaseControlNode(
                 b.name,
-                b.hall,
+                b.zone,
                 self.seeds,
                 b.clock,
-                b.nest,
+                b.tasks,
                 b.link,
                 b.disk,
                 random.Random(self.rng.random()),
@@ -210,12 +217,12 @@
     def boot_edge(self, b):
         """Powers an edge on."""
         b.boot()
-        b.node = Edge(
+        b.node = ResumableProxy(
             b.name,
-            b.hall,
+            b.zone,
             self.seeds,
             b.clock,
-            b.nest,
+            b.tasks,
             b.link,
             random.Random(self.rng.random()),
             SimWire(self.net, b),
@@ -239,7 +246,7 @@
                 b.clock,
                 n,
                 g,
-                b.hall,
+                b.zone,
                 "primary" if first and b.life == 1 else "replica",
                 self.z["cap"],
                 random.Random(self.rng.random()),
@@ -250,22 +257,22 @@
                 b.node.born -= 3_000_000
             if self.head_epochs():
                 b.node.source, b.node.born = self.head_epochs()[g]["primary"], b.clock.now()
-        b.nest.spawn(self._announce(b))
-        b.nest.spawn(self._pull(b))
+        b.tasks.spawn(self._announce(b))
+        b.tasks.spawn(self._pull(b))
 
-    def add_member(self, n, hall):
+    def add_member(self, n, zone):
         """A machine under a new name, with an empty store."""
-        self.members[n] = Box(self.net, n, hall)
+        self.members[n] = SimulatedMachine(self.net, n, zone)
         self.boot_member(n)
 
     async def _announce(self, b):
-        beat = 0
+        heartbeat = 0
         while True:
-            beat += 1
+            heartbeat += 1
             if not b.node.dark:
-                d = b.node.announcement(f"sim:{b.name}", beat)
+                d = b.node.announcement(f"sim:{b.name}", heartbeat)
                 for c in self.cores:
-                    b.nest.spawn(self._say(b, c, d))
+                    b.tasks.spawn(self._say(b, c, d))
             await b.clock.sleep(200_000)
 
     async def _say(self, b, c, d):
@@ -290,11 +297,11 @@
                 if src.node is not None and src.node.dark:
                     await src.clock.sleep(3_600_000_000)
                 if src.node is None:
-                    raise Unreached("off")
+                    raise Unreachable("off")
                 try:
                     return json.loads(json.dumps(src.node.feed(m.log, m.last_term())))
                 except Declined:
-                    raise Unreached("no primary") from None
+                    raise Unreachable("no primary") from None
 
             try:
                 d = await self.net.trip(b, src, there, 500_000)
@@ -319,7 +326,7 @@
             try:
                 getattr(b.node, verb)(**kw)
             except Declined as e:
-                raise MemberFault(e.document["fault"]) from None
+                raise MemberDeclined(e.document["fault"]) from None
 
         await self.net.trip(self.plat, b, there, 1_000_000)
 
@@ -332,18 +339,18 @@
             lambda g: [n for n in self.members if n.startswith(g)],
             self.z["took_us"],
         )
-        self.plat.nest.spawn(self.plat.node.tend())
+        self.plat.tasks.spawn(self.plat.node.tend())
         self.out.boot()
         self.out.node = True
-        self.usher = Usher(
+        self.load_balancer = LoadBalancer(
             self.plat.clock,
-            self.plat.nest,
+            self.plat.tasks,
             lambda: [b.name for b in self.edges],
             self._ready,
             self._warn,
             self._take,
         )
-        self.plat.nest.spawn(self.usher.run())
+        self.plat.tasks.spawn(self.load_balancer.run())
         for b in self.cores:
             self.boot_core(b)
         for n in self.members:
@@ -351,7 +358,7 @@
         for b in self.edges:
             self.boot_edge(b)
         await self.until(lambda: any(c.node.ready for c in self.cores), 15, "cores ready")
-        await self.apply(manifest(self.size, 1, **self.bounds))
+        await self.apply(configuration(self.size, 1, **self.bounds))
         await self.until(lambda: all(e.node.ready for e in self.edges), 15, "edges ready")
         await self.until(
             lambda: (
@@ -367,35 +374,39 @@
         self.loop.create_task(self._watch())
 
     async def _ready(self, name):
-        b = self.net.boxes[name]
+        b = self.net.machines[name]
 
         async def there():
             if b.node is None:
-                raise Unsent(name)
+                raise NotSent(name)
             return b.node.ready
 
         return await self.net.trip(self.plat, b, there, 500_000)
 
     async def _warn(self, name):
-        b = self.net.boxes[name]
+        b = self.net.machines[name]
         if b.node is not None:
-            t = b.nest.spawn(b.node.drain())
+            t = b.tasks.spawn(b.node.drain())
             await asyncio.wait([t])
 
     async def _take(self, name):
-        self.net.boxes[name].kill()
+        self.net.machines[name].kill()
 
     def route(self):
         """The edge that the platform sends the next new connection to, or None."""
         try:
-            return self.net.boxes[self.usher.pick()]
+            return self.net.machines[self.load_balancer.pick()]
         except Fault:
             return None
 
     def head_epochs(self):
         """Epochs as the core with the newest state holds them."""
         cs = [c.node for c in self.cores if c.node]
-        return max(cs, key=lambda n: n.mem.realm.seq).mem.realm.doc["epochs"] if cs else {}
+        return (
+            max(cs, key=lambda n: n.mem.control_state.seq).mem.control_state.doc["epochs"]
+            if cs
+            else {}
+        )
 
     async def until(self, fn, secs, what):
         """Waits in virtual time for a condition."""
@@ -406,15 +417,15 @@
             await asyncio.sleep(0.02)
         return self.loop.time()
 
-    async def ask(self, box, fn, us=20_000_000):
+    async def ask(self, machine, fn, us=20_000_000):
         """An operator's or visitor's exchange with a node."""
 
         async def there():
-            if box.node is None:
-                raise Unsent(box.name)
-            return await fn(box.node)
+            if machine.node is None:
+                raise NotSent(machine.name)
+            return await fn(machine.node)
 
-        return await self.net.trip(self.out, box, there, us, fresh=True)
+        return await self.net.trip(self.out, machine, there, us, fresh=True)
 
     async def apply(self, text, by=0):
         """Applies a manifest through some core that answers."""
@@ -433,11 +444,13 @@
                 await asyncio.sleep(0.3)
         raise last
 
-    async def hall(self, hall, state, by=0):
+    async def zone(self, zone, state, by=0):
         """Empties or restores a hall through some core that answers."""
         for i in range(40):
             try:
-                return await self.ask(self.cores[(by + i) % 3], lambda n: n.hall_to(hall, state))
+                return await self.ask(
+                    self.cores[(by + i) % 3], lambda n: n.set_zone_state(zone, state)
+                )
             except Fault as e:
                 if e.status in (409, 422):
                     return {"note": e.code}
@@ -449,7 +462,7 @@
             for b in self.cores + self.edges:
                 if b.node is None:
                     continue
-                r = b.node.mem.realm if b in self.cores else b.node.control.realm
+                r = b.node.mem.control_state if b in self.cores else b.node.control.control_state
                 v = r.doc["manifest"]["version"] if r.doc["manifest"] else 0
                 k = (b.name, b.life)
                 if v < self.seen.get(k, 0):
@@ -466,18 +479,18 @@
                     b.node.flood = 0
             await asyncio.sleep(0.1)
 
-    def visit(self, count, **kw):
+    def start_clients(self, count, **kw):
         """Starts visitors."""
         for i in range(count):
-            v = Visitor(self, len(self.visitors), random.Random(self.rng.random()), **kw)
-            self.visitors.append(v)
-            self.out.nest.spawn(v.run())
+            v = LoadClient(self, len(self.clients), random.Random(self.rng.random()), **kw)
+            self.clients.append(v)
+            self.out.tasks.spawn(v.run())
 
     async def calm(self):
         """Stops the visitors and waits until each knows its last outcome."""
-        for v in self.visitors:
+        for v in self.clients:
             v.stop = True
-        await self.until(lambda: all(v.done for v in self.visitors), 90, "visitors end")
+        await self.until(lambda: all(v.done for v in self.clients), 90, "visitors end")
 
     def truth(self):
         """The data of every group's current primary."""
@@ -493,8 +506,8 @@
 
 
 class _SimPlatform:
-    def __init__(self, w, box):
-        self._w, self._box = w, box
+    def __init__(self, w, machine):
+        self._w, self._machine = w, machine
 
     async def promote(self, group, member, epoch, by):
         """One failover call."""
@@ -503,4 +516,4 @@
         async def there():
             return await p.node.promote(group, member, epoch, by)
 
-        return await self._w.net.trip(self._box, p, there, 5_000_000)
+        return await self._w.net.trip(self._machine, p, there, 5_000_000)
--- a/src/petrelhaven/simulator/soak.py
+++ b/src/petrelhaven/simulator/soak.py
@@ -9,7 +9,7 @@
 import tempfile
 
 from petrelhaven.simulator.fleet import Fleet
-from petrelhaven.simulator.resumable.world import manifest
+from petrelhaven.simulator.resumable.world import configuration
 from petrelhaven.transport.http import fetch
 
 __all__ = ["KINDS", "Soak", "play"]
@@ -51,7 +51,7 @@
         try:
             await f.start()
             await f.apart()
-            self._visit()
+            self._start_clients()
             t0, burnt = f.now(), f.burnt()
             await f.clock.sleep(3_000_000)
             while f.now() - t0 < self.secs:
@@ -73,14 +73,14 @@
             await f.close()
         return self.bad
 
-    def _visit(self):
+    def _start_clients(self):
         w = _WRITES[self.size]
         all_ = _STRONG + _BROWSE
         n = self.sessions - min(_IDLE, self.sessions // 3)
         mix = {"writes": w / all_, "browse": _BROWSE / all_, "txns": 0.01, "values": 0.02}
         scale = self.sessions / 150
-        self.f.visit(n, pause=n / (all_ * scale), paced=True, **mix)
-        self.f.visit(self.sessions - n, pause=12.0, **{**mix, "values": 0.4})
+        self.f.start_clients(n, pause=n / (all_ * scale), paced=True, **mix)
+        self.f.start_clients(self.sessions - n, pause=12.0, **{**mix, "values": 0.4})
 
     async def _served(self, secs=12):
         t = self.f.now()
@@ -131,7 +131,7 @@
         p.poke(signal.SIGCONT)
 
     async def _warn(self, n, us):
-        left = await self.f.usher.stop(n, us)
+        left = await self.f.load_balancer.stop(n, us)
         await self._served()
         await self._again(n)
         return left
@@ -185,7 +185,7 @@
     async def _hall_cut(self):
         f = self.f
         h = self.rng.choice(f.z["halls"])
-        here = [n for n in f.procs if n[0] in "ce" and f.hall_of(n) == h]
+        here = [n for n in f.procs if n[0] in "ce" and f.zone_of(n) == h]
         there = [n for n in f.procs if n[0] in "ce" and n not in here]
         await f.cut(here, there)
         self.gaps["hall's links cut"].append(await self._served())
@@ -204,11 +204,11 @@
 
     async def _manifest(self):
         self.version += 1
-        await self.f.apply(manifest(self.size, self.version, lanes=self.rng.choice([1, 2, 3])))
+        await self.f.apply(configuration(self.size, self.version, lanes=self.rng.choice([1, 2, 3])))
 
     async def _report(self, secs, used):
         f, c = self.f, collections.Counter()
-        for v in f.visitors:
+        for v in f.clients:
             c.update(v.count)
         clocks = collections.Counter()
         for e in f.edges:
@@ -218,7 +218,7 @@
         ts = collections.Counter(h["t"] for h in f.hist)
         reads = sum(h["t"] == "read" and not h["browse"] for h in f.hist)
         browse = sum(h["t"] == "read" and h["browse"] for h in f.hist)
-        self.out(f"seed {self.seed}, size {self.size}, {secs:.0f} s, {len(f.visitors)} sessions")
+        self.out(f"seed {self.seed}, size {self.size}, {secs:.0f} s, {len(f.clients)} sessions")
         self.out(
             f"statements ok {c['ok']}, declined {c['declined']}, share declined "
             f"{c['declined'] / max(1, c['ok'] + c['declined']):.4f}"
--- a/src/petrelhaven/transport/channel.py
+++ b/src/petrelhaven/transport/channel.py
@@ -9,14 +9,14 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from petrelhaven.runtime.clock import Clock, Nest
+from petrelhaven.runtime.clock import BackgroundTasks, Clock
 from petrelhaven.runtime.errors import (
     Fault,
     Malformed,
     NotRelayed,
-    Unreached,
-    Unsent,
-    Unspoken,
+    NotSent,
+    UnknownKind,
+    Unreachable,
     rebuild,
 )
 from petrelhaven.runtime.events import emit
@@ -35,7 +35,7 @@
     """What a channel needs of the node it belongs to."""
 
     clock: Clock
-    nest: Nest
+    tasks: BackgroundTasks
     log: Any
     handlers: dict[str, Handler]
 
@@ -54,8 +54,8 @@
     That nothing was sent is only a relay's to say.
     """
     fault = rebuild(doc)
-    if isinstance(fault, Unsent) and not (kind == RELAY and isinstance(fault, NotRelayed)):
-        fault = Unreached(fault.note, fault.back, fault.more)
+    if isinstance(fault, NotSent) and not (kind == RELAY and isinstance(fault, NotRelayed)):
+        fault = Unreachable(fault.note, fault.back, fault.more)
     fault.answered = True
     return fault
 
@@ -98,7 +98,7 @@
         is reset.
         """
         if self.gone.done():
-            raise Unsent(kind)
+            raise NotSent(kind)
         number = next(self._numbers)
         raw = pack(kind, CALL, number, body)
         answer = asyncio.get_running_loop().create_future()
@@ -133,7 +133,7 @@
             if message.number <= self._last_heard:
                 raise Malformed(f"{message.kind}: call number")
             self._last_heard = message.number
-            self._link.nest.spawn(self._serve(message))
+            self._link.tasks.spawn(self._serve(message))
         elif message.flow in (RESULT, FAULT):
             self._take_answer(message)
         else:
@@ -161,7 +161,7 @@
         try:
             handler = self._link.handlers.get(kind)
             if handler is None:
-                raise Unspoken(kind)
+                raise UnknownKind(kind)
             result = await handler(self, message.body)
             answer = {"ok": True} if result is None else result
             raw = pack(kind, RESULT, message.number, answer)
@@ -181,7 +181,7 @@
             self.gone.set_result(None)
         for pending in list(self._pending.values()):
             if not pending.answer.done():
-                pending.answer.set_exception(Unreached("connection lost"))
+                pending.answer.set_exception(Unreachable("connection lost"))
 
     def close(self) -> None:
         """Closes the connection and takes calls that may not have been received from the wire."""
--- a/src/petrelhaven/transport/http.py
+++ b/src/petrelhaven/transport/http.py
@@ -4,7 +4,7 @@
 
 import aiohttp
 
-from petrelhaven.runtime.errors import Late, Unreached, Unsent, rebuild
+from petrelhaven.runtime.errors import DeadlineExceeded, NotSent, Unreachable, rebuild
 
 __all__ = ["fetch"]
 
@@ -27,11 +27,11 @@
             f.status = r.status
             raise f
     except aiohttp.ClientConnectorError:
-        raise Unsent(addr) from None
+        raise NotSent(addr) from None
     except (asyncio.TimeoutError, TimeoutError):
-        raise Late(addr) from None
+        raise DeadlineExceeded(addr) from None
     except (aiohttp.ClientError, OSError, ValueError):
-        raise Unreached(addr) from None
+        raise Unreachable(addr) from None
     finally:
         if own:
             await http.close()
--- a/src/petrelhaven/transport/http_server.py
+++ b/src/petrelhaven/transport/http_server.py
@@ -4,10 +4,10 @@
 
 from aiohttp import web
 
-from petrelhaven.runtime.errors import Fault, Malformed, Oversize
+from petrelhaven.runtime.errors import Fault, Malformed, TooLarge
 from petrelhaven.runtime.events import emit
 
-__all__ = ["Face", "body_of"]
+__all__ = ["HttpServer", "body_of"]
 
 
 async def body_of(req):
@@ -18,7 +18,7 @@
         raise Malformed("the body is not JSON") from None
 
 
-class Face:
+class HttpServer:
     """Serves handlers that return documents or raise typed faults."""
 
     def __init__(self, host="127.0.0.1", port=0, most=256 << 10, log=None):
@@ -40,7 +40,7 @@
         except Fault as e:
             return self.fault(e)
         except web.HTTPRequestEntityTooLarge:
-            return self.fault(Oversize("the request is too large"))
+            return self.fault(TooLarge("the request is too large"))
         except web.HTTPException as e:
             return web.json_response({"fault": "http", "note": e.reason}, status=e.status)
         except UnicodeDecodeError:
--- a/src/petrelhaven/transport/light_http.py
+++ b/src/petrelhaven/transport/light_http.py
@@ -8,11 +8,18 @@
 import h11
 
 from petrelhaven.runtime.clock import Clock
-from petrelhaven.runtime.errors import Fault, Late, Malformed, Oversize, Unreached, Unsent
+from petrelhaven.runtime.errors import (
+    DeadlineExceeded,
+    Fault,
+    Malformed,
+    NotSent,
+    TooLarge,
+    Unreachable,
+)
 from petrelhaven.runtime.events import emit
 from petrelhaven.transport.sockets import reset, tune
 
-__all__ = ["LightFace", "light_call"]
+__all__ = ["LightHttpServer", "light_call"]
 
 _IDLE_S = 60
 _CONNECT_US = 1_000_000
@@ -48,19 +55,19 @@
 
 
 class _Talk(asyncio.Protocol):
-    def __init__(self, face):
-        self._face = face
+    def __init__(self, http_server):
+        self._http_server = http_server
         self._h = h11.Connection(h11.SERVER)
         self._tr = self._task = self._tick = None
         self._req, self._body, self._size = None, [], 0
 
     def connection_made(self, tr):
         self._tr = tr
-        self._face.talks.add(self)
+        self._http_server.talks.add(self)
         self._wind()
 
     def connection_lost(self, e):
-        self._face.talks.discard(self)
+        self._http_server.talks.discard(self)
         self._tick.cancel()
 
     def _wind(self):
@@ -94,10 +101,10 @@
                 self._req, self._body, self._size = e, [], 0
             elif t is h11.Data:
                 self._size += len(e.data)
-                if self._size > self._face.most:
+                if self._size > self._http_server.most:
                     self._say(
                         413,
-                        json.dumps(Oversize("the request is too large").doc()).encode(),
+                        json.dumps(TooLarge("the request is too large").doc()).encode(),
                         close=True,
                     )
                     self._tr.close()
@@ -117,7 +124,7 @@
                 return
 
     async def _serve(self, q):
-        st, body, head = await self._face.answer(q)
+        st, body, head = await self._http_server.answer(q)
         if self._tr.is_closing():
             return
         self._say(st, body, head)
@@ -148,7 +155,7 @@
         self._tr.close()
 
 
-class LightFace:
+class LightHttpServer:
     """Serves handlers by verb and path; one that ends in `/` takes the rest of the path as its argument, and one with
     `{}` for its last segment but one takes that."""
 
@@ -231,8 +238,8 @@
         reader, writer = await clock.limit(
             asyncio.open_connection(host, int(port)), min(us, _CONNECT_US)
         )
-    except (OSError, Late):
-        raise Unsent(addr) from None
+    except (OSError, DeadlineExceeded):
+        raise NotSent(addr) from None
     tune(writer.transport)
     answered = False
     try:
@@ -240,7 +247,7 @@
         answered = True
         return answer
     except (OSError, h11.RemoteProtocolError, ValueError):
-        raise Unreached(addr) from None
+        raise Unreachable(addr) from None
     finally:
         if answered:
             writer.close()
@@ -298,4 +305,4 @@
             except (ValueError, RecursionError):
                 return status, None
         elif type(event) is h11.ConnectionClosed:
-            raise Unreached(addr)
+            raise Unreachable(addr)
--- a/src/petrelhaven/transport/link.py
+++ b/src/petrelhaven/transport/link.py
@@ -7,15 +7,22 @@
 
 import logbook
 
-from petrelhaven.runtime.clock import Clock, Nest
-from petrelhaven.runtime.errors import Fault, Late, Malformed, Unsent, Unspoken, Unversed
+from petrelhaven.runtime.clock import BackgroundTasks, Clock
+from petrelhaven.runtime.errors import (
+    DeadlineExceeded,
+    Fault,
+    Malformed,
+    NotSent,
+    UnknownKind,
+    VersionMismatch,
+)
 from petrelhaven.runtime.events import emit
 from petrelhaven.transport.channel import Channel, Handler
 from petrelhaven.transport.contracts import Repeat, repeat_of
 from petrelhaven.transport.messages import CALL, FAULT, TELL, pack, unpack
 from petrelhaven.transport.sockets import is_closed, reset, tune
 
-__all__ = ["Channel", "Held", "Link"]
+__all__ = ["Channel", "SharedConnections", "Link"]
 
 _MAGIC = 0x7E7A
 _PREFIX = struct.Struct(">HI")
@@ -42,7 +49,7 @@
     """A call over a shared connection; one that stays mute twice is closed and opened anew."""
     try:
         result = await channel.call(kind, body, us)
-    except Late as late:
+    except DeadlineExceeded as late:
         channel.mute = 0 if late.answered else channel.mute + 1
         if channel.mute >= _MUTE_CALLS:
             channel.close()
@@ -66,14 +73,14 @@
         self._link.heard(data)
 
 
-class Held:
+class SharedConnections:
     """Calls by address over shared connections; `open` is the link's own.
 
     Calls that may not be repeated have a connection to themselves: giving one up resets it, and
     that must not cost the answers of all others.
     """
 
-    nest: Nest
+    tasks: BackgroundTasks
 
     def __init__(self) -> None:
         """No connections yet."""
@@ -98,16 +105,16 @@
         """The connection that is being opened for `place`, maybe by another caller; else Unsent."""
         task = self._opening.get(place)
         if task is None:
-            task = self.nest.spawn(self._open_shared(place))
+            task = self.tasks.spawn(self._open_shared(place))
             if task is None:
-                raise Unsent(place[0])
+                raise NotSent(place[0])
             self._opening[place] = task
             task.add_done_callback(lambda _: self._forget_opening(place, task))
         try:
             return await asyncio.shield(task)
         except asyncio.CancelledError:
             if task.cancelled() and not asyncio.current_task().cancelling():
-                raise Unsent(place[0]) from None
+                raise NotSent(place[0]) from None
             raise
 
     def _forget_opening(self, place: tuple[str, bool], task: asyncio.Task[Channel]) -> None:
@@ -124,20 +131,20 @@
         return channel
 
 
-class Link(Held):
+class Link(SharedConnections):
     """All links of one node over real sockets."""
 
     def __init__(
         self,
         clock: Clock,
-        nest: Nest,
+        tasks: BackgroundTasks,
         log: logbook.Logger | None = None,
         host: str = "127.0.0.1",
         port: int = 0,
     ) -> None:
         """A link that is to listen at `host` and `port`; port 0 takes any."""
         super().__init__()
-        self.clock, self.nest, self.log = clock, nest, log
+        self.clock, self.tasks, self.log = clock, tasks, log
         self.handlers: dict[str, Handler] = {}
         self.garbage = 0
         self._host, self._port = host, port
@@ -181,11 +188,11 @@
             kind = message.kind
             handler = self.handlers.get(kind)
             if handler is None or message.flow != TELL:
-                raise Unspoken(kind)
+                raise UnknownKind(kind)
             handler(message.body)
         except Fault as fault:
             self.garbage += 1
-            number = 111 if isinstance(fault, Unversed) else 110
+            number = 111 if isinstance(fault, VersionMismatch) else 110
             emit(self.log, number, fault=fault.code, note=fault.note)
         except _BAD_BODY as error:
             self.garbage += 1
@@ -205,10 +212,10 @@
                     asyncio.open_connection(host, port), _ATTEMPT_US
                 )
             except OSError:
-                raise Unsent(address) from None
-            except Late:
+                raise NotSent(address) from None
+            except DeadlineExceeded:
                 if self.clock.now() >= end:
-                    raise Unsent(address) from None
+                    raise NotSent(address) from None
             else:
                 return self._wrap(reader, writer)
 
@@ -221,7 +228,7 @@
             lambda: reset(writer.transport),
             lambda: is_closed(writer.transport),
         )
-        self.nest.spawn(self._pump(channel, reader, writer))
+        self.tasks.spawn(self._pump(channel, reader, writer))
         return channel
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -249,7 +256,7 @@
         """Hands on one message; a call of another version is declined."""
         try:
             channel.feed(raw)
-        except (Unversed, Unspoken) as fault:
+        except (VersionMismatch, UnknownKind) as fault:
             self.garbage += 1
             emit(self.log, 111, note=fault.note)
             if fault.more.get("flow") == CALL:
--- a/src/petrelhaven/transport/messages.py
+++ b/src/petrelhaven/transport/messages.py
@@ -9,7 +9,7 @@
 
 import fastavro
 
-from petrelhaven.runtime.errors import Malformed, Unspoken, Unversed
+from petrelhaven.runtime.errors import Malformed, UnknownKind, VersionMismatch
 from petrelhaven.transport.contracts import KINDS, Shape
 
 __all__ = ["CALL", "FAULT", "KINDS", "RESULT", "TELL", "VERSION", "Message", "pack", "unpack"]
@@ -52,7 +52,7 @@
         return _FAULT_SHAPE
     contract = KINDS.get(kind)
     if contract is None:
-        raise Unspoken(kind)
+        raise UnknownKind(kind)
     return contract.result if flow == RESULT else contract.ask
 
 
@@ -97,7 +97,7 @@
         raise Malformed(f"head: {type(error).__name__}") from None
     if head["v"] != VERSION:
         more = {"id": head["id"], "flow": head["flow"], "kind": head["kind"][:_LONGEST_KIND]}
-        raise Unversed(f"message version {head['v']}", more=more)
+        raise VersionMismatch(f"message version {head['v']}", more=more)
     return head
 
 
--- a/src/petrelhaven/transport/reach.py
+++ b/src/petrelhaven/transport/reach.py
@@ -6,10 +6,10 @@
 
 from petrelhaven.membership.roster import Roster
 from petrelhaven.runtime.clock import Clock
-from petrelhaven.runtime.errors import Late, NotRelayed, Unreached, Unsent
+from petrelhaven.runtime.errors import DeadlineExceeded, NotRelayed, NotSent, Unreachable
 from petrelhaven.transport.channel import Channel
 from petrelhaven.transport.contracts import RELAY, Repeat, repeat_of
-from petrelhaven.transport.link import Held
+from petrelhaven.transport.link import SharedConnections
 
 __all__ = ["Reach"]
 
@@ -26,7 +26,9 @@
     goes another way only if it is certain that nothing of it has left before.
     """
 
-    def __init__(self, clock: Clock, link: Held, roster: Roster, rng: random.Random) -> None:
+    def __init__(
+        self, clock: Clock, link: SharedConnections, roster: Roster, rng: random.Random
+    ) -> None:
         """Calls over `link` the nodes that `roster` knows."""
         self.clock, self.link, self.roster, self.rng = clock, link, roster, rng
         self._bad: dict[str, int] = {}
@@ -38,7 +40,7 @@
         if name == self.roster.name:
             return await self.link.handlers[kind](None, body)
         if address is None:
-            raise Unsent(f"unknown node {name}")
+            raise NotSent(f"unknown node {name}")
         now = self.clock.now()
         end = now + us
         once = repeat_of(kind, body) is Repeat.NEVER
@@ -50,11 +52,11 @@
                 result = await self.link.call(address, kind, body, us // share)
                 self._bad.pop(name, None)
                 return result
-            except (Late, Unreached) as fault:
+            except (DeadlineExceeded, Unreachable) as fault:
                 if fault.answered:
                     raise
                 self._bad[name] = self.clock.now() + _BAD_US
-                may_have_left = not isinstance(fault, Unsent)
+                may_have_left = not isinstance(fault, NotSent)
                 if may_have_left and once:
                     raise
         relayed = {"to": address, "kind": kind, "body": body}
@@ -73,13 +75,13 @@
             try:
                 result = await self.link.call(self.roster.addr_of(relay), RELAY, relayed, us)
                 return result["body"]
-            except Unsent:
+            except NotSent:
                 continue
-            except (Late, Unreached):
+            except (DeadlineExceeded, Unreachable):
                 if once:
                     raise
                 may_have_left = True
-        raise Unreached(name) if may_have_left else Unsent(name)
+        raise Unreachable(name) if may_have_left else NotSent(name)
 
     def _relays(self, name: str) -> list[str]:
         """Living nodes that may see `name`."""
@@ -95,13 +97,13 @@
     def _best_first(self, name: str, relays: list[str]) -> list[str]:
         """Relays of other halls than the two ends come first; drawn by lot among each."""
         peers = self.roster.peers
-        halls = {self.roster.hall, peers[name].hall if name in peers else ""}
-        return sorted(relays, key=lambda relay: (peers[relay].hall in halls, self.rng.random()))
+        zones = {self.roster.zone, peers[name].zone if name in peers else ""}
+        return sorted(relays, key=lambda relay: (peers[relay].zone in zones, self.rng.random()))
 
     async def _relayed(self, channel: Channel, call: dict[str, Any]) -> dict[str, Any]:
         """Another node's call, sent on once; NotRelayed if nothing of it left here."""
         try:
             body = await self.link.call(call["to"], call["kind"], call["body"], call["us"])
-        except Unsent as fault:
+        except NotSent as fault:
             raise NotRelayed(fault.note) from None
         return {"body": body}
--- a/tests/control_mutants.py
+++ b/tests/control_mutants.py
@@ -2,8 +2,8 @@
 
 import petrelhaven.control.consensus.chain as chain
 import petrelhaven.control.consensus.register as register
-from petrelhaven.control import node as seat
-from petrelhaven.control.state import control_state as ledger
+from petrelhaven.control import node as node
+from petrelhaven.control.state import control_state as control_state
 from petrelhaven.control.storage import core_store, documents
 from petrelhaven.runtime.errors import NotReady
 
@@ -64,7 +64,7 @@
     def read(self):
         if not self.tail:
             raise NotReady("not the tail")
-        return self.realm.doc
+        return self.control_state.doc
 
     mp.setattr(chain.Chain, "read", read)
 
@@ -98,7 +98,7 @@
         if any(answer["name"] != self.name for answer in told):
             self.chain.active_at = self.clock.now()
 
-    mp.setattr(seat.Seat, "informed", informed)
+    mp.setattr(node.ControlNode, "informed", informed)
 
 
 def members_changed_two_at_once(mp):
@@ -110,7 +110,7 @@
         ids[new[0]] = infos[new[0]]["disk"]
         await self.propose(view, view["chain"] + new[:1], ids, "exchanged")
 
-    mp.setattr(seat.Seat, "recast", recast)
+    mp.setattr(node.ControlNode, "recast", recast)
 
 
 def acknowledged_before_commit(mp):
@@ -130,21 +130,21 @@
 
 
 def reset_without_frame(mp):
-    def reset(self, realm, mark):
+    def reset(self, control_state, mark):
         self.mark = mark
 
     mp.setattr(core_store.CoreStore, "reset", reset)
 
 
 def reset_not_synced(mp):
-    def reset(self, realm, mark):
-        self._forget_state(self._state(realm), mark)
+    def reset(self, control_state, mark):
+        self._forget_state(self._state(control_state), mark)
 
     mp.setattr(core_store.CoreStore, "reset", reset)
 
 
 def versions_not_checked(mp):
-    mp.setattr(ledger.Ledger, "_check_manifest", lambda self, record: None)
+    mp.setattr(control_state.ControlState, "_check_configuration", lambda self, record: None)
 
 
 def fence_before_commit(mp):
@@ -153,8 +153,8 @@
     async def enter(self, record, *args):
         if record["t"] != "office" or not (self.head and self.active):
             return await real(self, record, *args)
-        self.nest.spawn(real(self, record, *args))
-        return self.realm.seq + 1
+        self.tasks.spawn(real(self, record, *args))
+        return self.control_state.seq + 1
 
     mp.setattr(chain.Chain, "enter", enter)
 
--- a/tests/embargo_world.py
+++ b/tests/embargo_world.py
@@ -5,17 +5,17 @@
 import random
 
 from petrelhaven.control.embargo.instant import spoken
-from petrelhaven.control.node import Seat
-from petrelhaven.proxy.core_connection import Tie
+from petrelhaven.control.node import ControlNode
+from petrelhaven.proxy.core_connection import CoreConnection
 from petrelhaven.proxy.node import ProxyNode
-from petrelhaven.proxy.pool.member_connection import Strand
+from petrelhaven.proxy.pool.member_connection import MemberConnection
 from petrelhaven.proxy.session.statement import Ask, Reply
-from petrelhaven.runtime.errors import Duplicate, Fault, Late, Unreached, Unsent
-from petrelhaven.simulator.net import Box, Net
+from petrelhaven.runtime.errors import DeadlineExceeded, Duplicate, Fault, NotSent, Unreachable
+from petrelhaven.simulator.net import Net, SimulatedMachine
 from petrelhaven.simulator.virtual_time import WarpLoop, end_all
 
 BASE = 1_780_000_000_000_000
-HALLS = "abc"
+ZONES = "abc"
 
 
 def virtual(fn, seed=1, **kw):
@@ -51,8 +51,8 @@
 class Member:
     """One member: a log of (term, thing, data), a role, and how far behind it copies."""
 
-    def __init__(self, world, box, role):
-        self.w, self.box, self.role = world, box, role
+    def __init__(self, world, machine, role):
+        self.w, self.machine, self.role = world, machine, role
         self.log, self.held, self.lag = [], 0, 0.01
 
     @property
@@ -77,7 +77,7 @@
 
     async def run(self, conn, text, after):
         """A client's statement."""
-        await self.box.clock.sleep(4_000)
+        await self.machine.clock.sleep(4_000)
         w, _, rest = text.partition(" ")
         if w == "EXECUTE":
             alias, _, rest = rest.partition(" ")
@@ -104,13 +104,13 @@
         n = len(self.log)
         for _ in range(300):
             if self.role != "primary":
-                raise Unreached("deposed")
+                raise Unreachable("deposed")
             if not writes or any(
                 m.log[:n] == self.log[:n] for m in self.w.members.values() if m is not self
             ):
                 return self.reply(conn)
-            await self.box.clock.sleep(10_000)
-        raise Unreached("no replica")
+            await self.machine.clock.sleep(10_000)
+        raise Unreachable("no replica")
 
     async def plain(self, conn, verb, args):
         """What the system says for itself or says again."""
@@ -138,29 +138,29 @@
     async def follow(self):
         """Copies the primary's log while it can."""
         while True:
-            await self.box.clock.sleep(int(self.lag * 1e6))
+            await self.machine.clock.sleep(int(self.lag * 1e6))
             p = next((m for m in self.w.members.values() if m.role == "primary"), None)
             if (
                 p is None
                 or p is self
                 or self.held
-                or not p.box.up
-                or self.w.net.is_cut(p.box.name, self.box.name)
+                or not p.machine.up
+                or self.w.net.is_cut(p.machine.name, self.machine.name)
             ):
                 continue
             self.log = list(p.log)
 
-    async def beat(self):
+    async def heartbeat(self):
         """Tells the cores of itself."""
         count = 0
         while True:
             count += 1
             c = self.w.rng.choice(sorted(self.w.cores))
             doc = {
-                "member": self.box.name,
+                "member": self.machine.name,
                 "group": "g",
-                "hall": self.box.hall,
-                "addr": f"sim:{self.box.name}",
+                "hall": self.machine.zone,
+                "addr": f"sim:{self.machine.name}",
                 "role": self.role,
                 "state": "ready",
                 "slots": 9,
@@ -168,14 +168,14 @@
             }
             try:
                 await self.w.net.trip(
-                    self.box, self.w.cores[c], lambda: self.w.heard(c, doc), 500_000
+                    self.machine, self.w.cores[c], lambda: self.w.heard(c, doc), 500_000
                 )
             except Fault:
                 pass
-            await self.box.clock.sleep(250_000)
+            await self.machine.clock.sleep(250_000)
 
 
-class SimStrand(Strand):
+class SimStrand(MemberConnection):
     """A connection to a member over the simulated net; statements go one after the other."""
 
     def __init__(self, src, dst, net):
@@ -187,7 +187,7 @@
     def _say(self, fn):
         f = asyncio.get_running_loop().create_future()
         was, self._last = self._last, f
-        if self.src.nest.spawn(self._go(f, was, fn)) is None:
+        if self.src.tasks.spawn(self._go(f, was, fn)) is None:
             f.cancel()
         return f
 
@@ -196,14 +196,14 @@
             if was is not None and not was.done():
                 await asyncio.wait([was])
             if self.lost or self.dst.life != self.life:
-                raise Unreached("connection lost")
+                raise Unreachable("connection lost")
             r = await self.net.trip(self.src, self.dst, fn, 4_000_000)
             if not f.done():
                 f.set_result(r)
         except Fault:
             self.close()
             if not f.done():
-                f.set_exception(Unreached("connection lost"))
+                f.set_exception(Unreachable("connection lost"))
                 f.exception()
 
     def ask(self, a, after=None, alias=None):
@@ -222,22 +222,22 @@
 
 
 class SimWire:
-    def __init__(self, world, box):
-        self.w, self.box = world, box
+    def __init__(self, world, machine):
+        self.w, self.machine = world, machine
 
     async def open(self, addr, group, member, us):
-        dst = self.w.net.boxes[member]
+        dst = self.w.net.machines[member]
 
         async def hello():
             return True
 
         try:
-            await self.w.net.trip(self.box, dst, hello, us, fresh=True)
-        except Unreached:
-            raise Unsent("refused") from None
-        except Late:
-            raise Unsent("mute") from None
-        return SimStrand(self.box, dst, self.w.net)
+            await self.w.net.trip(self.machine, dst, hello, us, fresh=True)
+        except Unreachable:
+            raise NotSent("refused") from None
+        except DeadlineExceeded:
+            raise NotSent("mute") from None
+        return SimStrand(self.machine, dst, self.w.net)
 
 
 class Record:
@@ -270,18 +270,20 @@
 class World:
     """Three cores, edges and a group of three members."""
 
-    def __init__(self, loop, seed, edges=3, rates=True, **manifest):
+    def __init__(self, loop, seed, edges=3, rates=True, **configuration):
         self.loop, self.rng = loop, random.Random(seed)
         self.net = Net(loop, self.rng)
-        self.term, self.version, self.more = 1, 0, {"embargoing": ["g"], **manifest}
+        self.term, self.version, self.more = 1, 0, {"embargoing": ["g"], **configuration}
         r = self.rng
         self.cores = {
-            f"c{i + 1}": Box(self.net, f"c{i + 1}", h, r.uniform(0.99, 1.01) if rates else 1.0)
-            for i, h in enumerate(HALLS)
+            f"c{i + 1}": SimulatedMachine(
+                self.net, f"c{i + 1}", h, r.uniform(0.99, 1.01) if rates else 1.0
+            )
+            for i, h in enumerate(ZONES)
         }
         self.edges = {
-            f"e{i + 1}": Box(
-                self.net, f"e{i + 1}", HALLS[i % 3], r.uniform(0.99, 1.01) if rates else 1.0
+            f"e{i + 1}": SimulatedMachine(
+                self.net, f"e{i + 1}", ZONES[i % 3], r.uniform(0.99, 1.01) if rates else 1.0
             )
             for i in range(edges)
         }
@@ -294,14 +296,14 @@
         """True time, in microseconds."""
         return BASE + int(self.loop.time() * 1e6)
 
-    def manifest(self, **kw):
+    def configuration(self, **kw):
         self.version += 1
         self.more |= kw
         return json.dumps(
             {
                 "name": "fleet",
                 "version": self.version,
-                "halls": list(HALLS),
+                "halls": list(ZONES),
                 "groups": [{"name": "g", "cap": 40, "sync": 1}],
                 "routes": [
                     {
@@ -333,11 +335,11 @@
         )
 
     async def start(self):
-        for i, h in enumerate(HALLS):
-            b = Box(self.net, f"m{i + 1}", h).boot()
+        for i, h in enumerate(ZONES):
+            b = SimulatedMachine(self.net, f"m{i + 1}", h).boot()
             m = b.node = self.members[b.name] = Member(self, b, "replica" if i else "primary")
-            for co in (m.follow(), m.beat()):
-                b.nest.spawn(co)
+            for co in (m.follow(), m.heartbeat()):
+                b.tasks.spawn(co)
         for n in self.cores:
             self.start_core(n)
         for n in self.edges:
@@ -345,9 +347,10 @@
         await self.until(
             lambda: any(c.node and c.node.chain.active for c in self.cores.values()), 20
         )
-        await self.call(lambda s: s.apply(self.manifest(), by="op"))
+        await self.call(lambda s: s.apply(self.configuration(), by="op"))
         await self.until(
-            lambda: all(e.node.ready and e.node.tie.holds for e in self.edges.values()), 20
+            lambda: all(e.node.ready and e.node.core_connection.holds for e in self.edges.values()),
+            20,
         )
         await self.until(
             lambda: all(e.node.groups["g"].leadership for e in self.edges.values()), 20
@@ -355,12 +358,12 @@
 
     def start_core(self, n):
         b = self.cores[n].boot()
-        s = Seat(
+        s = ControlNode(
             n,
-            b.hall,
+            b.zone,
             [f"sim:{x}" for x in sorted(self.cores)],
             b.clock,
-            b.nest,
+            b.tasks,
             b.link,
             b.disk,
             random.Random(self.rng.random()),
@@ -368,7 +371,7 @@
             SimWire(self, b),
             1_200_000,
             b.log,
-            wall=self.walls[n],
+            wall_clock=self.walls[n],
         )
         b.node = s
         s.start()
@@ -377,19 +380,19 @@
         b = self.edges[n].boot()
         rng = random.Random(self.rng.random())
 
-        def near(hall):
-            return 0 if hall == b.hall else 1
+        def near(zone):
+            return 0 if zone == b.zone else 1
 
-        tie = Tie(
-            b.clock, b.nest, b.link, rng, n, [f"sim:{x}" for x in sorted(self.cores)], near, b.log
+        core_connection = CoreConnection(
+            b.clock, b.tasks, b.link, rng, n, [f"sim:{x}" for x in sorted(self.cores)], near, b.log
         )
         b.node = ProxyNode(
             n,
-            b.hall,
+            b.zone,
             b.clock,
-            b.nest,
+            b.tasks,
             rng,
-            tie,
+            core_connection,
             SimWire(self, b),
             near,
             3_000_000,
@@ -406,14 +409,14 @@
 
     async def heard(self, core, doc):
         if self.cores[core].node is None:
-            raise Unreached("off")
+            raise Unreachable("off")
         await self.cores[core].node.announce(doc)
 
     async def promote(self, group, name, fence, holder):
         """The platform."""
         await asyncio.sleep(0.3)
-        if fence < self.fence or not self.members[name].box.up:
-            raise Unreached("declined")
+        if fence < self.fence or not self.members[name].machine.up:
+            raise Unreachable("declined")
         self.fence = fence
         if self.members[name].role != "primary":
             self.term += 1
@@ -466,7 +469,7 @@
             await asyncio.sleep(0.1)
         raise AssertionError("no edge takes the write")
 
-    def note(self, edge, thing, r, visitor=""):
+    def note(self, edge, thing, r, client=""):
         """Judges one reply."""
         now, x = self.true(), self.records.get(thing)
         if r.code == "withheld":
@@ -474,16 +477,16 @@
             assert (r.rows, r.pos, r.stamp) == ((), None, "-")
         if r.ok and r.rows:
             self.seen.append((now, edge, thing))
-            if x is not None and visitor != "early" and not x.may_be_seen(now):
+            if x is not None and client != "early" and not x.may_be_seen(now):
                 self.bad.append((round(self.loop.time(), 3), edge, thing, x.states))
 
-    async def read(self, n, thing, host="db", visitor="u", how="single"):
+    async def read(self, n, thing, host="db", client="u", how="single"):
         """One read at an edge, judged."""
         b = self.edges[n]
         g, life = b.node, b.life
         if g is None or g.state != "serving":
             return None
-        v = g.open(host, visitor)
+        v = g.open(host, client)
         if how == "prepared":
             await g.serve_one(
                 v, Ask("p", "prepare", "PREPARE q FETCH s1", name="q", shape="FETCH s1")
@@ -495,7 +498,7 @@
             await g.serve_one(v, Ask("b", "begin", "BEGIN", writes=how == "writes"))
         r = await g.serve_one(v, a)
         if b.life == life:
-            self.note(n, thing, r, visitor)
+            self.note(n, thing, r, client)
         if how in ("reads", "writes"):
             await g.serve_one(v, Ask("e", "rollback", "ROLLBACK"))
         g.close(v)
@@ -507,7 +510,7 @@
         while self.reading:
             await asyncio.sleep(r.uniform(0.01, 0.06))
             if b.up and not b.frozen:
-                t = b.nest.spawn(
+                t = b.tasks.spawn(
                     self.read(
                         n,
                         thing,
@@ -525,7 +528,7 @@
         while self.reading:
             await asyncio.sleep(r.uniform(0.05, 0.2))
             if b.up and not b.frozen:
-                t = b.nest.spawn(self._long(n, thing, r))
+                t = b.tasks.spawn(self._long(n, thing, r))
                 if t is not None:
                     await asyncio.wait([t], timeout=60)
 
--- a/tests/model/cluster.py
+++ b/tests/model/cluster.py
@@ -6,14 +6,14 @@
 
 from model.disk import ModelDisk
 from model.observer import Observer
-from petrelhaven.control.node import Seat
-from petrelhaven.simulator.net import Box, Net
+from petrelhaven.control.node import ControlNode
+from petrelhaven.simulator.net import Net, SimulatedMachine
 
 __all__ = ["Cluster", "Shape"]
 
-_HALLS = ("a", "b", "c")
+_ZONES = ("a", "b", "c")
 _TURN_S = 0.01
-_BEAT_US = 1_200_000
+_HEARTBEAT_US = 1_200_000
 _RATES = (1.0, 1.045, 1.0, 1.02, 1.045)
 
 
@@ -55,13 +55,13 @@
         self._seeds = {b.name: self._listed() for b in self.cores}
         self.away = set()
         self.behind = set()
-        self.operators = Box(self.net, "operators", "out")
+        self.operators = SimulatedMachine(self.net, "operators", "out")
 
     def _machine(self, place):
         rate = _RATES[place % len(_RATES)]
-        box = Box(self.net, next(self._names), _HALLS[place % 3], rate)
-        box.disk = ModelDisk(box)
-        return box
+        machine = SimulatedMachine(self.net, next(self._names), _ZONES[place % 3], rate)
+        machine.disk = ModelDisk(machine)
+        return machine
 
     def _listed(self):
         """The operator's list as a machine's file names it: three machines of the time when it was written."""
@@ -71,8 +71,8 @@
         """Powers everything on for the first time and waits until the cores are ready."""
         self.operators.boot()
         self.operators.node = True
-        for box in self.cores:
-            self.boot(box, founds=True)
+        for machine in self.cores:
+            self.boot(machine, founds=True)
         self.loop.create_task(self._watch())
         return await self.until(
             lambda: all(
@@ -82,50 +82,50 @@
             20,
         )
 
-    def boot(self, box, founds=False):
+    def boot(self, machine, founds=False):
         """Powers a core on over what its disk holds."""
-        if box.up or box.name in self.away:
+        if machine.up or machine.name in self.away:
             return
-        box.boot()
+        machine.boot()
         try:
-            box.node = Seat(
-                box.name,
-                box.hall,
-                list(self._seeds[box.name]),
-                box.clock,
-                box.nest,
-                box.link,
-                box.disk,
+            machine.node = ControlNode(
+                machine.name,
+                machine.zone,
+                list(self._seeds[machine.name]),
+                machine.clock,
+                machine.tasks,
+                machine.link,
+                machine.disk,
                 random.Random(self.rng.random()),
                 None,
                 None,
-                _BEAT_US,
-                box.log,
+                _HEARTBEAT_US,
+                machine.log,
                 founds,
                 self.tolerated,
             )
         except asyncio.CancelledError:
-            if box.up:
+            if machine.up:
                 raise
             return
-        self.observer.attach(box)
-        box.node.start()
+        self.observer.attach(machine)
+        machine.node.start()
 
     def at(self, index):
         """A core by its place."""
         return self.cores[index % len(self.cores)]
 
-    def may_lose(self, box):
+    def may_lose(self, machine):
         """Whether one more disk may be lost: those that came back empty count until they caught up."""
-        return len(self.behind | {box.name}) <= self.tolerated
+        return len(self.behind | {machine.name}) <= self.tolerated
 
-    def lose_disk(self, box):
+    def lose_disk(self, machine):
         """Powers a core off for good with its disk, if that many losses are tolerated."""
-        if not self.may_lose(box):
+        if not self.may_lose(machine):
             return False
-        box.kill()
-        box.disk.lose()
-        self.behind.add(box.name)
+        machine.kill()
+        machine.disk.lose()
+        self.behind.add(machine.name)
         return True
 
     def replace(self, index):
@@ -140,20 +140,20 @@
         self.behind.add(new.name)
         return new
 
-    def isolate(self, box, us, way):
+    def isolate(self, machine, us, way):
         """Cuts a core from the other cores: both ways, outwards only or inwards only."""
-        others = [b.name for b in self.cores if b is not box]
+        others = [b.name for b in self.cores if b is not machine]
         if way % 3 == 2:
-            self.net.cut(others, [box.name], us, both=False)
+            self.net.cut(others, [machine.name], us, both=False)
         else:
-            self.net.cut([box.name], others, us, both=way % 3 == 0)
+            self.net.cut([machine.name], others, us, both=way % 3 == 0)
 
-    def reset_connections(self, box):
+    def reset_connections(self, machine):
         """Closes every connection of a core; the other sides see it."""
-        for end in list(box.pipes.values()):
+        for end in list(machine.pipes.values()):
             end.cut(False)
             for machine, channel in ((end.a, end.ca), (end.b, end.cb)):
-                if machine is box:
+                if machine is machine:
                     channel.lose()
 
     async def until(self, condition, seconds):
@@ -169,8 +169,8 @@
         while True:
             self.observer.turn(self.cores)
             for name in list(self.behind):
-                box = next((b for b in self.cores if b.name == name), None)
-                if box and box.up and box.node and self._caught_up(box.node):
+                machine = next((b for b in self.cores if b.name == name), None)
+                if machine and machine.up and machine.node and self._caught_up(machine.node):
                     self.behind.discard(name)
             await asyncio.sleep(_TURN_S)
 
@@ -183,9 +183,9 @@
         self.net.cuts.clear()
         self.net.slowed.clear()
         self.net.loss = self.net.double = 0.0
-        for box in self.cores:
-            box.disk.crash_at_next_write = None
-            box.disk.full = False
-            if box.frozen:
-                box._thaw(box.life)
-            self.boot(box)
+        for machine in self.cores:
+            machine.disk.crash_at_next_write = None
+            machine.disk.full = False
+            if machine.frozen:
+                machine._thaw(machine.life)
+            self.boot(machine)
--- a/tests/model/observer.py
+++ b/tests/model/observer.py
@@ -36,11 +36,11 @@
         """Notes a violated invariant."""
         self.broken.setdefault(rule, f"at {self.loop.time():.3f} s: {detail}")
 
-    def attach(self, box):
+    def attach(self, machine):
         """Puts the observer between a core that was just started and its callers."""
-        node = box.node
+        node = machine.node
         handlers = node.link.handlers
-        self._checked[box.name] = 0
+        self._checked[machine.name] = 0
         for kind, check in (
             ("vote.prepare", self._prepared),
             ("vote.accept", self._accepted_value),
@@ -171,8 +171,8 @@
             if self._checked[node.name] < seq <= chain.commit:
                 self._same(self._records, seq, _text(record), "one record a number", node.name)
                 self._check_version(seq, record)
-        if chain.commit == chain.realm.seq:
-            state = _text(chain.realm.frame())
+        if chain.commit == chain.control_state.seq:
+            state = _text(chain.control_state.frame())
             self._same(self._states, chain.commit, state, "one state a number", node.name)
         self._checked[node.name] = max(self._checked[node.name], chain.commit)
         self.committed = max(self.committed, chain.commit)
@@ -194,9 +194,9 @@
         if known.setdefault(key, text) != text:
             self.report(rule, f"{name}, {key}: {text[-200:]} and {known[key][-200:]}")
 
-    def turn(self, boxes):
+    def turn(self, machines):
         """Checks what must hold at any moment of all cores that run."""
-        running = [b.node for b in boxes if b.up and not b.frozen and b.node is not None]
+        running = [b.node for b in machines if b.up and not b.frozen and b.node is not None]
         active = [n for n in running if n.chain.active]
         newest = max((n.chain.view["n"] for n in active), default=0)
         for node in active:
@@ -208,10 +208,10 @@
                     "no core rules an older view beside an active one",
                     f"{node.name} in view {chain.view['n']}, one active in {newest}",
                 )
-            if chain.complete and chain.realm.seq < self._floor.get(chain.view["n"], 0):
+            if chain.complete and chain.control_state.seq < self._floor.get(chain.view["n"], 0):
                 self.report(
                     "a complete core holds all that was committed before its view",
-                    f"{node.name} holds {chain.realm.seq} of {self._floor[chain.view['n']]}",
+                    f"{node.name} holds {chain.control_state.seq} of {self._floor[chain.view['n']]}",
                 )
 
     def fence(self, seq, holder, begun, token):
--- a/tests/model/operators.py
+++ b/tests/model/operators.py
@@ -4,25 +4,25 @@
 import json
 
 from petrelhaven.control.orders import ANSWER_US
-from petrelhaven.runtime.errors import Duplicate, Fault, Invalid, Malformed, Stale, Unsent
+from petrelhaven.runtime.errors import Duplicate, Fault, Invalid, Malformed, NotSent, Stale
 
-__all__ = ["Operators", "manifest"]
+__all__ = ["Operators", "configuration"]
 
 _PATIENCE_US = 1_000_000
 _SERVER_US = 4_000_000
 _PAUSE_S = 0.2
 _PATIENCE_S = 12.0
-_HALLS = ("a", "b", "c")
+_ZONES = ("a", "b", "c")
 
 
-def manifest(version, content="x"):
+def configuration(version, content="x"):
     """The text of a manifest; `content` tells two under one version apart."""
     route = {"name": "r", "group": "g1", "host": "r", "prefix": "/", "reads": "strong"}
     return json.dumps(
         {
             "name": f"fleet-{content}",
             "version": version,
-            "halls": list(_HALLS),
+            "halls": list(_ZONES),
             "groups": [{"name": "g1", "cap": 10, "sync": 0}],
             "routes": [{**route, "timeout_us": 2_000_000, "aim_us": 400_000, "stale_us": 0}],
             "bounds": {"keepers": 0},
@@ -39,9 +39,9 @@
         self.lost_answers = 0.0
         self.tasks = []
         self.version = 0
-        self.manifests = {}
-        self.halls = {}
-        self._hall_locks = {h: asyncio.Lock() for h in _HALLS}
+        self.configurations = {}
+        self.zones = {}
+        self._zone_locks = {h: asyncio.Lock() for h in _ZONES}
         self.highest_change = 0
         self.orders = self.acknowledged = self.reads = 0
 
@@ -54,22 +54,22 @@
         self.version += 1
         return self.version
 
-    async def _trip(self, box, there):
+    async def _trip(self, machine, there):
         """One call to one core; the answer may be lost. A request whose caller left is not begun."""
         waiting = True
 
         async def begun():
-            if not waiting or box.node is None:
-                raise Unsent(box.name)
-            return await box.node.clock.limit(there(box.node), _SERVER_US)
+            if not waiting or machine.node is None:
+                raise NotSent(machine.name)
+            return await machine.node.clock.limit(there(machine.node), _SERVER_US)
 
         net, operators = self._cluster.net, self._cluster.operators
         try:
-            answer = await net.trip(operators, box, begun, _PATIENCE_US, fresh=True)
+            answer = await net.trip(operators, machine, begun, _PATIENCE_US, fresh=True)
         finally:
             waiting = False
         if net.rng.random() < self.lost_answers:
-            raise Unsent("the answer was lost")
+            raise NotSent("the answer was lost")
         return answer
 
     async def _order(self, there, first):
@@ -100,13 +100,13 @@
     async def apply(self, first, version=None, content="x"):
         """Applies a manifest; true once acknowledged."""
         version = version or self.next_version()
-        text = manifest(version, content)
+        text = configuration(version, content)
         outcome, change = await self._order(
             lambda node: node.apply(text, within_us=ANSWER_US), first
         )
         if outcome != "acknowledged":
             return False
-        if self.manifests.setdefault(version, text) != text:
+        if self.configurations.setdefault(version, text) != text:
             self._observer.report("one content a version", f"two were confirmed as {version}")
         self._acknowledge(change)
         return True
@@ -118,46 +118,50 @@
             self.apply(first, version, "left"), self.apply(second, version, "right")
         )
 
-    async def turn_hall(self, first, hall):
+    async def turn_zone(self, first, zone):
         """Empties or opens a hall, one order of it at a time."""
-        async with self._hall_locks[hall]:
-            state = "open" if self.halls.get(hall) == "emptied" else "emptied"
-            self.halls.pop(hall, None)
+        async with self._zone_locks[zone]:
+            state = "open" if self.zones.get(zone) == "emptied" else "emptied"
+            self.zones.pop(zone, None)
             outcome, change = await self._order(
-                lambda node: node.hall_to(hall, state, within_us=ANSWER_US), first
+                lambda node: node.set_zone_state(zone, state, within_us=ANSWER_US), first
             )
             if outcome == "acknowledged":
-                self.halls[hall] = state
+                self.zones[zone] = state
                 self._acknowledge(change)
 
     async def fence(self, index):
         """The active head takes the next office of a group and uses the number of its record as a fence."""
-        box = self._cluster.at(index)
-        if not box.up or box.frozen or box.node is None or not box.node.chain.head:
+        machine = self._cluster.at(index)
+        if not machine.up or machine.frozen or machine.node is None or not machine.node.chain.head:
             return
-        begun, life = self._cluster.loop.time(), box.life
+        begun, life = self._cluster.loop.time(), machine.life
 
         async def take():
-            chain = box.node.chain
-            office = chain.realm.doc["offices"].get("fenced")
-            record = {"t": "office", "group": "fenced", "n": (office["n"] if office else 0) + 1}
+            chain = machine.node.chain
+            leadership = chain.control_state.doc["offices"].get("fenced")
+            record = {
+                "t": "office",
+                "group": "fenced",
+                "n": (leadership["n"] if leadership else 0) + 1,
+            }
             record |= {"phase": "move", "primary": "none", "term": 0, "cause": "model"}
             try:
-                seq = await chain.enter({**record, "by": box.name, "stuck": False})
+                seq = await chain.enter({**record, "by": machine.name, "stuck": False})
             except Fault:
                 return
             if chain.active and chain.head:
-                self._observer.fence(seq, box.name, begun, (life, begun))
+                self._observer.fence(seq, machine.name, begun, (life, begun))
 
-        box.nest.spawn(take())
+        machine.tasks.spawn(take())
 
     async def read(self, index):
         """Reads the control state from one core; it is no older than what was acknowledged before."""
-        change, version = self.highest_change, max(self.manifests, default=0)
-        halls = dict(self.halls)
+        change, version = self.highest_change, max(self.configurations, default=0)
+        zones = dict(self.zones)
 
         async def there(node):
-            return json.loads(json.dumps(await node.realm()))
+            return json.loads(json.dumps(await node.control_state()))
 
         try:
             document = await self._trip(self._cluster.at(index), there)
@@ -165,10 +169,10 @@
             return None
         self.reads += 1
         self._check(document, change, version, "read")
-        for hall, state in halls.items():
-            if self.halls.get(hall) == state and document["halls"].get(hall, "open") != state:
+        for zone, state in zones.items():
+            if self.zones.get(zone) == state and document["halls"].get(zone, "open") != state:
                 self._observer.report(
-                    "acknowledged is kept", f"hall {hall} was acknowledged {state}"
+                    "acknowledged is kept", f"hall {zone} was acknowledged {state}"
                 )
         return document
 
@@ -180,7 +184,7 @@
             self._observer.report(
                 rule, f"{what}: change {document['seq']} of {change}, version {shown} of {version}"
             )
-        acknowledged = self.manifests.get(shown)
+        acknowledged = self.configurations.get(shown)
         if acknowledged is not None and held["text"] != acknowledged:
             self._observer.report(
                 "one content a version", f"{shown} is read as {held['text'][:60]}"
--- a/tests/model/schedule.py
+++ b/tests/model/schedule.py
@@ -17,7 +17,7 @@
 
 _CALM_S = 30.0
 _ORDER_S = 10.0
-_HALLS = ("a", "b", "c")
+_ZONES = ("a", "b", "c")
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,49 +60,49 @@
     def _later(self, span, action):
         self._cluster.loop.call_later(span / 1000, action)
 
-    def _back(self, box, span):
-        self._later(span, lambda: self._cluster.boot(box))
+    def _back(self, machine, span):
+        self._later(span, lambda: self._cluster.boot(machine))
 
-    def _kill(self, box, step):
-        box.kill(silent=step.other % 2 == 1)
-        self._back(box, step.span)
+    def _kill(self, machine, step):
+        machine.kill(silent=step.other % 2 == 1)
+        self._back(machine, step.span)
 
-    def _tear(self, box, step):
-        box.disk.crash_at_next_write = OUTCOMES[step.other % len(OUTCOMES)]
-        self._back(box, step.span + 1000)
+    def _tear(self, machine, step):
+        machine.disk.crash_at_next_write = OUTCOMES[step.other % len(OUTCOMES)]
+        self._back(machine, step.span + 1000)
 
-    def _full(self, box, step):
+    def _full(self, machine, step):
         """The disk refuses writes for a while."""
-        disk = box.disk
+        disk = machine.disk
         disk.full = True
         self._later(step.span, lambda: setattr(disk, "full", False))
 
-    def _lose(self, box, step):
-        if self._cluster.lose_disk(box):
-            self._back(box, step.span)
+    def _lose(self, machine, step):
+        if self._cluster.lose_disk(machine):
+            self._back(machine, step.span)
 
-    def _replace(self, box, step):
+    def _replace(self, machine, step):
         new = self._cluster.replace(step.who)
         if new is not None:
             self._back(new, step.span)
 
-    def _cut(self, box, step):
-        self._cluster.isolate(box, step.span * 1000, step.other)
+    def _cut(self, machine, step):
+        self._cluster.isolate(machine, step.span * 1000, step.other)
 
-    def _split(self, box, step):
+    def _split(self, machine, step):
         other = self._cluster.at(step.who + 1 + step.other)
-        if other is not box:
-            self._cluster.net.cut([box.name], [other.name], step.span * 1000)
+        if other is not machine:
+            self._cluster.net.cut([machine.name], [other.name], step.span * 1000)
 
-    def _freeze(self, box, step):
-        box.freeze(step.span * 1000)
+    def _freeze(self, machine, step):
+        machine.freeze(step.span * 1000)
 
-    def _slow(self, box, step):
+    def _slow(self, machine, step):
         slowed = self._cluster.net.slowed
-        slowed[box.name] = 0.05 * (1 + step.other % 8)
-        self._later(step.span, lambda: slowed.pop(box.name, None))
+        slowed[machine.name] = 0.05 * (1 + step.other % 8)
+        self._later(step.span, lambda: slowed.pop(machine.name, None))
 
-    def _lossy(self, box, step):
+    def _lossy(self, machine, step):
         net, operators = self._cluster.net, self.operators
         operators.lost_answers, net.loss, net.double = 0.5, 0.2, 0.2
 
@@ -111,25 +111,25 @@
 
         self._later(step.span, end)
 
-    def _reset(self, box, step):
-        self._cluster.reset_connections(box)
+    def _reset(self, machine, step):
+        self._cluster.reset_connections(machine)
 
-    def _blackout(self, box, step):
+    def _blackout(self, machine, step):
         for i, machine in enumerate(self._cluster.cores):
             machine.kill(silent=True)
             self._back(machine, step.span + (i * step.other * 300) % 2000)
 
-    def _order(self, box, step):
+    def _order(self, machine, step):
         self.operators.spawn(self.operators.apply(step.who))
 
-    def _race(self, box, step):
+    def _race(self, machine, step):
         self.operators.spawn(self.operators.race(step.who, step.who + step.other))
 
-    def _burst(self, box, step):
+    def _burst(self, machine, step):
         for i in range(8):
             self.operators.spawn(self.operators.apply(step.who + i * step.other))
 
-    def _many(self, box, step):
+    def _many(self, machine, step):
         """Changes one after the other, until the span is over."""
 
         async def one_by_one():
@@ -139,13 +139,13 @@
 
         self.operators.spawn(one_by_one())
 
-    def _hall(self, box, step):
-        self.operators.spawn(self.operators.turn_hall(step.who, _HALLS[step.other % 3]))
+    def _hall(self, machine, step):
+        self.operators.spawn(self.operators.turn_zone(step.who, _ZONES[step.other % 3]))
 
-    def _read(self, box, step):
+    def _read(self, machine, step):
         self.operators.spawn(self.operators.read(step.who))
 
-    def _fence(self, box, step):
+    def _fence(self, machine, step):
         for i in range(len(self._cluster.cores)):
             self.operators.spawn(self.operators.fence(i))
 
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -2,26 +2,26 @@
 
 import petrelhaven.control.consensus.chain as chain
 import petrelhaven.control.consensus.reform as reform
-import petrelhaven.control.leases as desk
+import petrelhaven.control.leases as lease_table
 import petrelhaven.control.resumable.plan as plan
 import petrelhaven.control.resumable.planning_duty as duty
 import petrelhaven.control.storage.core_store as core_store
-import petrelhaven.emulator.balancer as usher
+import petrelhaven.emulator.balancer as load_balancer
 import petrelhaven.membership.prober as probe
 import petrelhaven.membership.roster as roster
 import petrelhaven.proxy.reads.read_clock as clock
 import petrelhaven.proxy.resumable.connection_pool as pool
 import petrelhaven.proxy.resumable.control_client as control
-import petrelhaven.proxy.resumable.member_group as troop
+import petrelhaven.proxy.resumable.member_group as member_group
 import petrelhaven.proxy.resumable.node as edge
 import petrelhaven.proxy.resumable.reads as read
 import petrelhaven.proxy.resumable.sender as send
 import petrelhaven.proxy.resumable.session_keeper as keep
-import petrelhaven.proxy.resumable.session_replicas as vault
+import petrelhaven.proxy.resumable.session_replicas as session_replicas
 import petrelhaven.proxy.resumable.writes as writes
-import petrelhaven.proxy.routing.request_slots as slab
+import petrelhaven.proxy.routing.request_slots as request_slots
 from petrelhaven.control.storage.documents import ChainRecord
-from petrelhaven.runtime.errors import Late, Unreached
+from petrelhaven.runtime.errors import DeadlineExceeded, Unreachable
 
 
 def nothing_kept(mp):
@@ -30,23 +30,25 @@
         s.keepers = []
         return False
 
-    mp.setattr(keep.Keeper, "keep", no)
+    mp.setattr(keep.SessionKeeper, "keep", no)
 
 
 def one_keeper(mp):
-    real = keep.Keeper.elect
-    mp.setattr(keep.Keeper, "elect", lambda self, ks, but=(): None if ks else real(self, ks, but))
+    real = keep.SessionKeeper.elect
+    mp.setattr(
+        keep.SessionKeeper, "elect", lambda self, ks, but=(): None if ks else real(self, ks, but)
+    )
 
 
 def no_intent(mp):
-    real = keep.Keeper.keep
+    real = keep.SessionKeeper.keep
 
     async def keep_(self, s):
         if any(v["outcome"] == "unknown" for v in s.tries.values()):
             return True
         return await real(self, s)
 
-    mp.setattr(keep.Keeper, "keep", keep_)
+    mp.setattr(keep.SessionKeeper, "keep", keep_)
 
 
 def tries_forgotten(mp):
@@ -92,7 +94,7 @@
     async def held(self, t, primary, term, pos):
         return True
 
-    mp.setattr(edge.Edge, "held", held)
+    mp.setattr(edge.ResumableProxy, "held", held)
 
 
 def any_candidate(mp):
@@ -108,15 +110,17 @@
 
 
 def leaving_ignored(mp):
-    mp.setattr(plan.Sight, "leaving", lambda self, n: False)
+    mp.setattr(plan.GroupObservation, "leaving", lambda self, n: False)
 
 
-def halls_ignored(mp):
-    real = troop.Troop.turn
+def zones_ignored(mp):
+    real = member_group.ResumableMemberGroup.turn
     mp.setattr(
-        troop.Troop, "turn", lambda self, e, share, halls: real(self, e, share, lambda h: "open")
+        member_group.ResumableMemberGroup,
+        "turn",
+        lambda self, e, share, zones: real(self, e, share, lambda h: "open"),
     )
-    mp.setattr(plan.Sight, "leaving", lambda self, n: self.members[n]["draining"])
+    mp.setattr(plan.GroupObservation, "leaving", lambda self, n: self.members[n]["draining"])
 
 
 def no_lease(mp):
@@ -127,16 +131,16 @@
     async def in_force(self, seq, grace=0, horizon=0):
         return 0
 
-    mp.setattr(desk.Desk, "in_force", in_force)
+    mp.setattr(lease_table.LeaseTable, "in_force", in_force)
 
 
 def cold_is_warm(mp):
-    real = duty.Duty.announce
+    real = duty.PlanningDuty.announce
 
     def announce(self, d):
         real(self, {**d, "warm": True})
 
-    mp.setattr(duty.Duty, "announce", announce)
+    mp.setattr(duty.PlanningDuty, "announce", announce)
     mp.setattr(pool.Pool, "ramp", lambda self: 1.0)
 
 
@@ -154,10 +158,10 @@
 
 
 def share_at_once(mp):
-    from petrelhaven.control.resumable.control_state import Realm
+    from petrelhaven.control.resumable.control_state import ResumableControlState
 
     mp.setattr(
-        Realm,
+        ResumableControlState,
         "share",
         lambda self, g, e, m: (
             self.doc["epochs"].get(g, {"shares": {}})["shares"].get(e, {}).get(m, 0)
@@ -179,7 +183,7 @@
     def on(self, post, conn, s, ops, us, first=(), pinned=False):
         try:
             return (yield from real(self, post, conn, s, ops, us, first, pinned))
-        except (Late, Unreached):
+        except (DeadlineExceeded, Unreachable):
             if pinned:
                 raise
             c = yield from self.take(post, s, 500_000)
@@ -195,21 +199,21 @@
     async def consent(self, k, sid, c, want, got):
         return {"ok": True, "epoch": want}
 
-    mp.setattr(vault.Vault, "_consent", consent)
+    mp.setattr(session_replicas.SessionReplicas, "_consent", consent)
 
 
 def nothing_handed(mp):
     async def take(self, ch, b):
         return {"ok": True, "epoch": b["epoch"]}
 
-    mp.setattr(vault.Vault, "take", take)
+    mp.setattr(session_replicas.SessionReplicas, "take", take)
 
 
 def any_home_may_keep(mp):
     async def hold(self, ch, b):
         return {"ok": True, "epoch": b["epoch"]}
 
-    mp.setattr(vault.Vault, "hold", hold)
+    mp.setattr(session_replicas.SessionReplicas, "hold", hold)
 
 
 def no_second_opinion(mp):
@@ -229,7 +233,7 @@
 
 
 def asked_once(mp):
-    real = duty.Duty._promote
+    real = duty.PlanningDuty._promote
 
     async def promote(self, g, m, key, target):
         n = len(self.why)
@@ -237,11 +241,11 @@
         if "platform" in self.why.get(g.name, ""):
             await self.clock.sleep(10**12 + n)
 
-    mp.setattr(duty.Duty, "_promote", promote)
+    mp.setattr(duty.PlanningDuty, "_promote", promote)
 
 
 def no_joining(mp):
-    def gate(self, arr, since=None):
+    def position_for(self, arr, since=None):
         async def alone():
             while True:
                 self.count["fetches"] += 1
@@ -252,7 +256,7 @@
 
         return alone()
 
-    mp.setattr(clock.ReadClock, "gate", gate)
+    mp.setattr(clock.ReadClock, "position_for", position_for)
 
 
 def only_the_answer(mp):
@@ -261,32 +265,32 @@
             self.platform.promote(g.name, target, key[1], self.chain.me), 4_000_000
         )
 
-    mp.setattr(duty.Duty, "_asked", asked)
+    mp.setattr(duty.PlanningDuty, "_asked", asked)
 
 
 def routes_blindly(mp):
     async def look(self, n):
         return True
 
-    mp.setattr(usher.Usher, "_look", look)
+    mp.setattr(load_balancer.LoadBalancer, "_look", look)
 
 
 def promotes_twice(mp):
-    real = duty.Duty._asked
+    real = duty.PlanningDuty._asked
 
     async def asked(self, g, target, key):
         await real(self, g, target, key)
         return await real(self, g, target, key)
 
-    mp.setattr(duty.Duty, "_asked", asked)
+    mp.setattr(duty.PlanningDuty, "_asked", asked)
 
 
 def handed_over_stale(mp):
     real = core_store.CoreStore.put_rec
 
     def put_rec(self, seq, view, rec):
-        if rec["t"] == "manifest" and view > self.done and self.realm.doc["manifest"]:
-            rec = {**rec, "text": self.realm.doc["manifest"]["text"]}
+        if rec["t"] == "manifest" and view > self.done and self.control_state.doc["manifest"]:
+            rec = {**rec, "text": self.control_state.doc["manifest"]["text"]}
         real(self, seq, view, rec)
 
     mp.setattr(core_store.CoreStore, "put_rec", put_rec)
@@ -302,7 +306,7 @@
 
 
 def endless_slab(mp):
-    mp.setattr(slab.Slab, "resize", lambda self, n: None)
+    mp.setattr(request_slots.RequestSlots, "resize", lambda self, n: None)
 
 
 def acked_by_the_head(mp):
@@ -319,14 +323,14 @@
 
 def reform_asks_nobody(mp):
     async def newest(self):
-        return self._c.chain.realm.frame(), self._c.name
+        return self._c.chain.control_state.frame(), self._c.name
 
     mp.setattr(reform.Reform, "_newest", newest)
 
 
 def clocked_incarnation(mp):
     def anew(self):
-        self.inc = self.clock.now()
+        self.incarnation = self.clock.now()
 
     mp.setattr(control.Control, "_anew", anew)
 
--- a/tests/stand_in/beats.py
+++ b/tests/stand_in/beats.py
@@ -4,10 +4,10 @@
 from .caller import Caller
 from .signal import Signal
 
-__all__ = ["Beats"]
+__all__ = ["Heartbeats"]
 
 
-class Beats:
+class Heartbeats:
     """A member's calls to the system: its beats, at changes at once, and its sign-off."""
 
     def __init__(self, member, nodes, beat_ms):
@@ -32,7 +32,7 @@
             self._soon.clear()
             if self._nodes:
                 await self._member.lit.wait()
-                await self._beat()
+                await self._heartbeat()
             try:
                 await asyncio.wait_for(self._soon.wait(), self._beat_ms / 1000)
             except TimeoutError:
@@ -48,7 +48,7 @@
         """Closes its connections."""
         await self._caller.close()
 
-    async def _beat(self):
+    async def _heartbeat(self):
         for _ in range(len(self._nodes) + 1):
             state = self._member.state
             answer = await self._send("Heartbeat")
--- a/tests/stand_in/member.py
+++ b/tests/stand_in/member.py
@@ -3,7 +3,7 @@
 import secrets
 import socket
 
-from .beats import Beats
+from .beats import Heartbeats
 from .member_session import MemberSession
 from .refusal import Refusal
 from .run import Run
@@ -41,7 +41,7 @@
         self._numbers = 0
         self._server, self._shut = None, []
         self._sessions, self._tasks = {}, []
-        self._beats = Beats(self, nodes, beat_ms)
+        self._beats = Heartbeats(self, nodes, beat_ms)
 
     @property
     def leads(self):
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -9,10 +9,10 @@
 
 from petrelhaven.control.configuration.document import read
 from petrelhaven.proxy.resumable.member_protocol import Wire
-from petrelhaven.runtime.clock import Clock, Nest
-from petrelhaven.runtime.errors import Fault, Invalid, Malformed, Unreached
+from petrelhaven.runtime.clock import BackgroundTasks, Clock
+from petrelhaven.runtime.errors import Fault, Invalid, Malformed, Unreachable
 from petrelhaven.simulator.resumable.storm import inside
-from petrelhaven.transport.http_server import Face, body_of
+from petrelhaven.transport.http_server import HttpServer, body_of
 from petrelhaven.transport.messages import KINDS, TELL, pack
 
 LEAF = (
@@ -143,7 +143,7 @@
 
 @settings(max_examples=150, phases=[Phase.generate], deadline=None, derandomize=True, database=None)
 @given(JUNK, st.text(max_size=30))
-def test_a_wrong_manifest_names_its_faults(doc, text):
+def test_a_wrong_configuration_names_its_faults(doc, text):
     for x in (json.dumps(doc), text):
         with pytest.raises(Invalid) as e:
             read(x)
@@ -225,11 +225,11 @@
 
             return web.Response(text=odd["text"], content_type="application/json")
 
-        f = Face()
+        f = HttpServer()
         for p in ("/open", "/run", "/status"):
             f.on("POST", p, any_)
-        a, nest = await f.start(), Nest()
-        w = Wire(Clock(), nest)
+        a, tasks = await f.start(), BackgroundTasks()
+        w = Wire(Clock(), tasks)
         odd["text"] = '{"conn": 1}'
         c = await w.open(a)
         for text in (
@@ -249,11 +249,11 @@
                 lambda: w.status(a, 1_000_000),
                 lambda: w.open(a),
             ):
-                with pytest.raises(Unreached):
+                with pytest.raises(Unreachable):
                     await fn()
         c.close()
         await w.close()
         await f.close()
-        await nest.close()
+        await tasks.close()
 
     asyncio.run(go())
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -15,8 +15,8 @@
 from hypothesis import strategies as st
 from wire_model import Node, virtual
 
-from petrelhaven.runtime.clock import Clock, Nest
-from petrelhaven.runtime.errors import Busy, Fault, Late, Stale, Unreached, Unsent
+from petrelhaven.runtime.clock import BackgroundTasks, Clock
+from petrelhaven.runtime.errors import Busy, DeadlineExceeded, Fault, NotSent, Stale, Unreachable
 from petrelhaven.transport import channel as channel_module
 from petrelhaven.transport import reach as reach_module
 from petrelhaven.transport.contracts import KINDS, RELAY, Contract, Repeat, repeat_of
@@ -30,7 +30,7 @@
 SOURCE = ROOT / "src" / "petrelhaven"
 sys.path.insert(0, str(ROOT / "platform"))
 
-from lines import LineStrand  # noqa: E402
+from lines import LineMemberConnection  # noqa: E402
 
 DRAWN = settings(
     max_examples=400,
@@ -121,10 +121,10 @@
         names = ("a", "b", "c", "d")
         nodes = {n: Node(net, n) for n in names}
         for n in names:
-            peers = {m: SimpleNamespace(hall=m, addr=m, state="alive") for m in names if m != n}
+            peers = {m: SimpleNamespace(zone=m, addr=m, state="alive") for m in names if m != n}
             roster = SimpleNamespace(
                 name=n,
-                hall=n,
+                zone=n,
                 peers=peers,
                 addr_of=lambda m, n=n: m if m != "z" else None,
                 living=lambda peers=peers: list(peers),
@@ -156,13 +156,13 @@
             if list(result.values()) != [token]:
                 self.bad.append(("answer of another", token))
             return token, "ok"
-        except Unsent:
+        except NotSent:
             return token, "unsent"
         except Fault as fault:
             return token, fault.code
 
 
-FAULTS = {"busy": Busy, "late": Late, "unsent": Unsent, "unreached": Unreached}
+FAULTS = {"busy": Busy, "late": DeadlineExceeded, "unsent": NotSent, "unreached": Unreachable}
 WAYS = [(x, y) for x in "abcd" for y in "abcd" if x != y]
 STEPS = st.lists(
     st.tuples(
@@ -253,7 +253,7 @@
     async def relayed(self, channel, call):
         try:
             return await real(self, channel, call)
-        except (Late, Unreached) as fault:
+        except (DeadlineExceeded, Unreachable) as fault:
             raise reach_module.NotRelayed(fault.note) from None
 
     mp.setattr(Reach, "_relayed", relayed)
@@ -302,7 +302,7 @@
         net.deaf.add(("a", "b"))
         both = [a.call("b", "creed.belief", {"who": n}, 100_000) for n in ("x", "y")]
         got = await asyncio.gather(*both, return_exceptions=True)
-        assert [type(e) for e in got] == [Unsent, Unsent]
+        assert [type(e) for e in got] == [NotSent, NotSent]
 
     virtual(go)
 
@@ -332,7 +332,7 @@
         a, b = Node(net, "a"), Node(net, "b")
 
         async def late(channel, body):
-            raise Late("not in force yet")
+            raise DeadlineExceeded("not in force yet")
 
         async def slow(channel, body):
             await asyncio.sleep(0.2)
@@ -342,7 +342,7 @@
         b.on("creed.belief", slow)
         under_way = asyncio.ensure_future(a.call("b", "creed.belief", {"who": "x"}, 900_000))
         for _ in range(3):
-            with pytest.raises(Late) as seen:
+            with pytest.raises(DeadlineExceeded) as seen:
                 await a.call("b", "chain.read", {"what": 1}, 100_000)
             assert seen.value.answered
         assert (await under_way)["doc"] == 1 and len(net.connections) == 1
@@ -355,16 +355,16 @@
         a, b = Node(net, "a"), Node(net, "b")
 
         async def unsent(channel, body):
-            raise Unsent("the next node")
+            raise NotSent("the next node")
 
         async def stale(channel, body):
             raise Stale("older", more={"n": 3})
 
         b.on("chain.enter", unsent)
         b.on("creed.belief", stale)
-        with pytest.raises(Unreached) as seen:
+        with pytest.raises(Unreachable) as seen:
             await a.call("b", "chain.enter", {"rec": {}, "force": False, "bound": None}, 100_000)
-        assert not isinstance(seen.value, Unsent)
+        assert not isinstance(seen.value, NotSent)
         with pytest.raises(Stale) as seen:
             await a.call("b", "creed.belief", {"who": "x"}, 100_000)
         assert seen.value.more == {"n": 3}
@@ -386,7 +386,7 @@
         b.on("span.deliver", never)
         b.on("creed.belief", slow)
         under_way = asyncio.ensure_future(a.call("b", "creed.belief", {"who": "x"}, 900_000))
-        with pytest.raises(Late):
+        with pytest.raises(DeadlineExceeded):
             await a.call("b", "span.deliver", {"sid": "s", "ask": None}, 50_000)
         assert (await under_way)["doc"] == 1
 
@@ -395,21 +395,21 @@
 
 def test_a_hold_that_arrives_late_does_not_end_the_pushes_over_a_newer_connection():
     """An edge asks to be pushed to, is cut off, and asks anew over another connection; then the first one arrives."""
-    from petrelhaven.control.leases import TiedDesk
+    from petrelhaven.control.leases import ConnectionLeaseTable
 
     async def go(net):
         edge, core = Node(net, "edge"), Node(net, "core")
-        realm = SimpleNamespace(seq=3, frame=lambda: {"seq": 3})
+        control_state = SimpleNamespace(seq=3, frame=lambda: {"seq": 3})
         chain = SimpleNamespace(
             complete=True,
             commit=3,
-            realm=realm,
+            control_state=control_state,
             mem=SimpleNamespace(since=lambda at: []),
             on_view=[],
             on_commit=[],
         )
-        desk = TiedDesk(core.clock, core.nest, chain, None)
-        core.on("edge.hold", desk.hold)
+        lease_table = ConnectionLeaseTable(core.clock, core.tasks, chain, None)
+        core.on("edge.hold", lease_table.hold)
         pushed = []
 
         async def push(channel, body):
@@ -424,8 +424,8 @@
         # the older connection's bytes arrive only now, and it is not known yet that its far end is gone
         await old.call("edge.hold", hold, 100_000)
         await asyncio.sleep(0.1)
-        chain.commit = realm.seq = 4
-        realm.frame = lambda: {"seq": 4}
+        chain.commit = control_state.seq = 4
+        control_state.frame = lambda: {"seq": 4}
         chain.mem.since = lambda at: None
         chain.on_commit[0]()
         await asyncio.sleep(0.1)
@@ -473,18 +473,18 @@
 @pytest.mark.parametrize("end", ["late", "cancelled"])
 def test_a_call_that_is_given_up_is_taken_back_from_the_wire(end):
     async def go():
-        server, nest = DeafServer(), Nest()
-        link = Link(Clock(), nest)
+        server, tasks = DeafServer(), BackgroundTasks()
+        link = Link(Clock(), tasks)
         task = asyncio.ensure_future(
             link.call(server.addr, "span.deliver", {"sid": BIG, "ask": {}}, 100_000)
         )
         if end == "cancelled":
             await asyncio.sleep(0.05)
             task.cancel()
-        with pytest.raises((Late, asyncio.CancelledError)):
+        with pytest.raises((DeadlineExceeded, asyncio.CancelledError)):
             await task
         assert await server.hears() < len(BIG) // 2
-        await nest.close()
+        await tasks.close()
 
     asyncio.run(go())
 
@@ -492,7 +492,7 @@
 def test_a_fenced_call_to_the_platform_is_taken_back_from_the_wire():
     async def go():
         server = DeafServer()
-        with pytest.raises(Late):
+        with pytest.raises(DeadlineExceeded):
             await light_call(Clock(), server.addr, "POST", "/failover", {"a": BIG}, us=100_000)
         assert await server.hears() < len(BIG)
 
@@ -503,9 +503,11 @@
     async def go():
         server = DeafServer()
         host, port = server.addr.split(":")
-        _, strand = await asyncio.get_running_loop().create_connection(LineStrand, host, int(port))
-        strand.plain("set", ("a", BIG))
-        strand.close()
+        _, member_connection = await asyncio.get_running_loop().create_connection(
+            LineMemberConnection, host, int(port)
+        )
+        member_connection.plain("set", ("a", BIG))
+        member_connection.close()
         assert await server.hears() < len(BIG)
 
     asyncio.run(go())
@@ -515,8 +517,8 @@
     """A machine that stood still reads what came before the reset; what is sent once must not run then."""
 
     async def go():
-        nest, ran = Nest(), []
-        link = Link(Clock(), nest)
+        tasks, ran = BackgroundTasks(), []
+        link = Link(Clock(), tasks)
 
         async def run(channel, body):
             ran.append(body)
@@ -535,7 +537,7 @@
         await asyncio.sleep(0.2)
         assert ran == [{"who": "x"}]
         await link.close()
-        await nest.close()
+        await tasks.close()
 
     asyncio.run(go())
 
@@ -547,8 +549,8 @@
         )
 
     async def go():
-        nest, taken = Nest(), []
-        link, other = Link(Clock(), nest), Link(Clock(), nest)
+        tasks, taken = BackgroundTasks(), []
+        link, other = Link(Clock(), tasks), Link(Clock(), tasks)
         real = other._wrap
         other._wrap = lambda r, w: (taken.append(w.transport), real(r, w))
         address = await other.start()
@@ -558,11 +560,11 @@
         await link.open(address)
         host, port = address.split(":")
         transport, _ = await asyncio.get_running_loop().create_connection(
-            LineStrand, host, int(port)
+            LineMemberConnection, host, int(port)
         )
         await asyncio.sleep(0.05)
         assert [bound(t) for t in [*opened, *taken, transport]] == [UNACKNOWLEDGED_MS] * 4
-        await nest.close()
+        await tasks.close()
         await other.close()
 
     asyncio.run(go())
@@ -570,7 +572,7 @@
 
 def test_a_fault_without_a_shape_ends_the_connection_and_the_call():
     async def go():
-        nest = Nest()
+        tasks = BackgroundTasks()
 
         async def odd(reader, writer):
             await reader.readexactly(6)
@@ -579,12 +581,12 @@
 
         server = await asyncio.start_server(odd, "127.0.0.1", 0)
         address = "%s:%d" % server.sockets[0].getsockname()
-        link = Link(Clock(), nest)
-        with pytest.raises(Unreached):
+        link = Link(Clock(), tasks)
+        with pytest.raises(Unreachable):
             await link.call(address, "creed.belief", {"who": "x"}, 900_000)
         assert link.garbage == 1
         server.close()
-        await nest.close()
+        await tasks.close()
 
     asyncio.run(go())
 
@@ -598,8 +600,8 @@
             await reader.read()
 
         server = await asyncio.start_server(mute, "127.0.0.1", 0)
-        nest = Nest()
-        wire = Wire(Clock(), nest)
+        tasks = BackgroundTasks()
+        wire = Wire(Clock(), tasks)
         connection = wire_connection(wire, "%s:%d" % server.sockets[0].getsockname())
         task = asyncio.ensure_future(connection.run([{"op": "get"}], 5_000_000))
         await asyncio.sleep(0.05)
@@ -610,7 +612,7 @@
         connection.close()
         await asyncio.sleep(0.01)
         server.close()
-        await nest.close()
+        await tasks.close()
 
     def wire_connection(wire, address):
         import aiohttp
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -10,8 +10,8 @@
 from hypothesis import strategies as st
 
 from petrelhaven.proxy.reads.read_clock import Order, ReadClock
-from petrelhaven.runtime.clock import Clock, Nest
-from petrelhaven.runtime.errors import Unreached
+from petrelhaven.runtime.clock import BackgroundTasks, Clock
+from petrelhaven.runtime.errors import Unreachable
 from petrelhaven.simulator.virtual_time import WarpLoop, end_all
 
 BOUNDS = SimpleNamespace(fetch_us=50_000, join_us=200_000, lanes=1)
@@ -34,9 +34,9 @@
 
 
 def clock(fetch, lanes=1):
-    nest = Nest()
+    tasks = BackgroundTasks()
     b = SimpleNamespace(**{**vars(BOUNDS), "lanes": lanes})
-    return ReadClock(LoopClock(), nest, Order(), fetch, lambda: b)
+    return ReadClock(LoopClock(), tasks, Order(), fetch, lambda: b)
 
 
 async def drama(steps, lanes):
@@ -48,11 +48,11 @@
     async def fetch(key):
         await asyncio.sleep(rng.choice([0.0, 0.004, 0.02]))
         if rng.random() < 0.15:
-            raise Unreached("fetch")
+            raise Unreachable("fetch")
         pos = world["pos"] if key == world["key"] else None
         await asyncio.sleep(rng.choice([0.0, 0.01, 0.09]))
         if pos is None:
-            raise Unreached("former primary")
+            raise Unreachable("former primary")
         return pos
 
     c = clock(fetch, lanes)
@@ -61,7 +61,7 @@
     async def read():
         arr, must, key = c.order.next(), world["pos"], c.key
         t0 = c.clock.now()
-        pos = await c.gate(arr)
+        pos = await c.position_for(arr)
         told.append((must, pos, c.clock.now() - t0, key))
 
     ts = []
@@ -129,11 +129,11 @@
         arrivals = [c.order.next() for _ in range(20)]
         first = c.order.next()
         c.turn((1, "p"))
-        fs = [c.gate(first)] + [c.gate(a) for a in arrivals]
+        fs = [c.position_for(first)] + [c.position_for(a) for a in arrivals]
         assert await asyncio.gather(*fs) == [7] * 21
         assert len(n) == 1
-        assert await c.gate(arrivals[3]) == 7 and len(n) == 1
-        await c.gate(c.order.next())
+        assert await c.position_for(arrivals[3]) == 7 and len(n) == 1
+        await c.position_for(c.order.next())
         assert len(n) == 2
 
     run(go())
@@ -150,7 +150,7 @@
 
         c = clock(fetch)
         c.turn((1, "p"))
-        a = c.gate(c.order.next())
+        a = c.position_for(c.order.next())
         await asyncio.sleep(0.06)
         assert c.count["stuck"] == 1 and len(gates) == 2
         gates[1].set_result(9)
@@ -172,7 +172,7 @@
 
         c = clock(fetch)
         c.turn((1, "old"))
-        r = c.gate(c.order.next())
+        r = c.position_for(c.order.next())
         await asyncio.sleep(0.001)
         c.turn((2, "new"))
         await asyncio.sleep(0.001)
@@ -188,11 +188,11 @@
 def test_the_bound_on_joining_gives_a_read_to_the_primary():
     async def go():
         async def fetch(key):
-            raise Unreached("down")
+            raise Unreachable("down")
 
         c = clock(fetch)
         c.turn((1, "p"))
-        assert await c.gate(c.order.next()) is None
+        assert await c.position_for(c.order.next()) is None
         assert c.clock.now() <= BOUNDS.join_us + 1000
         assert c.count["fetches"] < 12
 
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -5,11 +5,11 @@
 import pytest
 
 from petrelhaven.control.configuration.document import read
-from petrelhaven.control.resumable.control_state import Realm
+from petrelhaven.control.resumable.control_state import ResumableControlState
 from petrelhaven.runtime.errors import Duplicate, Fault, Invalid, Stale
-from petrelhaven.simulator.resumable.world import manifest
+from petrelhaven.simulator.resumable.world import configuration
 
-GOOD = json.loads(manifest("small"))
+GOOD = json.loads(configuration("small"))
 
 
 def changed(**kw):
@@ -55,36 +55,36 @@
 
 
 def test_versions_only_rise_and_the_text_is_kept_byte_for_byte():
-    r = Realm()
+    r = ResumableControlState()
 
     def enter(text):
         rec = {"t": "manifest", "text": text}
         r.check(rec)
         r.apply(r.seq + 1, rec)
 
-    text = manifest("small", 5) + "  \n"
+    text = configuration("small", 5) + "  \n"
     enter(text)
     assert r.doc["manifest"]["text"] == text
     for t, f in (
         (text, Duplicate),
-        (manifest("small", 5, wait_us=20_000), Stale),
-        (manifest("small", 4), Stale),
+        (configuration("small", 5, wait_us=20_000), Stale),
+        (configuration("small", 4), Stale),
         ("{}", Invalid),
     ):
         with pytest.raises(f):
             enter(t)
-    assert r.seq == 1 and r.manifest.version == 5
-    enter(manifest("small", 6))
+    assert r.seq == 1 and r.configuration.version == 5
+    enter(configuration("small", 6))
     assert [m["version"] for m in r.doc["old"]] == [5]
 
 
 def test_a_served_group_is_not_dropped_by_oversight():
-    r = Realm()
-    r.apply(1, {"t": "manifest", "text": manifest("nordvik", 1)})
+    r = ResumableControlState()
+    r.apply(1, {"t": "manifest", "text": configuration("nordvik", 1)})
     r.apply(
         2, {"t": "epoch", "group": "g3", "n": 1, "phase": "serve", "primary": "m", "shares": {}}
     )
-    less = json.loads(manifest("nordvik", 2))
+    less = json.loads(configuration("nordvik", 2))
     less["groups"], less["routes"] = (
         less["groups"][:2],
         [x for x in less["routes"] if x["group"] != "g3"],
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -6,10 +6,10 @@
 from hypothesis import Phase, given, settings
 from hypothesis import strategies as st
 
-from petrelhaven.proxy.pool.connection_pool import Stock
-from petrelhaven.proxy.pool.member_connection import Strand
-from petrelhaven.runtime.clock import Clock, Nest
-from petrelhaven.runtime.errors import Busy, Fault, Unsent
+from petrelhaven.proxy.pool.connection_pool import ConnectionPool
+from petrelhaven.proxy.pool.member_connection import MemberConnection
+from petrelhaven.runtime.clock import BackgroundTasks, Clock
+from petrelhaven.runtime.errors import Busy, Fault, NotSent
 from petrelhaven.simulator.virtual_time import WarpLoop, end_all
 
 DRAWN = settings(
@@ -22,12 +22,12 @@
         return int(asyncio.get_running_loop().time() * 1e6)
 
 
-class Visitor:
+class LoadClient:
     def __init__(self, values=None):
         self.values, self.prepared, self.nums = dict(values or {}), {}, {}
 
 
-class Conn(Strand):
+class Conn(MemberConnection):
     def __init__(self, member):
         super().__init__()
         self.m = member
@@ -66,7 +66,9 @@
     asyncio.set_event_loop(loop)
 
     async def go():
-        return await fn(Stock(LoopClock(), Nest(), member.open, most, lambda: want))
+        return await fn(
+            ConnectionPool(LoopClock(), BackgroundTasks(), member.open, most, lambda: want)
+        )
 
     try:
         return loop.run_until_complete(go())
@@ -97,7 +99,7 @@
         waits, out = [], []
         for what, i in actions:
             if what == "take":
-                waits.append(s.take(visitors[i % 3]))
+                waits.append(s.take(clients[i % 3]))
             elif what in ("tick", "rest"):
                 await asyncio.sleep(0.01 if what == "tick" else 3)
             elif what == "quit":
@@ -130,13 +132,13 @@
         assert not waits and not s.busy and s.total == len(s.idle) == len(member.live)
 
     member = Member([*plan, (0.01, None)])
-    visitors = [Visitor(), Visitor({"a": "1"}), Visitor({"a": "2", "b": "1"})]
+    clients = [LoadClient(), LoadClient({"a": "1"}), LoadClient({"a": "2", "b": "1"})]
     virtual(go, member, most, want)
 
 
 def test_a_connection_fits_whom_it_was_given_to_before():
     async def go(s):
-        a, b = Visitor({"n": "1"}), Visitor({"n": "2"})
+        a, b = LoadClient({"n": "1"}), LoadClient({"n": "2"})
         ca, cb = await s.take(a), await s.take(b)
         for v, c in ((a, ca), (b, cb)):
             c.values, c.owner = dict(v.values), v
@@ -148,7 +150,7 @@
 
 def test_who_waits_is_served_in_order():
     async def go(s):
-        v = Visitor()
+        v = LoadClient()
         c = await s.take(v)
         fs = [s.take(v) for _ in range(3)]
         for f in fs:
@@ -161,7 +163,7 @@
 
 def test_more_waiters_than_four_a_connection_are_told_at_once():
     async def go(s):
-        v = Visitor()
+        v = LoadClient()
         await s.take(v)
         fs = [s.take(v) for _ in range(6)]
         assert [isinstance(f.exception(), Busy) if f.done() else None for f in fs] == [None] * 4 + [
@@ -173,7 +175,7 @@
 
 def test_a_lost_connection_makes_room():
     async def go(s):
-        v = Visitor()
+        v = LoadClient()
         c = await s.take(v)
         f = s.take(v)
         c.close()
@@ -187,7 +189,7 @@
 
 def test_what_is_quit_comes_back():
     async def go(s):
-        v = Visitor()
+        v = LoadClient()
         f = s.take(v)
         s.quit(f)
         assert f.cancelled() and s.total == 1
@@ -202,7 +204,7 @@
 
 def test_a_full_member_is_not_pressed_for_a_while():
     async def go(s):
-        v = Visitor()
+        v = LoadClient()
         a, b = s.take(v), s.take(v)
         await asyncio.sleep(0.1)
         assert held(a) and not b.done() and s.limit == 1
@@ -221,7 +223,7 @@
 def test_where_nothing_is_open_a_full_member_is_told_at_once():
     async def go(s):
         with pytest.raises(Busy):
-            await s.take(Visitor())
+            await s.take(LoadClient())
         assert s.total == 0 and s.limit == 1
 
     virtual(go, Member([(0.01, Busy)]))
@@ -229,14 +231,14 @@
 
 def test_the_end_declines_who_waits_and_closes_what_comes_back():
     async def go(s):
-        v = Visitor()
+        v = LoadClient()
         a, b, c = s.take(v), s.take(v), s.take(v)
         await asyncio.sleep(0.1)
         s.give(held(a))
         d = held(c)
         e = s.take(v)
         s.close()
-        assert isinstance(e.exception(), Unsent) and isinstance(s.take(v).exception(), Unsent)
+        assert isinstance(e.exception(), NotSent) and isinstance(s.take(v).exception(), NotSent)
         assert held(b) in s.busy and not held(b).lost
         s.give(held(b))
         s.give(d)
@@ -248,9 +250,9 @@
 
 def test_what_opens_after_the_end_is_closed():
     async def go(s):
-        f = s.take(Visitor())
+        f = s.take(LoadClient())
         s.close()
-        with pytest.raises(Unsent):
+        with pytest.raises(NotSent):
             await f
         assert not member.live and s.total == 0
 
--- a/tests/test_connection_sessions_storm.py
+++ b/tests/test_connection_sessions_storm.py
@@ -5,22 +5,22 @@
 
 import pytest
 
-from petrelhaven.control import leases as desk
+from petrelhaven.control import leases as lease_table
 from petrelhaven.control.consensus import chain
 from petrelhaven.control.failover.departures import DepartureWatch
-from petrelhaven.control.failover.leader_change import OfficeMove
+from petrelhaven.control.failover.leader_change import LeaderChange
 from petrelhaven.control.failover.member_access import MemberHandle
 from petrelhaven.control.storage import core_store
 from petrelhaven.control.storage.documents import ChainRecord
-from petrelhaven.proxy import core_connection as tie
-from petrelhaven.proxy.pool import member_connection as strand
+from petrelhaven.proxy import core_connection as core_connection
+from petrelhaven.proxy.pool import member_connection as member_connection
 from petrelhaven.proxy.reads import read_clock as clock
 from petrelhaven.proxy.routing import attempt, group, member_calls, member_proofs
 from petrelhaven.proxy.routing import transaction_path as held_transactions
 from petrelhaven.proxy.routing import write_path as held_writes
 from petrelhaven.proxy.session.statement import Reply
-from petrelhaven.runtime.errors import Fault, Unreached
-from petrelhaven.simulator.connection_sessions.member_connection import SimulatedStrand
+from petrelhaven.runtime.errors import Fault, Unreachable
+from petrelhaven.simulator.connection_sessions.member_connection import SimulatedMemberConnection
 from petrelhaven.simulator.connection_sessions.storm import inside, run, schedule, shrink
 
 
@@ -42,7 +42,7 @@
 def test_a_calm_fleet_serves_whoever_does_not_leave_early():
     async def go(f):
         await f.start()
-        f.visit(9)
+        f.start_clients(9)
         await asyncio.sleep(10)
         await f.calm()
         return f.verdict()
@@ -86,34 +86,36 @@
     mp.setattr(MemberHandle, "resume", resume_)
 
 
-def lowest_heir(mp):
-    real = OfficeMove._promote
+def lowest_candidate(mp):
+    real = LeaderChange._promote
 
-    async def promote(self, heir, term, accepted_loss=""):
+    async def promote(self, candidate, term, accepted_loss=""):
         others = [h for n, h in self._members.handles.items() if n != self.old and h.row]
         return await real(self, min(others, key=lambda h: h.row.position), term, accepted_loss)
 
-    mp.setattr(OfficeMove, "_promote", promote)
+    mp.setattr(LeaderChange, "_promote", promote)
 
 
 def no_barrier(mp):
     async def in_force(self, seq, grace=0, horizon=0):
         return 0
 
-    mp.setattr(desk.TiedDesk, "in_force", in_force)
+    mp.setattr(lease_table.ConnectionLeaseTable, "in_force", in_force)
 
 
 def no_lease(mp):
-    mp.setattr(tie.Tie, "holds", property(lambda self: True))
+    mp.setattr(core_connection.CoreConnection, "holds", property(lambda self: True))
 
 
 def no_after(mp):
-    ask, plain = SimulatedStrand.ask, SimulatedStrand.plain
+    ask, plain = SimulatedMemberConnection.ask, SimulatedMemberConnection.plain
     mp.setattr(
-        SimulatedStrand, "ask", lambda self, a, after=None, alias=None: ask(self, a, None, alias)
+        SimulatedMemberConnection,
+        "ask",
+        lambda self, a, after=None, alias=None: ask(self, a, None, alias),
     )
     mp.setattr(
-        SimulatedStrand,
+        SimulatedMemberConnection,
         "plain",
         lambda self, verb, args=(), num="-": plain(
             self, verb, (args[0], None) if verb == "begin" else args, num
@@ -141,7 +143,7 @@
                 return (await self._group.status(member))["pos"]
             except Fault:
                 pass
-        raise Unreached("none")
+        raise Unreachable("none")
 
     mp.setattr(member_proofs.MemberProofs, "position_of_others", fetch_others)
 
@@ -152,33 +154,33 @@
 
 
 def lost_commit_is_aborted(mp):
-    real = held_transactions.HeldTransactions._connection_lost
+    real = held_transactions.TransactionPath._connection_lost
 
     def torn(self, request):
         r = real(self, request)
         return Reply(code="aborted", state=r.state) if r.code == "unsure" else r
 
-    mp.setattr(held_transactions.HeldTransactions, "_connection_lost", torn)
+    mp.setattr(held_transactions.TransactionPath, "_connection_lost", torn)
 
 
 def lost_write_is_busy(mp):
-    real = held_writes.HeldWrites.run
+    real = held_writes.WritePath.run
 
     def write(self, *a):
         r = yield from real(self, *a)
         return Reply(code="busy") if r.code == "unsure" else r
 
-    mp.setattr(held_writes.HeldWrites, "run", write)
+    mp.setattr(held_writes.WritePath, "run", write)
 
 
 def _without(mp, verbs):
-    real = strand.Strand.outfit
+    real = member_connection.MemberConnection.outfit
 
-    def outfit(self, visit, ask=None):
-        out, alias = real(self, visit, ask)
+    def outfit(self, start_clients, ask=None):
+        out, alias = real(self, start_clients, ask)
         return [x for x in out if x[0] not in verbs], alias
 
-    mp.setattr(strand.Strand, "outfit", outfit)
+    mp.setattr(member_connection.MemberConnection, "outfit", outfit)
 
 
 def no_outfit(mp):
@@ -190,13 +192,13 @@
 
 
 def one_shape_for_all(mp):
-    real = strand.Strand.outfit
+    real = member_connection.MemberConnection.outfit
 
-    def outfit(self, visit, ask=None):
-        out, alias = real(self, visit, ask)
+    def outfit(self, start_clients, ask=None):
+        out, alias = real(self, start_clients, ask)
         return out, alias and "p1"
 
-    mp.setattr(strand.Strand, "outfit", outfit)
+    mp.setattr(member_connection.MemberConnection, "outfit", outfit)
 
 
 def another_connection(mp):
@@ -241,8 +243,8 @@
 def stops_ignored(mp):
     real = group.MemberGroup.turn
 
-    def turn(self, ledger, fresh):
-        real(self, ledger, fresh)
+    def turn(self, control_state, fresh):
+        real(self, control_state, fresh)
         for b in self.members.values():
             b.stop_at = None
 
@@ -266,15 +268,20 @@
 
 
 def older_frames_too(mp):
-    mp.setattr(tie.Tie, "joined", property(lambda self: False, lambda self, v: None), raising=False)
+    mp.setattr(
+        core_connection.CoreConnection,
+        "joined",
+        property(lambda self: False, lambda self, v: None),
+        raising=False,
+    )
 
 
 async def lone_head(f):
     """The head is cut off and told a manifest."""
     await f.start()
-    f.visit(3)
-    a = [b.name for b in f.net.boxes.values() if b.hall == "a"]
-    f.cut(a, [b.name for b in f.net.boxes.values() if b.hall in ("b", "c")], 4_000_000)
+    f.start_clients(3)
+    a = [b.name for b in f.net.machines.values() if b.zone == "a"]
+    f.cut(a, [b.name for b in f.net.machines.values() if b.zone in ("b", "c")], 4_000_000)
     await asyncio.sleep(0.1)
     await f.apply(2, 0)
     await asyncio.sleep(12)
@@ -284,7 +291,7 @@
 
 GUARDS = [
     ("LOST", no_pause, [(1.0, "deaf_heir", 1), (1.5, "release_primary", 2)], {}),
-    ("LOST", lowest_heir, ["primary_crash", "replica_deaf", "replica_deaf"], {}),
+    ("LOST", lowest_candidate, ["primary_crash", "replica_deaf", "replica_deaf"], {}),
     (
         "STALE",
         no_barrier,
--- a/tests/test_control_days.py
+++ b/tests/test_control_days.py
@@ -5,9 +5,9 @@
 import pytest
 
 from petrelhaven.control.consensus.chain import Chain
-from petrelhaven.control.node import Seat
+from petrelhaven.control.node import ControlNode
 from petrelhaven.control.orders import OrderRouter
-from petrelhaven.control.state.control_state import Ledger
+from petrelhaven.control.state.control_state import ControlState
 from petrelhaven.control.storage import core_store
 from petrelhaven.simulator.connection_sessions import control_scenes as scenes
 from petrelhaven.simulator.connection_sessions import control_storm as storm
@@ -74,7 +74,7 @@
 
 
 def test_without_the_check_of_a_number_two_contents_are_confirmed(monkeypatch):
-    monkeypatch.setattr(Ledger, "_check_manifest", lambda self, r: None)
+    monkeypatch.setattr(ControlState, "_check_configuration", lambda self, r: None)
     assert "TWO CONFIRMED" in rules(played(scenes.orders_raced_and_sent_again, 1))
 
 
@@ -94,7 +94,7 @@
     async def recast(self, view, infos):
         return
 
-    monkeypatch.setattr(Seat, "recast", recast)
+    monkeypatch.setattr(ControlNode, "recast", recast)
     bad = inside(scenes.replaced_unplanned_in_turn, 1, ControlFleet, losses=1)
     assert "NOT CAUGHT UP" in rules(bad[0])
 
@@ -124,7 +124,7 @@
 
 def test_without_the_whole_state_a_core_that_missed_more_than_is_kept_never_catches_up(monkeypatch):
     monkeypatch.setattr(core_store, "_LEAST_RECORDS", 100)
-    monkeypatch.setattr(core_store.CoreStore, "reset", lambda self, realm, mark: None)
+    monkeypatch.setattr(core_store.CoreStore, "reset", lambda self, control_state, mark: None)
     assert "NOT CAUGHT UP" in rules(played(scenes.hundreds_of_changes, 1, wiped=True))
 
 
@@ -141,7 +141,7 @@
 
 
 def test_a_violation_is_shrunk_to_fewer_faults_that_still_bring_it(monkeypatch):
-    monkeypatch.setattr(Ledger, "_check_manifest", lambda self, r: None)
+    monkeypatch.setattr(ControlState, "_check_configuration", lambda self, r: None)
     rows = [(1.0, "freeze_short", 3), (2.0, "config_race", 5), (3.0, "kill_one", 7)]
     find = functools.partial(storm.run, 2, losses=1)
     broken = [b for b in find(rows)[0] if storm.name_of(b) == "TWO CONFIRMED"]
--- a/tests/test_control_interface.py
+++ b/tests/test_control_interface.py
@@ -19,19 +19,27 @@
 from petrelhaven.commands import ctl
 from petrelhaven.control.configuration.defaults import BOUNDS, GROUP, ROUTE, fill
 from petrelhaven.control.configuration.document import Bounds, Group, Route
-from petrelhaven.control.interface.control_interface import SeatFace
+from petrelhaven.control.interface.control_interface import ControlInterface
 from petrelhaven.control.interface.documents import why_of
-from petrelhaven.control.node import Seat
+from petrelhaven.control.node import ControlNode
 from petrelhaven.control.resumable.member_protocol import MemberWire
-from petrelhaven.control.state.control_state import Ledger
-from petrelhaven.control.storage.data_folder import Relic
+from petrelhaven.control.state.control_state import ControlState
+from petrelhaven.control.storage.data_folder import DataFolder
 from petrelhaven.control.storage.disk import Folder
-from petrelhaven.runtime.clock import Clock, Nest
-from petrelhaven.runtime.errors import Fault, Gone, Invalid, Late, MemberFault, NoRoute, Unsent
+from petrelhaven.runtime.clock import BackgroundTasks, Clock
+from petrelhaven.runtime.errors import (
+    DeadlineExceeded,
+    Fault,
+    Invalid,
+    MemberDeclined,
+    MemberReplaced,
+    NoRoute,
+    NotSent,
+)
 from petrelhaven.simulator.fleet import until as soon
-from petrelhaven.simulator.resumable.world import manifest
+from petrelhaven.simulator.resumable.world import configuration
 from petrelhaven.transport.http import fetch
-from petrelhaven.transport.light_http import LightFace, _Request
+from petrelhaven.transport.light_http import LightHttpServer, _Request
 from petrelhaven.transport.link import Link
 
 pytestmark = pytest.mark.xdist_group("faces")
@@ -53,24 +61,24 @@
     """Members and a platform that nobody reaches."""
 
     async def open(self, addr, group, member, us):
-        raise Unsent("refused")
+        raise NotSent("refused")
 
     async def promote(self, group, member, fence, by):
-        raise Unsent("refused")
+        raise NotSent("refused")
 
 
 @contextlib.asynccontextmanager
 async def seated(folder):
     """A core alone in its view, active, with its face."""
-    clock, nest = Clock(), Nest()
-    link = Link(clock, nest)
+    clock, tasks = Clock(), BackgroundTasks()
+    link = Link(clock, tasks)
     await link.start()
-    seat = Seat(
+    node = ControlNode(
         "c1",
         "a",
         [link.addr],
         clock,
-        nest,
+        tasks,
         link,
         Folder(str(folder)),
         random.Random(1),
@@ -78,38 +86,38 @@
         NoMembers(),
         1_200_000,
     )
-    face = LightFace("127.0.0.1", 0)
-    SeatFace(seat, face, lambda: SETTINGS, announced=True)
-    await face.start()
-    seat.start()
+    http_server = LightHttpServer("127.0.0.1", 0)
+    ControlInterface(node, http_server, lambda: SETTINGS, announced=True)
+    await http_server.start()
+    node.start()
     try:
-        await until(lambda: seat.chain.active, 10)
-        yield seat, face
+        await until(lambda: node.chain.active, 10)
+        yield node, http_server
     finally:
-        await face.close()
+        await http_server.close()
         await link.close()
-        nest.kill()
+        tasks.kill()
 
 
-def on_a_seat(folder, fn):
+def on_a_node(folder, fn):
     async def go():
-        async with seated(folder) as (seat, face):
-            return await fn(seat, face)
+        async with seated(folder) as (node, http_server):
+            return await fn(node, http_server)
 
     return asyncio.run(go())
 
 
-async def ask(face, verb, path, body=b""):
+async def ask(http_server, verb, path, body=b""):
     """(status, document, headers) of one request."""
     raw = body if isinstance(body, bytes) else json.dumps(body).encode()
-    st_, b, heads = await face.answer(_Request(verb, path, raw))
+    st_, b, heads = await http_server.answer(_Request(verb, path, raw))
     return st_, json.loads(b), dict(heads)
 
 
-async def told(face, *argv):
+async def told(http_server, *argv):
     """What `petrelhavenctl` prints against the face."""
     out = []
-    await ctl._run(ctl._parser().parse_args(["--core", face.addr, *argv]), out.append)
+    await ctl._run(ctl._parser().parse_args(["--core", http_server.addr, *argv]), out.append)
     return "\n".join(out)
 
 
@@ -131,25 +139,27 @@
     }
 
 
-def test_a_manifest_is_applied_as_on_the_old_path_and_handed_back(tmp_path):
-    async def go(seat, face):
-        assert (await ask(face, "GET", "/manifest"))[:2] == (
+def test_a_configuration_is_applied_as_on_the_old_path_and_handed_back(tmp_path):
+    async def go(node, http_server):
+        assert (await ask(http_server, "GET", "/manifest"))[:2] == (
             404,
             {"fault": "no-route", "note": "no such manifest"},
         )
-        one, two = manifest("small", 1) + "\n", manifest("small", 2)
-        st_, d, _ = await ask(face, "POST", "/manifest?by=op&retire=false", one.encode())
+        one, two = configuration("small", 1) + "\n", configuration("small", 2)
+        st_, d, _ = await ask(http_server, "POST", "/manifest?by=op&retire=false", one.encode())
         assert st_ == 200 and d["version"] == 1 and d["change"] == 1 and d["in_force_us"] >= 0
-        st_, d, _ = await ask(face, "POST", "/manifest", one.encode())
+        st_, d, _ = await ask(http_server, "POST", "/manifest", one.encode())
         assert (st_, d["fault"], d["more"]) == (409, "duplicate", {"version": 1})
-        assert (await ask(face, "POST", "/manifest", (one + " ").encode()))[1]["fault"] == "taken"
-        st_, d, _ = await ask(face, "POST", "/manifest", b'{"name": "x", "colour": 1}')
+        assert (await ask(http_server, "POST", "/manifest", (one + " ").encode()))[1][
+            "fault"
+        ] == "taken"
+        st_, d, _ = await ask(http_server, "POST", "/manifest", b'{"name": "x", "colour": 1}')
         assert st_ == 422
         assert all(
             f in d["more"]["faults"] for f in (["colour", "unknown field"], ["groups", "missing"])
         )
-        assert (await ask(face, "POST", "/manifest", b"\xff\xfe"))[0] == 400
-        assert (await ask(face, "POST", "/manifest", two.encode()))[1]["version"] == 2
+        assert (await ask(http_server, "POST", "/manifest", b"\xff\xfe"))[0] == 400
+        assert (await ask(http_server, "POST", "/manifest", two.encode()))[1]["version"] == 2
         for path, text in (
             ("", two),
             ("?version=2", two),
@@ -157,74 +167,74 @@
             ("?unconfirmed=true", two),
             ("?unconfirmed=true&version=1", one),
         ):
-            s, b, heads = await face.answer(_Request("GET", "/manifest" + path, b""))
+            s, b, heads = await http_server.answer(_Request("GET", "/manifest" + path, b""))
             assert (s, b.decode()) == (200, text), path
             assert dict(heads) == {"Confirmed-By-Majority": "no" if "unconf" in path else "yes"}
-        assert (await ask(face, "GET", "/manifest?version=9"))[0] == 404
-        assert (await ask(face, "GET", "/manifest?version=x"))[:2] == (
+        assert (await ask(http_server, "GET", "/manifest?version=9"))[0] == 404
+        assert (await ask(http_server, "GET", "/manifest?version=x"))[:2] == (
             400,
             {"fault": "malformed", "note": "version must be a whole number"},
         )
-        assert (await ask(face, "GET", "/realm"))[1]["manifest"]["by"] == ""
+        assert (await ask(http_server, "GET", "/realm"))[1]["manifest"]["by"] == ""
 
-    on_a_seat(tmp_path, go)
+    on_a_node(tmp_path, go)
 
 
 def test_a_served_group_is_left_out_only_at_the_operators_word(tmp_path):
-    async def go(seat, face):
-        full = json.loads(manifest("small", 1))
-        assert (await ask(face, "POST", "/manifest", full))[0] == 200
+    async def go(node, http_server):
+        full = json.loads(configuration("small", 1))
+        assert (await ask(http_server, "POST", "/manifest", full))[0] == 200
         for n, role in (("m1", "primary"), ("m2", "replica")):
-            assert (await ask(face, "POST", "/announce", member(n, role)))[:2] == (
+            assert (await ask(http_server, "POST", "/announce", member(n, role)))[:2] == (
                 200,
                 {"ok": True},
             )
-        await until(lambda: seat.chain.realm.doc["offices"].get("g1"), 5)
+        await until(lambda: node.chain.control_state.doc["offices"].get("g1"), 5)
         other = {
             **full,
             "version": 2,
             "groups": [{"name": "g9"}],
             "routes": [{"name": "r", "group": "g9"}],
         }
-        st_, d, _ = await ask(face, "POST", "/manifest", other)
+        st_, d, _ = await ask(http_server, "POST", "/manifest", other)
         assert (st_, d["more"]["faults"]) == (
             422,
             [["groups", "group g1 is served; retire it with retire=true"]],
         )
-        assert (await ask(face, "POST", "/manifest?retire=true", other))[0] == 200
-        await seat.apply(manifest("small", 3), by="a caller that has no such word")
-        assert seat.chain.realm.manifest["version"] == 3
+        assert (await ask(http_server, "POST", "/manifest?retire=true", other))[0] == 200
+        await node.apply(configuration("small", 3), by="a caller that has no such word")
+        assert node.chain.control_state.configuration["version"] == 3
 
-    on_a_seat(tmp_path, go)
+    on_a_node(tmp_path, go)
 
 
-def test_halls_offices_events_and_status_are_told_as_tenet_prints_them(tmp_path):
-    async def go(seat, face):
-        assert (await ask(face, "POST", "/halls/a/evacuate"))[1]["fault"] == "invalid"
-        m = {**json.loads(manifest("small", 1)), "halls": ["a", "b"]}
-        assert (await ask(face, "POST", "/manifest", m))[0] == 200
-        assert (await ask(face, "POST", "/announce", member("m1", "primary")))[0] == 200
-        await until(lambda: seat.chain.realm.doc["offices"].get("g1"), 5)
-        out = await told(face, "why", "g1")
+def test_zones_leaderships_events_and_status_are_told_as_tenet_prints_them(tmp_path):
+    async def go(node, http_server):
+        assert (await ask(http_server, "POST", "/halls/a/evacuate"))[1]["fault"] == "invalid"
+        m = {**json.loads(configuration("small", 1)), "halls": ["a", "b"]}
+        assert (await ask(http_server, "POST", "/manifest", m))[0] == 200
+        assert (await ask(http_server, "POST", "/announce", member("m1", "primary")))[0] == 200
+        await until(lambda: node.chain.control_state.doc["offices"].get("g1"), 5)
+        out = await told(http_server, "why", "g1")
         assert "office 1 (serve, primary m1 in term 0), decided by c1 as change 3" in out
         assert "cause: announced as primary" in out and "replaced: nothing" in out
-        assert (await told(face, "why", "g1", "--epoch", "1")) == out
-        st_, d, _ = await ask(face, "GET", "/why?group=g1")
+        assert (await told(http_server, "why", "g1", "--epoch", "1")) == out
+        st_, d, _ = await ask(http_server, "GET", "/why?group=g1")
         assert d["kept"] == [1] and d["replaced"] is None
         for path in ("/why", "/why?group=none", "/why?group=g1&n=7"):
-            assert (await ask(face, "GET", path))[0] == 404
-        assert (await ask(face, "GET", "/why?group=g1&n=%C2%B2"))[0] == 400
-        assert "hall a is emptied (change" in await told(face, "evacuate", "a")
-        assert (await ask(face, "POST", "/halls/a/evacuate"))[1]["fault"] == "duplicate"
-        assert (await ask(face, "POST", "/halls/b/evacuate"))[1]["note"] == "last open hall"
-        assert (await ask(face, "POST", "/halls/nowhere/restore"))[1]["fault"] == "invalid"
-        assert (await ask(face, "POST", "/halls/a/burn"))[0] == 404
-        out = await told(face, "status")
+            assert (await ask(http_server, "GET", path))[0] == 404
+        assert (await ask(http_server, "GET", "/why?group=g1&n=%C2%B2"))[0] == 400
+        assert "hall a is emptied (change" in await told(http_server, "evacuate", "a")
+        assert (await ask(http_server, "POST", "/halls/a/evacuate"))[1]["fault"] == "duplicate"
+        assert (await ask(http_server, "POST", "/halls/b/evacuate"))[1]["note"] == "last open hall"
+        assert (await ask(http_server, "POST", "/halls/nowhere/restore"))[1]["fault"] == "invalid"
+        assert (await ask(http_server, "POST", "/halls/a/burn"))[0] == 404
+        out = await told(http_server, "status")
         assert "c1: chained, head, ruling; change 4 (committed 4), manifest 1; view 1: c1" in out
         assert "g1: office 1 serve, primary m1 in term 0" in out and "halls: a emptied" in out
         assert "m1: primary of g1, ready, heard here 0" in out and "edges tied here: -" in out
-        assert "hall a is open" in await told(face, "restore", "a")
-        st_, b, heads = await face.answer(_Request("GET", "/events?after=1", b""))
+        assert "hall a is open" in await told(http_server, "restore", "a")
+        st_, b, heads = await http_server.answer(_Request("GET", "/events?after=1", b""))
         evs = json.loads(b)
         assert st_ == 200 and dict(heads)["Content-Type"] == "application/cloudevents-batch+json"
         assert [(e["id"], e["type"], e["subject"]) for e in evs] == [
@@ -234,47 +244,49 @@
             ("5", "petrelhaven.hall", "a"),
         ]
         assert {e["source"] for e in evs} == {f"/petrelhaven/{m['name']}"}
-        assert (await ask(face, "GET", "/events"))[1][0]["id"] == "1"
-        assert (await ask(face, "GET", "/events?after=-1"))[0] == 400
-        assert (await ask(face, "GET", "/ready"))[1] == {"ready": True}
-        assert (await ask(face, "GET", "/belief"))[1]["epochs"]["g1"]["primary"] == "m1"
-        assert (await ask(face, "GET", "/status"))[1]["settings"] == SETTINGS
+        assert (await ask(http_server, "GET", "/events"))[1][0]["id"] == "1"
+        assert (await ask(http_server, "GET", "/events?after=-1"))[0] == 400
+        assert (await ask(http_server, "GET", "/ready"))[1] == {"ready": True}
+        assert (await ask(http_server, "GET", "/belief"))[1]["epochs"]["g1"]["primary"] == "m1"
+        assert (await ask(http_server, "GET", "/status"))[1]["settings"] == SETTINGS
 
-    on_a_seat(tmp_path, go)
+    on_a_node(tmp_path, go)
 
 
-def test_an_election_without_proof_is_ordered_for_the_office_that_waits(tmp_path):
-    async def go(seat, face):
-        m = {**json.loads(manifest("small", 1)), "halls": ["a", "b"]}
-        assert (await ask(face, "POST", "/manifest", m))[0] == 200
+def test_an_election_without_proof_is_ordered_for_the_leadership_that_waits(tmp_path):
+    async def go(node, http_server):
+        m = {**json.loads(configuration("small", 1)), "halls": ["a", "b"]}
+        assert (await ask(http_server, "POST", "/manifest", m))[0] == 200
         for name, role in (("m1", "primary"), ("m2", "replica")):
-            assert (await ask(face, "POST", "/announce", member(name, role)))[0] == 200
-        await until(lambda: seat.chain.realm.doc["offices"].get("g1"), 5)
+            assert (await ask(http_server, "POST", "/announce", member(name, role)))[0] == 200
+        await until(lambda: node.chain.control_state.doc["offices"].get("g1"), 5)
         path = "/groups/g1/elect?member=m2&accept_loss=true&by=anna"
-        st_, d, _ = await ask(face, "POST", path + "&office=1")
+        st_, d, _ = await ask(http_server, "POST", path + "&office=1")
         assert (st_, d["fault"]) == (422, "invalid") and "served by m1" in str(d)
-        await seat.depart("m1")
-        await until(lambda: seat.chain.realm.doc["offices"]["g1"].get("stuck"), 5)
-        n = seat.chain.realm.doc["offices"]["g1"]["n"]
+        await node.depart("m1")
+        await until(lambda: node.chain.control_state.doc["offices"]["g1"].get("stuck"), 5)
+        n = node.chain.control_state.doc["offices"]["g1"]["n"]
         wrong = (("&office=1", "racing"), (f"&office={n}&accept_loss=no", "invalid"))
         for more, fault in (*wrong, ("", "malformed"), ("&office=x", "malformed")):
-            assert (await ask(face, "POST", path + more))[1]["fault"] == fault
+            assert (await ask(http_server, "POST", path + more))[1]["fault"] == fault
         assert (
-            await ask(face, "POST", f"/groups/none/elect?member=m2&office={n}&accept_loss=true")
+            await ask(
+                http_server, "POST", f"/groups/none/elect?member=m2&office={n}&accept_loss=true"
+            )
         )[0] == 404
         with pytest.raises(SystemExit):
-            await told(face, "elect", "--group", "g1", "--member", "m2")
+            await told(http_server, "elect", "--group", "g1", "--member", "m2")
         out = await told(
-            face, "--by", "anna", "elect", "--group", "g1", "--member", "m2", "--accept-loss"
+            http_server, "--by", "anna", "elect", "--group", "g1", "--member", "m2", "--accept-loss"
         )
         assert "member m2 of g1 is to be elected (change" in out
-        why = (await ask(face, "GET", "/why?group=g1"))[1]
+        why = (await ask(http_server, "GET", "/why?group=g1"))[1]
         assert why["evidence"]["order"] == {"member": "m2", "by": "anna"}
         assert why["evidence"]["unproven"] == ["m1"]
-        await until(lambda: "ordered by anna" in seat.duty.why.get("g1", ""), 5)
-        assert "ordered by anna" in await told(face, "status")
+        await until(lambda: "ordered by anna" in node.duty.why.get("g1", ""), 5)
+        assert "ordered by anna" in await told(http_server, "status")
 
-    on_a_seat(tmp_path, go)
+    on_a_node(tmp_path, go)
 
 
 @pytest.mark.parametrize(
@@ -292,12 +304,14 @@
     ],
 )
 def test_a_wrong_announcement_is_declined_by_field(tmp_path, change, field):
-    async def go(seat, face):
-        st_, d, _ = await ask(face, "POST", "/announce", {**member("m1", "primary"), **change})
+    async def go(node, http_server):
+        st_, d, _ = await ask(
+            http_server, "POST", "/announce", {**member("m1", "primary"), **change}
+        )
         assert (st_, d["fault"]) == (400, "malformed") and f"field {field} " in d["note"]
-        assert seat.chain.realm.seq == 0
+        assert node.chain.control_state.seq == 0
 
-    on_a_seat(tmp_path, go)
+    on_a_node(tmp_path, go)
 
 
 PATHS = st.one_of(
@@ -378,7 +392,7 @@
 
 
 def test_drawn_junk_gets_typed_answers_and_changes_nothing(tmp_path):
-    async def go(seat, face):
+    async def go(node, http_server):
         loop = asyncio.get_running_loop()
         reqs = []
 
@@ -390,16 +404,16 @@
         await loop.run_in_executor(None, draw)
         assert len(reqs) > 100
         for q in reqs:
-            s, b, _ = await face.answer(q)
+            s, b, _ = await http_server.answer(q)
             d = json.loads(b)
             typed = s in (400, 404, 409, 422, 503) and set(d) >= {"fault", "note"}
             assert s == 200 or typed, (q.verb, q.path, q.body, s, b)
-        assert seat.chain.realm.seq == 0 and seat.chain.active
+        assert node.chain.control_state.seq == 0 and node.chain.active
 
-    on_a_seat(tmp_path, go)
+    on_a_node(tmp_path, go)
 
 
-def test_blanks_are_the_manifests_own_defaults():
+def test_blanks_are_the_configurations_own_defaults():
     for blanks, tp in ((GROUP, Group), (ROUTE, Route), (BOUNDS, Bounds)):
         std = {
             f.name: f.default
@@ -411,9 +425,9 @@
     assert set(ROUTE) | {"name", "group"} == {f.name for f in dataclasses.fields(Route)}
 
 
-def test_offices_from_before_the_past_was_kept_are_told():
+def test_leaderships_from_before_the_past_was_kept_are_told():
     o = {"n": 3, "phase": "serve", "primary": "m1", "term": 2, "cause": "x", "by": "c1"}
-    led = Ledger({"seq": 9, "offices": {"g": o}})
+    led = ControlState({"seq": 9, "offices": {"g": o}})
     d = why_of(led.doc, {"group": "g"})
     assert d == {"epoch": o, "replaced": None, "waiting": None, "kept": [3]}
     out = []
@@ -421,31 +435,35 @@
     assert out[0] == "office 3 (serve, primary m1 in term 2), decided by c1 as change ?"
 
 
-def test_a_folder_of_a_seat_is_read_without_changing_it(tmp_path):
-    text = manifest("small", 4)
+def test_a_folder_of_a_node_is_read_without_changing_it(tmp_path):
+    text = configuration("small", 4)
 
-    async def go(seat, face):
-        assert (await ask(face, "POST", "/manifest", text.encode()))[0] == 200
+    async def go(node, http_server):
+        assert (await ask(http_server, "POST", "/manifest", text.encode()))[0] == 200
 
-    on_a_seat(tmp_path / "d", go)
+    on_a_node(tmp_path / "d", go)
     was = {p.name: p.read_bytes() for p in (tmp_path / "d").iterdir()}
-    r = Relic(str(tmp_path / "d"))
-    assert (r.name, r.realm.doc["manifest"]["text"], type(r.realm)) == ("c1", text, Ledger)
+    r = DataFolder(str(tmp_path / "d"))
+    assert (r.name, r.control_state.doc["manifest"]["text"], type(r.control_state)) == (
+        "c1",
+        text,
+        ControlState,
+    )
     assert was == {p.name: p.read_bytes() for p in (tmp_path / "d").iterdir()}
 
 
-def test_a_manifest_that_no_configuration_stands_for_harms_no_program_on_the_platform():
+def test_a_configuration_that_no_configuration_stands_for_harms_no_program_on_the_platform():
     sys.path.insert(0, str(ROOT / "platform"))
-    from forms import _read_manifest, origin_of, unlabel
+    from forms import _read_configuration, origin_of, unlabel
 
-    doc = json.loads(manifest("small", 1))
+    doc = json.loads(configuration("small", 1))
     doc["groups"].append({"name": "x-h1"})
     for origin in (None, "", "no json", "[]", '{"Services": [1]}', '{"Services": 3}'):
         d = {**doc, **({"origin": origin} if origin is not None else {})}
-        led = Ledger()
+        led = ControlState()
         led.apply(1, {"t": "manifest", "version": 1, "text": json.dumps(d)})
-        assert _read_manifest(json.dumps(d))["groups"][-1]["name"] == "x-h1"
-        assert fill(led.manifest)["groups"][-1]["sync"] == 0
+        assert _read_configuration(json.dumps(d))["groups"][-1]["name"] == "x-h1"
+        assert fill(led.configuration)["groups"][-1]["sync"] == 0
         if not origin:
             with pytest.raises(NoRoute):
                 origin_of(json.dumps(d))
@@ -644,20 +662,20 @@
 
 
 def test_only_one_reform_gathers_edges_at_a_time(tmp_path):
-    async def go(seat, face):
-        seat.muster.on = True
+    async def go(node, http_server):
+        node.proxy_survey.on = True
         with pytest.raises(Fault):
-            await seat.frames()
-        st_, d, _ = await ask(face, "POST", "/reform", {"lost": ["c1"]})
+            await node.frames()
+        st_, d, _ = await ask(http_server, "POST", "/reform", {"lost": ["c1"]})
         assert (st_, d["fault"]) == (400, "malformed")
         for body in (b"", {"lost": 3}, {"lost": [1]}, []):
-            assert (await ask(face, "POST", "/reform", body))[1]["fault"] == "malformed"
+            assert (await ask(http_server, "POST", "/reform", body))[1]["fault"] == "malformed"
 
-    on_a_seat(tmp_path, go)
+    on_a_node(tmp_path, go)
 
 
 def test_a_path_leaves_its_last_segment_but_one_open():
-    f = LightFace("127.0.0.1", 0)
+    f = LightHttpServer("127.0.0.1", 0)
     got = []
 
     async def take(q, part):
@@ -714,7 +732,7 @@
                 assert (await asyncio.wait_for(p.stdout.readline(), 20)).startswith(b"ready")
             cs = ",".join(https)
             rc, out, err = await tool(
-                "commands.ctl", "--core", cs, "apply", "-", stdin=manifest("small", 1).encode()
+                "commands.ctl", "--core", cs, "apply", "-", stdin=configuration("small", 1).encode()
             )
             assert rc == 0 and "version 1 is in force (change 1" in out, err
 
@@ -740,7 +758,7 @@
                     p.kill()
                     await p.wait()
         rc, out, err = await tool("commands.ctl", "salvage", str(tmp_path / "c1"))
-        assert rc == 0 and out == manifest("small", 1) and "NOT confirmed" in err
+        assert rc == 0 and out == configuration("small", 1) and "NOT confirmed" in err
         for path, want in (("held", 0), ("kept", 3)):
             rc, _, err = await tool(
                 "commands.control",
@@ -799,13 +817,13 @@
         m = await opened(row)
         assert await m.own("status") == {"role": "replica", "term": 2, "pos": 7, "held": 0}
         for verb in ("pause", "resume"):
-            with pytest.raises(MemberFault):
+            with pytest.raises(MemberDeclined):
                 await m.own(verb, 3)
         for answer, tp, note in (
-            (Unsent("x"), Unsent, "refused"),
-            (Late("x"), Unsent, "mute"),
-            ({**row, "member": "m2"}, Gone, "m2 answers there"),
-            (MemberFault("x"), MemberFault, "x"),
+            (NotSent("x"), NotSent, "refused"),
+            (DeadlineExceeded("x"), NotSent, "mute"),
+            ({**row, "member": "m2"}, MemberReplaced, "m2 answers there"),
+            (MemberDeclined("x"), MemberDeclined, "x"),
         ):
             with pytest.raises(tp) as e:
                 await opened(answer)
