--- a/tests/test_control_state.py
+++ b/tests/test_control_state.py
@@ -7,15 +7,15 @@
 from hypothesis import Phase, given, settings
 from hypothesis import strategies as st
 
-from petrelhaven.control.state.control_state import Ledger
-from petrelhaven.runtime.errors import Duplicate, Invalid, Racing, Stale, Taken
+from petrelhaven.control.state.control_state import ControlState
+from petrelhaven.runtime.errors import Conflict, Duplicate, Invalid, Stale, VersionTaken
 
 DRAWN = settings(
     max_examples=200, phases=[Phase.generate], deadline=None, derandomize=True, database=None
 )
 
 
-def manifest(version, text=None):
+def configuration(version, text=None):
     return {
         "t": "manifest",
         "version": version,
@@ -24,7 +24,7 @@
     }
 
 
-def hall(name, state):
+def zone(name, state):
     return {"t": "hall", "hall": name, "state": state, "by": "op"}
 
 
@@ -44,7 +44,7 @@
     }
 
 
-def office(group, n, primary="m1", phase="serve"):
+def leadership(group, n, primary="m1", phase="serve"):
     return {
         "t": "office",
         "group": group,
@@ -60,7 +60,7 @@
 def legal(led, r):
     try:
         led.check(r)
-    except (Duplicate, Invalid, Racing, Stale):
+    except (Duplicate, Invalid, Conflict, Stale):
         return False
     return True
 
@@ -77,7 +77,7 @@
     """What the records mean, told plainly: the newest version, halls, offices, and the members that are there."""
 
     def __init__(self):
-        self.version, self.halls, self.offices, self.here = 0, {}, {}, {}
+        self.version, self.zones, self.leaderships, self.here = 0, {}, {}, {}
 
     def enter(self, r):
         """Whether the record is legal now; takes it if so."""
@@ -88,14 +88,14 @@
         elif t == "hall":
             ok = (
                 r["state"] in ("open", "emptied")
-                and self.halls.get(r["hall"], "open") != r["state"]
+                and self.zones.get(r["hall"], "open") != r["state"]
             )
             if ok:
-                self.halls[r["hall"]] = r["state"]
+                self.zones[r["hall"]] = r["state"]
         elif t == "office":
-            ok = r["n"] == self.offices.get(r["group"], 0) + 1
+            ok = r["n"] == self.leaderships.get(r["group"], 0) + 1
             if ok:
-                self.offices[r["group"]] = r["n"]
+                self.leaderships[r["group"]] = r["n"]
         elif r["state"] == "gone":
             ok = self.here.pop(r["name"], None) is not None
         else:
@@ -111,8 +111,8 @@
 
 ADDR = st.sampled_from(["1.1.1.1:1", "1.1.1.1:2", "1.1.1.1:3"])
 RECORD = (
-    st.builds(manifest, st.integers(1, 6), st.sampled_from([None, "{}"]))
-    | st.builds(hall, st.sampled_from("ab"), st.sampled_from(["open", "emptied", "shut"]))
+    st.builds(configuration, st.integers(1, 6), st.sampled_from([None, "{}"]))
+    | st.builds(zone, st.sampled_from("ab"), st.sampled_from(["open", "emptied", "shut"]))
     | st.builds(
         member,
         st.sampled_from(["m1", "m2", "m3"]),
@@ -122,7 +122,7 @@
         st.sampled_from("gh"),
         st.integers(1, 9),
     )
-    | st.builds(office, st.sampled_from("gh"), st.integers(1, 4), st.sampled_from(["m1", "m2"]))
+    | st.builds(leadership, st.sampled_from("gh"), st.integers(1, 4), st.sampled_from(["m1", "m2"]))
 )
 
 
@@ -133,7 +133,7 @@
 @DRAWN
 @given(st.lists(RECORD, max_size=40))
 def test_what_is_legal_and_what_it_leaves_is_what_the_model_says(records):
-    led, model = Ledger(), Model()
+    led, model = ControlState(), Model()
     for i, r in enumerate(records):
         r = {**r, "count": i} if "count" in r else r
         before, sent = state(led), copy.deepcopy(r)
@@ -146,9 +146,9 @@
             if m["state"] != "gone"
         }
         assert here == model.here
-        assert {g: o["n"] for g, o in led.doc["offices"].items()} == model.offices
+        assert {g: o["n"] for g, o in led.doc["offices"].items()} == model.leaderships
         assert (led.doc["manifest"] or {"version": 0})["version"] == model.version
-        assert {h: led.hall(h) for h in "ab"} == {"a": "open", "b": "open", **model.halls}
+        assert {h: led.zone(h) for h in "ab"} == {"a": "open", "b": "open", **model.zones}
         for g in "gh":
             assert set(led.group(g)) == {n for n, m in model.here.items() if m["group"] == g}
 
@@ -156,13 +156,13 @@
 @DRAWN
 @given(st.lists(RECORD, max_size=25), st.data())
 def test_a_frame_at_any_point_and_the_records_after_it_leave_the_same_state(records, data):
-    led = Ledger()
+    led = ControlState()
     taken = [r for r in records if enter(led, r)]
     cut = data.draw(st.integers(0, len(taken)))
-    a = Ledger()
+    a = ControlState()
     for r in taken[:cut]:
         a.apply(a.seq + 1, r)
-    b = Ledger(json.loads(json.dumps(a.frame())))
+    b = ControlState(json.loads(json.dumps(a.frame())))
     at = state(a)
     for r in taken[cut:]:
         b.apply(b.seq + 1, r)
@@ -170,18 +170,18 @@
         state(b) == state(led)
         and state(a) == at
         and b.belief() == led.belief()
-        and b.manifest == led.manifest
+        and b.configuration == led.configuration
     )
 
 
 STREAMS = [
-    [manifest(2), manifest(5)],
-    [hall("a", "emptied"), hall("a", "open"), hall("a", "emptied")],
-    [hall("b", "emptied")],
+    [configuration(2), configuration(5)],
+    [zone("a", "emptied"), zone("a", "open"), zone("a", "emptied")],
+    [zone("b", "emptied")],
     [member("m1", role="primary"), member("m1", "draining", role="primary"), member("m1", "gone")],
     [member("m2", group="h"), member("m2", "gone"), member("m2", group="h", count=2)],
-    [office("g", 1), office("g", 2, phase="move")],
-    [office("h", 1, "m2")],
+    [leadership("g", 1), leadership("g", 2, phase="move")],
+    [leadership("h", 1, "m2")],
 ]
 
 
@@ -189,7 +189,7 @@
 @given(st.permutations([i for i, s in enumerate(STREAMS) for _ in s]))
 def test_records_about_different_things_leave_the_same_state_in_any_order(order):
     def played(order):
-        led, at = Ledger(), [0] * len(STREAMS)
+        led, at = ControlState(), [0] * len(STREAMS)
         for i in order:
             assert enter(led, copy.deepcopy(STREAMS[i][at[i]]))
             at[i] += 1
@@ -201,39 +201,39 @@
 
 
 def test_each_number_is_applied_once_and_in_order():
-    led = Ledger()
-    led.apply(1, hall("a", "emptied"))
+    led = ControlState()
+    led.apply(1, zone("a", "emptied"))
     for seq in (1, 3, 0):
         with pytest.raises(AssertionError):
-            led.apply(seq, hall("a", "open"))
-    assert led.seq == led.doc["seq"] == 1 and led.hall("a") == "emptied"
+            led.apply(seq, zone("a", "open"))
+    assert led.seq == led.doc["seq"] == 1 and led.zone("a") == "emptied"
 
 
 def test_a_version_taken_stands_once():
-    led = Ledger()
-    assert enter(led, manifest(5, '{"x": 1}'))
+    led = ControlState()
+    assert enter(led, configuration(5, '{"x": 1}'))
     for r, fault in (
-        (manifest(5, '{"x": 1}'), Duplicate),
-        (manifest(5, '{"x": 2}'), Stale),
-        (manifest(4), Stale),
+        (configuration(5, '{"x": 1}'), Duplicate),
+        (configuration(5, '{"x": 2}'), Stale),
+        (configuration(4), Stale),
     ):
         with pytest.raises(fault):
             led.check(r)
-    assert led.manifest == {"x": 1}
-    assert enter(led, manifest(6, '{"x": 2}')) and led.manifest == {"x": 2}
+    assert led.configuration == {"x": 1}
+    assert enter(led, configuration(6, '{"x": 2}')) and led.configuration == {"x": 2}
 
 
 def test_a_version_that_was_accepted_is_known_by_its_content_after_later_ones():
-    led = Ledger()
+    led = ControlState()
     for version in (3, 5, 9):
-        assert enter(led, manifest(version, f'{{"x": {version}}}'))
-    led = Ledger(json.loads(json.dumps(led.frame())))
+        assert enter(led, configuration(version, f'{{"x": {version}}}'))
+    led = ControlState(json.loads(json.dumps(led.frame())))
     for r, fault in (
-        (manifest(5, '{"x": 5}'), Duplicate),
-        (manifest(3, '{"x": 3}'), Duplicate),
-        (manifest(5, '{"x": 6}'), Taken),
-        (manifest(9, '{"x": 5}'), Taken),
-        (manifest(4, '{"x": 4}'), Stale),
+        (configuration(5, '{"x": 5}'), Duplicate),
+        (configuration(3, '{"x": 3}'), Duplicate),
+        (configuration(5, '{"x": 6}'), VersionTaken),
+        (configuration(9, '{"x": 5}'), VersionTaken),
+        (configuration(4, '{"x": 4}'), Stale),
     ):
         with pytest.raises(fault) as told:
             led.check(r)
@@ -242,35 +242,35 @@
 
 
 def test_the_versions_that_were_accepted_are_forgotten_in_the_end():
-    led = Ledger()
+    led = ControlState()
     for version in range(1, 1_001):
-        assert enter(led, manifest(version, f'{{"x": {version}}}'))
+        assert enter(led, configuration(version, f'{{"x": {version}}}'))
     assert len(led.doc["accepted"]) < 200
     with pytest.raises(Duplicate):
-        led.check(manifest(950, '{"x": 950}'))
+        led.check(configuration(950, '{"x": 950}'))
     with pytest.raises(Stale) as told:
-        led.check(manifest(1, '{"x": 1}'))
+        led.check(configuration(1, '{"x": 1}'))
     assert type(told.value) is Stale
 
 
 @pytest.mark.parametrize(
     ("records", "bad", "fault"),
     [
-        ([], hall("a", "open"), Duplicate),
-        ([], hall("a", "shut"), Invalid),
-        ([hall("a", "emptied")], hall("a", "emptied"), Duplicate),
+        ([], zone("a", "open"), Duplicate),
+        ([], zone("a", "shut"), Invalid),
+        ([zone("a", "emptied")], zone("a", "emptied"), Duplicate),
         ([], member("m1", "gone"), Duplicate),
         ([member("m1"), member("m1", "gone")], member("m1", "gone"), Duplicate),
         ([member("m1")], member("m1"), Duplicate),
         ([member("m1", count=1)], member("m1", count=2), Duplicate),
-        ([], office("g", 2), Racing),
-        ([], office("g", 0), Racing),
-        ([office("g", 1)], office("g", 1), Racing),
-        ([office("g", 1)], office("g", 3), Racing),
+        ([], leadership("g", 2), Conflict),
+        ([], leadership("g", 0), Conflict),
+        ([leadership("g", 1)], leadership("g", 1), Conflict),
+        ([leadership("g", 1)], leadership("g", 3), Conflict),
     ],
 )
 def test_what_is_declined(records, bad, fault):
-    led = Ledger()
+    led = ControlState()
     for r in records:
         assert enter(led, r)
     before = state(led)
@@ -280,7 +280,7 @@
 
 
 def test_a_new_member_at_an_address_takes_the_place_of_the_old_one():
-    led = Ledger()
+    led = ControlState()
     for r in (
         member("m1", addr="1.1.1.1:1"),
         member("m2", addr="1.1.1.1:2"),
@@ -292,7 +292,7 @@
 
 
 def test_a_late_word_that_a_member_is_gone_does_not_touch_the_one_at_its_address():
-    led = Ledger()
+    led = ControlState()
     for r in (member("m1", addr="1.1.1.1:1"), member("m2", addr="1.1.1.1:2")):
         assert enter(led, r)
     led.apply(3, member("m1", "gone", addr="1.1.1.1:2"))
@@ -300,7 +300,7 @@
 
 
 def test_the_members_that_are_gone_are_forgotten_in_the_end():
-    led = Ledger()
+    led = ControlState()
     for i in range(400):
         assert enter(led, member(f"m{i}"))
         if i >= 3:
@@ -309,9 +309,9 @@
 
 
 def test_a_frame_is_a_copy():
-    led = Ledger()
+    led = ControlState()
     enter(led, member("m1"))
     f = led.frame()
     f["members"]["m1"]["state"] = "gone"
     f["halls"]["a"] = "emptied"
-    assert set(led.group("g")) == {"m1"} and led.hall("a") == "open"
+    assert set(led.group("g")) == {"m1"} and led.zone("a") == "open"
--- a/tests/test_crash_points.py
+++ b/tests/test_crash_points.py
@@ -15,7 +15,7 @@
 from petrelhaven.control.storage import core_store, record_format, record_log
 from petrelhaven.control.storage.core_store import CoreStore
 from petrelhaven.control.storage.record_log import RecordLog
-from petrelhaven.runtime.errors import DiskRefused, Fault, Unsent
+from petrelhaven.runtime.errors import DiskRefused, Fault, NotSent
 
 
 @pytest.fixture(autouse=True)
@@ -56,13 +56,13 @@
 
 def state_of(store):
     return json.dumps(
-        [store.disk, store.vote, store.done, store.realm.doc, store.mark], sort_keys=True
+        [store.disk, store.vote, store.done, store.control_state.doc, store.mark], sort_keys=True
     )
 
 
 def record(number, pad=0):
     def op(store, chance):
-        store.put_rec(store.realm.seq + 1, 1, {"t": "x", "x": number, "pad": "p" * pad})
+        store.put_rec(store.control_state.seq + 1, 1, {"t": "x", "x": number, "pad": "p" * pad})
 
     return op
 
@@ -309,7 +309,7 @@
     for _ in range(4):
         record(1)(store, chance)
     again = start(disk.restarted(), Chance(9))
-    assert (again.damaged, again.realm.seq, again.disk) == (False, 4, store.disk)
+    assert (again.damaged, again.control_state.seq, again.disk) == (False, 4, store.disk)
 
 
 def test_damage_is_copied_before_the_core_starts_anew_and_dropped_once_it_was_fed():
@@ -377,14 +377,14 @@
 
     async def call(self, name, kind, body, us):
         if name in self.dead:
-            raise Unsent(name)
+            raise NotSent(name)
         voter = Voter(self.stores[name])
         try:
             ask = voter.prepare if kind == "vote.prepare" else voter.accept
             return await ask(None, body)
         except PowerCut:
             self.dead.add(name)
-            raise Unsent(name) from None
+            raise NotSent(name) from None
 
     @property
     def ids(self):
@@ -415,7 +415,7 @@
         for seq in range(6 * number - 5, 6 * number + 1):
             held = 0
             for n in sorted(trio.stores):
-                if n not in trio.dead and trio.stores[n].realm.seq == seq - 1:
+                if n not in trio.dead and trio.stores[n].control_state.seq == seq - 1:
                     rec = {"t": "x", "x": seq, "pad": "p" * 90}
                     trio._on(n, lambda n=n, s=seq, r=rec: trio.stores[n].put_rec(s, number, r))
                     held += n not in trio.dead
@@ -443,7 +443,7 @@
         assert all(again.ids[n] == i for n, i in was.items()), (point, survivals)
         view = await again.decide("b", 1)
         assert view["n"] >= acked["view"], (point, survivals)
-        assert min(s.realm.seq for s in again.stores.values()) >= acked["seq"]
+        assert min(s.control_state.seq for s in again.stores.values()) >= acked["seq"]
         return len(trio.dead)
 
     async def all_points():
--- a/tests/test_disk_refusal.py
+++ b/tests/test_disk_refusal.py
@@ -39,10 +39,10 @@
 def test_a_core_whose_disk_is_full_leaves_the_chain_and_comes_back_under_its_identity(place):
     async def go(f):
         await f.start()
-        f.visit(5)
+        f.start_clients(5)
         await f.until(lambda: whole(f), 10, "chain whole")
         was = identities(f)
-        b = f.net.boxes[f.cores[0].node.chain.view["chain"][place]]
+        b = f.net.machines[f.cores[0].node.chain.view["chain"][place]]
         b.disk.full = True
         f.history.trouble(f.loop.time(), f.loop.time() + 6, "core")
         took = [await change(f, v, v) for v in range(2, 7)]
@@ -63,7 +63,7 @@
 
     async def go(f):
         await f.start()
-        f.visit(5)
+        f.start_clients(5)
         await f.until(lambda: whole(f), 10, "chain whole")
         was = identities(f)
         full, lost = f.cores[seed % 3], f.cores[(seed + 1 + seed // 3) % 3]
@@ -151,7 +151,7 @@
     async def go(f):
         await f.start()
         await f.until(lambda: whole(f), 10, "chain whole")
-        f.net.boxes[f.cores[0].node.chain.view["chain"][0]].disk.full = True
+        f.net.machines[f.cores[0].node.chain.view["chain"][0]].disk.full = True
         waiting = asyncio.ensure_future(change(f, 2))
         await asyncio.sleep(10)
         return waiting.done()
--- a/tests/test_embargo_world.py
+++ b/tests/test_embargo_world.py
@@ -68,7 +68,7 @@
 async def failover(w):
     """The primary ends shortly before the moment; who takes over refuses too, and serves after."""
     until = await placed(w, secs=5)
-    w.loop.call_later(4.2, w.net.boxes["m1"].kill)
+    w.loop.call_later(4.2, w.net.machines["m1"].kill)
     bad = await watched(w, until, secs=8)
     assert set(w.late("opening", until)) == set(w.edges)
     return bad
@@ -94,7 +94,7 @@
 async def in_flight(w):
     """A read is at a slow member while the rule comes and the record is written."""
     for m in w.members.values():
-        w.net.boxes[m.box.name].clock.rate = 0.01
+        w.net.machines[m.machine.name].clock.rate = 0.01
     until = w.true() + 9 * S
     t = asyncio.ensure_future(w.read("e1", "opening", "old"))
     await asyncio.sleep(0.02)
@@ -130,7 +130,7 @@
 
 async def moved_later(w):
     """An edge is cut off while the release is put off; the time it knows is still good at the old release."""
-    m = w.manifest(bounds={"keepers": 0, "idle_txn_us": 30 * S, "wall_us": 2 * S})
+    m = w.configuration(bounds={"keepers": 0, "idle_txn_us": 30 * S, "wall_us": 2 * S})
     await w.call(lambda s: s.apply(m, by="op"))
     until = await placed(w, secs=6)
     crowd = w.crowd(["opening"])
@@ -170,38 +170,38 @@
 def no_lease(mp):
     from petrelhaven.proxy import embargo
 
-    real = embargo.EmbargoGate.turn
+    real = embargo.EmbargoFilter.turn
 
-    def turn(self, ledger, recs, fresh):
-        real(self, ledger, recs, fresh)
+    def turn(self, control_state, recs, fresh):
+        real(self, control_state, recs, fresh)
         self.scope = frozenset()
 
-    mp.setattr(embargo.EmbargoGate, "turn", turn)
+    mp.setattr(embargo.EmbargoFilter, "turn", turn)
 
 
 def no_second_look(mp):
     from petrelhaven.proxy import embargo
 
-    mp.setattr(embargo.EmbargoGate, "passed", lambda self, v, a, group, reply: reply)
+    mp.setattr(embargo.EmbargoFilter, "passed", lambda self, v, a, group, reply: reply)
 
 
 def acknowledged_at_once(mp):
-    from petrelhaven.control import leases as desk
+    from petrelhaven.control import leases as lease_table
 
     async def in_force(self, seq, grace=0, horizon=0):
         return 0
 
-    mp.setattr(desk.Desk, "in_force", in_force)
+    mp.setattr(lease_table.LeaseTable, "in_force", in_force)
 
 
 def own_clock(mp):
     from petrelhaven.control.embargo import agreed_time as truetime
 
     def interval(self):
-        w = self.wall.now()
+        w = self.wall_clock.now()
         return w - self._bounds()["skew_us"], w + self._bounds()["skew_us"]
 
-    mp.setattr(truetime.TrueTime, "interval", interval)
+    mp.setattr(truetime.AgreedTime, "interval", interval)
 
 
 def highest_time(mp):
@@ -231,9 +231,9 @@
 def transactions_unseen(mp):
     from petrelhaven.proxy import embargo
 
-    real = embargo.EmbargoGate.refusal
+    real = embargo.EmbargoFilter.refusal
     mp.setattr(
-        embargo.EmbargoGate,
+        embargo.EmbargoFilter,
         "refusal",
         lambda self, v, a, group: None if v.transaction is not None else real(self, v, a, group),
     )
@@ -242,9 +242,11 @@
 def rules_at_the_start_only(mp):
     from petrelhaven.proxy import embargo
 
-    real = embargo.EmbargoGate.turn
+    real = embargo.EmbargoFilter.turn
     mp.setattr(
-        embargo.EmbargoGate, "turn", lambda self, ledger, recs, fresh: real(self, ledger, [], fresh)
+        embargo.EmbargoFilter,
+        "turn",
+        lambda self, control_state, recs, fresh: real(self, control_state, [], fresh),
     )
 
 
@@ -286,13 +288,13 @@
     virtual(go)
 
 
-def test_a_visitor_named_in_the_rule_sees_the_record_early_and_no_one_else_does():
+def test_a_client_named_in_the_rule_sees_the_record_early_and_no_one_else_does():
     async def go(w):
         await w.embargo("add", "opening", w.true() + 60 * S, early=["early"])
         await w.write("opening")
         for n in w.edges:
-            assert (await w.read(n, "opening", visitor="early")).rows == ["secret"]
-            assert (await w.read(n, "opening", visitor="earl")).code == "withheld"
+            assert (await w.read(n, "opening", client="early")).rows == ["secret"]
+            assert (await w.read(n, "opening", client="earl")).code == "withheld"
         assert w.bad == []
 
     virtual(go)
@@ -419,7 +421,7 @@
     async def go(w):
         w.net.cut(["e3"], list(w.cores), 12 * S)
         await asyncio.sleep(1)
-        m = w.manifest(embargoing=["g"])
+        m = w.configuration(embargoing=["g"])
         with pytest.raises(AssertionError):
             await w.call(lambda s: s.apply(m, by="op"), 1)
         for c in w.cores.values():
@@ -481,7 +483,7 @@
             "E330" in x[2] and "by=op" in x[2] for x in w.net.log
         )
         await w.read("e1", "opening")
-        assert any("E430" in x[2] and "visitor=u" in x[2] for x in w.net.log)
+        assert any("E430" in x[2] and "client=u" in x[2] for x in w.net.log)
         assert w.edges["e1"].node.status()["embargo"]["count"]["embargo"] == 1
 
     virtual(go)
@@ -555,14 +557,15 @@
     async def go(w):
         await w.embargo("add", "opening", w.true() + 60 * S)
         with pytest.raises(Fault) as e:
-            await w.call(lambda s: s.apply(w.manifest(embargoing=[]), by="op"))
+            await w.call(lambda s: s.apply(w.configuration(embargoing=[]), by="op"))
         assert e.value.code == "invalid" and "lift" in str(e.value.more)
         await w.embargo("lift", "opening")
-        m = w.manifest(embargoing=[])
+        m = w.configuration(embargoing=[])
         await w.call(lambda s: s.apply(m, by="op"))
         await w.until(
             lambda: all(
-                e.node.embargo is None and e.node.tie.time is None for e in w.edges.values()
+                e.node.embargo is None and e.node.core_connection.time is None
+                for e in w.edges.values()
             ),
             5,
         )
--- a/tests/test_embargoes.py
+++ b/tests/test_embargoes.py
@@ -16,16 +16,16 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent / "platform"))
 
-from forms import label, manifest_of  # noqa: E402
-from petrelhaven.control.base_node import Core  # noqa: E402
+from forms import configuration_of, label  # noqa: E402
+from petrelhaven.control.base_node import BaseControlNode  # noqa: E402
 from petrelhaven.control.configuration.document import read  # noqa: E402
 from petrelhaven.control.embargo.instant import instant, spoken  # noqa: E402
-from petrelhaven.control.embargo.rules import Table, of_manifest, placed, rules_of, told  # noqa: E402
-from petrelhaven.control.state.control_state import Ledger  # noqa: E402
+from petrelhaven.control.embargo.rules import Table, of_configuration, placed, rules_of, told  # noqa: E402
+from petrelhaven.control.state.control_state import ControlState  # noqa: E402
 from petrelhaven.proxy.session.statement import Ask  # noqa: E402
-from petrelhaven.runtime.errors import Duplicate, Invalid, Oversize, Racing, Stale  # noqa: E402
+from petrelhaven.runtime.errors import Conflict, Duplicate, Invalid, Stale, TooLarge  # noqa: E402
 from petrelhaven.runtime.wall_clock import agreed  # noqa: E402
-from petrelhaven.simulator.resumable.world import manifest  # noqa: E402
+from petrelhaven.simulator.resumable.world import configuration  # noqa: E402
 
 DRAWN = settings(
     max_examples=300, phases=[Phase.generate], deadline=None, derandomize=True, database=None
@@ -128,11 +128,11 @@
 
 def faults_of(**kw):
     with pytest.raises(Invalid) as e:
-        read(json.dumps({**json.loads(manifest("small")), **kw}))
+        read(json.dumps({**json.loads(configuration("small")), **kw}))
     return {p for p, _ in e.value.more["faults"]}
 
 
-def test_a_manifests_embargoes_are_checked_by_path():
+def test_a_configurations_embargoes_are_checked_by_path():
     assert faults_of(embargoing=["g1", "nowhere"]) == {"embargoing[1]"}
     assert faults_of(embargoing="g1") == {"embargoing"}
     assert faults_of(embargoes=[3]) == {"embargoes[0]"}
@@ -169,11 +169,11 @@
     assert faults_of(bounds={"spread_us": -1}) == {"bounds.spread_us"}
 
 
-def test_a_manifest_without_embargoes_carries_nothing_and_one_with_them_the_moments():
-    assert of_manifest(read(manifest("small"))) == {}
+def test_a_configuration_without_embargoes_carries_nothing_and_one_with_them_the_moments():
+    assert of_configuration(read(configuration("small"))) == {}
     one = rule(until="2026-03-01T09:00:00", zone="Asia/Tokyo")
-    m = read(json.dumps({**json.loads(manifest("small")), "embargoes": [one]}))
-    got = of_manifest(m)["embargo"]
+    m = read(json.dumps({**json.loads(configuration("small")), "embargoes": [one]}))
+    got = of_configuration(m)["embargo"]
     assert got["scope"] == ["g1"] and got["rules"]["n"]["until"] == us(2026, 3, 1, 0)
 
 
@@ -181,23 +181,23 @@
     """A ledger, and what an operator says to it."""
 
     def __init__(self, **kw):
-        self.led, self.version = Ledger(), 0
-        self.manifest(**kw)
+        self.led, self.version = ControlState(), 0
+        self.configuration(**kw)
 
     def put(self, r):
         r = json.loads(json.dumps(r))
         self.led.check(r)
         self.led.apply(self.led.seq + 1, r)
 
-    def manifest(self, **kw):
+    def configuration(self, **kw):
         self.version += 1
-        m = read(json.dumps({**json.loads(manifest("small", self.version)), **kw}))
+        m = read(json.dumps({**json.loads(configuration("small", self.version)), **kw}))
         self.put(
             {
                 "t": "manifest",
                 "text": "{}" + " " * self.version,
                 "version": self.version,
-                **of_manifest(m),
+                **of_configuration(m),
             }
         )
 
@@ -224,9 +224,9 @@
     assert c.rules() == {"n": us(2026, 4, 1, 6)}
     with pytest.raises(Duplicate):
         c.say("move", until="2026-04-01T06:00:00Z")
-    with pytest.raises(Racing):
+    with pytest.raises(Conflict):
         c.say("move", until="2026-05-01T06:00:00Z", n=3)
-    with pytest.raises(Racing):
+    with pytest.raises(Conflict):
         c.say("lift", n=9)
     c.say("lift")
     assert c.rules() == {}
@@ -272,22 +272,22 @@
     assert "embargoes" not in c.led.doc and "embargo_since" not in c.led.doc
     with pytest.raises(Invalid):
         c.add()
-    c.manifest(embargoing=["g1"])
+    c.configuration(embargoing=["g1"])
     since = c.led.seq
     c.add()
-    c.manifest(embargoing=["g1"], embargoes=[rule("m", prefix="x", thing="")])
+    c.configuration(embargoing=["g1"], embargoes=[rule("m", prefix="x", thing="")])
     assert c.led.doc["embargo_since"] == {"g1": since} and set(c.rules()) == {"m", "n"}
     with pytest.raises(Invalid):
-        c.manifest()
+        c.configuration()
     c.version -= 1
     c.say("lift")
-    c.manifest()
+    c.configuration()
     assert c.rules() == {} and c.led.doc["embargo_since"] == {}
 
 
 def test_records_have_a_bound_in_all():
     c = Chain(embargoing=["g1"])
-    with pytest.raises(Oversize):
+    with pytest.raises(TooLarge):
         for i in range(6000):
             c.led.doc.setdefault("embargoes", {})[f"x{i}"] = {"group": "g1", "thing": "y" * 500}
         c.add()
@@ -296,7 +296,7 @@
 def test_a_frame_and_the_records_after_it_leave_the_same_rules():
     c = Chain(embargoing=["g1"])
     c.add("a")
-    other = Ledger(json.loads(json.dumps(c.led.frame())))
+    other = ControlState(json.loads(json.dumps(c.led.frame())))
     for r in (
         placed({"do": "move", "name": "a", "until": "2026-03-01T10:00:00Z"}),
         placed({"do": "add", **rule("b")}),
@@ -342,7 +342,7 @@
     st.sampled_from("xyzw"),
     st.integers(0, 9),
 )
-def test_the_table_holds_back_what_a_walk_over_all_rules_holds_back(steps, things, visitor, now):
+def test_the_table_holds_back_what_a_walk_over_all_rules_holds_back(steps, things, client, now):
     t, model = Table(), {}
     for k, d in steps:
         if d is None:
@@ -361,10 +361,10 @@
             r["until"]
             for r in model.values()
             if r["until"] > now
-            and visitor not in r["early"]
+            and client not in r["early"]
             and any(covers(r, g, x) for x in things)
         ]
-        hit = t.held(g, things, visitor, now)
+        hit = t.held(g, things, client, now)
         assert (hit[1]["until"] if hit else None) == max(holds, default=None)
 
 
@@ -413,10 +413,10 @@
     assert [p.name for p in SRC.rglob("*.py") if reads.search(p.read_text())] == ["wall_clock.py"]
 
 
-def test_a_core_of_kept_sessions_takes_no_manifest_with_embargoes():
-    m = {**json.loads(manifest("small")), "embargoing": ["g1"]}
+def test_a_core_of_kept_sessions_takes_no_configuration_with_embargoes():
+    m = {**json.loads(configuration("small")), "embargoing": ["g1"]}
     with pytest.raises(Invalid) as e:
-        asyncio.run(Core.apply(None, json.dumps(m)))
+        asyncio.run(BaseControlNode.apply(None, json.dumps(m)))
     assert [p for p, _ in e.value.more["faults"]] == ["embargoing"]
 
 
@@ -435,7 +435,7 @@
 
 
 def test_a_platforms_configuration_switches_embargoes_on_and_without_the_section_they_are_off():
-    assert "embargoes" not in json.loads(manifest_of(json.dumps(CONFIG).encode(), ["a"]))
+    assert "embargoes" not in json.loads(configuration_of(json.dumps(CONFIG).encode(), ["a"]))
     section = {
         "Services": ["svc"],
         "ClockErrorMs": 50,
@@ -443,14 +443,17 @@
         "SpreadMs": 0,
         "Rules": [ROW],
     }
-    m = read(manifest_of(json.dumps({**CONFIG, "Embargo": section}).encode(), ["a"]))
+    m = read(configuration_of(json.dumps({**CONFIG, "Embargo": section}).encode(), ["a"]))
     assert (m.bounds.skew_us, m.bounds.wall_us, m.bounds.spread_us) == (50_000, 300_000, 0)
-    got = of_manifest(m)["embargo"]
+    got = of_configuration(m)["embargo"]
     assert got["scope"] == sorted(["svc", label("Ärger")]) and got["rules"]["n"]["until"] == us(
         2026, 3, 1, 8
     )
     assert (
-        of_manifest(read(manifest_of(json.dumps({**CONFIG, "Embargo": {}}).encode(), ["a"]))) == {}
+        of_configuration(
+            read(configuration_of(json.dumps({**CONFIG, "Embargo": {}}).encode(), ["a"]))
+        )
+        == {}
     )
 
 
@@ -470,5 +473,5 @@
 )
 def test_a_platforms_configuration_is_declined_by_field(section, at):
     with pytest.raises(Invalid) as e:
-        manifest_of(json.dumps({**CONFIG, "Embargo": section}).encode(), ["a"])
+        configuration_of(json.dumps({**CONFIG, "Embargo": section}).encode(), ["a"])
     assert [p for p, _ in e.value.more["faults"]] == [at]
--- a/tests/test_entered_record.py
+++ b/tests/test_entered_record.py
@@ -7,10 +7,10 @@
 from test_record_log import Bytes
 
 from petrelhaven.control.consensus.chain import Chain
-from petrelhaven.control.state.control_state import Ledger
+from petrelhaven.control.state.control_state import ControlState
 from petrelhaven.control.storage.core_store import CoreStore
-from petrelhaven.runtime.clock import Clock, Nest
-from petrelhaven.runtime.errors import NotReady, Unsent
+from petrelhaven.runtime.clock import BackgroundTasks, Clock
+from petrelhaven.runtime.errors import NotReady, NotSent
 
 
 class LoopClock(Clock):
@@ -23,39 +23,46 @@
 async def _others_confirm(name, kind, body, us):
     if kind == "view.confirm":
         return {"ok": True, "view": None, "boot": name, "clock": 1}
-    raise Unsent(name)
+    raise NotSent(name)
 
 
-def hall(name):
+def zone(name):
     return {"t": "hall", "hall": name, "state": "emptied", "by": "operator"}
 
 
 def test_a_deposed_head_that_rejoins_does_not_confirm_what_was_thrown_away(warp):
     async def go():
-        mem = CoreStore(Bytes(), "a", random.Random(1), state=Ledger)
-        nest = Nest()
-        chain = Chain(LoopClock(), nest, mem, _others_confirm)
+        mem = CoreStore(Bytes(), "a", random.Random(1), state=ControlState)
+        tasks = BackgroundTasks()
+        chain = Chain(LoopClock(), tasks, mem, _others_confirm)
         ids = {"a": mem.disk, "b": "other", "c": "third"}
 
         def view(n, *names):
             return {"n": n, "chain": list(names), "ids": ids, "cause": "", "by": names[0]}
 
-        nest.spawn(chain.confirm())
+        tasks.spawn(chain.confirm())
         chain.adopt(view(1, "a", "b", "c"))
         await asyncio.sleep(1)
-        order = nest.spawn(chain.enter(hall("lost")))
+        order = tasks.spawn(chain.enter(zone("lost")))
         await asyncio.sleep(0.5)
         chain.adopt(view(2, "b", "c"))
         await asyncio.sleep(0.5)
         chain.adopt(view(3, "b", "c", "a"))
         await asyncio.sleep(1)
-        ledger = Ledger()
-        ledger.apply(1, hall("kept"))
-        body = {"view": 3, "prev": 1, "mark": 2, "recs": [], "frame": ledger.frame(), "done": True}
+        control_state = ControlState()
+        control_state.apply(1, zone("kept"))
+        body = {
+            "view": 3,
+            "prev": 1,
+            "mark": 2,
+            "recs": [],
+            "frame": control_state.frame(),
+            "done": True,
+        }
         await chain.append(None, body)
         assert chain.active and chain.commit == 1
         with pytest.raises(NotReady):
             await order
-        nest.kill()
+        tasks.kill()
 
     warp(go())
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -9,9 +9,9 @@
 from hypothesis import strategies as st
 
 from petrelhaven.control.failover.coordinator import FailoverCoordinator
-from petrelhaven.control.state.control_state import Ledger
-from petrelhaven.runtime.clock import Clock, Nest
-from petrelhaven.runtime.errors import Fenced, Invalid, Racing, Unreached, Unsent
+from petrelhaven.control.state.control_state import ControlState
+from petrelhaven.runtime.clock import BackgroundTasks, Clock
+from petrelhaven.runtime.errors import Conflict, Fenced, Invalid, NotSent, Unreachable
 from petrelhaven.simulator.virtual_time import WarpLoop, end_all
 
 DRAWN = settings(
@@ -78,18 +78,18 @@
 class Estate:
     """A group that commits with one acknowledgement, its platform, and the core that the warden is part of."""
 
-    def __init__(self, names=("p", "r1", "r2"), halls=None):
-        self.clock, self.nest, self.log = LoopClock(), Nest(), None
+    def __init__(self, names=("p", "r1", "r2"), zones=None):
+        self.clock, self.tasks, self.log = LoopClock(), BackgroundTasks(), None
         self.members = {n: Member(n, "primary" if n == "p" else "replica") for n in names}
         self.trace, self.acked, self.fence, self.calls = [], (1, 5), 0, []
         self.rng, self.barrier, self.promote_as = random.Random(1), 0.0, []
         self.promote_s = 0.2
-        self.wire = self.platform = self.reach = self.desk = self
-        self.name, self.hall, self.beat_us, self.heard = "c1", "a", BEAT_US, {}
+        self.wire = self.platform = self.reach = self.lease_table = self
+        self.name, self.zone, self.heartbeat_us, self.heard = "c1", "a", BEAT_US, {}
         self.others = {"c2": "same", "c3": "same"}
-        led = Ledger()
+        led = ControlState()
         self.chain = types.SimpleNamespace(
-            realm=led,
+            control_state=led,
             head=True,
             active=True,
             enter=self.enter,
@@ -102,7 +102,7 @@
                     "t": "member",
                     "name": n,
                     "group": "g",
-                    "hall": (halls or {}).get(n, "a"),
+                    "hall": (zones or {}).get(n, "a"),
                     "addr": f"1.1.1.1:{i}",
                     "role": self.members[n].role,
                     "state": "ready",
@@ -113,7 +113,7 @@
         self.warden = FailoverCoordinator(self, self)
 
     def put(self, r):
-        led = self.chain.realm
+        led = self.chain.control_state
         led.check(r)
         led.apply(led.seq + 1, r)
         return led.seq
@@ -126,7 +126,7 @@
         return seq
 
     def member(self, n, state):
-        m = self.chain.realm.doc["members"][n]
+        m = self.chain.control_state.doc["members"][n]
         self.put({"t": "member", "name": n, **{**m, "state": state, "count": m["count"] + 1}})
 
     def join(self, n, pos=None):
@@ -153,8 +153,8 @@
     def end(self, n, tells=True):
         """A member ends; its log goes with it."""
         self.members[n].runs = False
-        if tells and self.chain.realm.doc["members"][n]["state"] != "gone":
-            addr = self.chain.realm.doc["members"][n]["addr"]
+        if tells and self.chain.control_state.doc["members"][n]["state"] != "gone":
+            addr = self.chain.control_state.doc["members"][n]["addr"]
             self.put({"t": "member", "name": n, "state": "gone", "addr": addr})
 
     async def release(self, n, s=7.3, tells=True):
@@ -165,7 +165,7 @@
 
     @property
     def evidence(self):
-        return self.chain.realm.evidence("g")
+        return self.chain.control_state.evidence("g")
 
     async def in_force(self, seq):
         await asyncio.sleep(self.barrier)
@@ -175,22 +175,22 @@
         m = self.members[name]
         if not m.seen:
             await asyncio.sleep(us / 1e6)
-            raise Unsent("mute")
+            raise NotSent("mute")
         if not m.runs:
-            raise Unsent("refused")
+            raise NotSent("refused")
         return Conn(self, m)
 
     async def call(self, core, kind, body, us, again=True):
         """What another core sees: the same as this one, or what a test sets."""
         how = self.others[core]
         if how is None:
-            raise Unreached("cut off")
+            raise Unreachable("cut off")
         return {
             "how": await self.warden.observer.look(body["member"], body) if how == "same" else how
         }
 
-    async def doubt(self, group, member, how):
-        self.warden.doubt(group, member, how)
+    async def suspect(self, group, member, how):
+        self.warden.suspect(group, member, how)
 
     async def promote(self, group, name, fence, holder):
         """The platform: fenced, slow to act, and sometimes without an answer or without the call."""
@@ -198,16 +198,16 @@
         self.calls.append(name)
         how = self.promote_as.pop(0) if self.promote_as else "fine"
         if how == "unsent":
-            raise Unsent("down")
+            raise NotSent("down")
         if how == "lost":
-            raise Unreached("cut")
+            raise Unreachable("cut")
         if fence < self.fence or not self.members[name].runs or how == "fenced":
             raise Fenced("409")
         self.fence = fence
         if self.members[name].role != "primary":
             asyncio.get_running_loop().call_later(self.promote_s, self.lead, name)
         if how == "unanswered":
-            raise Unreached("cut")
+            raise Unreachable("cut")
 
     def lead(self, name):
         """A promotion takes effect: one that was accepted does, whatever fence was seen since."""
@@ -236,7 +236,7 @@
 
     def announce(self):
         """Members tell a change of their role at once."""
-        for n, m in self.chain.realm.group("g").items():
+        for n, m in self.chain.control_state.group("g").items():
             if self.members[n].runs and self.members[n].role != m["role"]:
                 self.put(
                     {
@@ -254,23 +254,23 @@
 
     async def start(self):
         """The group in office and at work."""
-        self.nest.spawn(self.warden.run())
-        self.nest.spawn(self.work())
-        await self.until(lambda: self.office and self.office["phase"] == "serve")
+        self.tasks.spawn(self.warden.run())
+        self.tasks.spawn(self.work())
+        await self.until(lambda: self.leadership and self.leadership["phase"] == "serve")
 
     async def until(self, ok, s=20):
         end = self.clock.now() + s * 1_000_000
         while not ok():
-            assert self.clock.now() < end, (self.trace[-12:], self.warden.why, self.office)
+            assert self.clock.now() < end, (self.trace[-12:], self.warden.why, self.leadership)
             await asyncio.sleep(0.01)
 
     @property
-    def office(self):
-        return self.chain.realm.doc["offices"].get("g")
+    def leadership(self):
+        return self.chain.control_state.doc["offices"].get("g")
 
     @property
     def settled(self):
-        o = self.office
+        o = self.leadership
         return (
             o["phase"] == "serve"
             and self.members[o["primary"]].role == "primary"
@@ -279,7 +279,7 @@
 
     def stays(self, n):
         """Whether a member is there and not about to leave."""
-        m = self.chain.realm.doc["members"].get(n)
+        m = self.chain.control_state.doc["members"].get(n)
         return m is not None and m["state"] == "ready"
 
     def dark(self, n, seen=False, runs=True):
@@ -316,26 +316,26 @@
         e.barrier = 0.3
         e.trace.clear()
         e.dark("p", runs=False)
-        e.warden.doubt("g", "p", "refused")
+        e.warden.suspect("g", "p", "refused")
         await e.until(lambda: e.calls and e.settled)
         moved = next(x[2] for x in e.trace if x[0] == "move")
-        heir = e.calls[0]
+        candidate = e.calls[0]
         assert e.at("move", "p") < min(e.at("pause", "r1"), e.at("pause", "r2"))
         fence = max(x[2] for x in e.trace if x[0] == "move")
         assert (
             max(e.at("pause", "r1"), e.at("pause", "r2"))
             < e.at("in force", moved)
-            < e.at("promote", heir, fence)
+            < e.at("promote", candidate, fence)
         )
         assert fence > moved
-        assert e.at("promote") < e.at("leads", heir) < e.at("serve", heir)
-        other = ({"r1", "r2"} - {heir}).pop()
-        await e.until(lambda: ("resume", other) in e.trace[e.at("serve", heir) :], 1)
-        assert len(e.calls) == 1 and e.office["term"] == 2 and not e.warden.why
+        assert e.at("promote") < e.at("leads", candidate) < e.at("serve", candidate)
+        other = ({"r1", "r2"} - {candidate}).pop()
+        await e.until(lambda: ("resume", other) in e.trace[e.at("serve", candidate) :], 1)
+        assert len(e.calls) == 1 and e.leadership["term"] == 2 and not e.warden.why
         e.dark("p", True, True)
         await e.until(lambda: "g" not in e.warden._to_resume)
         await asyncio.sleep(5)
-        assert e.office["primary"] == heir and len(e.calls) == 1
+        assert e.leadership["primary"] == candidate and len(e.calls) == 1
 
     virtual(go)
 
@@ -346,11 +346,11 @@
         e.members[({"r1", "r2"} - {ahead}).pop()].follows = False
         await asyncio.sleep(1)
         e.dark("p")
-        e.warden.doubt("g", "p", "mute")
+        e.warden.suspect("g", "p", "mute")
         await e.until(lambda: e.calls and e.settled)
         assert e.calls == [ahead]
 
-    virtual(go, halls={"r1": "b", "r2": "a"})
+    virtual(go, zones={"r1": "b", "r2": "a"})
 
 
 @pytest.mark.parametrize("how", [(False, True), (True, False), (False, False)])
@@ -359,19 +359,19 @@
     async def go(e):
         e.dark("p", runs=False)
         e.dark(away, *how)
-        e.warden.doubt("g", "p", "mute")
-        await e.until(lambda: e.office["phase"] == "move", 2)
+        e.warden.suspect("g", "p", "mute")
+        await e.until(lambda: e.leadership["phase"] == "move", 2)
         await asyncio.sleep(30)
         assert (
             e.calls == []
-            and e.office["phase"] == "move"
-            and e.office["stuck"]
+            and e.leadership["phase"] == "move"
+            and e.leadership["stuck"]
             and away in e.warden.why["g"]
         )
         assert sum(x[0] == "move" and x[3] for x in e.trace) == 1
         e.dark(away, True, True)
         await e.until(lambda: e.calls and e.settled)
-        assert not e.office["stuck"]
+        assert not e.leadership["stuck"]
 
     virtual(go)
 
@@ -382,9 +382,9 @@
         await asyncio.sleep(0.5)
         e.put({"t": "member", "name": "r1", "state": "gone", "addr": "1.1.1.1:1"})
         e.dark("p", runs=False)
-        e.warden.doubt("g", "p", "refused")
+        e.warden.suspect("g", "p", "refused")
         await asyncio.sleep(10)
-        assert e.calls == [] and e.office["stuck"]
+        assert e.calls == [] and e.leadership["stuck"]
         new = e.members["r1n"] = Member("r1n", "replica")
         new.pos = e.members["r1"].pos
         e.put(
@@ -410,7 +410,7 @@
     async def go(e):
         e.barrier = 1.0
         e.dark("p")
-        e.warden.doubt("g", "p", "mute")
+        e.warden.suspect("g", "p", "mute")
         await e.until(lambda: all(e.members[n].held for n in ("r1", "r2")))
         await asyncio.sleep(0.2)
         e.members["r2"].held = 0
@@ -428,7 +428,7 @@
         e.members[({"r1", "r2"} - {ahead}).pop()].follows = False
         e.members[ahead].silent = True
         e.dark("p")
-        e.warden.doubt("g", "p", "mute")
+        e.warden.suspect("g", "p", "mute")
         await asyncio.sleep(5)
         assert e.calls == [] and "paused" in e.warden.why["g"]
         e.members[ahead].silent = False
@@ -442,12 +442,12 @@
     async def go(e):
         e.dark("p")
         e.dark("r1")
-        e.warden.doubt("g", "p", "mute")
-        await e.until(lambda: e.office["phase"] == "move")
+        e.warden.suspect("g", "p", "mute")
+        await e.until(lambda: e.leadership["phase"] == "move")
         await asyncio.sleep(2)
         e.dark("p", True)
-        await e.until(lambda: e.office["phase"] == "serve")
-        assert e.office["primary"] == "p" and e.calls == []
+        await e.until(lambda: e.leadership["phase"] == "serve")
+        assert e.leadership["primary"] == "p" and e.calls == []
         e.dark("r1", True)
         await e.until(lambda: e.settled)
 
@@ -463,27 +463,27 @@
         e.others = others
         e.dark("p")
         for _ in range(10):
-            e.warden.doubt("g", "p", "mute")
+            e.warden.suspect("g", "p", "mute")
             await asyncio.sleep(1)
         assert (
-            e.office["phase"] == "serve"
+            e.leadership["phase"] == "serve"
             and e.calls == []
             and not any(m.held for m in e.members.values())
         )
         e.others = {"c2": "mute", "c3": "mute"}
-        e.warden.doubt("g", "p", "mute")
-        await e.until(lambda: e.calls and e.office["primary"] != "p")
+        e.warden.suspect("g", "p", "mute")
+        await e.until(lambda: e.calls and e.leadership["primary"] != "p")
 
     virtual(go)
 
 
-def test_a_doubt_of_somebody_who_is_not_in_office_is_none():
+def test_a_doubt_of_somebody_who_is_not_in_leadership_is_none():
     async def go(e):
         e.dark("r1")
-        e.warden.doubt("g", "r1", "mute")
-        e.warden.doubt("h", "p", "mute")
+        e.warden.suspect("g", "r1", "mute")
+        e.warden.suspect("h", "p", "mute")
         await asyncio.sleep(3)
-        assert e.office["phase"] == "serve" and e.trace == e.trace[:1]
+        assert e.leadership["phase"] == "serve" and e.trace == e.trace[:1]
 
     virtual(go)
 
@@ -493,7 +493,7 @@
         e.dark("p", runs=False)
         e.heard["p"] = (e.clock.now(), 1)
         await asyncio.sleep(2.3)
-        assert e.office["phase"] == "serve"
+        assert e.leadership["phase"] == "serve"
         await e.until(lambda: e.calls and e.settled, 3)
 
     virtual(go)
@@ -506,7 +506,7 @@
         lambda e: e.put({"t": "hall", "hall": "b", "state": "emptied", "by": "op"}),
     ],
 )
-def test_a_planned_move_waits_until_the_heir_has_what_the_primary_had(leave):
+def test_a_planned_move_waits_until_the_candidate_has_what_the_primary_had(leave):
     async def go(e):
         e.trace.clear()
         for n in ("r1", "r2"):
@@ -516,11 +516,13 @@
         e.tick()
         leave(e)
         await asyncio.sleep(3)
-        assert e.calls == [] and e.office["phase"] == "swap" and e.members["p"].role == "primary"
+        assert (
+            e.calls == [] and e.leadership["phase"] == "swap" and e.members["p"].role == "primary"
+        )
         assert "catches up" in e.warden.why["g"]
         e.members["r2"].follows = True
         await e.until(lambda: e.calls and e.settled)
-        assert e.calls == ["r2"] and e.office["primary"] == "r2"
+        assert e.calls == ["r2"] and e.leadership["primary"] == "r2"
         seq = next(x[2] for x in e.trace if x[0] == "swap")
         assert (
             e.at("pause", "r1")
@@ -530,10 +532,10 @@
         )
         assert ("pause", "r2") not in [x[:2] for x in e.trace]
 
-    virtual(go, halls={"p": "b"})
+    virtual(go, zones={"p": "b"})
 
 
-def test_a_planned_move_without_a_heir_in_time_is_taken_back():
+def test_a_planned_move_without_a_candidate_in_time_is_taken_back():
     async def go(e):
         for n in ("r1", "r2"):
             e.members[n].follows = False
@@ -557,7 +559,7 @@
         await asyncio.sleep(5)
         assert (
             e.calls == []
-            and e.office["phase"] == "serve"
+            and e.leadership["phase"] == "serve"
             and e.warden.why["g"] == "no heir for a planned move"
         )
         e.member("r2", "ready")
@@ -573,7 +575,7 @@
             e.members[n].follows = False
         await asyncio.sleep(0.1)
         e.member("p", "draining")
-        await e.until(lambda: e.office["phase"] == "swap")
+        await e.until(lambda: e.leadership["phase"] == "swap")
         await asyncio.sleep(0.5)
         e.dark("p", runs=False)
         await e.until(lambda: e.calls and e.settled)
@@ -586,11 +588,11 @@
     async def go(e):
         e.barrier = 1.0
         e.dark("p", runs=False)
-        e.warden.doubt("g", "p", "refused")
+        e.warden.suspect("g", "p", "refused")
         await e.until(lambda: all(e.members[n].held for n in ("r1", "r2")))
         setattr(e.chain, lost, False)
         await asyncio.sleep(10)
-        assert e.calls == [] and e.office["phase"] == "move"
+        assert e.calls == [] and e.leadership["phase"] == "move"
         setattr(e.chain, lost, True)
         await e.until(lambda: e.calls and e.settled)
 
@@ -598,14 +600,14 @@
 
 
 @pytest.mark.parametrize("how", ["unsent", "fenced", "unanswered"])
-def test_whatever_the_platform_answers_the_office_follows_what_the_members_say(how):
+def test_whatever_the_platform_answers_the_leadership_follows_what_the_members_say(how):
     async def go(e):
         e.promote_as = [how] * (1 if how == "unanswered" else 3)
         e.dark("p", runs=False)
-        e.warden.doubt("g", "p", "refused")
+        e.warden.suspect("g", "p", "refused")
         await e.until(lambda: e.calls and e.settled)
         assert len(e.calls) == (1 if how == "unanswered" else 4)
-        assert e.members[e.office["primary"]].role == "primary"
+        assert e.members[e.leadership["primary"]].role == "primary"
 
     virtual(go)
 
@@ -614,15 +616,15 @@
     async def go(e):
         e.promote_as = ["lost"] * 99
         e.dark("p")
-        e.warden.doubt("g", "p", "mute")
+        e.warden.suspect("g", "p", "mute")
         await e.until(lambda: e.calls)
         e.dark("r1")
         await asyncio.sleep(3)
         e.promote_as, e.calls[:] = [], []
         e.dark("p", True)
-        await e.until(lambda: e.office["phase"] == "serve")
+        await e.until(lambda: e.leadership["phase"] == "serve")
         fences = [x[2] for x in e.trace if x[0] == "promote"]
-        assert e.office["primary"] == "p" and e.calls == ["p"] and fences[-1] > max(fences[:-1])
+        assert e.leadership["primary"] == "p" and e.calls == ["p"] and fences[-1] > max(fences[:-1])
         assert e.trace[-1][:2] == ("serve", "p") and e.at("promote", "p") < len(e.trace) - 1
         e.dark("r1", True)
         await e.until(lambda: e.settled)
@@ -636,35 +638,35 @@
     async def go(e):
         e.promote_s, e.promote_as = 1.0, ["unanswered"]
         e.dark("p")
-        e.warden.doubt("g", "p", "mute")
+        e.warden.suspect("g", "p", "mute")
         await e.until(lambda: e.calls)
-        heir = e.calls[0]
-        other = ({"r1", "r2"} - {heir}).pop()
+        candidate = e.calls[0]
+        other = ({"r1", "r2"} - {candidate}).pop()
         e.dark("p", True)
-        e.members[heir].follows = False
-        await e.until(lambda: ("leads", heir) in e.trace and e.settled)
+        e.members[candidate].follows = False
+        await e.until(lambda: ("leads", candidate) in e.trace and e.settled)
         assert e.members[other].pos >= e.acked
 
     virtual(go)
 
 
 @pytest.mark.parametrize("leaves", [False, True])
-def test_a_new_head_lets_nobody_lead_beside_the_heir_that_the_former_one_asked_for(leaves):
+def test_a_new_head_lets_nobody_lead_beside_the_candidate_that_the_former_one_asked_for(leaves):
     """The record tells who may still be promoted, also if that one begins to leave meanwhile."""
 
     async def go(e):
         e.promote_s, e.promote_as = 1.5, ["unanswered"]
         e.member("p", "draining")
         await e.until(lambda: e.calls)
-        heir = e.calls[0]
+        candidate = e.calls[0]
         e.chain.head = False
         await asyncio.sleep(0.2)
         if leaves:
-            e.member(heir, "draining")
+            e.member(candidate, "draining")
         e.chain.head = True
-        await e.until(lambda: ("leads", heir) in e.trace and e.settled)
+        await e.until(lambda: ("leads", candidate) in e.trace and e.settled)
         if not leaves:
-            assert set(e.calls) == {heir}
+            assert set(e.calls) == {candidate}
 
     virtual(go)
 
@@ -675,16 +677,16 @@
     async def go(e):
         e.promote_s, e.promote_as = 2.0, ["unanswered"]
         e.dark("p")
-        e.warden.doubt("g", "p", "mute")
+        e.warden.suspect("g", "p", "mute")
         await e.until(lambda: e.calls)
-        heir = e.calls[0]
-        e.members[heir].follows = False
-        e.dark(heir)
+        candidate = e.calls[0]
+        e.members[candidate].follows = False
+        e.dark(candidate)
         e.dark("p", True)
-        await e.until(lambda: ("leads", heir) in e.trace)
-        e.dark(heir, True)
+        await e.until(lambda: ("leads", candidate) in e.trace)
+        e.dark(candidate, True)
         await e.until(lambda: e.settled)
-        assert e.office["primary"] == heir
+        assert e.leadership["primary"] == candidate
 
     virtual(go)
 
@@ -693,7 +695,7 @@
     async def go(e):
         e.promote_as = ["unsent", "unanswered"]
         e.dark("p", runs=False)
-        e.warden.doubt("g", "p", "refused")
+        e.warden.suspect("g", "p", "refused")
         await e.until(lambda: e.calls and e.settled)
         fences = [x[2] for x in e.trace if x[0] == "promote"]
         assert len(fences) >= 2 and fences == sorted(set(fences))
@@ -722,12 +724,12 @@
     virtual(go)
 
 
-def test_a_member_found_in_office_is_followed():
+def test_a_member_found_in_leadership_is_followed():
     async def go(e):
         e.lead("r1" if e.members["r1"].pos >= e.acked else "r2")
         new = next(n for n, m in e.members.items() if m.role == "primary")
-        e.warden.doubt("g", "p", "replica")
-        await e.until(lambda: e.office["primary"] == new and e.office["phase"] == "serve")
+        e.warden.suspect("g", "p", "replica")
+        await e.until(lambda: e.leadership["primary"] == new and e.leadership["phase"] == "serve")
         assert e.calls == []
 
     virtual(go)
@@ -742,18 +744,18 @@
         await e.until(lambda: e.calls and e.settled)
         e.join("n2")
         await asyncio.sleep(3)
-        second = e.office["primary"]
+        second = e.leadership["primary"]
         e.members["r1" if second != "r1" else "r2"].follows = False
         other = asyncio.ensure_future(e.release(second))
-        await e.until(lambda: e.office["primary"] not in ("p", second) and e.settled, 6)
+        await e.until(lambda: e.leadership["primary"] not in ("p", second) and e.settled, 6)
         await first
         await other
         await e.until(lambda: not e.evidence.unproven, 5)
-        last = e.office["primary"]
+        last = e.leadership["primary"]
         e.dark(last, runs=False)
         e.members["r1" if second != "r1" else "r2"].follows = True
-        e.warden.doubt("g", last, "refused")
-        await e.until(lambda: e.office["primary"] != last and e.settled, 5)
+        e.warden.suspect("g", last, "refused")
+        await e.until(lambda: e.leadership["primary"] != last and e.settled, 5)
 
     virtual(go)
 
@@ -770,7 +772,7 @@
         await leaving
         assert not e.evidence.unproven and e.evidence.floor == e.members["r1"].pos
         e.dark("p", runs=False)
-        e.warden.doubt("g", "p", "refused")
+        e.warden.suspect("g", "p", "refused")
         await e.until(lambda: e.calls and e.settled, 5)
         assert e.calls == ["r2"]
 
@@ -799,15 +801,15 @@
         await e.release("r1")
         assert e.evidence.unproven == ("r1",)
         e.dark("p")
-        e.warden.doubt("g", "p", "mute")
+        e.warden.suspect("g", "p", "mute")
         await asyncio.sleep(8)
-        assert e.calls == [] and e.office["stuck"] and "r1" in e.warden.why["g"]
+        assert e.calls == [] and e.leadership["stuck"] and "r1" in e.warden.why["g"]
         e.dark("p", True)
         e.members["r2"].follows = True
         await e.until(lambda: e.settled and not e.evidence.unproven)
         await asyncio.sleep(1)
         e.dark("p", runs=False)
-        e.warden.doubt("g", "p", "refused")
+        e.warden.suspect("g", "p", "refused")
         await e.until(lambda: e.calls and e.settled)
         assert e.calls == ["r2"]
 
@@ -820,16 +822,16 @@
             e.members[n].follows = n == "r1"
         await asyncio.sleep(0.5)
         e.dark("p", runs=False)
-        e.warden.doubt("g", "p", "refused")
-        await e.until(lambda: e.office["primary"] == "r1" and e.office["phase"] == "serve")
+        e.warden.suspect("g", "p", "refused")
+        await e.until(lambda: e.leadership["primary"] == "r1" and e.leadership["phase"] == "serve")
         e.put({"t": "member", "name": "p", "state": "gone", "addr": "1.1.1.1:0"})
         e.join("n1")
         await asyncio.sleep(0.2)
         e.members["n1"].follows = False
         e.dark("r1", runs=False)
-        e.warden.doubt("g", "r1", "refused")
+        e.warden.suspect("g", "r1", "refused")
         await asyncio.sleep(5)
-        assert e.calls == ["r1"] and e.office["stuck"]
+        assert e.calls == ["r1"] and e.leadership["stuck"]
         e.dark("r1", True, True)
         e.members["r2"].follows = True
         await e.until(lambda: e.settled)
@@ -841,9 +843,9 @@
 def test_a_member_that_ended_without_a_word_after_draining_is_signed_off(n):
     async def go(e):
         await e.release(n, tells=False)
-        await e.until(lambda: e.chain.realm.doc["members"][n]["state"] == "gone", 8)
+        await e.until(lambda: e.chain.control_state.doc["members"][n]["state"] == "gone", 8)
         await e.until(lambda: e.settled and not e.evidence.unproven, 8)
-        assert e.members[e.office["primary"]].runs
+        assert e.members[e.leadership["primary"]].runs
 
     virtual(go)
 
@@ -862,26 +864,26 @@
         assert e.members["r1"].held and e.evidence.counted_out["r1"] == e.members["r1"].pos
         await leaving
         e.dark("p", runs=False)
-        e.warden.doubt("g", "p", "refused")
+        e.warden.suspect("g", "p", "refused")
         await e.until(lambda: e.calls and e.settled, 5)
 
     virtual(go)
 
 
-def test_an_heir_that_begins_to_leave_while_it_is_promoted_is_not_paused():
+def test_an_candidate_that_begins_to_leave_while_it_is_promoted_is_not_paused():
     """Paused, it would lack what a member that came meanwhile received from the old primary."""
 
     async def go(e):
         e.promote_s = 1.0
         e.member("p", "draining")
         await e.until(lambda: e.calls)
-        heir = e.calls[0]
+        candidate = e.calls[0]
         e.join("n1")
-        e.member(heir, "draining")
+        e.member(candidate, "draining")
         await asyncio.sleep(0.3)
-        assert e.members["n1"].held and not e.members[heir].held
-        await e.until(lambda: e.members[heir].role == "primary")
-        await e.until(lambda: e.office["primary"] not in ("p", heir) and e.settled)
+        assert e.members["n1"].held and not e.members[candidate].held
+        await e.until(lambda: e.members[candidate].role == "primary")
+        await e.until(lambda: e.leadership["primary"] not in ("p", candidate) and e.settled)
 
     virtual(go)
 
@@ -905,16 +907,16 @@
     virtual(go)
 
 
-def test_an_heir_that_begins_to_leave_before_the_platform_is_asked_is_not_promoted():
+def test_an_candidate_that_begins_to_leave_before_the_platform_is_asked_is_not_promoted():
     async def go(e):
         e.barrier = 1.0
         e.member("p", "draining")
         await e.until(lambda: e.members["r1"].held or e.members["r2"].held)
-        heir = "r1" if e.members["r2"].held else "r2"
+        candidate = "r1" if e.members["r2"].held else "r2"
         await asyncio.sleep(0.3)
-        e.member(heir, "draining")
+        e.member(candidate, "draining")
         await e.until(lambda: e.calls and e.settled)
-        assert heir not in e.calls
+        assert candidate not in e.calls
 
     virtual(go)
 
@@ -924,21 +926,21 @@
         e.members["r2"].follows = False
         await e.release("r1")
         e.dark("p", runs=False)
-        e.warden.doubt("g", "p", "refused")
+        e.warden.suspect("g", "p", "refused")
         await asyncio.sleep(5)
         assert e.calls == [] and "petrelhavenctl elect" in e.warden.why["g"]
         e.acked = (1, 0)
         order = {"t": "evidence", "group": "g", "what": "order", "member": "r2", "by": "anna"}
-        with pytest.raises(Racing):
-            e.put({**order, "n": e.office["n"] - 1})
+        with pytest.raises(Conflict):
+            e.put({**order, "n": e.leadership["n"] - 1})
         with pytest.raises(Invalid):
-            e.put({**order, "n": e.office["n"], "member": "r1"})
-        e.put({**order, "n": e.office["n"]})
+            e.put({**order, "n": e.leadership["n"], "member": "r1"})
+        e.put({**order, "n": e.leadership["n"]})
         await e.until(lambda: e.calls and e.settled, 5)
-        assert e.calls == ["r2"] and e.office["accepted_loss"] == "anna"
+        assert e.calls == ["r2"] and e.leadership["accepted_loss"] == "anna"
         assert not e.evidence.unproven and e.evidence.order is None
         with pytest.raises(Invalid):
-            e.put({**order, "n": e.office["n"]})
+            e.put({**order, "n": e.leadership["n"]})
 
     virtual(go)
 
@@ -990,14 +992,14 @@
                 m.held = 0
             elif what in ("drain", "ready"):
                 state = "draining" if what == "drain" else "ready"
-                if e.chain.realm.doc["members"][n]["state"] != state:
+                if e.chain.control_state.doc["members"][n]["state"] != state:
                     e.member(n, state)
             elif what in ("empty", "open"):
                 state = "emptied" if what == "empty" else "open"
-                if e.chain.realm.hall("b") != state:
+                if e.chain.control_state.zone("b") != state:
                     e.put({"t": "hall", "hall": "b", "state": state, "by": "op"})
             elif what == "doubt":
-                e.warden.doubt("g", e.office["primary"], "mute")
+                e.warden.suspect("g", e.leadership["primary"], "mute")
             elif "barrier" in what:
                 e.barrier = 1.5 if what == "slow barrier" else 0.0
             elif "head" in what:
@@ -1009,16 +1011,16 @@
         for n, m in e.members.items():
             m.seen = m.runs = m.follows = True
             m.silent = False
-        e.warden.doubt("g", e.office["primary"], "mute")
+        e.warden.suspect("g", e.leadership["primary"], "mute")
         await e.until(lambda: e.settled and "g" not in e.warden._to_resume, 60)
 
-    virtual(go, halls={"p": "b", "r2": "b"})
+    virtual(go, zones={"p": "b", "r2": "b"})
 
 
 def lose_for_good(e, name):
     """A replica ends without a word; a core misses its beats."""
     e.dark(name, True, False)
-    e.warden.doubt("g", name, "no beats")
+    e.warden.suspect("g", name, "no beats")
 
 
 def test_a_replica_lost_for_good_does_not_hold_up_the_next_loss():
@@ -1027,8 +1029,10 @@
         await e.until(lambda: "r1" in e.evidence.counted_out, 4)
         await asyncio.sleep(2)
         e.dark("p")
-        e.warden.doubt("g", "p", "mute")
-        await e.until(lambda: e.office["primary"] == "r2" and e.office["phase"] == "serve", 6)
+        e.warden.suspect("g", "p", "mute")
+        await e.until(
+            lambda: e.leadership["primary"] == "r2" and e.leadership["phase"] == "serve", 6
+        )
         assert e.calls == ["r2"]
 
     virtual(go)
@@ -1042,9 +1046,9 @@
         await e.until(lambda: "r1" in e.evidence.counted_out, 4)
         e.dark("r1")
         e.dark("p")
-        e.warden.doubt("g", "p", "mute")
+        e.warden.suspect("g", "p", "mute")
         await asyncio.sleep(8)
-        assert e.calls == [] and e.office["stuck"]
+        assert e.calls == [] and e.leadership["stuck"]
 
     virtual(go)
 
@@ -1059,7 +1063,7 @@
         e.dark("r1", True, True)
         await e.until(lambda: e.settled)
         e.dark("p", runs=False)
-        e.warden.doubt("g", "p", "refused")
+        e.warden.suspect("g", "p", "refused")
         await e.until(lambda: e.calls and e.settled)
 
     virtual(go)
@@ -1073,10 +1077,10 @@
         await e.until(lambda: "r1" in e.evidence.counted_out, 4)
         e.barrier = 1.5
         e.member("p", "draining")
-        await e.until(lambda: e.office["phase"] == "swap", 2)
+        await e.until(lambda: e.leadership["phase"] == "swap", 2)
         e.dark("r1", True, True)
         e.trace.clear()
-        await e.until(lambda: e.calls and e.office["phase"] == "serve")
+        await e.until(lambda: e.calls and e.leadership["phase"] == "serve")
         before = e.trace[: e.at("serve", "r2")]
         assert ("resume", "r1") not in before and ("pause", "r1") in [x[:2] for x in before]
 
@@ -1114,7 +1118,7 @@
         if len(self.staying()) < 3:
             return
         names = self.staying()
-        primary = e.office["primary"]
+        primary = e.leadership["primary"]
         name = primary if pick % 2 and primary in names else names[pick % len(names)]
         self.count += 1
         e.join(f"n{self.count}")
@@ -1145,7 +1149,7 @@
         self.e.chain.head = True
 
     async def _doubt(self, pick, s):
-        self.e.warden.doubt("g", self.e.office["primary"], "mute")
+        self.e.warden.suspect("g", self.e.leadership["primary"], "mute")
 
     async def _lone(self, pick, s):
         """Only one replica receives for a while, and nobody after it."""
@@ -1163,10 +1167,10 @@
         member = self.e.members[names[pick % len(names)]]
         member.runs = False
         await asyncio.sleep(s / 2)
-        self.e.warden.doubt("g", member.name, "no beats")
+        self.e.warden.suspect("g", member.name, "no beats")
         await asyncio.sleep(s / 2 + pick % 3)
         name = next(n for n, m in self.e.members.items() if m is member)
-        if self.e.chain.realm.doc["members"][name]["state"] != "gone":
+        if self.e.chain.control_state.doc["members"][name]["state"] != "gone":
             member.runs, member.held = True, 0
 
 
@@ -1195,9 +1199,9 @@
     async def go(e):
         await play_leavings(e, random.Random(seed), events)
         await e.until(lambda: e.settled and not e.evidence.unproven, 40)
-        assert e.members[e.office["primary"]].runs
+        assert e.members[e.leadership["primary"]].runs
 
-    virtual(go, halls={"p": "b", "r2": "b"})
+    virtual(go, zones={"p": "b", "r2": "b"})
 
 
 @DRAWN
@@ -1211,9 +1215,9 @@
     async def go(e):
         await play_leavings(e, random.Random(seed), events)
         for _ in range(2):
-            primary = e.office["primary"]
+            primary = e.leadership["primary"]
             e.dark(primary, runs=False)
-            e.warden.doubt("g", primary, "refused")
+            e.warden.suspect("g", primary, "refused")
             await asyncio.sleep(3)
 
-    virtual(go, halls={"p": "b", "r2": "b"})
+    virtual(go, zones={"p": "b", "r2": "b"})
--- a/tests/test_failover_evidence.py
+++ b/tests/test_failover_evidence.py
@@ -16,7 +16,7 @@
     Unproven,
     decide,
 )
-from petrelhaven.control.state.control_state import Ledger
+from petrelhaven.control.state.control_state import ControlState
 from petrelhaven.runtime.errors import Fault
 
 DRAWN = settings(
@@ -51,7 +51,7 @@
 
     def __init__(self):
         super().__init__()
-        self.ledger = Ledger()
+        self.control_state = ControlState()
         self.copies, self.count, self.term, self.acked = {}, 0, 1, (1, 0)
         self.read, self.bounds = {}, []
         for _ in range(3):
@@ -62,10 +62,10 @@
     def _enter(self, kind, **fields):
         record = {"t": kind, "group": "g", **fields}
         try:
-            self.ledger.check(record)
+            self.control_state.check(record)
         except Fault:
             return
-        self.ledger.apply(self.ledger.seq + 1, json.loads(json.dumps(record)))
+        self.control_state.apply(self.control_state.seq + 1, json.loads(json.dumps(record)))
 
     def _join(self, role):
         self.count += 1
@@ -80,9 +80,9 @@
     def _one(self, names, pick):
         return sorted(names)[pick % len(names)]
 
-    def _office(self, phase, primary, **more):
-        office = self.ledger.doc["offices"]["g"]
-        n = office["n"] + 1
+    def _leadership(self, phase, primary, **more):
+        leadership = self.control_state.doc["offices"]["g"]
+        n = leadership["n"] + 1
         self._enter("office", phase=phase, primary=primary, term=self.term, cause="", n=n, **more)
 
     @precondition(lambda self: not self.dead)
@@ -178,13 +178,13 @@
     @rule()
     def crash_primary(self):
         self.dead = True
-        self._office("move", self.primary)
+        self._leadership("move", self.primary)
 
     @precondition(lambda self: self.dead)
     @rule()
     def return_primary(self):
         self.dead = False
-        self._office("serve", self.primary)
+        self._leadership("serve", self.primary)
 
     @precondition(lambda self: self._replicas())
     @rule(unheard=PICK, absent=st.booleans(), back=st.booleans())
@@ -210,25 +210,25 @@
             assert position >= self.acked, f"{name} at {position} lacks {self.acked}"
         self._lead(verdict.candidates[0], back)
 
-    def _lead(self, heir, back):
+    def _lead(self, candidate, back):
         """The promotion ends every pause; whoever was ahead is cut back."""
-        former, self.primary, self.dead = self.primary, heir, False
+        former, self.primary, self.dead = self.primary, candidate, False
         if not back:
             self._end(former)
         self.term += 1
-        position = self.copies[heir].position
+        position = self.copies[candidate].position
         for copied in self.copies.values():
             copied.position, copied.held = min(copied.position, position), 0
         self.read, self.bounds = {}, []
-        self._office("serve", heir, pos=list(position))
+        self._leadership("serve", candidate, pos=list(position))
 
     @property
     def _evidence(self):
-        return self.ledger.evidence("g")
+        return self.control_state.evidence("g")
 
     @property
     def _phase(self):
-        return self.ledger.doc["offices"]["g"]["phase"]
+        return self.control_state.doc["offices"]["g"]["phase"]
 
 
 def test_whoever_is_elected_holds_every_acknowledged_commit():
@@ -325,15 +325,15 @@
     assert decide(Evidence(), "p", [], {}) == Unproven("no replica is left")
 
 
-def test_a_ledger_of_an_older_version_counts_those_it_misses_as_unproven():
-    ledger = Group().ledger
-    old = copy.deepcopy(ledger.doc)
+def test_a_control_state_of_an_older_version_counts_those_it_misses_as_unproven():
+    control_state = Group().control_state
+    old = copy.deepcopy(control_state.doc)
     del old["evidence"]
-    assert Ledger(old).evidence("g") == Evidence()
+    assert ControlState(old).evidence("g") == Evidence()
     old["members"]["m3"]["state"] = "gone"
-    newer = Ledger(old)
+    newer = ControlState(old)
     assert newer.evidence("g").unproven == ("unrecorded-1",)
     record = {"t": "evidence", "group": "g", "what": "bounded", "pos": [1, 9]}
     newer.apply(newer.seq + 1, {**record, "members": ["unrecorded-1"]})
     assert newer.evidence("g") == Evidence(floor=(1, 9)) and newer.doc["sizes"]["g"] == 2
-    assert Ledger(json.loads(json.dumps(newer.frame()))).evidence("g") == newer.evidence("g")
+    assert ControlState(json.loads(json.dumps(newer.frame()))).evidence("g") == newer.evidence("g")
--- a/tests/test_light_http.py
+++ b/tests/test_light_http.py
@@ -10,9 +10,16 @@
 from hypothesis import strategies as st
 
 from petrelhaven.runtime.clock import Clock
-from petrelhaven.runtime.errors import Fault, Late, NotReady, Stale, Unreached, Unsent
+from petrelhaven.runtime.errors import (
+    DeadlineExceeded,
+    Fault,
+    NotReady,
+    NotSent,
+    Stale,
+    Unreachable,
+)
 from petrelhaven.simulator.virtual_time import WarpLoop, end_all
-from petrelhaven.transport.light_http import LightFace, light_call
+from petrelhaven.transport.light_http import LightHttpServer, light_call
 
 DRAWN = settings(
     max_examples=120, phases=[Phase.generate], deadline=None, derandomize=True, database=None
@@ -25,7 +32,7 @@
 
     def __init__(self):
         self.calls, self.held = [], None
-        self.face = LightFace("127.0.0.1", 0, most=MOST)
+        self.http_server = LightHttpServer("127.0.0.1", 0, most=MOST)
 
         async def echo(q):
             self.calls.append(("echo", q.body))
@@ -66,7 +73,7 @@
             ("GET", "/unshaped", unshaped),
             *(("GET", f"/{x}", odd) for x in ("stale", "busy", "fault", "deep")),
         ):
-            self.face.on(verb, path, fn)
+            self.http_server.on(verb, path, fn)
 
 
 class Transport:
@@ -104,7 +111,7 @@
             return s
 
         loop.create_server, self.getsockname = create_server, lambda: ("127.0.0.1", 1)
-        await self.called.face.start()
+        await self.called.http_server.start()
         tr = Transport()
         tr.proto = made[0]()
         tr.proto.connection_made(tr)
@@ -337,7 +344,7 @@
         assert tr.out == b"" and not tr.closed
         c.held.set_result(None)
         await asyncio.sleep(1)
-        assert [x[0] for x in answers(tr.out)] == [200] and tr.closed and not c.face.talks
+        assert [x[0] for x in answers(tr.out)] == [200] and tr.closed and not c.http_server.talks
 
     talk(go)
 
@@ -376,7 +383,7 @@
         tr.close()
         c.held.set_result(None)
         await asyncio.sleep(1)
-        assert tr.out == tr.late == b"" and not c.face.talks
+        assert tr.out == tr.late == b"" and not c.http_server.talks
 
     talk(go)
 
@@ -464,17 +471,17 @@
     ],
 )
 def test_a_broken_answer_leaves_the_outcome_unknown(script):
-    with pytest.raises(Unreached) as e:
+    with pytest.raises(Unreachable) as e:
         call(script)
-    assert type(e.value) is Unreached
+    assert type(e.value) is Unreachable
 
 
 def test_a_mute_peer_is_late_and_a_dead_port_unsent():
-    with pytest.raises(Late):
+    with pytest.raises(DeadlineExceeded):
         call(None, us=50_000)
     with socket.socket() as s:
         s.bind(("127.0.0.1", 0))
-        with pytest.raises(Unsent):
+        with pytest.raises(NotSent):
             asyncio.run(light_call(Clock(), "127.0.0.1:%d" % s.getsockname()[1], "GET", "/"))
 
 
@@ -496,13 +503,13 @@
 def test_a_face_and_a_call_meet():
     async def go():
         c = Called()
-        a = await c.face.start()
+        a = await c.http_server.start()
         assert await light_call(Clock(), a, "POST", "/doc", {"x": [1]}) == (200, {"x": [1]})
         st_, d = await light_call(Clock(), a, "GET", "/busy")
         assert st_ == 503 and d["fault"] == "not-ready" and isinstance(d["retry_after_us"], int)
-        await c.face.close()
-        with pytest.raises(Unsent):
+        await c.http_server.close()
+        with pytest.raises(NotSent):
             await light_call(Clock(), a, "GET", "/busy")
 
     asyncio.run(go())
-    assert issubclass(Unsent, Fault)
+    assert issubclass(NotSent, Fault)
--- a/tests/test_member_group.py
+++ b/tests/test_member_group.py
@@ -8,13 +8,13 @@
 from hypothesis import Phase, given, settings
 from hypothesis import strategies as st
 
-from petrelhaven.control.state.control_state import Ledger
-from petrelhaven.proxy.pool.member_connection import Strand
+from petrelhaven.control.state.control_state import ControlState
+from petrelhaven.proxy.pool.member_connection import MemberConnection
 from petrelhaven.proxy.reads.read_clock import Order
 from petrelhaven.proxy.routing.group import MemberGroup
 from petrelhaven.proxy.routing.outside_contact import OutsideContact
-from petrelhaven.runtime.clock import Clock, Nest
-from petrelhaven.runtime.errors import Busy, Gone, MemberFault, Unreached, Unsent
+from petrelhaven.runtime.clock import BackgroundTasks, Clock
+from petrelhaven.runtime.errors import Busy, MemberDeclined, MemberReplaced, NotSent, Unreachable
 from petrelhaven.simulator.virtual_time import WarpLoop, end_all
 
 DRAWN = settings(
@@ -35,7 +35,7 @@
         self.role, self.pos, self.how, self.asked = role, pos, "fine", 0
 
 
-class Conn(Strand):
+class Conn(MemberConnection):
     def __init__(self, m):
         super().__init__()
         self.m = m
@@ -46,9 +46,9 @@
         if self.m.how == "busy":
             f.set_exception(Busy("busy"))
         elif self.m.how == "odd":
-            f.set_exception(MemberFault("row"))
+            f.set_exception(MemberDeclined("row"))
         elif self.m.how == "lost":
-            f.set_exception(Unreached("connection lost"))
+            f.set_exception(Unreachable("connection lost"))
         elif self.m.how == "fine":
             f.set_result({"role": self.m.role, "term": 1, "pos": self.m.pos, "held": 0})
         return f
@@ -57,19 +57,19 @@
         self.lost = True
 
 
-class Edge:
+class ResumableProxy:
     """What a band needs of its gate, over members that a test sets."""
 
-    def __init__(self, members, sync=1, halls=None):
-        self.clock, self.nest, self.order = LoopClock(), Nest(), Order()
+    def __init__(self, members, sync=1, zones=None):
+        self.clock, self.tasks, self.order = LoopClock(), BackgroundTasks(), Order()
         self.members, self.drain_us, self.empty_us = members, DRAIN_US, EMPTY_US
-        self.count, self.doubts = collections.Counter(), []
-        self.tie = types.SimpleNamespace(
-            edges=3, holds=True, confirmed=True, doubt=lambda *a: self.doubts.append(a)
+        self.count, self.suspicions = collections.Counter(), []
+        self.core_connection = types.SimpleNamespace(
+            edges=3, holds=True, confirmed=True, suspect=lambda *a: self.suspicions.append(a)
         )
         self.wire = self
         self.outside_contact = OutsideContact(self.clock)
-        self.ledger = Ledger()
+        self.control_state = ControlState()
         self.band = MemberGroup("g", self)
         self.band.connection_cap, self.band.sync_replicas = 40, sync
         for i, (n, m) in enumerate(members.items()):
@@ -77,17 +77,17 @@
                 t="member",
                 name=n,
                 group="g",
-                hall=(halls or {}).get(n, "a"),
+                hall=(zones or {}).get(n, "a"),
                 addr=f"1.1.1.1:{i}",
                 role=m.role,
                 state="ready",
                 slots=5,
                 count=1,
             )
-        self.office("serve", "p")
+        self.leadership("serve", "p")
 
-    def near(self, hall):
-        return "abcd".index(hall)
+    def near(self, zone):
+        return "abcd".index(zone)
 
     def bounds(self):
         return types.SimpleNamespace(
@@ -98,28 +98,32 @@
         m = self.members[member]
         if m.how == "mute":
             await asyncio.sleep(us / 1e6)
-            raise Unsent("mute")
+            raise NotSent("mute")
         if m.how in ("refused", "gone", "full"):
-            raise {"refused": Unsent("refused"), "gone": Gone("x"), "full": Busy("crowded")}[m.how]
+            raise {
+                "refused": NotSent("refused"),
+                "gone": MemberReplaced("x"),
+                "full": Busy("crowded"),
+            }[m.how]
         return Conn(m)
 
     def enter(self, fresh=False, **r):
-        self.ledger.apply(self.ledger.seq + 1, r)
-        self.band.turn(self.ledger, fresh)
+        self.control_state.apply(self.control_state.seq + 1, r)
+        self.band.turn(self.control_state, fresh)
 
-    def office(self, phase, primary):
-        n = self.ledger.doc["offices"].get("g", {"n": 0})["n"] + 1
+    def leadership(self, phase, primary):
+        n = self.control_state.doc["offices"].get("g", {"n": 0})["n"] + 1
         self.enter(
             t="office", group="g", n=n, phase=phase, primary=primary, term=n, cause="", by="c"
         )
 
     def member(self, n, state, count=2):
-        m = self.ledger.doc["members"][n]
+        m = self.control_state.doc["members"][n]
         self.enter(t="member", name=n, **{**m, "state": state, "count": count})
 
     async def position(self):
         """What a read that arrives now must find, or None if nothing proves it in time."""
-        return await self.band.read_clock.gate(self.order.next())
+        return await self.band.read_clock.position_for(self.order.next())
 
 
 def group(*pos):
@@ -134,7 +138,7 @@
     asyncio.set_event_loop(loop)
 
     async def go():
-        return await fn(Edge(*a, **kw))
+        return await fn(ResumableProxy(*a, **kw))
 
     try:
         return loop.run_until_complete(go())
@@ -190,9 +194,9 @@
 
 def test_without_a_lease_the_others_prove_nothing():
     async def go(e):
-        e.members["p"].how, e.tie.holds = "refused", False
+        e.members["p"].how, e.core_connection.holds = "refused", False
         assert await e.position() is None
-        e.tie.holds = True
+        e.core_connection.holds = True
         assert await e.position() == (1, 8)
 
     virtual(go, group(9, 8, 4))
@@ -259,7 +263,7 @@
     async def go(e):
         e.members["p"].role = "replica"
         assert await e.position() is None and not e.count["fetched_others"]
-        assert ("g", "p", "replica") in e.doubts
+        assert ("g", "p", "replica") in e.suspicions
 
     virtual(go, group(9, 8, 4))
 
@@ -285,7 +289,7 @@
     virtual(go, group(max(logs[1:]) + behind, *logs[1:]))
 
 
-HALLS = {"p": "a", "r1": "a", "r2": "b", "r3": "c"}
+ZONES = {"p": "a", "r1": "a", "r2": "b", "r3": "c"}
 
 
 def test_the_near_one_is_picked_and_the_primary_only_where_it_is_near():
@@ -295,12 +299,12 @@
         assert e.band.pick((0, 0), set()).name == "r1"
         assert e.band.pick((0, 0), {"r1", "p"}).name == "r2"
         assert e.band.pick((0, 0), {"r1", "r2", "p"}).name == "r3"
-        assert e.band.pick((0, 0), set(HALLS)) is None
+        assert e.band.pick((0, 0), set(ZONES)) is None
 
-    virtual(go, group(9, 8, 4, 7), halls=HALLS)
+    virtual(go, group(9, 8, 4, 7), zones=ZONES)
 
 
-def test_a_member_that_drains_or_whose_hall_is_emptied_is_not_picked_from_then_on():
+def test_a_member_that_drains_or_whose_zone_is_emptied_is_not_picked_from_then_on():
     async def go(e):
         e.member("r1", "draining")
         assert e.band.pick((0, 0), {"p"}).name == "r2"
@@ -310,7 +314,7 @@
         e.member("r1", "ready", 3)
         assert e.band.pick((0, 0), {"p"}).name == "r1"
 
-    virtual(go, group(9, 8, 4, 7), halls=HALLS)
+    virtual(go, group(9, 8, 4, 7), zones=ZONES)
 
 
 @pytest.mark.parametrize(
@@ -324,7 +328,7 @@
 def test_the_primary_serves_until_the_bound_where_this_edge_heard_of_it_in_time(leave, us, fresh):
     async def go(e):
         if fresh:
-            e.band.turn = lambda ledger, _, turn=e.band.turn: turn(ledger, True)
+            e.band.turn = lambda control_state, _, turn=e.band.turn: turn(control_state, True)
         leave(e)
         for at, serves in ((0, not fresh), (us / 1e6 - 0.01, not fresh), (0.02, False)):
             await asyncio.sleep(at)
@@ -332,7 +336,7 @@
             b = e.band.pick((0, 0), {"r1", "r2", "r3"})
             assert (b is not None and b.name == "p") == serves
 
-    virtual(go, group(9, 8, 4, 7), halls=HALLS)
+    virtual(go, group(9, 8, 4, 7), zones=ZONES)
 
 
 BERTH = st.fixed_dictionaries(
@@ -388,19 +392,19 @@
         if any(how[n]["out"] < 4 for n in same):
             assert x["out"] < 4
 
-    virtual(go, group(9, 8, 4, 7), halls={"p": "a", "r1": "b", "r2": "c", "r3": "d"})
+    virtual(go, group(9, 8, 4, 7), zones={"p": "a", "r1": "b", "r2": "c", "r3": "d"})
 
 
-def test_an_office_on_the_move_has_no_primary_and_a_turn_is_told():
+def test_an_leadership_on_the_move_has_no_primary_and_a_turn_is_told():
     async def go(e):
         f = e.band.turned()
-        e.office("move", "p")
+        e.leadership("move", "p")
         assert f.done() and e.band.primary is None and e.band.sure is None
-        e.office("swap", "p")
+        e.leadership("swap", "p")
         assert e.band.primary.name == "p" and e.band.sure is None
-        e.office("serve", "r1")
+        e.leadership("serve", "r1")
         assert e.band.primary.name == e.band.sure.name == "r1"
-        e.tie.holds = False
+        e.core_connection.holds = False
         assert e.band.sure is None and e.band.primary.name == "r1"
 
     virtual(go, group(9, 8, 4))
@@ -412,14 +416,14 @@
         await asyncio.sleep(1)
         e.band.fine(b)
         e.band.missed(b, "mute")
-        assert e.doubts == [] and b.down_until <= e.clock.now()
+        assert e.suspicions == [] and b.down_until <= e.clock.now()
         e.band.missed(b, "reset")
-        assert e.doubts == [("g", "p", "reset")] and b.down_until > e.clock.now()
+        assert e.suspicions == [("g", "p", "reset")] and b.down_until > e.clock.now()
         e.band.missed(e.band.members["r1"], "refused")
-        assert len(e.doubts) == 1
+        assert len(e.suspicions) == 1
         await asyncio.sleep(1)
         e.band.missed(b, "mute")
-        assert len(e.doubts) == 2
+        assert len(e.suspicions) == 2
         e.band.fine(b)
         assert b.down_until == b.failures == 0
 
@@ -429,7 +433,7 @@
 def test_a_member_at_a_new_address_is_a_new_one():
     async def go(e):
         old = e.band.members["r1"]
-        m = e.ledger.doc["members"]["r1"]
+        m = e.control_state.doc["members"]["r1"]
         e.enter(t="member", name="r1", **{**m, "addr": "1.1.1.1:77"})
         assert e.band.members["r1"] is not old and old.pool.closed
         e.enter(t="member", name="r1", state="gone", addr="1.1.1.1:77")
--- a/tests/test_member_model.py
+++ b/tests/test_member_model.py
@@ -12,13 +12,13 @@
 from hypothesis import strategies as st
 from test_platform_lines import virtual
 
-from lines import LineStrand  # isort: skip
-from petrelhaven.proxy.pool.connection_pool import Stock
+from lines import LineMemberConnection  # isort: skip
+from petrelhaven.proxy.pool.connection_pool import ConnectionPool
 from petrelhaven.proxy.routing.member_calls import MemberCalls
-from petrelhaven.proxy.routing.transaction_path import HeldTransactions
-from petrelhaven.proxy.routing.write_path import HeldWrites
+from petrelhaven.proxy.routing.transaction_path import TransactionPath
+from petrelhaven.proxy.routing.write_path import WritePath
 from petrelhaven.proxy.session.statement import Reply
-from petrelhaven.runtime.errors import Late, Unreached
+from petrelhaven.runtime.errors import DeadlineExceeded, Unreachable
 
 DRAWN = settings(
     max_examples=400,
@@ -46,8 +46,8 @@
 class Line:
     """The member's end of one connection: a transport to the edge, the session's state to the member."""
 
-    def __init__(self, member, strand):
-        self.member, self.strand = member, strand
+    def __init__(self, member, member_connection):
+        self.member, self.member_connection = member, member_connection
         self.state, self.changes, self.owner, self.values = "I", {}, None, {}
         self.rest, self.closed, self.answering = b"", False, 0.0
 
@@ -70,7 +70,7 @@
     def close(self):
         if not self.closed:
             self.closed = True
-            asyncio.get_running_loop().call_soon(self.strand.connection_lost, None)
+            asyncio.get_running_loop().call_soon(self.member_connection.connection_lost, None)
 
     def _take(self, data):
         lines = (self.rest + data).split(b"\r\n")
@@ -88,7 +88,7 @@
 
     def _land(self, part):
         if not self.closed:
-            self.strand.data_received(part.encode())
+            self.member_connection.data_received(part.encode())
 
 
 class Member:
@@ -100,12 +100,12 @@
         self.owner_of, self.values_of = {}, {}
 
     async def open(self, addr, group, member, us):
-        strand = LineStrand()
-        line = Line(self, strand)
+        member_connection = LineMemberConnection()
+        line = Line(self, member_connection)
         self.lines.append(line)
-        strand.connection_made(line)
+        member_connection.connection_made(line)
         await asyncio.sleep(WAY_S)
-        return strand
+        return member_connection
 
     def take(self, line, text):
         _, num, rest = text.split(" ", 2)
@@ -262,7 +262,7 @@
 def played(steps, hows):
     async def go(door):
         member = Member(hows)
-        door.gate.wire = member
+        door.proxy.wire = member
         clients = [Client(door, member, f"c{i}") for i in range(3)]
         everybody, busy = list(clients), {}
         for what, i in steps:
@@ -288,7 +288,7 @@
                     member.bad.append(("acknowledged and not kept", num))
         if len(set(member.kept)) < len(member.kept):
             member.bad.append(("twice", sorted(member.kept)))
-        for b in door.gate.groups.values():
+        for b in door.proxy.groups.values():
             for p in b.members.values():
                 for c in p.pool.idle:
                     if c.due or c.lost:
@@ -306,26 +306,26 @@
 
 def next_who_waits(mp):
     """A reply goes to the first who still waits, not to whose turn it is."""
-    real = LineStrand._end
+    real = LineMemberConnection._end
 
     def end(self, r):
         while len(self._wait) > 1 and self._wait[0][0].done():
             self._wait.popleft()
         real(self, r)
 
-    mp.setattr(LineStrand, "_end", end)
-    mp.setattr(LineStrand, "due", 0)
-    mp.setattr(Stock, "drop", lambda self, c: self.give(c))
+    mp.setattr(LineMemberConnection, "_end", end)
+    mp.setattr(LineMemberConnection, "due", 0)
+    mp.setattr(ConnectionPool, "drop", lambda self, c: self.give(c))
 
 
 def given_back_with_replies_due(mp):
-    mp.setattr(LineStrand, "due", 0)
-    mp.setattr(Stock, "drop", lambda self, c: self.give(c))
+    mp.setattr(LineMemberConnection, "due", 0)
+    mp.setattr(ConnectionPool, "drop", lambda self, c: self.give(c))
 
 
 def sent_again_after_silence(mp):
     """A lost answer counts as never sent."""
-    real = HeldWrites.run
+    real = WritePath.run
 
     def run(self, request):
         reply = yield from real(self, request)
@@ -333,7 +333,7 @@
             reply = yield from real(self, request)
         return reply
 
-    mp.setattr(HeldWrites, "run", run)
+    mp.setattr(WritePath, "run", run)
 
 
 def lost_counts_as_unsent(mp):
@@ -342,7 +342,7 @@
     async def send(self, request, attempt, *rest):
         try:
             return await real(self, request, attempt, *rest)
-        except (Late, Unreached):
+        except (DeadlineExceeded, Unreachable):
             attempt.sent = False
             raise
 
@@ -350,13 +350,13 @@
 
 
 def lost_commit_is_aborted(mp):
-    real = HeldTransactions._connection_lost
+    real = TransactionPath._connection_lost
 
     def connection_lost(self, request):
         reply = real(self, request)
         return Reply(code="aborted", state=reply.state) if reply.code == "unsure" else reply
 
-    mp.setattr(HeldTransactions, "_connection_lost", connection_lost)
+    mp.setattr(TransactionPath, "_connection_lost", connection_lost)
 
 
 @pytest.mark.parametrize(
@@ -407,9 +407,9 @@
         async def opened():
             return Conn()
 
-        stock = Stock(door.clock, door.nest, opened, 2, lambda: 2)
-        c = await stock.take(None)
-        stock.give(c)
-        assert c.lost and not stock.idle
+        connection_pool = ConnectionPool(door.clock, door.tasks, opened, 2, lambda: 2)
+        c = await connection_pool.take(None)
+        connection_pool.give(c)
+        assert c.lost and not connection_pool.idle
 
     virtual(go)
--- a/tests/test_member_proofs.py
+++ b/tests/test_member_proofs.py
@@ -7,12 +7,12 @@
 import pytest
 
 from petrelhaven.control.failover.evidence import Evidence
-from petrelhaven.control.state.control_state import Ledger
+from petrelhaven.control.state.control_state import ControlState
 from petrelhaven.proxy.reads.read_clock import Order
 from petrelhaven.proxy.routing.group import MemberGroup
 from petrelhaven.proxy.routing.outside_contact import OutsideContact
-from petrelhaven.runtime.clock import Clock, Nest
-from petrelhaven.runtime.errors import Unreached
+from petrelhaven.runtime.clock import BackgroundTasks, Clock
+from petrelhaven.runtime.errors import Unreachable
 
 LOGS = {"m1": (1, 9), "m2": (1, 135), "m3": (1, 137)}
 
@@ -46,12 +46,12 @@
 
 
 def _band(names, size, holds, floor=(0, 0)):
-    tie = types.SimpleNamespace(holds=holds, edges=3, doubt=lambda *_: None)
-    gate = types.SimpleNamespace(
+    core_connection = types.SimpleNamespace(holds=holds, edges=3, suspect=lambda *_: None)
+    proxy = types.SimpleNamespace(
         clock=LoopClock(),
-        nest=Nest(),
+        tasks=BackgroundTasks(),
         order=Order(),
-        tie=tie,
+        core_connection=core_connection,
         wire=_Wire(),
         near=lambda h: 0,
         outside_contact=OutsideContact(LoopClock()),
@@ -60,7 +60,7 @@
         count=collections.Counter(),
         bounds=lambda: types.SimpleNamespace(fetch_us=150_000, join_us=400_000, lanes=2),
     )
-    led = Ledger()
+    led = ControlState()
     for i, n in enumerate(["p", *names]):
         led.apply(
             i + 1,
@@ -90,7 +90,7 @@
             "cause": "",
         },
     )
-    b = MemberGroup("g", gate)
+    b = MemberGroup("g", proxy)
     b.sync_replicas = 1
     b.turn(led, True)
     return b
@@ -129,7 +129,7 @@
         await clock.sleep(2_000_000)
         primary.note_asked(clock.now() - 1_000_000)
         primary.last_heard = clock.now() - 10_000
-        with pytest.raises(Unreached):
+        with pytest.raises(Unreachable):
             await band.proofs.position_of_others("p")
 
     warp(go())
@@ -141,7 +141,7 @@
 
 def test_an_edge_without_a_lease_may_not_know_all_members_and_proves_nothing(warp):
     async def go():
-        with pytest.raises(Unreached):
+        with pytest.raises(Unreachable):
             await _band(["m1", "m2"], 3, False).proofs.position_of_others("p")
 
     warp(go())
@@ -149,9 +149,9 @@
 
 def test_fewer_others_than_the_group_ever_had_prove_nothing(warp):
     async def go():
-        with pytest.raises(Unreached):
+        with pytest.raises(Unreachable):
             await _band(["m1", "m2"], 4, True).proofs.position_of_others("p")
-        with pytest.raises(Unreached):
+        with pytest.raises(Unreachable):
             await _band(["m1"], 2, True).proofs.position_of_others("p")
 
     warp(go())
@@ -164,7 +164,7 @@
         if proves:
             assert await band.proofs.position_of_others("p") == (1, 137)
         else:
-            with pytest.raises(Unreached):
+            with pytest.raises(Unreachable):
                 await band.proofs.position_of_others("p")
 
     warp(go())
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -17,12 +17,12 @@
     )
 
 
-def others(fleet, box):
-    return [b for b in fleet.cores if b is not box]
+def others(fleet, machine):
+    return [b for b in fleet.cores if b is not machine]
 
 
-def cut_off(fleet, box, us, both=True):
-    fleet.cut([box.name], [b.name for b in others(fleet, box)], us, both)
+def cut_off(fleet, machine, us, both=True):
+    fleet.cut([machine.name], [b.name for b in others(fleet, machine)], us, both)
 
 
 async def outcome(order):
@@ -42,18 +42,18 @@
         head = head_of(f)
         cut_off(f, head, 3_000_000)
         await asyncio.sleep(0.05)
-        lost = head.nest.spawn(
+        lost = head.tasks.spawn(
             outcome(head.node.chain.enter({"t": "hall", "hall": "a", "state": "emptied"}))
         )
         await asyncio.sleep(2.0)
         other = others(f, head)[0]
-        for hall, state in (("b", "emptied"), ("b", "open"), ("c", "emptied")):
-            assert await outcome(other.node.hall_to(hall, state)) == "acknowledged"
+        for zone, state in (("b", "emptied"), ("b", "open"), ("c", "emptied")):
+            assert await outcome(other.node.set_zone_state(zone, state)) == "acknowledged"
         await asyncio.sleep(6.5)
-        assert head.node.chain.realm.hall("c") == "emptied", (
+        assert head.node.chain.control_state.zone("c") == "emptied", (
             "the core that was cut off has caught up"
         )
-        return lost.result(), head.node.chain.realm.hall("a")
+        return lost.result(), head.node.chain.control_state.zone("a")
 
     for seed in range(4):
         (answer, state), _ = inside(go, seed)
@@ -68,9 +68,9 @@
         await asyncio.sleep(1.5)
         took = []
         for order in (
-            head.node.hall_to("a", "emptied"),
-            head.node.apply(f.manifest(9)),
-            head.node.realm(),
+            head.node.set_zone_state("a", "emptied"),
+            head.node.apply(f.configuration(9)),
+            head.node.control_state(),
         ):
             at = f.loop.time()
             assert await outcome(order) == "not-ready"
@@ -87,14 +87,14 @@
         how(f, head)
         took = []
 
-        async def order(box, at):
+        async def order(machine, at):
             await asyncio.sleep(at)
             start = f.loop.time()
-            await outcome(box.node.hall_to("a", "emptied", within_us=ANSWER_US))
+            await outcome(machine.node.set_zone_state("a", "emptied", within_us=ANSWER_US))
             took.append(f.loop.time() - start)
 
-        boxes = others(f, head) if how is freeze else f.cores
-        await asyncio.gather(*[order(b, at / 10) for b in boxes for at in range(30)])
+        machines = others(f, head) if how is freeze else f.cores
+        await asyncio.gather(*[order(b, at / 10) for b in machines for at in range(30)])
         return max(took)
 
     def freeze(f, head):
@@ -120,7 +120,7 @@
         tries = 0
         while (
             await outcome(
-                others(f, head)[tries % 2].node.hall_to("a", "emptied", within_us=ANSWER_US)
+                others(f, head)[tries % 2].node.set_zone_state("a", "emptied", within_us=ANSWER_US)
             )
             != "acknowledged"
         ):
@@ -149,11 +149,11 @@
             20_000_000,
         )
         f.net.cut([near.name], [head.name], 1_500_000, both=False)
-        held = near.nest.spawn(outcome(head_call))
+        held = near.tasks.spawn(outcome(head_call))
         await asyncio.sleep(0.9)
-        assert await outcome(far.node.hall_to("a", "open")) == "acknowledged"
+        assert await outcome(far.node.set_zone_state("a", "open")) == "acknowledged"
         await asyncio.sleep(3)
-        return held.result(), head.node.chain.realm.hall("a")
+        return held.result(), head.node.chain.control_state.zone("a")
 
     for seed in range(3):
         assert inside(go, seed)[0] == ("expired", "open")
@@ -168,11 +168,11 @@
         await asyncio.sleep(1.0)
 
         async def there():
-            return await outcome(head.node.hall_to("a", "emptied", within_us=ANSWER_US))
+            return await outcome(head.node.set_zone_state("a", "emptied", within_us=ANSWER_US))
 
-        begin = near.nest.spawn(f.net.trip(f.out, head, there, 20_000_000))
+        begin = near.tasks.spawn(f.net.trip(f.out, head, there, 20_000_000))
         await asyncio.sleep(4)
-        return begin.result(), near.node.chain.realm.hall("a")
+        return begin.result(), near.node.chain.control_state.zone("a")
 
     assert inside(go, 2)[0] == ("not-ready", "open")
 
@@ -281,12 +281,12 @@
                 return head.node.depart("m9")
             return head.node.announce(announcement("draining"))
 
-        first = head.nest.spawn(outcome(say()))
+        first = head.tasks.spawn(outcome(say()))
         await asyncio.sleep(0.03)
         said_again = await outcome(say())
         first = await first
         await asyncio.sleep(10)
-        kept = {b.node.chain.realm.doc["members"]["m9"]["state"] for b in f.cores}
+        kept = {b.node.chain.control_state.doc["members"]["m9"]["state"] for b in f.cores}
         return first, said_again, kept
 
     first, said_again, kept = inside(go, 3)[0]
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from petrelhaven.emulator.balancer import Usher
+from petrelhaven.emulator.balancer import LoadBalancer
 from petrelhaven.emulator.platform import PlatformLogic
-from petrelhaven.runtime.clock import Clock, Nest
+from petrelhaven.runtime.clock import BackgroundTasks, Clock
 from petrelhaven.runtime.errors import Fenced, NotReady
 
 
@@ -53,7 +53,7 @@
         async def kill(n):
             killed.append((n, asyncio.get_running_loop().time()))
 
-        u = Usher(LoopClock(), Nest(), lambda: sorted(up), ready, warn, kill)
+        u = LoadBalancer(LoopClock(), BackgroundTasks(), lambda: sorted(up), ready, warn, kill)
         t = asyncio.ensure_future(u.run())
         await asyncio.sleep(0.1)
         assert {u.pick() for _ in range(4)} == {"a", "b"}
--- a/tests/test_platform_boot.py
+++ b/tests/test_platform_boot.py
@@ -99,7 +99,7 @@
     )
     assert (s.front, s.ready, s.control, s.data) == ("10.1.0.42:8182", "10.1.0.42:8181", None, None)
     assert s.seeds == ["10.1.0.45:7580", "10.2.0.41:7580"] and s.cloud == "10.200.0.62:8186"
-    assert (s.DrainMs, s.GraceS, s.EvacuateMs, s.beat_us) == (
+    assert (s.DrainMs, s.GraceS, s.EvacuateMs, s.heartbeat_us) == (
         7_000_000,
         6_000_000,
         5_000_000,
@@ -146,7 +146,7 @@
 
 def test_fractions_of_bounds_are_kept(loaded):
     s = loaded(changed(changed(EDGE, "GraceS", "6.5"), "BeatIntervalMs", "0.5"))
-    assert (s.GraceS, s.beat_us) == (6_500_000, 500)
+    assert (s.GraceS, s.heartbeat_us) == (6_500_000, 500)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_platform_forms.py
+++ b/tests/test_platform_forms.py
@@ -10,9 +10,9 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent / "platform"))
 
-from forms import announcement, label, manifest_of, origin_of, unlabel  # noqa: E402
+from forms import announcement, configuration_of, label, origin_of, unlabel  # noqa: E402
 from petrelhaven.control.configuration.document import read  # noqa: E402
-from petrelhaven.control.state.control_state import Ledger  # noqa: E402
+from petrelhaven.control.state.control_state import ControlState  # noqa: E402
 from petrelhaven.runtime.errors import Fault, Invalid  # noqa: E402
 from petrelhaven.runtime.limits import NAME  # noqa: E402
 
@@ -64,18 +64,18 @@
     return {k: v for k, v in d.items() if k != key}
 
 
-def mapped(d, halls=("a",)):
+def mapped(d, zones=("a",)):
     """What an edge holds of a configuration, once the product's own check has taken it."""
-    text = manifest_of(d if isinstance(d, bytes) else json.dumps(d).encode(), list(halls))
+    text = configuration_of(d if isinstance(d, bytes) else json.dumps(d).encode(), list(zones))
     read(text)
-    led = Ledger()
+    led = ControlState()
     led.apply(1, {"t": "manifest", "text": text, "version": json.loads(text)["version"]})
-    return led.manifest
+    return led.configuration
 
 
 def faults(d):
     with pytest.raises(Invalid) as e:
-        manifest_of(d if isinstance(d, bytes) else json.dumps(d).encode(), ["a"])
+        configuration_of(d if isinstance(d, bytes) else json.dumps(d).encode(), ["a"])
     assert e.value.status == 422
     return [at for at, what in e.value.more["faults"] if what]
 
@@ -145,12 +145,12 @@
 
 @DRAWN
 @given(CONFIGS, st.sampled_from([None, 1, "\t"]), st.booleans(), st.sets(NAMES, max_size=3))
-def test_a_valid_configuration_is_taken_and_comes_back_byte_for_byte(d, indent, ascii_, halls):
+def test_a_valid_configuration_is_taken_and_comes_back_byte_for_byte(d, indent, ascii_, zones):
     raw = json.dumps(d, indent=indent, ensure_ascii=ascii_).encode()
-    text = manifest_of(raw, halls)
+    text = configuration_of(raw, zones)
     m = read(text)
     assert origin_of(text) == raw and m.version == d["Revision"] and m.bounds.keepers == 0
-    held = mapped(raw, halls)
+    held = mapped(raw, zones)
     assert [unlabel(g["name"]) for g in held["groups"]] == [s["Name"] for s in d["Services"]]
     got = {r["host"]: r for r in held["routes"]}
     assert len(got) == len(held["routes"])
@@ -394,7 +394,7 @@
         "A" * 16,
     ],
 )
-def test_a_name_that_does_not_fit_comes_back_by_way_of_the_manifest(name):
+def test_a_name_that_does_not_fit_comes_back_by_way_of_the_configuration(name):
     m = mapped(config({"Service": name}, {"Name": name}))
     g = m["groups"][0]["name"]
     assert NAME.fullmatch(g) and g == m["routes"][0]["group"] and unlabel(g) == name
--- a/tests/test_platform_lines.py
+++ b/tests/test_platform_lines.py
@@ -13,14 +13,21 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent / "platform"))
 
-from forms import label, manifest_of  # noqa: E402
-from lines import Front, LineStrand, LineWire  # noqa: E402
-from petrelhaven.control.state.control_state import Ledger  # noqa: E402
+from forms import configuration_of, label  # noqa: E402
+from lines import Front, LineMemberConnection, LineWire  # noqa: E402
+from petrelhaven.control.state.control_state import ControlState  # noqa: E402
 from petrelhaven.proxy.node import ProxyNode  # noqa: E402
-from petrelhaven.proxy.pool.member_connection import Strand  # noqa: E402
+from petrelhaven.proxy.pool.member_connection import MemberConnection  # noqa: E402
 from petrelhaven.proxy.session.statement import Ask, Reply  # noqa: E402
-from petrelhaven.runtime.clock import Clock, Nest  # noqa: E402
-from petrelhaven.runtime.errors import Busy, Fault, Gone, MemberFault, Unreached, Unsent  # noqa: E402
+from petrelhaven.runtime.clock import BackgroundTasks, Clock  # noqa: E402
+from petrelhaven.runtime.errors import (  # noqa: E402
+    Busy,
+    Fault,
+    MemberDeclined,
+    MemberReplaced,
+    NotSent,
+    Unreachable,
+)
 from petrelhaven.simulator.virtual_time import WarpLoop, end_all  # noqa: E402
 from words import MOST  # noqa: E402
 
@@ -43,7 +50,7 @@
     """A member that keeps what is committed at it and which lines it ran."""
 
     def __init__(self):
-        self.kept, self.ran, self.strands, self.pos = {}, [], [], 7
+        self.kept, self.ran, self.member_connections, self.pos = {}, [], [], 7
         self.mute = False
 
     def reply(self, rows=(), state="I", code=None):
@@ -60,11 +67,11 @@
         return f
 
 
-class MemberStrand(Strand):
+class MemberStrand(MemberConnection):
     def __init__(self, member):
         super().__init__()
         self.m, self.open_, self.shaped = member, None, {}
-        member.strands.append(self)
+        member.member_connections.append(self)
 
     def _run(self, text):
         words = text.split(" ")
@@ -123,12 +130,12 @@
     holds, confirmed, edges = True, True, 3
 
     def __init__(self):
-        self.ledger, self.on_change = Ledger(), []
+        self.control_state, self.on_change = ControlState(), []
 
     def start(self):
         pass
 
-    def doubt(self, group, member, how):
+    def suspect(self, group, member, how):
         pass
 
 
@@ -165,15 +172,15 @@
     """A gate with one member in office, and clients' connections to it."""
 
     def __init__(self, leave_starting=False):
-        self.member, self.tie, self.door = Member(), FakeTie(), set()
-        self.clock, self.nest = LoopClock(), Nest()
-        self.gate = ProxyNode(
+        self.member, self.core_connection, self.door = Member(), FakeTie(), set()
+        self.clock, self.tasks = LoopClock(), BackgroundTasks()
+        self.proxy = ProxyNode(
             "e",
             "a",
             self.clock,
-            self.nest,
+            self.tasks,
             random.Random(1),
-            self.tie,
+            self.core_connection,
             FakeWire(self.member),
             lambda h: 0,
             1_000_000,
@@ -183,7 +190,7 @@
             self.configure(CONFIG)
 
     def configure(self, config):
-        text = manifest_of(json.dumps(config).encode(), ["a"])
+        text = configuration_of(json.dumps(config).encode(), ["a"])
         recs = [
             {"t": "manifest", "text": text, "version": config["Revision"]},
             {
@@ -209,13 +216,13 @@
             },
         ]
         for r in recs:
-            self.tie.ledger.apply(self.tie.ledger.seq + 1, r)
-        for fn in self.tie.on_change:
+            self.core_connection.control_state.apply(self.core_connection.control_state.seq + 1, r)
+        for fn in self.core_connection.on_change:
             fn(recs, False)
 
     def client(self, connect=b"CONNECT db me\r\n"):
         tr = FakeTransport()
-        f = Front(self.gate, self.door)
+        f = Front(self.proxy, self.door)
         tr.front = f
         f.connection_made(tr)
         if connect:
@@ -400,7 +407,7 @@
         assert tr.out.count(b"ERROR") <= 1 and tr.closed == (
             b"ERROR" in tr.out or any(j[:4] == b"QUIT" for j in junk)
         )
-        assert len(d.gate.sessions) == (not tr.closed)
+        assert len(d.proxy.sessions) == (not tr.closed)
 
     virtual(go)
 
@@ -430,7 +437,7 @@
         assert (
             tr.closed and tr.out.startswith(b"ERROR " + code + b" ") and tr.out.count(b"\r\n") == 1
         )
-        assert not d.gate.sessions and not d.door and d.member.kept == {}
+        assert not d.proxy.sessions and not d.door and d.member.kept == {}
 
     virtual(go)
 
@@ -443,7 +450,7 @@
         await rest(0.9)
         assert tr.out.startswith(b"ERROR BUSY ") and tr.out.count(b"\r\n") == 1 and tr.closed
         await rest()
-        assert d.member.kept == {} and not d.door and not d.gate.sessions
+        assert d.member.kept == {} and not d.door and not d.proxy.sessions
 
     virtual(go, leave_starting=True)
 
@@ -471,7 +478,7 @@
             assert tr.out.startswith(b"ERROR NODB") and tr.out.count(b"\r\n") == 1
         else:
             assert len(replies(tr.out)[0]) == 2 and d.member.kept == {"a": "2"}
-        assert tr.closed == ends and not tr.aborted and len(d.gate.sessions) == (not ends)
+        assert tr.closed == ends and not tr.aborted and len(d.proxy.sessions) == (not ends)
 
     virtual(go, leave_starting=True)
 
@@ -483,7 +490,7 @@
         await rest(0.1)
         d.configure(CONFIG)
         await rest()
-        assert tr.out == b"" and not d.gate.sessions and not d.door and d.member.kept == {}
+        assert tr.out == b"" and not d.proxy.sessions and not d.door and d.member.kept == {}
 
     virtual(go, leave_starting=True)
 
@@ -526,7 +533,7 @@
             and tr.closed
             and end.startswith(b"ERROR MALFORMED")
         )
-        assert d.member.kept == {"a": "2"} and not d.gate.sessions
+        assert d.member.kept == {"a": "2"} and not d.proxy.sessions
 
     virtual(go)
 
@@ -658,7 +665,7 @@
         d.configure({**CONFIG, "Revision": 2})
         await rest(60)
         assert len(tr.out) == at and not tr.closed
-        assert all(s.lost for s in d.member.strands if s.open_ is not None)
+        assert all(s.lost for s in d.member.member_connections if s.open_ is not None)
         f.data_received(said("COMMIT"))
         await rest()
         got, _ = replies(tr.out)
@@ -692,7 +699,7 @@
         f.data_received(said("PUT a 1", "PUT a 2"))
         assert f.eof_received()
         await rest()
-        assert len(replies(tr.out)[0]) == 2 and tr.closed and not d.gate.sessions
+        assert len(replies(tr.out)[0]) == 2 and tr.closed and not d.proxy.sessions
         f, tr = d.client()
         assert not f.eof_received() and tr.closed
 
@@ -704,10 +711,10 @@
         f, tr = d.client()
         f.data_received(said("BEGIN", "PUT a 1"))
         await rest()
-        s = next(s for s in d.member.strands if s.open_ is not None)
+        s = next(s for s in d.member.member_connections if s.open_ is not None)
         tr.close()
         await rest()
-        assert s.lost and not d.gate.sessions and not d.door and d.member.kept == {}
+        assert s.lost and not d.proxy.sessions and not d.door and d.member.kept == {}
 
     virtual(go)
 
@@ -720,10 +727,10 @@
         await rest(0.01)
         tr.close()
         await rest(10)
-        assert not d.gate.sessions and not d.door and d.gate.slab.used == 0
+        assert not d.proxy.sessions and not d.door and d.proxy.request_slots.used == 0
         assert (
-            d.gate.groups["svc"].strong_sessions == 0
-            and d.gate.groups["svc"].members["m1"].pool.busy == set()
+            d.proxy.groups["svc"].strong_sessions == 0
+            and d.proxy.groups["svc"].members["m1"].pool.busy == set()
         )
 
     virtual(go)
@@ -770,8 +777,8 @@
         self.closed = True
 
 
-def strand():
-    c = LineStrand()
+def member_connection():
+    c = LineMemberConnection()
     c.connection_made(StrandTransport())
     c.drops = []
     c.on_lost = c.drops.append
@@ -803,7 +810,7 @@
 @given(st.lists(ROWS, min_size=1, max_size=4), st.randoms(use_true_random=False))
 def test_replies_of_a_member_are_those_asked_for_in_whatever_pieces(all_rows, rng):
     async def go():
-        c = strand()
+        c = member_connection()
         fs = [c.ask(ASK) for _ in all_rows]
         raw = b"".join(
             b"".join(b"ROW %s\r\n" % r for r in rows) + b"COMPLETE s%d\r\nREADY I 3.%d\r\n" % (i, i)
@@ -836,12 +843,12 @@
 )
 def test_a_reply_out_of_order_is_no_reply(raw):
     async def go():
-        c = strand()
+        c = member_connection()
         f = c.ask(ASK)
         c.data_received(raw)
         assert c.lost and c.drops == [c] and c._tr.closed
-        assert isinstance(f.exception(), Unreached)
-        assert isinstance(c.ask(ASK).exception(), Unreached)
+        assert isinstance(f.exception(), Unreachable)
+        assert isinstance(c.ask(ASK).exception(), Unreachable)
 
     run(go)
 
@@ -851,7 +858,7 @@
 )
 def test_a_member_that_answers_nothing_asked_is_left(raw):
     async def go():
-        c = strand()
+        c = member_connection()
         f = c.ask(ASK)
         c.data_received(b"COMPLETE s\r\nREADY I 3.1\r\n" + raw)
         assert f.result().ok and f.result().rows == [] and c.lost
@@ -863,7 +870,7 @@
 @given(st.binary(max_size=60), st.booleans())
 def test_whatever_a_member_says_ends_as_a_reply_or_a_typed_fault(raw, ends):
     async def go():
-        c = strand()
+        c = member_connection()
         fs = [c.connect("g", "m"), c.own("status"), c.ask(ASK)]
         c.data_received(raw + b"\r\n" * ends)
         c.connection_lost(None)
@@ -876,14 +883,14 @@
 
 def test_a_status_is_a_row_or_a_typed_fault():
     async def go():
-        c = strand()
+        c = member_connection()
         fs = [c.own("status") for _ in range(4)]
         c.data_received(
             b"ROW primary 3 3.9 0 0 1 2\r\nCOMPLETE -\r\nREADY I 3.9\r\nERROR BUSY x\r\nREADY I 3.9\r\n"
             b"ROW odd\r\nCOMPLETE -\r\nREADY I 3.9\r\nERROR NOSTMT x\r\nREADY I 3.9\r\n"
         )
         assert fs[0].result()["pos"] == (3, 9)
-        assert [type(f.exception()) for f in fs[1:]] == [Busy, MemberFault, MemberFault]
+        assert [type(f.exception()) for f in fs[1:]] == [Busy, MemberDeclined, MemberDeclined]
         assert not c.lost
 
     run(go)
@@ -891,7 +898,7 @@
 
 def test_an_answer_that_nobody_waits_for_any_more_is_not_given_to_the_next():
     async def go():
-        c = strand()
+        c = member_connection()
         a, b = c.ask(ASK), c.ask(ASK)
         a.cancel()
         c.data_received(
@@ -937,7 +944,7 @@
 def test_how_a_connection_to_a_member_opens_or_not():
     async def go(wire, serve):
         for script, fault in (
-            ([b"ERROR WRONGNODE i-2\r\n"], Gone),
+            ([b"ERROR WRONGNODE i-2\r\n"], MemberReplaced),
             ([b"ERROR CONNLIMIT 40\r\n"], Busy),
             ([b"ERROR BUSY x\r\n"], Busy),
             ([b"ERROR ODD x\r\n"], Busy),
@@ -950,12 +957,12 @@
                 await wire.open(a, "svc", "i-1", 2_000_000)
             assert type(e.value) is fault, script
         a, _ = await serve(None)
-        with pytest.raises(Unsent) as e:
+        with pytest.raises(NotSent) as e:
             await wire.open(a, "svc", "i-1", 30_000)
         assert e.value.note == "mute"
         with socket.socket() as s:
             s.bind(("127.0.0.1", 0))
-            with pytest.raises(Unsent) as e:
+            with pytest.raises(NotSent) as e:
                 await wire.open("127.0.0.1:%d" % s.getsockname()[1], "svc", "i-1", 2_000_000)
         assert e.value.note == "refused"
 
@@ -969,11 +976,16 @@
         "Services": [{"Name": name}],
         "Routes": [{**CONFIG["Routes"][0], "Service": name}],
     }
-    led = Ledger()
+    led = ControlState()
     led.apply(
-        1, {"t": "manifest", "text": manifest_of(json.dumps(config).encode(), ["a"]), "version": 1}
+        1,
+        {
+            "t": "manifest",
+            "text": configuration_of(json.dumps(config).encode(), ["a"]),
+            "version": 1,
+        },
     )
-    assert led.manifest["groups"][0]["name"] == label(name)
+    assert led.configuration["groups"][0]["name"] == label(name)
 
     async def go(wire, serve):
         a, got = await serve([b"REA", b"DY I 3.1\r\n"])
--- a/tests/test_platform_orders.py
+++ b/tests/test_platform_orders.py
@@ -13,14 +13,14 @@
 from core import Control  # noqa: E402
 from petrelhaven.control.orders import ANSWER_US  # noqa: E402
 from petrelhaven.runtime.errors import (  # noqa: E402
+    DeadlineExceeded,
     Duplicate,
     Invalid,
-    Late,
     NotReady,
     Stale,
-    Taken,
+    VersionTaken,
 )
-from petrelhaven.transport.light_http import LightFace, _Request  # noqa: E402
+from petrelhaven.transport.light_http import LightHttpServer, _Request  # noqa: E402
 
 CONFIGURATION = json.dumps(
     {
@@ -34,7 +34,7 @@
 ).encode()
 
 
-class Seat:
+class ControlNode:
     """A core whose orders all have one outcome; it notes how long each may take."""
 
     def __init__(self, fault):
@@ -48,24 +48,24 @@
     async def apply(self, text, by="", within_us=0):
         await self._answer(within_us)
 
-    async def hall_to(self, hall, state, by="", within_us=0):
+    async def set_zone_state(self, zone, state, by="", within_us=0):
         await self._answer(within_us)
 
-    async def realm(self, within_us=0):
+    async def control_state(self, within_us=0):
         await self._answer(within_us)
 
 
 def answers(fault):
     async def go():
-        seat, face = Seat(fault), LightFace("127.0.0.1", 0)
-        Control(seat, SimpleNamespace(zones=["a", "b"], zone="a", control="h:1"), None, face)
-        replace = await face.answer(_Request("POST", "/v1/Config.Replace", CONFIGURATION))
-        begin = await face.answer(_Request("POST", "/v1/Evacuations.Begin/a", b""))
-        finish = await face.answer(_Request("POST", "/v1/Evacuations.Finish/a", b""))
-        assert seat.within == [ANSWER_US] * 3 and ANSWER_US < 1_000_000
+        node, http_server = ControlNode(fault), LightHttpServer("127.0.0.1", 0)
+        Control(node, SimpleNamespace(zones=["a", "b"], zone="a", control="h:1"), None, http_server)
+        replace = await http_server.answer(_Request("POST", "/v1/Config.Replace", CONFIGURATION))
+        begin = await http_server.answer(_Request("POST", "/v1/Evacuations.Begin/a", b""))
+        finish = await http_server.answer(_Request("POST", "/v1/Evacuations.Finish/a", b""))
+        assert node.within == [ANSWER_US] * 3 and ANSWER_US < 1_000_000
         if fault:
-            fetch = await face.answer(_Request("GET", "/v1/Config.Fetch", b""))
-            assert seat.within[3] == ANSWER_US and (fetch[0], fetch[2]) == (begin[0], begin[2])
+            fetch = await http_server.answer(_Request("GET", "/v1/Config.Fetch", b""))
+            assert node.within[3] == ANSWER_US and (fetch[0], fetch[2]) == (begin[0], begin[2])
         return [
             (status, dict(heads).get("Retry-After"))
             for status, _, heads in (replace, begin, finish)
@@ -83,21 +83,26 @@
     [
         (Duplicate("version 7 is accepted already"), 200),
         (Stale("version 9 is in force"), 200),
-        (Taken("version 7 is taken by another manifest"), 409),
+        (VersionTaken("version 7 is taken by another manifest"), 409),
         (Invalid("manifest declined"), 422),
     ],
 )
 def test_a_configuration_that_is_not_above_the_one_held(fault, replace):
     async def go():
-        face = LightFace("127.0.0.1", 0)
-        Control(Seat(fault), SimpleNamespace(zones=["a"], zone="a", control="h:1"), None, face)
-        return (await face.answer(_Request("POST", "/v1/Config.Replace", CONFIGURATION)))[0]
+        http_server = LightHttpServer("127.0.0.1", 0)
+        Control(
+            ControlNode(fault),
+            SimpleNamespace(zones=["a"], zone="a", control="h:1"),
+            None,
+            http_server,
+        )
+        return (await http_server.answer(_Request("POST", "/v1/Config.Replace", CONFIGURATION)))[0]
 
     assert asyncio.run(go()) == replace
 
 
 @pytest.mark.parametrize(
-    "fault", [NotReady("no majority of the cores answers"), Late("not confirmed yet")]
+    "fault", [NotReady("no majority of the cores answers"), DeadlineExceeded("not confirmed yet")]
 )
 def test_without_an_outcome_the_caller_is_told_when_to_come_again(fault):
     for status, back in answers(fault):
--- a/tests/test_programs.py
+++ b/tests/test_programs.py
@@ -11,9 +11,9 @@
 
 import pytest
 
-from petrelhaven.runtime.errors import Fault, NotReady, Unsent
+from petrelhaven.runtime.errors import Fault, NotReady, NotSent
 from petrelhaven.simulator.fleet import until
-from petrelhaven.simulator.resumable.world import manifest
+from petrelhaven.simulator.resumable.world import configuration
 from petrelhaven.simulator.soak import Soak
 from petrelhaven.transport.http import fetch
 from petrelhaven.transport.messages import CALL, VERSION, pack
@@ -132,14 +132,16 @@
     async def go(f):
         cs = ",".join(f.cores)
         p = tmp_path / "m.json"
-        p.write_text(manifest("small", 2) + "\n\n")
+        p.write_text(configuration("small", 2) + "\n\n")
         rc, out, err = await tool("commands.ctl", "--core", cs, "apply", str(p))
         assert rc == 0 and "version 2 is in force" in out
         assert (await tool("commands.ctl", "--core", cs, "show"))[1] == p.read_text()
-        assert (await tool("commands.ctl", "--core", cs, "show", "--version", "1"))[1] == f.manifest
+        assert (await tool("commands.ctl", "--core", cs, "show", "--version", "1"))[
+            1
+        ] == f.configuration
         rc, _, err = await tool("commands.ctl", "--core", cs, "apply", str(p))
         assert rc == 1 and "duplicate" in err
-        p.write_text(manifest("small", 1))
+        p.write_text(configuration("small", 1))
         rc, _, err = await tool("commands.ctl", "--core", cs, "apply", str(p))
         assert rc == 1 and "stale" in err
         rc, _, err = await tool(
@@ -181,7 +183,7 @@
         assert (await tool("commands.ctl", "--core", cs, "restore", "a"))[0] == 0
         assert (await tool("commands.ctl", "--core", cs, "restore", "a"))[0] == 1
         f.procs["e2"].poke(signal.SIGSTOP)
-        p.write_text(manifest("small", 3))
+        p.write_text(configuration("small", 3))
         assert (await tool("commands.ctl", "--core", cs, "apply", str(p)))[0] == 0
         f.procs["e2"].poke(signal.SIGCONT)
         assert (await tool("commands.diff", f.cores[0], "127.0.0.1:1"))[0] == 3
@@ -353,10 +355,10 @@
 
 def test_two_lost_disks_are_made_good_at_the_operators_word(fleet, tmp_path):
     async def go(f):
-        f.visit(9, pause=0.1)
+        f.start_clients(9, pause=0.1)
         left = f.cores[2]
         m = tmp_path / "m.json"
-        m.write_text(manifest("small", 2))
+        m.write_text(configuration("small", 2))
         assert (await tool("commands.ctl", "check", str(m)))[0] == 0
         assert (await tool("commands.ctl", "--core", ",".join(f.cores), "apply", str(m)))[0] == 0
         was = (await f.head())["seq"]
@@ -398,14 +400,14 @@
 
 def test_sessions_outlive_kills_of_edge_primary_and_all_cores(fleet):
     async def go(f):
-        f.visit(12, pause=0.05)
+        f.start_clients(12, pause=0.05)
 
         async def more():
-            n = sum(v.count["ok"] for v in f.visitors)
+            n = sum(v.count["ok"] for v in f.clients)
             return lambda k: _reached(n + k)
 
         async def _reached(n):
-            return sum(v.count["ok"] for v in f.visitors) >= n
+            return sum(v.count["ok"] for v in f.clients) >= n
 
         await f.until(lambda: _reached(100), 20)
         assert await f.procs["e1"].end(signal.SIGKILL) == -9
@@ -447,10 +449,10 @@
         async def shown():
             try:
                 return await fetch(f.cores[1], "GET", "/manifest", raw=True)
-            except (NotReady, Unsent):
+            except (NotReady, NotSent):
                 return None  # the head is back; the tail, which answers, may be a moment later
 
-        assert await f.until(shown, 5) == f.manifest.encode()
+        assert await f.until(shown, 5) == f.configuration.encode()
         k = await more()
         await f.until(lambda: k(100), 30)
         await f.calm()
@@ -459,19 +461,19 @@
     fleet(go)
 
 
-def test_a_lost_hall_of_a_full_fleet_is_made_good_within_12_seconds(fleet):
+def test_a_lost_zone_of_a_full_fleet_is_made_good_within_12_seconds(fleet):
     async def go(f):
-        f.visit(40, pause=0.2)
+        f.start_clients(40, pause=0.2)
 
         async def reached():
-            return sum(v.count["ok"] for v in f.visitors) >= 300
+            return sum(v.count["ok"] for v in f.clients) >= 300
 
         await f.until(reached, 20)
         lost = ["c1", "e1", "e4", "g1m1", "g2m3", "g3m2"]
         await asyncio.gather(*[f.procs[n].end(signal.SIGKILL) for n in lost])
         took = await f.served(12)
         print(f"service back after {took:.1f} s")
-        for v in f.visitors:
+        for v in f.clients:
             v.count["ok"] = 0
         await f.until(reached, 20)
         for n in lost:
@@ -492,9 +494,9 @@
     fleet(go, "nordvik")
 
 
-def test_a_hall_whose_links_are_cut_sends_nothing_and_comes_back(fleet):
+def test_a_zone_whose_links_are_cut_sends_nothing_and_comes_back(fleet):
     async def go(f):
-        f.visit(12, pause=0.1)
+        f.start_clients(12, pause=0.1)
         here, there = ["c1", "e1"], ["c2", "c3", "e2", "e3"]
         await f.cut(here, there)
 
@@ -530,20 +532,20 @@
 
 def test_sigterm_hands_sessions_over_and_ends_in_order(fleet):
     async def go(f):
-        f.visit(9, pause=0.05)
+        f.start_clients(9, pause=0.05)
 
         async def reached():
-            return sum(v.count["ok"] for v in f.visitors) >= 80
+            return sum(v.count["ok"] for v in f.clients) >= 80
 
         await f.until(reached, 20)
         assert await f.procs["e3"].end(signal.SIGTERM) == 0
         log = open(os.path.join(f.dir, "e3.log")).read()
         assert "E103" in log and "left_sessions=0 left_kept=0" in log
-        for v in f.visitors:
+        for v in f.clients:
             v.count["ok"] = 0
         await f.until(reached, 20)
         assert await f.procs["c2"].end(signal.SIGTERM) == 0
-        for v in f.visitors:
+        for v in f.clients:
             v.count["ok"] = 0
         await f.until(reached, 20)
         await f.calm()
@@ -555,15 +557,15 @@
 @pytest.mark.parametrize("size", ["nordvik", "archivo"])
 def test_a_fleet_of_full_size_serves_the_briefs_load(fleet, size):
     async def go(f):
-        f.visit(150, pause=0.8, idle=1.0)
+        f.start_clients(150, pause=0.8, idle=1.0)
 
         async def reached():
-            return sum(v.count["ok"] for v in f.visitors) >= 1200
+            return sum(v.count["ok"] for v in f.clients) >= 1200
 
         await f.until(reached, 40)
         await f.calm()
         assert await f.verdict() == []
-        assert sum(v.count["declined"] for v in f.visitors) == 0
+        assert sum(v.count["declined"] for v in f.clients) == 0
         homes = [
             json.loads(json.dumps(await fetch(e._p.facts["http"], "GET", "/status")))["sessions"]
             for e in f.edges
@@ -577,7 +579,7 @@
     kinds = ["edge_warned_late", "core_kill", "hall_cut"]
     s = Soak(str(tmp_path), "nordvik", 5, 24, kinds=kinds, out=print)
     assert asyncio.run(s.run()) == []
-    assert s.gaps and sum(v.count["ok"] for v in s.f.visitors) > 1500
+    assert s.gaps and sum(v.count["ok"] for v in s.f.clients) > 1500
     assert all(p.p.returncode is not None for p in s.f.procs.values())
 
 
--- a/tests/test_proxy_interface.py
+++ b/tests/test_proxy_interface.py
@@ -10,12 +10,12 @@
 
 from petrelhaven.commands.diff import differences
 from petrelhaven.control.interface.documents import number
-from petrelhaven.control.state.control_state import Ledger
-from petrelhaven.proxy.core_connection import Tie
+from petrelhaven.control.state.control_state import ControlState
+from petrelhaven.proxy.core_connection import CoreConnection
 from petrelhaven.proxy.node import ProxyNode
-from petrelhaven.proxy.proxy_interface import GateFace
-from petrelhaven.runtime.clock import Clock, Nest
-from petrelhaven.transport.light_http import LightFace, _Request
+from petrelhaven.proxy.proxy_interface import ProxyInterface
+from petrelhaven.runtime.clock import BackgroundTasks, Clock
+from petrelhaven.transport.light_http import LightHttpServer, _Request
 from petrelhaven.transport.link import Link
 
 DRAWN = settings(
@@ -78,35 +78,46 @@
     """Runs `fn(gate, face)` over a gate whose tie was told of `records`."""
 
     async def go():
-        clock, nest = Clock(), Nest()
-        tie = Tie(clock, nest, Link(clock, nest), random.Random(1), "e1", [], lambda h: 0)
-        gate = ProxyNode(
-            "e1", "a", clock, nest, random.Random(1), tie, NoMembers(), lambda h: 0, 1, 1
+        clock, tasks = Clock(), BackgroundTasks()
+        core_connection = CoreConnection(
+            clock, tasks, Link(clock, tasks), random.Random(1), "e1", [], lambda h: 0
         )
-        face = LightFace("127.0.0.1", 0)
-        GateFace(gate, face, lambda: {"waiting": ["Zone"]})
+        proxy = ProxyNode(
+            "e1",
+            "a",
+            clock,
+            tasks,
+            random.Random(1),
+            core_connection,
+            NoMembers(),
+            lambda h: 0,
+            1,
+            1,
+        )
+        http_server = LightHttpServer("127.0.0.1", 0)
+        ProxyInterface(proxy, http_server, lambda: {"waiting": ["Zone"]})
         if records:
-            led = Ledger()
+            led = ControlState()
             for r in records:
                 led.check(r)
                 led.apply(led.seq + 1, r)
-            await tie._push(None, {"frame": led.frame(), "recs": [], "commit": led.seq})
+            await core_connection._push(None, {"frame": led.frame(), "recs": [], "commit": led.seq})
         try:
-            return await fn(gate, face)
+            return await fn(proxy, http_server)
         finally:
-            nest.kill()
+            tasks.kill()
 
     return asyncio.run(go())
 
 
-async def ask(face, path, verb="GET"):
-    s, b, heads = await face.answer(_Request(verb, path, b""))
+async def ask(http_server, path, verb="GET"):
+    s, b, heads = await http_server.answer(_Request(verb, path, b""))
     return s, json.loads(b), dict(heads)
 
 
 def test_an_edge_tells_what_it_believes_and_counts():
-    async def go(gate, face):
-        s, d, _ = await ask(face, "/status")
+    async def go(proxy, http_server):
+        s, d, _ = await ask(http_server, "/status")
         assert (
             s == 200
             and d["role"] == "edge"
@@ -116,16 +127,16 @@
         )
         assert d["settings"] == {"waiting": ["Zone"]} and d["lease_us"] == 0 and d["visits"] == 0
         assert d["epochs"]["g1"]["n"] == 3 and d["members"] == {"m1": ["g1", "ready", "primary"]}
-        assert (await ask(face, "/ready"))[:2] == (200, {"ready": True})
-        assert (await ask(face, "/realm"))[1]["offices"]["g1"]["primary"] == "m1"
-        s, d, _ = await ask(face, "/why?group=g1&n=2")
+        assert (await ask(http_server, "/ready"))[:2] == (200, {"ready": True})
+        assert (await ask(http_server, "/realm"))[1]["offices"]["g1"]["primary"] == "m1"
+        s, d, _ = await ask(http_server, "/why?group=g1&n=2")
         assert (d["epoch"]["cause"], d["replaced"]["n"], d["kept"]) == (
             "hall a is emptied",
             1,
             [1, 2, 3],
         )
-        gate.leave()
-        s, d, heads = await ask(face, "/ready")
+        proxy.leave()
+        s, d, heads = await ask(http_server, "/ready")
         assert (
             (s, d["fault"]) == (503, "not-ready")
             and "leaving" in d["note"]
@@ -135,54 +146,56 @@
     on_a_gate(go)
 
 
-def test_an_edge_hands_its_manifest_out_as_unconfirmed_only():
-    async def go(gate, face):
-        s, d, _ = await ask(face, "/manifest")
+def test_an_edge_hands_its_configuration_out_as_unconfirmed_only():
+    async def go(proxy, http_server):
+        s, d, _ = await ask(http_server, "/manifest")
         assert (s, d["fault"]) == (400, "malformed")
         for q in ("", "&version=3"):
-            s, b, heads = await face.answer(_Request("GET", "/manifest?unconfirmed=true" + q, b""))
+            s, b, heads = await http_server.answer(
+                _Request("GET", "/manifest?unconfirmed=true" + q, b"")
+            )
             assert (s, b.decode(), dict(heads)) == (200, TEXT, {"Confirmed-By-Majority": "no"})
-        assert (await ask(face, "/manifest?unconfirmed=true&version=2"))[0] == 404
+        assert (await ask(http_server, "/manifest?unconfirmed=true&version=2"))[0] == 404
 
     on_a_gate(go)
 
 
 def test_an_edge_that_knows_nothing_yet_says_so():
-    async def go(gate, face):
-        assert (await ask(face, "/status"))[1]["state"] == "starting"
-        assert (await ask(face, "/ready"))[0] == 503
-        assert (await ask(face, "/manifest?unconfirmed=true"))[0] == 404
-        assert (await ask(face, "/why?group=g1"))[0] == 404
-        assert (await gate.tie._frame(None, {}))["frame"] is None
+    async def go(proxy, http_server):
+        assert (await ask(http_server, "/status"))[1]["state"] == "starting"
+        assert (await ask(http_server, "/ready"))[0] == 503
+        assert (await ask(http_server, "/manifest?unconfirmed=true"))[0] == 404
+        assert (await ask(http_server, "/why?group=g1"))[0] == 404
+        assert (await proxy.core_connection._frame(None, {}))["frame"] is None
 
     on_a_gate(go, [])
 
 
-def test_an_edge_hands_its_ledger_to_a_core_that_asks():
-    async def go(gate, face):
-        f = (await gate.tie._frame(None, {}))["frame"]
-        assert f["seq"] == 5 and f is not gate.tie.ledger.doc
+def test_an_edge_hands_its_control_state_to_a_core_that_asks():
+    async def go(proxy, http_server):
+        f = (await proxy.core_connection._frame(None, {}))["frame"]
+        assert f["seq"] == 5 and f is not proxy.core_connection.control_state.doc
 
     on_a_gate(go)
 
 
-def test_a_manifest_that_leaves_fields_out_is_served_with_their_defaults():
-    async def go(gate, face):
-        r, b = gate.route("db")
+def test_a_configuration_that_leaves_fields_out_is_served_with_their_defaults():
+    async def go(proxy, http_server):
+        r, b = proxy.route("db")
         assert (r.reads, r.timeout_us, b.connection_cap, b.sync_replicas) == (
             "strong",
             2_000_000,
             40,
             0,
         )
-        assert gate.bounds().idle_txn_us == 10_000_000
+        assert proxy.bounds().idle_txn_us == 10_000_000
 
     on_a_gate(go)
 
 
 def test_what_only_one_of_two_nodes_can_tell_is_no_difference():
-    async def go(gate, face):
-        return (await ask(face, "/belief"))[1]
+    async def go(proxy, http_server):
+        return (await ask(http_server, "/belief"))[1]
 
     a = on_a_gate(go)
     core = {**a, "name": "c1", "kith": {"c1": "alive"}, "view": {"n": 1}}
@@ -194,8 +207,8 @@
 
 @pytest.mark.parametrize("v", ["", "-1", "1.0", " 1", "1_0", "²", "9" * 19, "0x1", "١"])
 def test_what_is_no_number_is_malformed(v):
-    async def go(gate, face):
-        s, d, _ = await ask(face, f"/why?group=g1&n={v}")
+    async def go(proxy, http_server):
+        s, d, _ = await ask(http_server, f"/why?group=g1&n={v}")
         assert (s, d["note"]) == (400, "n must be a whole number")
 
     on_a_gate(go)
@@ -231,9 +244,9 @@
 
     draw()
 
-    async def go(gate, face):
+    async def go(proxy, http_server):
         for q in reqs:
-            s, b, _ = await face.answer(q)
+            s, b, _ = await http_server.answer(q)
             d = json.loads(b)
             typed = s in (400, 404) and set(d) >= {"fault", "note"}
             assert typed or s == 200 and q.verb == "GET", (q.verb, q.path, s, b)
--- a/tests/test_record_log.py
+++ b/tests/test_record_log.py
@@ -13,8 +13,8 @@
 from petrelhaven.control.storage.data_folder import salvage
 from petrelhaven.control.storage.disk import Folder
 from petrelhaven.control.storage.record_log import RecordLog
-from petrelhaven.runtime.errors import Damaged, Misplaced
-from petrelhaven.simulator.resumable.world import manifest
+from petrelhaven.runtime.errors import Damaged, WrongNode
+from petrelhaven.simulator.resumable.world import configuration
 
 
 class Bytes:
@@ -101,10 +101,15 @@
     f = Folder(str(tmp_path))
     m = CoreStore(f, "c1", rng)
     m.put_vote(num=3, who="c1")
-    m.put_rec(1, 1, {"t": "manifest", "text": manifest("small")})
+    m.put_rec(1, 1, {"t": "manifest", "text": configuration("small")})
     f.close()
     again = CoreStore(Folder(str(tmp_path)), "c1", rng)
-    assert (again.disk, again.realm.seq, again.vote["num"], again.damaged) == (m.disk, 1, 3, False)
+    assert (again.disk, again.control_state.seq, again.vote["num"], again.damaged) == (
+        m.disk,
+        1,
+        3,
+        False,
+    )
     raw = bytearray((tmp_path / "ring-0").read_bytes())
     raw[60] ^= 255
     (tmp_path / "ring-0").write_bytes(raw)
@@ -114,7 +119,7 @@
 
 def test_another_nodes_data_folder_is_declined(tmp_path):
     CoreStore(Folder(str(tmp_path)), "c1", random.Random(1))
-    with pytest.raises(Misplaced):
+    with pytest.raises(WrongNode):
         CoreStore(Folder(str(tmp_path)), "c2", random.Random(1))
 
 
@@ -183,15 +188,15 @@
 ):
     folder = Folder(str(tmp_path))
     store = CoreStore(folder, "c1", random.Random(1))
-    store.put_rec(1, 1, {"t": "manifest", "text": manifest("small")})
+    store.put_rec(1, 1, {"t": "manifest", "text": configuration("small")})
     store.put_vote(num=3, who="c1")
     store.put_vote(num=4, who="c1")
     folder.close()
     raw = bytearray((tmp_path / "ring-0").read_bytes())
     raw[store._log._last_offset - 5] ^= 255
     (tmp_path / "ring-0").write_bytes(raw)
-    assert salvage(str(tmp_path)).realm.seq == 1
+    assert salvage(str(tmp_path)).control_state.seq == 1
     again = CoreStore(Folder(str(tmp_path)), "c1", random.Random(2))
     assert again.damaged and again.fresh
     found = salvage(str(tmp_path))
-    assert (found.name, found.realm.seq) == ("c1", 1)
+    assert (found.name, found.control_state.seq) == ("c1", 1)
--- a/tests/test_safety_scenes.py
+++ b/tests/test_safety_scenes.py
@@ -23,7 +23,7 @@
     ("stale_only", "any_candidate", "acknowledged commit lost"),
     ("killed_edge", "no_reset", "session value lost or mixed"),
     ("leaving", "leaving_ignored", "statement to a leaving member"),
-    ("emptied", "halls_ignored", "statement to an emptied hall"),
+    ("emptied", "zones_ignored", "statement to an emptied hall"),
     ("emptied", "no_ramp", "hall taken back at once"),
     ("racing", "acked_at_once", "acknowledged manifest not in force"),
     ("racing", "no_lease", "acknowledged manifest not in force"),
@@ -66,7 +66,7 @@
 def test_the_scene_breaks_no_rule(name):
     bad, w = scene(name)
     assert bad == []
-    assert w.visitors == [] or sum(v.count["ok"] for v in w.visitors) > 50
+    assert w.clients == [] or sum(v.count["ok"] for v in w.clients) > 50
 
 
 @pytest.mark.parametrize("name", ["region_lost", "region_cut", "twins"])
--- a/tests/test_second_loss.py
+++ b/tests/test_second_loss.py
@@ -14,16 +14,16 @@
     ) and all(b.node.chain.ruling for b in f.cores)
 
 
-def note_handovers(box):
+def note_handovers(machine):
     """The views in which `box` is told that it was handed everything, as they come."""
-    views, append = [], box.node.link.handlers["chain.append"]
+    views, append = [], machine.node.link.handlers["chain.append"]
 
     async def noted(channel, body):
         if body["done"]:
             views.append(body["view"])
         return await append(channel, body)
 
-    box.node.link.handlers["chain.append"] = noted
+    machine.node.link.handlers["chain.append"] = noted
     return views
 
 
@@ -31,10 +31,10 @@
 def test_the_head_of_a_new_view_is_lost_before_any_other_core_is_complete_in_it(seed, lose):
     async def go(f):
         await f.start()
-        f.visit(5)
+        f.start_clients(5)
         await f.until(lambda: whole(f), 10, "chain whole")
         names = f.cores[0].node.chain.view["chain"]
-        head, middle, tail = (f.net.boxes[n] for n in names)
+        head, middle, tail = (f.net.machines[n] for n in names)
         f.history.trouble(f.loop.time(), f.loop.time() + 40, "core")
         tail.kill()
         await f.until(lambda: len(head.node.chain.view["chain"]) == 2, 10, "the tail is left out")
@@ -76,7 +76,7 @@
         fleet.net.silent.add(gone.name)
         fleet.retire(gone)
         await asyncio.sleep(1)
-        successor = fleet.add_core(gone.hall)
+        successor = fleet.add_core(gone.zone)
         others = [core for core in fleet.cores if core is not successor]
         cut_us = 6_000_000 + seed * 170_000
         fleet.cut([successor.name], [core.name for core in others], cut_us)
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -5,8 +5,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from petrelhaven.control.resumable.control_state import Realm
-from petrelhaven.simulator.resumable.world import manifest
+from petrelhaven.control.resumable.control_state import ResumableControlState
+from petrelhaven.simulator.resumable.world import configuration
 
 CAP = 10
 PLANS = st.lists(
@@ -34,9 +34,9 @@
 
 def _walk(plans, picks):
     """Edges apply the changes at their own pace; an epoch is settled only once every edge has applied it."""
-    recs = [{"t": "manifest", "text": manifest("small")}]
+    recs = [{"t": "manifest", "text": configuration("small")}]
     worst = 0
-    edges = [Realm() for _ in range(4)]
+    edges = [ResumableControlState() for _ in range(4)]
     n = 0
     picks = iter(picks)
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -19,7 +19,7 @@
     return store, connection
 
 
-def test_promoting_the_primary_in_office_again_changes_nothing():
+def test_promoting_the_primary_in_leadership_again_changes_nothing():
     """A call that is repeated, or late, must not end what goes on."""
     store, connection = primary_in_a_transaction()
     store.promote(1)
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -29,7 +29,7 @@
 def test_a_storm_breaks_no_rule(seed, size):
     bad, w = run(seed, size)
     assert bad == []
-    assert sum(v.count["ok"] for v in w.visitors) > 100
+    assert sum(v.count["ok"] for v in w.clients) > 100
 
 
 FOUND = {
@@ -147,11 +147,11 @@
 def test_an_edge_that_leaves_while_no_core_answers_is_not_trusted_with_copies():
     async def go(w):
         await w.start()
-        w.visit(9, pause=0.1)
+        w.start_clients(9, pause=0.1)
         await asyncio.sleep(1)
         b = w.edges[1]
         w.net.cut([b.name], [c.name for c in w.cores], 1_200_000)
-        t = b.nest.spawn(b.node.drain())
+        t = b.tasks.spawn(b.node.drain())
         await asyncio.sleep(4)
         assert t.done()
         b.kill()
@@ -202,10 +202,12 @@
         for e in w.edges[1:]:
             e.node.link.on("span.drop", lambda ch, b: asyncio.sleep(9, {"ok": True}))
         assert (await a.node.close_session(sid))["ok"]
-        assert all(sid in e.node.vault.kept for e in w.edges[1:])
+        assert all(sid in e.node.session_replicas.kept for e in w.edges[1:])
         a.kill()
         await asyncio.sleep(9)
-        assert not any(sid in e.node.homes or sid in e.node.vault.kept for e in w.edges[1:])
+        assert not any(
+            sid in e.node.homes or sid in e.node.session_replicas.kept for e in w.edges[1:]
+        )
         w.boot_edge(a)
         await w.until(lambda: a.node.ready, 9, "edge ready")
         with pytest.raises(NoSession):
@@ -225,11 +227,11 @@
         sid = (await w.edges[0].node.open_session())["session"]
         await w.edges[0].node.move._hand(w.edges[0].node.homes[sid])
         await asyncio.sleep(3)
-        left = [len(x) for e in w.edges for x in (e.node.homes, e.node.vault.lent)]
+        left = [len(x) for e in w.edges for x in (e.node.homes, e.node.session_replicas.granted)]
         return (
             len(Session._machine.models) - was,
             sum(left),
-            sum(len(e.node.vault.kept) for e in w.edges),
+            sum(len(e.node.session_replicas.kept) for e in w.edges),
         )
 
     assert inside(go, 6)[0] == (1, 1, 2)
--- a/tests/test_unleased_commits.py
+++ b/tests/test_unleased_commits.py
@@ -7,16 +7,16 @@
 
 import pytest
 
-from petrelhaven.control.state.control_state import Ledger
-from petrelhaven.proxy.core_connection import Tie
+from petrelhaven.control.state.control_state import ControlState
+from petrelhaven.proxy.core_connection import CoreConnection
 from petrelhaven.proxy.reads.read_clock import Order
 from petrelhaven.proxy.routing.group import MemberGroup
 from petrelhaven.proxy.routing.outside_contact import OutsideContact
 from petrelhaven.proxy.routing.request import Request
-from petrelhaven.proxy.routing.transaction_path import HeldTransactions
-from petrelhaven.proxy.routing.write_path import HeldWrites
+from petrelhaven.proxy.routing.transaction_path import TransactionPath
+from petrelhaven.proxy.routing.write_path import WritePath
 from petrelhaven.proxy.session.statement import Reply
-from petrelhaven.runtime.clock import Clock, Nest
+from petrelhaven.runtime.clock import BackgroundTasks, Clock
 from petrelhaven.transport.link import Link
 
 WRITTEN = (1, 241)
@@ -102,10 +102,12 @@
     clock = _LoopClock()
     return types.SimpleNamespace(
         clock=clock,
-        nest=Nest(),
+        tasks=BackgroundTasks(),
         order=Order(),
         log=None,
-        tie=types.SimpleNamespace(holds=True, confirmed=confirmed, edges=3, doubt=lambda *_: None),
+        core_connection=types.SimpleNamespace(
+            holds=True, confirmed=confirmed, edges=3, suspect=lambda *_: None
+        ),
         wire=_Wire(logs, delays, clock),
         near=lambda zone: {"a": 0, "b": 2}[zone],
         outside_contact=OutsideContact(clock),
@@ -117,18 +119,18 @@
 
 
 def _group(proxy, logs, sync_replicas, far):
-    ledger = Ledger()
+    control_state = ControlState()
     for index, name in enumerate(["p", *logs]):
         row = {"t": "member", "name": name, "group": "g", "role": "replica"}
         row |= {"hall": "b" if name == far else "a"}
         row |= {"addr": f"10.0.0.{index}:1", "state": "ready", "slots": 5, "count": 1}
-        ledger.apply(index + 1, row)
-    office = {"t": "office", "group": "g", "n": 1, "phase": "serve", "primary": "p", "term": 1}
-    ledger.apply(ledger.seq + 1, office | {"cause": ""})
+        control_state.apply(index + 1, row)
+    leadership = {"t": "office", "group": "g", "n": 1, "phase": "serve", "primary": "p", "term": 1}
+    control_state.apply(control_state.seq + 1, leadership | {"cause": ""})
     group = MemberGroup("g", proxy)
     group.sync_replicas = sync_replicas
-    group.turn(ledger, True)
-    return group, ledger
+    group.turn(control_state, True)
+    return group, control_state
 
 
 class _Case:
@@ -136,7 +138,7 @@
 
     def __init__(self, kind, logs, confirmed=False, sync_replicas=1, delays=(), wrote=True, far=""):
         self.proxy = _proxy(logs, confirmed, dict(delays))
-        self.group, self.ledger = _group(self.proxy, logs, sync_replicas, far)
+        self.group, self.control_state = _group(self.proxy, logs, sync_replicas, far)
         self.meanwhile = lambda: None
         self.session, self.pool = _Session(), _Pool()
         self._kind, self._wrote = kind, wrote
@@ -157,24 +159,24 @@
                 wrote=self._wrote,
                 reads=False,
             )
-            path = HeldTransactions(self.proxy, _Calls(self.meanwhile), None)
+            path = TransactionPath(self.proxy, _Calls(self.meanwhile), None)
         else:
-            path = HeldWrites(self.proxy, _Calls(self.meanwhile))
+            path = WritePath(self.proxy, _Calls(self.meanwhile))
         reply = await _drive(path.run(request))
         self.took_us = clock.now() - began
         return reply
 
-    def office(self, phase, primary, term):
+    def leadership(self, phase, primary, term):
         """A record of the office reaches the proxy."""
-        number = self.ledger.doc["offices"]["g"]["n"] + 1
+        number = self.control_state.doc["offices"]["g"]["n"] + 1
         record = {"t": "office", "group": "g", "n": number, "phase": phase, "primary": primary}
-        self.ledger.apply(self.ledger.seq + 1, record | {"term": term, "cause": ""})
-        self.group.turn(self.ledger, False)
+        self.control_state.apply(self.control_state.seq + 1, record | {"term": term, "cause": ""})
+        self.group.turn(self.control_state, False)
 
     def contact_again(self, phase):
         """The proxy, cut off as it sent, gets its lease back together with a newer office."""
-        self.proxy.tie.confirmed = True
-        self.office(phase, "p", 1)
+        self.proxy.core_connection.confirmed = True
+        self.leadership(phase, "p", 1)
 
 
 async def _drive(steps):
@@ -260,13 +262,13 @@
 
 
 @KINDS
-def test_an_answer_of_an_earlier_term_of_the_primary_in_office_needs_proof(warp, kind):
+def test_an_answer_of_an_earlier_term_of_the_primary_in_leadership_needs_proof(warp, kind):
     async def go():
         case = _Case(kind, {"m1": SHORT, "m2": SHORT}, confirmed=True)
 
         def lost_and_won_again():
-            case.office("serve", "m1", 2)
-            case.office("serve", "p", 3)
+            case.leadership("serve", "m1", 2)
+            case.leadership("serve", "p", 3)
 
         case.meanwhile = lost_and_won_again
         assert (await case.run()).code == "unsure"
@@ -278,7 +280,7 @@
 def test_a_planned_move_leaves_a_confirmed_primary_its_word(warp, kind):
     async def go():
         case = _Case(kind, {"m1": SHORT, "m2": SHORT}, confirmed=True)
-        case.meanwhile = lambda: case.office("swap", "p", 1)
+        case.meanwhile = lambda: case.leadership("swap", "p", 1)
         assert (await case.run()).ok
         assert case.proxy.wire.asked == []
 
@@ -316,9 +318,11 @@
 def test_a_lease_that_was_not_renewed_for_a_while_still_holds_but_is_not_confirmed():
     now = 5_000_000
     clock = types.SimpleNamespace(now=lambda: now)
-    tie = Tie(clock, Nest(), Link(clock, Nest()), None, "e1", [], lambda zone: 0)
-    assert not tie.holds and not tie.confirmed
-    tie._renew(now, 1_500_000, 200_000)
-    assert tie.holds and tie.confirmed
+    core_connection = CoreConnection(
+        clock, BackgroundTasks(), Link(clock, BackgroundTasks()), None, "e1", [], lambda zone: 0
+    )
+    assert not core_connection.holds and not core_connection.confirmed
+    core_connection._renew(now, 1_500_000, 200_000)
+    assert core_connection.holds and core_connection.confirmed
     now += 450_000
-    assert tie.holds and not tie.confirmed
+    assert core_connection.holds and not core_connection.confirmed
--- a/tests/test_view_register.py
+++ b/tests/test_view_register.py
@@ -9,7 +9,7 @@
 
 from petrelhaven.control.consensus.register import Proposer, Voter
 from petrelhaven.control.storage.core_store import CoreStore
-from petrelhaven.runtime.errors import Fault, Unsent
+from petrelhaven.runtime.errors import Fault, NotSent
 
 
 class Trio:
@@ -31,11 +31,11 @@
             if lossy and self.rng.random() < 0.3:
                 if self.rng.random() < 0.5:
                     self.late.append((n, kind, body))
-                raise Unsent(n)
+                raise NotSent(n)
             v = Voter(self.mems[n])
             r = await (v.prepare(None, body) if kind == "vote.prepare" else v.accept(None, body))
             if lossy and self.rng.random() < 0.2:
-                raise Unsent(n)
+                raise NotSent(n)
             return r
 
         return call
@@ -88,7 +88,7 @@
 
     async def deaf(n, kind, body, us):
         if kind == "vote.accept" and n != "a":
-            raise Unsent(n)
+            raise NotSent(n)
         return await t.caller(lossy=False)(n, kind, body, us)
 
     async def go():
--- a/tests/wire_model.py
+++ b/tests/wire_model.py
@@ -3,11 +3,11 @@
 import asyncio
 import collections
 
-from petrelhaven.runtime.clock import Clock, Nest
-from petrelhaven.runtime.errors import Fault, Malformed, Unsent
+from petrelhaven.runtime.clock import BackgroundTasks, Clock
+from petrelhaven.runtime.errors import Fault, Malformed, NotSent
 from petrelhaven.simulator.virtual_time import WarpLoop, end_all
 from petrelhaven.transport.channel import Channel
-from petrelhaven.transport.link import Held
+from petrelhaven.transport.link import SharedConnections
 
 WAY_S = 0.005
 
@@ -19,13 +19,13 @@
         return int(asyncio.get_running_loop().time() * 1e6)
 
 
-class Node(Held):
+class Node(SharedConnections):
     """One node: real calls over real channels, on modelled connections."""
 
     def __init__(self, net, name):
         super().__init__()
         self.net, self.name, self.addr = net, name, name
-        self.clock, self.nest, self.log = LoopClock(), Nest(), None
+        self.clock, self.tasks, self.log = LoopClock(), BackgroundTasks(), None
         self.handlers, self.frozen = {}, []
         net.nodes[name] = self
 
@@ -35,7 +35,7 @@
     async def open(self, address):
         await asyncio.sleep(WAY_S)
         if self.net.refuses(self.name, address):
-            raise Unsent(address)
+            raise NotSent(address)
         return Connection(self.net, self, self.net.nodes[address]).ends[self.name]
 
 
