--- a/tests/test_interface_compatibility.py
+++ b/tests/test_interface_compatibility.py
@@ -5,14 +5,14 @@
 
 import pytest
 
-from petrelhaven.control.interface.held_interface import SeatFace
-from petrelhaven.proxy.held_interface import GateFace
+from petrelhaven.control.interface.control_interface import ControlInterface
+from petrelhaven.proxy.proxy_interface import ProxyInterface
 from petrelhaven.runtime.errors import REGISTRY
 from petrelhaven.runtime.events import EVENTS
-from petrelhaven.simulator.held.embargo import EmbargoedFleet
-from petrelhaven.simulator.held.fleet import HeldFleet
-from petrelhaven.simulator.world import World
-from petrelhaven.transport.light_http import LightFace, _Request
+from petrelhaven.simulator.connection_sessions.embargo import EmbargoedFleet
+from petrelhaven.simulator.connection_sessions.fleet import SimulatedFleet
+from petrelhaven.simulator.resumable.world import World
+from petrelhaven.transport.light_http import LightHttpServer, _Request
 
 FIXTURE = Path(__file__).parent / "fixtures" / "interface_2026_12.json"
 
@@ -62,28 +62,28 @@
     return {key: _merged([one[key] for one in maps if key in one]) for key in keys}
 
 
-async def _answer(face, path):
-    status, body, _ = await face.answer(_Request("GET", path, b""))
+async def _answer(http_server, path):
+    status, body, _ = await http_server.answer(_Request("GET", path, b""))
     assert status == 200, (path, status, body)
     return json.loads(body)
 
 
 async def _held_documents(face_kind, node, names):
-    face = LightFace("127.0.0.1", 0)
-    face_kind(node, face)
-    return {path: shape(await _answer(face, path), names) for path in ("/status", "/belief")}
+    http_server = LightHttpServer("127.0.0.1", 0)
+    face_kind(node, http_server)
+    return {path: shape(await _answer(http_server, path), names) for path in ("/status", "/belief")}
 
 
-async def held_shapes(fleet_kind=HeldFleet):
+async def held_shapes(fleet_kind=SimulatedFleet):
     """The documents of a control node and a proxy where sessions live with their connection."""
     fleet = fleet_kind(1)
     await fleet.start()
     members = {member.name for group in fleet.groups.values() for member in group.members}
-    names = {*fleet.net.boxes, *fleet.groups, *members, "a", "b", "c"}
-    control = next(box.node for box in fleet.cores if box.node.chain.head)
+    names = {*fleet.net.machines, *fleet.groups, *members, "a", "b", "c"}
+    control = next(machine.node for machine in fleet.cores if machine.node.chain.head)
     return {
-        "control": await _held_documents(SeatFace, control, names),
-        "proxy": await _held_documents(GateFace, fleet.edges[0].node, names),
+        "control": await _held_documents(ControlInterface, control, names),
+        "proxy": await _held_documents(ProxyInterface, fleet.edges[0].node, names),
     }
 
 
@@ -96,8 +96,8 @@
     """The documents of a control node and a proxy where sessions are kept by proxies."""
     world = World(1, "small")
     await world.start()
-    names = {*world.net.boxes, "g1", "a", "b", "c"}
-    control = next(box.node for box in world.cores if box.node.chain.head)
+    names = {*world.net.machines, "g1", "a", "b", "c"}
+    control = next(machine.node for machine in world.cores if machine.node.chain.head)
     nodes = {"control": control, "proxy": world.edges[0].node}
     return {
         role: {
--- a/tests/test_stored_data_compatibility.py
+++ b/tests/test_stored_data_compatibility.py
@@ -10,14 +10,14 @@
 import pytest
 
 from petrelhaven.control.embargo.rules import placed as embargo_record
-from petrelhaven.control.state.kept_state import Realm
-from petrelhaven.control.state.ledger import Ledger
+from petrelhaven.control.resumable.control_state import ResumableControlState
+from petrelhaven.control.state.control_state import ControlState
 from petrelhaven.control.storage.core_store import CoreStore
-from petrelhaven.control.storage.data_folder import Relic, salvage
+from petrelhaven.control.storage.data_folder import DataFolder, salvage
 from petrelhaven.control.storage.disk import Folder
 from petrelhaven.runtime.errors import Fault
 
-CONTROL_STATES = {"ledger": Ledger, "realm": Realm}
+CONTROL_STATES = {"ledger": ControlState, "realm": ResumableControlState}
 FIXTURES = Path(__file__).parent / "fixtures"
 FOLDERS = FIXTURES / "data_folder_2026_12"
 FOLDER_NAMES = sorted(path.stem for path in FOLDERS.glob("*.json"))
@@ -66,7 +66,7 @@
         self.store.put_done(view)
 
     def _record(self, view, record):
-        self.store.put_rec(self.store.realm.seq + 1, view, json.loads(json.dumps(record)))
+        self.store.put_rec(self.store.control_state.seq + 1, view, json.loads(json.dumps(record)))
 
     def _padded(self, view, record, length):
         """A record whose operator has a name of `length` letters: it fills a file."""
@@ -101,9 +101,9 @@
             "vote": store.vote,
             "done": store.done,
             "mark": store.mark,
-            "seq": store.realm.seq,
-            "document": store.realm.doc,
-            "belief": store.realm.belief(),
+            "seq": store.control_state.seq,
+            "document": store.control_state.doc,
+            "belief": store.control_state.belief(),
             "damaged": store.damaged,
             "refuses": store.refuses,
             "kept_records": len(store.recs),
@@ -114,20 +114,20 @@
 
 def reader_values(path):
     """What the read-only reader says of a folder."""
-    relic = Relic(str(path))
+    folder = DataFolder(str(path))
     found = salvage(str(path))
-    same = found.realm.doc == relic.realm.doc
+    same = found.control_state.doc == folder.control_state.doc
     return plain(
         {
-            "name": relic.name,
-            "disk": relic.disk,
-            "seq": relic.realm.seq,
-            "document": relic.realm.doc,
-            "kind": type_name(relic.realm),
+            "name": folder.name,
+            "disk": folder.disk,
+            "seq": folder.control_state.seq,
+            "document": folder.control_state.doc,
+            "kind": type_name(folder.control_state),
             "salvage_name": found.name,
-            "salvage_seq": found.realm.seq,
-            "salvage_document": "the same" if same else found.realm.doc,
-            "salvage_kind": type_name(found.realm),
+            "salvage_seq": found.control_state.seq,
+            "salvage_document": "the same" if same else found.control_state.doc,
+            "salvage_kind": type_name(found.control_state),
         }
     )
 
@@ -253,7 +253,7 @@
 
 def test_a_document_from_before_the_evidence_is_read_as_expected():
     for case in json.loads(STEPS.read_text())["without_evidence"]:
-        assert plain(Ledger(plain(case["before"])).doc) == case["after"]
+        assert plain(ControlState(plain(case["before"])).doc) == case["after"]
 
 
 def test_an_embargo_call_makes_the_expected_record():
