--- a/src/petrelhaven/control/consensus/chain.py
+++ b/src/petrelhaven/control/consensus/chain.py
@@ -340,7 +340,7 @@
                     rs = self.mem.since(held, mark)
                     if rs is None:
                         body.update(
-                            frame=self.control_state.frame(),
+                            frame=self.control_state.snapshot(),
                             prev=self.control_state.seq,
                             mark=self.mem.mark,
                             done=True,
--- a/src/petrelhaven/control/consensus/reform.py
+++ b/src/petrelhaven/control/consensus/reform.py
@@ -74,7 +74,7 @@
 
     async def _newest(self):
         c = self._c
-        best, src = c.chain.control_state.frame(), c.name
+        best, src = c.chain.control_state.snapshot(), c.name
         for n, f in sorted((await c.frames()).items()):
             if f["seq"] > best["seq"]:
                 best, src = f, n
--- a/src/petrelhaven/control/leases.py
+++ b/src/petrelhaven/control/leases.py
@@ -81,7 +81,7 @@
                     if c.commit != c.control_state.seq:
                         await self.clock.sleep(20_000)
                         continue
-                    body["frame"] = c.control_state.frame()
+                    body["frame"] = c.control_state.snapshot()
                 else:
                     body["recs"] = self.slim([[s, r] for s, _, r in rs if s <= c.commit][:200])
                 try:
--- a/src/petrelhaven/control/resumable/control_state.py
+++ b/src/petrelhaven/control/resumable/control_state.py
@@ -1,25 +1,53 @@
-"""The control state that every core and edge holds: changed only by numbered records, the same everywhere."""
-
-import copy
-import hashlib
-
-from petrelhaven.control.configuration.document import read
-from petrelhaven.runtime.errors import Conflict, Duplicate, Invalid, Stale
+"""Control state of resumable sessions: configuration, zones, proxies and the groups' epochs."""
+
+from __future__ import annotations
+
+from petrelhaven.control.configuration.document import Configuration, read
+from petrelhaven.control.resumable.records import (
+    EpochInForceRecord,
+    EpochRecord,
+    LeaseExpiryRecord,
+    ProxyRecord,
+    ResumableRecord,
+    from_document,
+)
+from petrelhaven.control.state.base import EVACUATED, OPEN, BaseControlState, declined, digest_of
+from petrelhaven.control.state.record import Document
+from petrelhaven.control.state.records import ConfigurationRecord, ZoneRecord
+from petrelhaven.control.state.rows import AcceptedConfiguration
+from petrelhaven.runtime.errors import Conflict, Duplicate, Stale
 
 __all__ = ["ResumableControlState"]
 
-# The names of methods, where they differ from the kinds of records as stored.
-_SUBJECTS = {"manifest": "configuration", "hall": "zone"}
-_KEEP = 64
-
-
-class ResumableControlState:
-    """Checks and applies records: manifest, hall, edge, lapse, epoch, settle."""
-
-    __slots__ = ("seq", "doc", "_read")
-
-    def __init__(self, doc=None):
-        self.doc = doc or {
+_UP = "up"
+_GONE = "gone"
+_MOST_OLD = 64
+_PAST_KEYS = (
+    "n",
+    "phase",
+    "primary",
+    "hold",
+    "safe",
+    "gates",
+    "cause",
+    "evidence",
+    "by",
+    "view",
+    "seq",
+)
+_COMPARED_KEYS = ("n", "phase", "primary", "hold", "safe", "gates", "open", "settled", "shares")
+
+Shares = dict[str, dict[str, int]]
+
+
+class ResumableControlState(BaseControlState[Configuration, ResumableRecord]):
+    """What all nodes agree on where sessions outlive their client's connection."""
+
+    __slots__ = ()
+
+    def __init__(self, document: Document | None = None) -> None:
+        """Takes over a stored document."""
+        empty: Document = {
             "seq": 0,
             "manifest": None,
             "old": [],
@@ -28,215 +56,197 @@
             "epochs": {},
             "past": {},
         }
-        self.seq = self.doc["seq"]
-        self._read = None
-
-    @property
-    def configuration(self):
-        """The manifest in force, or None."""
-        if self._read is None and self.doc["manifest"]:
-            self._read = read(self.doc["manifest"]["text"])
-        return self._read
-
-    def frame(self):
-        """A deep copy of the whole state."""
-        return copy.deepcopy(self.doc)
-
-    def check(self, r):
-        """Raises a typed fault if `r` must be declined now."""
-        getattr(self, "_check_" + _SUBJECTS.get(r["t"], r["t"]))(r)
-
-    def apply(self, seq, r):
-        """Applies a numbered record."""
-        assert seq == self.seq + 1, (seq, self.seq)
-        getattr(self, "_apply_" + _SUBJECTS.get(r["t"], r["t"]))(r)
-        self.seq = self.doc["seq"] = seq
-
-    def _check_configuration(self, r):
-        m = read(r["text"])
-        now = self.doc["manifest"]
-        if now:
-            h = hashlib.sha256(r["text"].encode()).hexdigest()
-            if m.version == now["version"]:
-                if h == now["digest"]:
-                    raise Duplicate(
-                        f"version {m.version} is in force already", more={"version": m.version}
-                    )
-                raise Stale(
-                    f"version {m.version} is taken by another manifest",
-                    more={"version": now["version"]},
-                )
-            if m.version < now["version"]:
-                raise Stale(
-                    f"version {now['version']} is in force", more={"version": now["version"]}
-                )
-            gone = {g.name for g in self.configuration.groups} - {g.name for g in m.groups}
-            live = [g for g in gone if g in self.doc["epochs"] and not r.get("retire")]
-            if live:
-                raise Invalid(
-                    "manifest declined",
-                    more={
-                        "faults": [
-                            ["groups", f"group {g} is served; retire it with retire=true"]
-                            for g in sorted(live)
-                        ]
-                    },
-                )
-
-    def _apply_configuration(self, r):
-        m = read(r["text"])
-        if self.doc["manifest"]:
-            self.doc["old"] = (self.doc["old"] + [self.doc["manifest"]])[-_KEEP:]
-        self.doc["manifest"] = {
-            "version": m.version,
-            "text": r["text"],
-            "by": r.get("by", ""),
-            "digest": hashlib.sha256(r["text"].encode()).hexdigest(),
-        }
-        self._read = m
-        names = {g.name for g in m.groups}
-        for g in list(self.doc["epochs"]):
-            if g not in names:
-                self.doc["epochs"].pop(g)
-
-    def _check_zone(self, r):
-        if not self.configuration or r["hall"] not in self.configuration.zones:
-            raise Invalid(
-                f"no hall {r['hall']}", more={"faults": [["hall", f"no hall {r['hall']}"]]}
-            )
-        if r["state"] not in ("open", "emptied"):
-            raise Invalid("hall state", more={"faults": [["state", "must be open or emptied"]]})
-        if self.doc["halls"].get(r["hall"], "open") == r["state"]:
-            raise Duplicate(f"hall {r['hall']} is {r['state']} already")
-        if r["state"] == "emptied":
-            rest = [
-                h
-                for h in self.configuration.zones
-                if h != r["hall"] and self.doc["halls"].get(h, "open") == "open"
-            ]
-            if not rest:
-                raise Invalid(
-                    "last open hall",
-                    more={"faults": [["hall", "the last open hall can't be emptied"]]},
-                )
-
-    def _apply_zone(self, r):
-        self.doc["halls"][r["hall"]] = r["state"]
-
-    def _check_edge(self, r):
-        e = self.doc["edges"].get(r["name"])
-        if e and (r["inc"] < e["inc"] or r["inc"] == e["inc"] and e["state"] == "gone"):
-            raise Stale(f"edge {r['name']} incarnation {e['inc']} is {e['state']}")
-        if e is None and r["state"] != "up":
-            raise Stale(f"no edge {r['name']}")
-        if (
-            e
-            and e["inc"] == r["inc"]
-            and e.get("boot")
-            and r.get("boot")
-            and e["boot"] != r["boot"]
-        ):
-            raise Stale(f"edge {r['name']} incarnation {e['inc']} is another process")
-        if e and e["inc"] == r["inc"] and e["state"] == r["state"]:
-            raise Duplicate(f"edge {r['name']} is {r['state']}")
-
-    def _apply_edge(self, r):
-        e = self.doc["edges"].setdefault(r["name"], {})
-        e.pop("lapsed", None)
-        e.update(
-            {
-                k: r[k]
-                for k in ("inc", "state", "boot", "hall", "addr", "http")
-                if r.get(k) not in (None, "")
-            }
-        )
+        super().__init__(document or empty)
 
-    def _check_lapse(self, r):
-        e = self.doc["edges"].get(r["name"])
-        if not e or e["inc"] != r["inc"] or e["state"] != "gone" or e.get("lapsed"):
-            raise Conflict("edge moved on")
+    def share(self, group: str, proxy: str, member: str) -> int:
+        """How many connections `proxy` may have open to `member` now.
 
-    def _apply_lapse(self, r):
-        self.doc["edges"][r["name"]]["lapsed"] = True
+        Until every proxy follows an epoch, a share is the smaller one of this and the last epoch.
+        """
+        epoch = self.doc["epochs"].get(group)
+        if not epoch:
+            return 0
+        share = _share(epoch["shares"], proxy, member)
+        if epoch["settled"]:
+            return share
+        return min(share, _share(epoch["before"], proxy, member))
+
+    def _read_configuration(self, text: str) -> Configuration:
+        configuration: Configuration = read(text)
+        return configuration
+
+    def _read_record(self, document: Document) -> ResumableRecord:
+        return from_document(document)
+
+    def _check(self, record: ResumableRecord) -> None:
+        match record:
+            case ConfigurationRecord():
+                self._check_configuration(record)
+            case ZoneRecord():
+                self._check_zone(record)
+            case ProxyRecord():
+                self._check_proxy(record)
+            case LeaseExpiryRecord():
+                self._check_lease_expiry(record)
+            case EpochRecord():
+                self._check_epoch(record)
+            case EpochInForceRecord():
+                self._check_epoch_in_force(record)
+
+    def _apply(self, record: ResumableRecord) -> None:
+        match record:
+            case ConfigurationRecord():
+                self._apply_configuration(record)
+            case ZoneRecord():
+                self._apply_zone(record)
+            case ProxyRecord():
+                self._apply_proxy(record)
+            case LeaseExpiryRecord():
+                self.doc["edges"][record.name]["lapsed"] = True
+            case EpochRecord():
+                self._apply_epoch(record)
+            case EpochInForceRecord():
+                self.doc["epochs"][record.group]["settled"] = True
+
+    def _check_configuration(self, record: ConfigurationRecord) -> None:
+        configuration = self._read_configuration(record.text)
+        accepted = self.doc["manifest"]
+        if not accepted:
+            return
+        version, in_force = configuration.version, accepted["version"]
+        if version == in_force:
+            if digest_of(record.text) == accepted["digest"]:
+                raise Duplicate(f"version {version} is in force already", more={"version": version})
+            raise Stale(
+                f"version {version} is taken by another manifest", more={"version": in_force}
+            )
+        if version < in_force:
+            raise Stale(f"version {in_force} is in force", more={"version": in_force})
+        if not record.retire:
+            self._check_no_served_group_is_dropped(configuration)
+
+    def _check_no_served_group_is_dropped(self, configuration: Configuration) -> None:
+        now = {group.name for group in self.configuration.groups} if self.configuration else set()
+        dropped = now - {group.name for group in configuration.groups}
+        served = sorted(group for group in dropped if group in self.doc["epochs"])
+        if served:
+            raise declined(
+                "manifest declined",
+                *(("groups", f"group {g} is served; retire it with retire=true") for g in served),
+            )
 
-    def _check_epoch(self, r):
-        if not self.configuration or r["group"] not in {g.name for g in self.configuration.groups}:
-            raise Stale(f"no group {r['group']}")
-        now = self.doc["epochs"].get(
-            r["group"], {"n": self.doc["past"].get(r["group"], [{"n": 0}])[-1]["n"]}
-        )
-        if r["n"] != now["n"] + 1:
-            raise Conflict(f"epoch {r['n']} does not follow {now['n']}")
-
-    def _apply_epoch(self, r):
-        g = r["group"]
-        old = self.doc["epochs"].get(g)
-        e = {k: v for k, v in r.items() if k != "t"}
-        e["settled"] = False
-        e["before"] = old["shares"] if old and old["settled"] else self._lower(old)
-        self.doc["epochs"][g] = e
-        p = self.doc["past"].setdefault(g, [])
-        p.append(
-            {
-                k: e[k]
-                for k in (
-                    "n",
-                    "phase",
-                    "primary",
-                    "hold",
-                    "safe",
-                    "gates",
-                    "cause",
-                    "evidence",
-                    "by",
-                    "view",
-                    "seq",
-                )
-                if k in e
-            }
-            | {"seq": self.seq + 1}
+    def _apply_configuration(self, record: ConfigurationRecord) -> None:
+        configuration = self._read_configuration(record.text)
+        if self.doc["manifest"]:
+            self.doc["old"] = (self.doc["old"] + [self.doc["manifest"]])[-_MOST_OLD:]
+        accepted = AcceptedConfiguration(
+            configuration.version, record.text, record.by, digest_of(record.text)
         )
-        del p[:-_KEEP]
-
-    @staticmethod
-    def _lower(old):
-        if not old:
-            return {}
-        out = {}
-        for e, ms in old["shares"].items():
-            was = old["before"].get(e, {})
-            out[e] = {m: min(n, was.get(m, 0)) for m, n in ms.items()}
-        return out
-
-    def _check_settle(self, r):
-        e = self.doc["epochs"].get(r["group"])
-        if not e or e["n"] != r["n"] or e["settled"]:
-            raise Conflict("epoch moved on")
+        self.doc["manifest"] = accepted.to_row()
+        self._configuration = configuration
+        names = {group.name for group in configuration.groups}
+        for group in list(self.doc["epochs"]):
+            if group not in names:
+                del self.doc["epochs"][group]
+
+    def _check_zone(self, record: ZoneRecord) -> None:
+        zones = self.configuration.zones if self.configuration else ()
+        if record.zone not in zones:
+            raise declined(f"no hall {record.zone}", ("hall", f"no hall {record.zone}"))
+        super()._check_zone(record)
+        others = [zone for zone in zones if zone != record.zone and self.zone(zone) == OPEN]
+        if record.state == EVACUATED and not others:
+            raise declined("last open hall", ("hall", "the last open hall can't be emptied"))
+
+    def _check_proxy(self, record: ProxyRecord) -> None:
+        row = self.doc["edges"].get(record.name)
+        if row is None:
+            if record.state != _UP:
+                raise Stale(f"no edge {record.name}")
+            return
+        same = record.incarnation == row["inc"]
+        if record.incarnation < row["inc"] or (same and row["state"] == _GONE):
+            raise Stale(f"edge {record.name} incarnation {row['inc']} is {row['state']}")
+        boot = row.get("boot")
+        if same and boot and record.boot and boot != record.boot:
+            raise Stale(f"edge {record.name} incarnation {row['inc']} is another process")
+        if same and row["state"] == record.state:
+            raise Duplicate(f"edge {record.name} is {record.state}")
+
+    def _apply_proxy(self, record: ProxyRecord) -> None:
+        row = self.doc["edges"].setdefault(record.name, {})
+        row.pop("lapsed", None)
+        announced = {
+            "inc": record.incarnation,
+            "state": record.state,
+            "boot": record.boot,
+            "hall": record.zone,
+            "addr": record.address,
+            "http": record.http,
+        }
+        row.update({key: value for key, value in announced.items() if value not in (None, "")})
 
-    def _apply_settle(self, r):
-        self.doc["epochs"][r["group"]]["settled"] = True
+    def _check_lease_expiry(self, record: LeaseExpiryRecord) -> None:
+        row = self.doc["edges"].get(record.name)
+        if not row or row["inc"] != record.incarnation:
+            raise Conflict("edge moved on")
+        if row["state"] != _GONE or row.get("lapsed"):
+            raise Conflict("edge moved on")
 
-    def share(self, group, edge, member):
-        """How many connections `edge` may hold to `member` now."""
-        e = self.doc["epochs"].get(group)
-        if not e:
-            return 0
-        n = e["shares"].get(edge, {}).get(member, 0)
-        return n if e["settled"] else min(n, e["before"].get(edge, {}).get(member, 0))
+    def _check_epoch(self, record: EpochRecord) -> None:
+        groups = self.configuration.groups if self.configuration else ()
+        if record.group not in {group.name for group in groups}:
+            raise Stale(f"no group {record.group}")
+        last = self._last_epoch_number(record.group)
+        if record.number != last + 1:
+            raise Conflict(f"epoch {record.number} does not follow {last}")
+
+    def _last_epoch_number(self, group: str) -> int:
+        """The number of the group's last epoch, also if the group was dropped meanwhile."""
+        epoch = self.doc["epochs"].get(group)
+        if epoch is None:
+            past = self.doc["past"].get(group)
+            epoch = past[-1] if past else {"n": 0}
+        number: int = epoch["n"]
+        return number
+
+    def _apply_epoch(self, record: EpochRecord) -> None:
+        old = self.doc["epochs"].get(record.group)
+        row = dict(record.row)
+        row["settled"] = False
+        row["before"] = _certain_shares(old)
+        self.doc["epochs"][record.group] = row
+        past = self.doc["past"].setdefault(record.group, [])
+        past.append({key: row[key] for key in _PAST_KEYS if key in row} | {"seq": self.seq + 1})
+        del past[:-_MOST_OLD]
+
+    def _check_epoch_in_force(self, record: EpochInForceRecord) -> None:
+        epoch = self.doc["epochs"].get(record.group)
+        if not epoch or epoch["n"] != record.number or epoch["settled"]:
+            raise Conflict("epoch moved on")
 
-    def belief(self):
-        """What `petrelhaven-diff` compares of this state."""
-        d, m = self.doc, self.doc["manifest"]
-        keys = ("n", "phase", "primary", "hold", "safe", "gates", "open", "settled", "shares")
+    def _belief_of_groups(self) -> Document:
+        """What differs between the kinds of sessions in what `petrelhaven-diff` compares."""
+        epochs = sorted(self.doc["epochs"].items())
+        proxies = sorted(self.doc["edges"].items())
         return {
-            "seq": self.seq,
-            "manifest": m["version"] if m else 0,
-            "digest": m["digest"] if m else "",
-            "halls": d["halls"],
-            "epochs": {g: {k: e[k] for k in keys} for g, e in sorted(d["epochs"].items())},
-            "edges": {n: [e["inc"], e["state"]] for n, e in sorted(d["edges"].items())},
+            "epochs": {g: {key: row[key] for key in _COMPARED_KEYS} for g, row in epochs},
+            "edges": {name: [row["inc"], row["state"]] for name, row in proxies},
         }
 
-    def zone(self, h):
-        """The state of a hall."""
-        return self.doc["halls"].get(h, "open")
+
+def _share(shares: Shares, proxy: str, member: str) -> int:
+    return shares.get(proxy, {}).get(member, 0)
+
+
+def _certain_shares(epoch: Document | None) -> Shares:
+    """What each proxy may certainly use of an epoch's shares while the next is not in force."""
+    if not epoch:
+        return {}
+    shares: Shares = epoch["shares"]
+    if epoch["settled"]:
+        return shares
+    return {
+        proxy: {member: min(n, _share(epoch["before"], proxy, member)) for member, n in row.items()}
+        for proxy, row in shares.items()
+    }
--- a/src/petrelhaven/control/state/control_state.py
+++ b/src/petrelhaven/control/state/control_state.py
@@ -1,215 +1,267 @@
-"""Control state where sessions live with their connection: manifest, halls, members, offices."""
+"""Control state of connection sessions: configuration, zones, members, leaderships, evidence."""
 
-import copy
-import hashlib
-import json
+from __future__ import annotations
 
-from petrelhaven.control.failover.evidence import ElectionOrder, Evidence
-from petrelhaven.runtime.errors import Conflict, Duplicate, Invalid, NoRoute, Stale, VersionTaken
+import json
+from collections.abc import Mapping
+from typing import TYPE_CHECKING, Any
+
+from petrelhaven.control.failover.evidence import NO_POSITION, ElectionOrder, Evidence
+from petrelhaven.control.state.base import BaseControlState, declined, digest_of
+from petrelhaven.control.state.evidence_records import (
+    BoundedRecord,
+    CountedOutRecord,
+    ElectionOrderRecord,
+    EvidenceRecord,
+    UnknownEvidenceRecord,
+)
+from petrelhaven.control.state.record import Document
+from petrelhaven.control.state.records import (
+    ConfigurationRecord,
+    ControlRecord,
+    DepartureRecord,
+    LeadershipRecord,
+    MemberRecord,
+    SupersededConfiguration,
+    ZoneRecord,
+    from_document,
+)
+from petrelhaven.control.state.rows import AcceptedConfiguration, Leadership, Member
+from petrelhaven.runtime.errors import Conflict, Duplicate, NoRoute, Stale, VersionTaken
+
+if TYPE_CHECKING:
+    from petrelhaven.control.embargo.record import EmbargoRecord
 
 __all__ = ["ControlState"]
 
-# The names of methods, where they differ from the kinds of records as stored.
-_SUBJECTS = {"manifest": "configuration", "hall": "zone", "office": "leadership"}
-_GONE = 64
-_KEEP = 16
-_ACCEPTED = 128
-
-
-def _digest(text):
-    return hashlib.sha256(text.encode()).hexdigest()
-
-
-class ControlState:
-    """Checks and applies numbered records. `reader` turns a manifest's text into what `manifest` answers."""
-
-    __slots__ = ("seq", "doc", "_configuration")
-    reader = staticmethod(json.loads)
-
-    def __init__(self, doc=None):
-        self.doc = {
-            "seq": 0,
-            "manifest": None,
-            "halls": {},
-            "members": {},
-            "offices": {},
-            "sizes": {},
-            "past": {},
-            "accepted": [],
-            "evidence": {},
-            **(doc or {}),
-        }
-        self.seq = self.doc["seq"]
-        self._configuration = None
-        if doc and "evidence" not in doc:
+GONE = "gone"
+SERVING = "serve"
+MOVING = "move"
+_READY = "ready"
+_MOST_GONE_MEMBERS = 64
+_MOST_PAST_LEADERSHIPS = 16
+_MOST_ACCEPTED_VERSIONS = 128
+_NAME_LENGTH = 60
+
+
+class ControlState(BaseControlState[dict[str, Any], ControlRecord]):
+    """What all nodes agree on where sessions end with their client's connection."""
+
+    __slots__ = ()
+
+    def __init__(self, document: Document | None = None) -> None:
+        """Takes over a stored document; what older versions left out is filled in."""
+        super().__init__(
+            {
+                "seq": 0,
+                "manifest": None,
+                "halls": {},
+                "members": {},
+                "offices": {},
+                "sizes": {},
+                "past": {},
+                "accepted": [],
+                "evidence": {},
+                **(document or {}),
+            }
+        )
+        if document and "evidence" not in document:
             self._evidence_of_older_version()
 
     @property
-    def configuration(self):
-        """The manifest in force, or None."""
-        if self._configuration is None and self.doc["manifest"]:
-            self._configuration = self.reader(self.doc["manifest"]["text"])
-        return self._configuration
-
-    def frame(self):
-        """A deep copy of the whole state."""
-        return copy.deepcopy(self.doc)
-
-    def check(self, r):
-        """Raises a typed fault if `r` must be declined now."""
-        getattr(self, "_check_" + _SUBJECTS.get(r["t"], r["t"]))(r)
-
-    def apply(self, seq, r):
-        """Applies a numbered record."""
-        assert seq == self.seq + 1, (seq, self.seq)
-        getattr(self, "_apply_" + _SUBJECTS.get(r["t"], r["t"]))(r)
-        self.seq = self.doc["seq"] = seq
-
-    def zone(self, h):
-        """The state of a hall."""
-        return self.doc["halls"].get(h, "open")
-
-    def group(self, g):
-        """Members of group `g` that are not gone, by name."""
+    def accepted_configuration(self) -> AcceptedConfiguration | None:
+        """The configuration in force as it was accepted, or None before the first."""
+        row = self.doc["manifest"]
+        return AcceptedConfiguration.from_row(row) if row else None
+
+    def member(self, name: str) -> Member | None:
+        """The member of that name, also if it is gone and still remembered."""
+        row = self.doc["members"].get(name)
+        return None if row is None else Member.from_row(name, row)
+
+    def leadership(self, group: str) -> Leadership | None:
+        """Who leads `group`; None until it is served."""
+        row = self.doc["offices"].get(group)
+        return None if row is None else Leadership.from_row(row)
+
+    def group(self, group: str) -> dict[str, Document]:
+        """The rows of the members of `group` that are not gone, by name and in its order."""
         return {
-            n: m
-            for n, m in sorted(self.doc["members"].items())
-            if m["group"] == g and m["state"] != "gone"
+            name: row
+            for name, row in sorted(self.doc["members"].items())
+            if row["group"] == group and row["state"] != GONE
         }
 
     def evidence(self, group: str) -> Evidence:
         """What is recorded about the logs of a group's members."""
         return Evidence.from_document(self.doc["evidence"].get(group))
 
-    def _put_evidence(self, group: str, evidence: Evidence) -> None:
-        self.doc["evidence"][group] = evidence.document()
-
-    def _evidence_of_older_version(self) -> None:
-        """A version without evidence knew only how many members a group ever had at once."""
-        for group, size in self.doc["sizes"].items():
-            missing = size - len(self.group(group))
-            if missing > 0:
-                names = tuple(f"unrecorded-{i + 1}" for i in range(missing))
-                self._put_evidence(group, Evidence(unproven=names))
-
-    def _check_configuration(self, r):
-        now = self.doc["manifest"]
-        if not now:
+    def _read_configuration(self, text: str) -> dict[str, Any]:
+        configuration: dict[str, Any] = json.loads(text)
+        return configuration
+
+    def _read_record(self, document: Document) -> ControlRecord:
+        return from_document(document)
+
+    def _check(self, record: ControlRecord) -> None:
+        match record:
+            case ConfigurationRecord():
+                self._check_configuration(record)
+            case ZoneRecord():
+                self._check_zone(record)
+            case MemberRecord():
+                self._check_member(record)
+            case DepartureRecord():
+                self._check_departure(record)
+            case LeadershipRecord():
+                self._check_leadership(record)
+            case (
+                CountedOutRecord()
+                | BoundedRecord()
+                | ElectionOrderRecord()
+                | UnknownEvidenceRecord()
+            ):
+                self._check_evidence(record)
+            case SupersededConfiguration():
+                raise declined("nothing enters a placeholder", ("t", "must be another kind"))
+            case _:
+                self._check_embargo(record)
+
+    def _apply(self, record: ControlRecord) -> None:
+        match record:
+            case ConfigurationRecord():
+                self._apply_configuration(record)
+            case ZoneRecord():
+                self._apply_zone(record)
+            case MemberRecord():
+                self._apply_member(record)
+            case DepartureRecord():
+                self._apply_departure(record)
+            case LeadershipRecord():
+                self._apply_leadership(record)
+            case (
+                CountedOutRecord()
+                | BoundedRecord()
+                | ElectionOrderRecord()
+                | UnknownEvidenceRecord()
+            ):
+                self._apply_evidence(record)
+            case SupersededConfiguration():
+                pass
+            case _:
+                self._apply_embargo(record)
+
+    def _check_configuration(self, record: ConfigurationRecord) -> None:
+        accepted = self.accepted_configuration
+        if accepted is None:
             return
         if "embargoes" in self.doc:
             from petrelhaven.control.embargo.rules import check_configuration
 
-            check_configuration(self.doc, r)
-        version, digest = r["version"], self._accepted(r["version"])
-        if digest is not None and digest == _digest(r["text"]):
-            state = "in force" if version == now["version"] else "accepted"
-            raise Duplicate(f"version {version} is {state} already", more={"version": version})
+            check_configuration(self.doc, record.to_document())
+        digest = self._accepted_digest(record.version)
+        if digest is not None and digest == digest_of(record.text):
+            state = "in force" if record.version == accepted.version else "accepted"
+            raise Duplicate(
+                f"version {record.version} is {state} already", more={"version": record.version}
+            )
         if digest is not None:
             raise VersionTaken(
-                f"version {version} is taken by another manifest",
-                more={"version": now["version"], "taken": version, "digest": digest},
+                f"version {record.version} is taken by another manifest",
+                more={"version": accepted.version, "taken": record.version, "digest": digest},
             )
-        if version < now["version"]:
-            raise Stale(f"version {now['version']} is in force", more={"version": now["version"]})
-        if r.get("retire") is False:
-            gone = {g["name"] for g in self.configuration["groups"]} - {
-                g["name"] for g in json.loads(r["text"])["groups"]
-            }
-            live = sorted(gone & set(self.doc["offices"]))
-            if live:
-                raise Invalid(
-                    "manifest declined",
-                    more={
-                        "faults": [
-                            ["groups", f"group {g} is served; retire it with retire=true"]
-                            for g in live
-                        ]
-                    },
-                )
-
-    def _accepted(self, version):
-        """The digest of the manifest that was accepted under `version`, as long as it is remembered."""
-        now = self.doc["manifest"]
-        if now["version"] == version:
-            return now["digest"]
+        if record.version < accepted.version:
+            raise Stale(
+                f"version {accepted.version} is in force", more={"version": accepted.version}
+            )
+        if record.retire is False:
+            self._check_no_served_group_is_dropped(record)
+
+    def _check_no_served_group_is_dropped(self, record: ConfigurationRecord) -> None:
+        remaining = {group["name"] for group in json.loads(record.text)["groups"]}
+        configuration = self.configuration or {"groups": []}
+        dropped = {group["name"] for group in configuration["groups"]} - remaining
+        served = sorted(dropped & set(self.doc["offices"]))
+        if served:
+            raise declined(
+                "manifest declined",
+                *(("groups", f"group {g} is served; retire it with retire=true") for g in served),
+            )
+
+    def _accepted_digest(self, version: int) -> str | None:
+        """The digest of the configuration accepted under `version`, if it is remembered."""
+        accepted = self.accepted_configuration
+        if accepted is not None and accepted.version == version:
+            return accepted.digest
         return next((d for v, d in reversed(self.doc["accepted"]) if v == version), None)
 
-    def _apply_configuration(self, r):
-        self.doc["manifest"] = {
-            "version": r["version"],
-            "text": r["text"],
-            "by": r.get("by", ""),
-            "digest": _digest(r["text"]),
-            **({"embargo": r["embargo"]} if "embargo" in r else {}),
-        }
-        self.doc["accepted"].append([r["version"], self.doc["manifest"]["digest"]])
-        del self.doc["accepted"][:-_ACCEPTED]
-        if "embargo" in r or "embargo_since" in self.doc:
+    def _apply_configuration(self, record: ConfigurationRecord) -> None:
+        accepted = AcceptedConfiguration(
+            record.version, record.text, record.by, digest_of(record.text), record.embargo
+        )
+        self.doc["manifest"] = accepted.to_row()
+        self.doc["accepted"].append([accepted.version, accepted.digest])
+        del self.doc["accepted"][:-_MOST_ACCEPTED_VERSIONS]
+        if record.embargo is not None or "embargo_since" in self.doc:
             from petrelhaven.control.embargo.rules import apply_configuration
 
-            apply_configuration(self.doc, r, self.seq + 1)
+            apply_configuration(self.doc, record.to_document(), self.seq + 1)
         self._configuration = None
 
-    def _apply_pass(self, r):
-        """A manifest was replaced before this node heard of it."""
-
-    def _check_zone(self, r):
-        if r["state"] not in ("open", "emptied"):
-            raise Invalid("hall state", more={"faults": [["state", "must be open or emptied"]]})
-        if self.zone(r["hall"]) == r["state"]:
-            raise Duplicate(f"hall {r['hall']} is {r['state']} already")
-
-    def _apply_zone(self, r):
-        self.doc["halls"][r["hall"]] = r["state"]
-
-    def _check_member(self, r):
-        m = self.doc["members"].get(r["name"])
-        if m and m["state"] != "ready" and r["state"] == "ready" and r["count"] <= m["count"]:
+    def _check_member(self, record: MemberRecord) -> None:
+        row = self.doc["members"].get(record.name)
+        if row is None:
+            return
+        not_newer = record.count <= row["count"]
+        if row["state"] != _READY and record.state == _READY and not_newer:
             raise Stale(
-                f"member {r['name']} is {m['state']}; this was said before",
-                more={"count": m["count"]},
+                f"member {record.name} is {row['state']}; this was said before",
+                more={"count": row["count"]},
             )
-        if r["state"] == "gone" and (m is None or m["state"] == "gone"):
-            raise Duplicate(f"member {r['name']} is gone")
-        now = {k: v for k, v in r.items() if k not in ("t", "count", "name")}
-        if m and {k: m[k] for k in m if k != "count"} == now:
-            raise Duplicate(f"member {r['name']} is {r['state']}")
-
-    def _apply_member(self, r):
-        ms = self.doc["members"]
-        if r["state"] == "gone":
-            self._departed(r["name"])
-            return
-        for n, m in ms.items():
-            if n != r["name"] and m["addr"] == r["addr"]:
-                self._succeeded(n, m, r["group"])
-        ms.pop(r["name"], None)
-        ms[r["name"]] = {k: v for k, v in r.items() if k not in ("t", "name")}
-        gone = [n for n, m in ms.items() if m["state"] == "gone"]
-        for n in gone[: max(0, len(gone) - _GONE)]:
-            del ms[n]
-        g = r["group"]
-        self.doc["sizes"][g] = max(self.doc["sizes"].get(g, 0), len(self.group(g)))
-
-    def _departed(self, name: str) -> None:
+        if _without_count(row) == _without_count(record.row):
+            raise Duplicate(f"member {record.name} is {record.state}")
+
+    def _apply_member(self, record: MemberRecord) -> None:
+        members = self.doc["members"]
+        for name, row in members.items():
+            if name != record.name and row["addr"] == record.address:
+                self._succeed(name, row, record.group)
+        members.pop(record.name, None)
+        members[record.name] = dict(record.row)
+        gone = [name for name, row in members.items() if row["state"] == GONE]
+        for name in gone[: max(0, len(gone) - _MOST_GONE_MEMBERS)]:
+            del members[name]
+        sizes = self.doc["sizes"]
+        group = record.group
+        sizes[group] = max(sizes.get(group, 0), len(self.group(group)))
+
+    def _check_departure(self, record: DepartureRecord) -> None:
+        row = self.doc["members"].get(record.name)
+        if row is None or row["state"] == GONE:
+            raise Duplicate(f"member {record.name} is gone")
+
+    def _apply_departure(self, record: DepartureRecord) -> None:
+        self._depart(record.name)
+
+    def _depart(self, name: str) -> None:
         """A member signed off: its copy is gone with it."""
-        member = self.doc["members"][name]
-        group = member["group"]
-        member["state"] = "gone"
-        leadership = self.doc["offices"].get(group)
-        moving = bool(leadership) and leadership["phase"] != "serve"
+        row = self.doc["members"][name]
+        row["state"] = GONE
+        group = row["group"]
+        leadership = self.leadership(group)
+        moving = leadership is not None and leadership.phase != SERVING
         evidence = self.evidence(group)
         self._put_evidence(group, evidence.with_departure(name, moving))
         if name in evidence.counted_out and not moving:
             self._shrink(group)
 
-    def _succeeded(self, name: str, member: dict, group: str) -> None:
-        """Another member came to the address of this one."""
-        was_gone = member["state"] == "gone"
-        member["state"] = "gone"
-        if member["group"] != group:
+    def _succeed(self, name: str, row: Document, group: str) -> None:
+        """A member of `group` came to the address of member `name`."""
+        was_gone = row["state"] == GONE
+        row["state"] = GONE
+        if row["group"] != group:
             if not was_gone:
-                self._departed(name)
+                self._depart(name)
             return
         before = self.evidence(group)
         after = before.with_successor(name)
@@ -221,98 +273,108 @@
         least = len(self.group(group)) + len(self.evidence(group).unproven)
         self.doc["sizes"][group] = max(least, self.doc["sizes"].get(group, 0) - 1)
 
-    def _check_evidence(self, r):
+    def _put_evidence(self, group: str, evidence: Evidence) -> None:
+        self.doc["evidence"][group] = evidence.document()
+
+    def _evidence_of_older_version(self) -> None:
+        """A version without evidence knew only how many members a group ever had at once."""
+        for group, size in self.doc["sizes"].items():
+            missing = size - len(self.group(group))
+            if missing > 0:
+                names = tuple(f"unrecorded-{i + 1}" for i in range(missing))
+                self._put_evidence(group, Evidence(unproven=names))
+
+    def _check_evidence(self, record: EvidenceRecord) -> None:
         """Evidence may be added about members that are there, and orders about groups that halt."""
-        group, leadership = r["group"], self.doc["offices"].get(r["group"])
+        group = record.group
+        leadership = self.leadership(group)
         if leadership is None:
-            raise NoRoute(f"no group {group[:60]} is served")
-        if r["what"] == "counted_out" and r["member"] not in self.group(group):
-            raise Stale(f"member {r['member']} is gone")
-        if r["what"] == "order":
-            self._check_order(r, leadership)
-
-    def _check_order(self, r, leadership):
-        group, member = r["group"], r["member"]
-        if leadership["phase"] != "move":
-            faults = [["group", f"group {group[:60]} is served by {leadership['primary']}"]]
-            raise Invalid("no election is waited for", more={"faults": faults})
-        if r["n"] != leadership["n"]:
-            raise Conflict(f"office {leadership['n']} of {group[:60]} waits, not {r['n']}")
-        if member not in self.group(group):
-            faults = [["member", f"no member {member[:60]} in group {group[:60]}"]]
-            raise Invalid("no such member", more={"faults": faults})
-        order = self.evidence(group).order
+            raise NoRoute(f"no group {group[:_NAME_LENGTH]} is served")
+        if isinstance(record, CountedOutRecord) and record.member not in self.group(group):
+            raise Stale(f"member {record.member} is gone")
+        if isinstance(record, ElectionOrderRecord):
+            self._check_order(record, leadership)
+
+    def _check_order(self, record: ElectionOrderRecord, leadership: Leadership) -> None:
+        group, member = record.group[:_NAME_LENGTH], record.member
+        if leadership.phase != MOVING:
+            served = f"group {group} is served by {leadership.primary}"
+            raise declined("no election is waited for", ("group", served))
+        if record.number != leadership.number:
+            raise Conflict(f"office {leadership.number} of {group} waits, not {record.number}")
+        if member not in self.group(record.group):
+            missing = f"no member {member[:_NAME_LENGTH]} in group {group}"
+            raise declined("no such member", ("member", missing))
+        order = self.evidence(record.group).order
         if order is not None and order.member == member:
             raise Duplicate(f"{order.by} ordered {member} already")
 
-    def _apply_evidence(self, r):
-        group = r["group"]
+    def _apply_evidence(self, record: EvidenceRecord) -> None:
+        group = record.group
         evidence = self.evidence(group)
-        if r["what"] == "counted_out":
-            position = tuple(r["pos"]) if r["pos"] else None
-            evidence = evidence.with_counted_out(r["member"], position)
-        elif r["what"] == "bounded":
-            resolved = len(set(r["members"]) & set(evidence.unproven))
-            evidence = evidence.with_bound(r["members"], tuple(r["pos"]))
-            self._put_evidence(group, evidence)
-            for _ in range(resolved):
-                self._shrink(group)
-            return
-        elif r["what"] == "order":
-            evidence = evidence.with_order(ElectionOrder(r["member"], r["by"]))
+        match record:
+            case CountedOutRecord():
+                evidence = evidence.with_counted_out(record.member, record.position)
+            case BoundedRecord():
+                self._apply_bound(record, evidence)
+                return
+            case ElectionOrderRecord():
+                evidence = evidence.with_order(ElectionOrder(record.member, record.by))
         self._put_evidence(group, evidence)
 
-    def _check_leadership(self, r):
-        o = self.doc["offices"].get(r["group"])
-        if r["n"] != (o["n"] if o else 0) + 1:
-            raise Conflict(f"office {r['n']} does not follow {o['n'] if o else 0}")
-
-    def _apply_leadership(self, r):
-        before = self.doc["offices"].get(r["group"])
-        o = self.doc["offices"][r["group"]] = {
-            k: v for k, v in r.items() if k not in ("t", "group")
-        }
-        o["since"] = self._leadership_since(before, o)
-        if o["phase"] == "serve" and before is not None:
-            changed = before["primary"] != o["primary"]
-            position = tuple(o.get("pos") or (0, 0))
-            evidence = self.evidence(r["group"])
-            self._put_evidence(
-                r["group"],
-                evidence.with_primary(changed, position, bool(o.get("accepted_loss"))),
+    def _apply_bound(self, record: BoundedRecord, evidence: Evidence) -> None:
+        resolved = len(set(record.members) & set(evidence.unproven))
+        self._put_evidence(record.group, evidence.with_bound(record.members, record.position))
+        for _ in range(resolved):
+            self._shrink(record.group)
+
+    def _check_leadership(self, record: LeadershipRecord) -> None:
+        before = self.leadership(record.group)
+        number = before.number if before else 0
+        if record.number != number + 1:
+            raise Conflict(f"office {record.number} does not follow {number}")
+
+    def _apply_leadership(self, record: LeadershipRecord) -> None:
+        before = self.leadership(record.group)
+        row = {**record.row, "since": _leadership_since(before, record)}
+        self.doc["offices"][record.group] = row
+        if record.phase == SERVING and before is not None:
+            evidence = self.evidence(record.group).with_primary(
+                before.primary != record.primary,
+                record.position or NO_POSITION,
+                bool(record.accepted_loss),
             )
-        past = self.doc["past"].setdefault(r["group"], [])
-        past.append({**o, "seq": self.seq + 1})
-        del past[:-_KEEP]
-
-    @staticmethod
-    def _leadership_since(before, now):
-        """The number of the first record from which primary and phase are what they are."""
-        if before and all(before[part] == now[part] for part in ("primary", "phase")):
-            return before.get("since", before["n"])
-        return now["n"]
-
-    def _check_embargo(self, r):
+            self._put_evidence(record.group, evidence)
+        past = self.doc["past"].setdefault(record.group, [])
+        past.append({**row, "seq": self.seq + 1})
+        del past[:-_MOST_PAST_LEADERSHIPS]
+
+    def _check_embargo(self, record: EmbargoRecord) -> None:
         from petrelhaven.control.embargo.rules import check
 
-        check(self.doc, r)
+        check(self.doc, record.to_document())
 
-    def _apply_embargo(self, r):
+    def _apply_embargo(self, record: EmbargoRecord) -> None:
         from petrelhaven.control.embargo.rules import apply
 
-        apply(self.doc, r, self.seq + 1)
+        apply(self.doc, record.to_document(), self.seq + 1)
 
-    def belief(self):
-        """What `petrelhaven-diff` compares of this state."""
-        d, m = self.doc, self.doc["manifest"]
+    def _belief_of_groups(self) -> Document:
+        """What differs between the kinds of sessions in what `petrelhaven-diff` compares."""
+        members = sorted(self.doc["members"].items())
         return {
-            "seq": self.seq,
-            "manifest": m["version"] if m else 0,
-            "digest": m["digest"] if m else "",
-            "halls": d["halls"],
-            "epochs": d["offices"],
-            "members": {
-                n: [x["group"], x["state"], x["role"]] for n, x in sorted(d["members"].items())
-            },
+            "epochs": self.doc["offices"],
+            "members": {name: [row["group"], row["state"], row["role"]] for name, row in members},
             "edges": {},
         }
+
+
+def _without_count(row: Mapping[str, Any]) -> Document:
+    return {key: value for key, value in row.items() if key != "count"}
+
+
+def _leadership_since(before: Leadership | None, record: LeadershipRecord) -> int:
+    """The number of the first record from which primary and phase are what they are."""
+    if before is None or (before.primary, before.phase) != (record.primary, record.phase):
+        return record.number
+    return before.since
--- /dev/null
+++ b/src/petrelhaven/control/state/records.py
@@ -0,0 +1,306 @@
+"""The numbered records that change the control state, as typed values and as JSON documents.
+
+The chain, the record log and the links carry records as JSON documents and don't look into them.
+What enters a record builds it here and passes `to_document()` on; what applies one reads it with
+`from_document`. The keys of the documents are part of the stored data and stay as they are (`t`
+is the kind of a record); an optional field that is None is left out.
+
+Records that only the control state of resumable sessions has are in `control/resumable/records`.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass, field
+from typing import TYPE_CHECKING, Any, ClassVar, Union
+
+from petrelhaven.control.state.evidence_records import EvidenceRecord, evidence_from_document
+from petrelhaven.control.state.record import (
+    KIND,
+    Document,
+    Position,
+    kind_of,
+    position_of,
+    present,
+    row_of,
+)
+
+if TYPE_CHECKING:
+    from petrelhaven.control.embargo.record import EmbargoRecord
+
+__all__ = [
+    "ConfigurationRecord",
+    "ControlRecord",
+    "DepartureRecord",
+    "LeadershipRecord",
+    "MemberRecord",
+    "SupersededConfiguration",
+    "ZoneRecord",
+    "from_document",
+]
+
+_GONE = "gone"
+
+
+@dataclass(frozen=True, slots=True)
+class ConfigurationRecord:
+    """A whole configuration.
+
+    Attributes:
+        text: The operator's document as it came.
+        version: Its version; 0 where the text is read for it (resumable sessions).
+        by: Who applied it.
+        retire: Whether groups that are served may be dropped; None if that wasn't said.
+        embargo: Scope and rules of its embargoes; None without any.
+    """
+
+    kind: ClassVar[str] = "manifest"
+    text: str
+    version: int = 0
+    by: str = ""
+    retire: bool | None = None
+    embargo: Mapping[str, Any] | None = None
+
+    @classmethod
+    def from_document(cls, document: Document) -> ConfigurationRecord:
+        """Reads what `to_document` made."""
+        return cls(
+            text=document["text"],
+            version=document.get("version", 0),
+            by=document.get("by", ""),
+            retire=document.get("retire"),
+            embargo=document.get("embargo"),
+        )
+
+    def to_document(self) -> Document:
+        """The record as plain JSON values."""
+        version = {"version": self.version} if self.version else {}
+        optional = {"retire": self.retire, "embargo": self.embargo}
+        return {
+            KIND: self.kind,
+            "text": self.text,
+            **version,
+            "by": self.by,
+            **present(optional),
+        }
+
+
+@dataclass(frozen=True, slots=True)
+class SupersededConfiguration:
+    """Stands for a configuration that a later record replaces; it changes nothing."""
+
+    kind: ClassVar[str] = "pass"
+
+    @classmethod
+    def from_document(cls, document: Document) -> SupersededConfiguration:
+        """Reads what `to_document` made."""
+        return cls()
+
+    def to_document(self) -> Document:
+        """The record as plain JSON values."""
+        return {KIND: self.kind}
+
+
+@dataclass(frozen=True, slots=True)
+class ZoneRecord:
+    """A zone is evacuated (`emptied`) or restored (`open`)."""
+
+    kind: ClassVar[str] = "hall"
+    zone: str
+    state: str
+    by: str = ""
+
+    @classmethod
+    def from_document(cls, document: Document) -> ZoneRecord:
+        """Reads what `to_document` made."""
+        return cls(document["hall"], document["state"], document.get("by", ""))
+
+    def to_document(self) -> Document:
+        """The record as plain JSON values."""
+        return {KIND: self.kind, "hall": self.zone, "state": self.state, "by": self.by}
+
+
+@dataclass(frozen=True, slots=True)
+class MemberRecord:
+    """A member that came, or announced another state or role.
+
+    Attributes:
+        name: Its name, unique among all groups.
+        address: Host and port.
+        role: primary or replica, as it sees itself.
+        state: ready or draining.
+        slots: How many requests it takes at once.
+        count: Rises with each announcement of a member.
+        row: What is stored of the record; set by `from_document` only.
+    """
+
+    kind: ClassVar[str] = "member"
+    name: str
+    group: str
+    zone: str
+    address: str
+    role: str
+    state: str
+    slots: int
+    count: int
+    row: Mapping[str, Any] = field(default_factory=dict, compare=False, repr=False)
+
+    @classmethod
+    def from_document(cls, document: Document) -> MemberRecord:
+        """Reads what `to_document` made."""
+        return cls(
+            name=document["name"],
+            group=document["group"],
+            zone=document["hall"],
+            address=document["addr"],
+            role=document["role"],
+            state=document["state"],
+            slots=document["slots"],
+            count=document["count"],
+            row=row_of(document, "name"),
+        )
+
+    def to_document(self) -> Document:
+        """The record as plain JSON values."""
+        return {
+            KIND: self.kind,
+            "name": self.name,
+            "group": self.group,
+            "hall": self.zone,
+            "addr": self.address,
+            "role": self.role,
+            "state": self.state,
+            "slots": self.slots,
+            "count": self.count,
+        }
+
+
+@dataclass(frozen=True, slots=True)
+class DepartureRecord:
+    """A member is gone: it signed off, or was signed off after its end."""
+
+    kind: ClassVar[str] = "member"
+    name: str
+    address: str
+
+    @classmethod
+    def from_document(cls, document: Document) -> DepartureRecord:
+        """Reads what `to_document` made."""
+        return cls(document["name"], document["addr"])
+
+    def to_document(self) -> Document:
+        """The record as plain JSON values."""
+        return {KIND: self.kind, "name": self.name, "state": _GONE, "addr": self.address}
+
+
+@dataclass(frozen=True, slots=True)
+class LeadershipRecord:
+    """Who is primary of a group from now on, or that a change of the primary has begun.
+
+    Attributes:
+        number: One above that of the group's record before; the fencing token of what follows.
+        phase: serve, move (no primary is known to serve) or swap (planned, it still serves).
+        term: The term under which the primary was promoted.
+        cause: Why, for operators.
+        by: The control node that entered it.
+        stuck: Control sees no way to a primary now.
+        position: Where the new primary's log stood at its promotion.
+        accepted_loss: The operator who accepted a possible loss of commits; "" if none did.
+        requested: Candidates whose promotion was requested and isn't known to have failed.
+        row: What is stored of the record; set by `from_document` only.
+    """
+
+    kind: ClassVar[str] = "office"
+    group: str
+    number: int
+    phase: str
+    primary: str
+    term: int = 0
+    cause: str = ""
+    by: str = ""
+    stuck: bool = False
+    position: Position | None = None
+    accepted_loss: str = ""
+    requested: tuple[str, ...] = ()
+    row: Mapping[str, Any] = field(default_factory=dict, compare=False, repr=False)
+
+    @classmethod
+    def from_document(cls, document: Document) -> LeadershipRecord:
+        """Reads what `to_document` made."""
+        return cls(
+            group=document["group"],
+            number=document["n"],
+            phase=document["phase"],
+            primary=document["primary"],
+            term=document.get("term", 0),
+            cause=document.get("cause", ""),
+            by=document.get("by", ""),
+            stuck=document.get("stuck", False),
+            position=position_of(document.get("pos")),
+            accepted_loss=document.get("accepted_loss", ""),
+            requested=tuple(document.get("requested", ())),
+            row=row_of(document, "group"),
+        )
+
+    def to_document(self) -> Document:
+        """The record as plain JSON values."""
+        optional = {
+            "pos": list(self.position) if self.position else None,
+            "accepted_loss": self.accepted_loss or None,
+            "requested": list(self.requested) or None,
+        }
+        return {
+            KIND: self.kind,
+            "group": self.group,
+            "n": self.number,
+            "phase": self.phase,
+            "primary": self.primary,
+            "term": self.term,
+            "cause": self.cause,
+            "by": self.by,
+            "stuck": self.stuck,
+            **present(optional),
+        }
+
+
+def _member_from_document(document: Document) -> MemberRecord | DepartureRecord:
+    if document["state"] == _GONE:
+        return DepartureRecord.from_document(document)
+    return MemberRecord.from_document(document)
+
+
+def _embargo_from_document(document: Document) -> EmbargoRecord:
+    """Loads what belongs to embargoes only once there is one."""
+    from petrelhaven.control.embargo.record import EmbargoRecord
+
+    return EmbargoRecord.from_document(document)
+
+
+ControlRecord = Union[  # noqa: UP007 (the name of a type that isn't loaded here)
+    ConfigurationRecord,
+    SupersededConfiguration,
+    ZoneRecord,
+    MemberRecord,
+    DepartureRecord,
+    LeadershipRecord,
+    EvidenceRecord,
+    "EmbargoRecord",
+]
+_READERS: Mapping[str, Callable[[Document], ControlRecord]] = {
+    ConfigurationRecord.kind: ConfigurationRecord.from_document,
+    SupersededConfiguration.kind: SupersededConfiguration.from_document,
+    ZoneRecord.kind: ZoneRecord.from_document,
+    MemberRecord.kind: _member_from_document,
+    LeadershipRecord.kind: LeadershipRecord.from_document,
+    "evidence": evidence_from_document,
+    "embargo": _embargo_from_document,
+}
+
+
+def from_document(document: Document) -> ControlRecord:
+    """The record of a JSON document.
+
+    Raises:
+        KeyError: The kind of the record is not known, or one of its fields is missing.
+    """
+    return _READERS[kind_of(document)](document)
--- /dev/null
+++ b/src/petrelhaven/control/state/rows.py
@@ -0,0 +1,131 @@
+"""Rows of the control state as typed values, read from its document."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from dataclasses import dataclass
+from typing import Any
+
+from petrelhaven.control.state.record import Position, position_of
+
+__all__ = ["AcceptedConfiguration", "Leadership", "Member"]
+
+
+@dataclass(frozen=True, slots=True)
+class Member:
+    """A member as it announced itself last.
+
+    Attributes:
+        address: Host and port.
+        role: primary or replica, as it sees itself.
+        state: ready, draining or gone.
+        slots: How many requests it takes at once.
+        count: Rises with each announcement of a member.
+    """
+
+    name: str
+    group: str
+    zone: str
+    address: str
+    role: str
+    state: str
+    slots: int
+    count: int
+
+    @classmethod
+    def from_row(cls, name: str, row: Mapping[str, Any]) -> Member:
+        """Reads a row of `members`."""
+        return cls(
+            name=name,
+            group=row["group"],
+            zone=row["hall"],
+            address=row["addr"],
+            role=row["role"],
+            state=row["state"],
+            slots=row["slots"],
+            count=row["count"],
+        )
+
+
+@dataclass(frozen=True, slots=True)
+class Leadership:
+    """Who is primary of a group, or that a change of the primary has begun.
+
+    Attributes:
+        number: The number of the group's last leadership record.
+        phase: serve, move (no primary is known to serve) or swap (planned, it still serves).
+        term: The term under which the primary was promoted.
+        cause: Why, for operators.
+        by: The control node that entered it.
+        stuck: Control sees no way to a primary now.
+        since: The number of the first record from which primary and phase are what they are.
+        position: Where the primary's log stood at its promotion; None if that isn't recorded.
+        requested: Candidates whose promotion was requested and isn't known to have failed.
+    """
+
+    number: int
+    phase: str
+    primary: str
+    term: int
+    cause: str
+    by: str
+    stuck: bool
+    since: int
+    position: Position | None = None
+    requested: tuple[str, ...] = ()
+
+    @classmethod
+    def from_row(cls, row: Mapping[str, Any]) -> Leadership:
+        """Reads a row of `offices`."""
+        return cls(
+            number=row["n"],
+            phase=row["phase"],
+            primary=row["primary"],
+            term=row.get("term", 0),
+            cause=row.get("cause", ""),
+            by=row.get("by", ""),
+            stuck=bool(row.get("stuck")),
+            since=row.get("since", row["n"]),
+            position=position_of(row.get("pos")),
+            requested=tuple(row.get("requested", ())),
+        )
+
+
+@dataclass(frozen=True, slots=True)
+class AcceptedConfiguration:
+    """The configuration in force as it was accepted.
+
+    Attributes:
+        text: The operator's document as it came.
+        by: Who applied it.
+        digest: SHA-256 of the text, in hexadecimal digits.
+        embargo: Scope and rules of its embargoes; None without any.
+    """
+
+    version: int
+    text: str
+    by: str
+    digest: str
+    embargo: Mapping[str, Any] | None = None
+
+    @classmethod
+    def from_row(cls, row: Mapping[str, Any]) -> AcceptedConfiguration:
+        """Reads the document's `manifest`."""
+        return cls(
+            version=row["version"],
+            text=row["text"],
+            by=row.get("by", ""),
+            digest=row["digest"],
+            embargo=row.get("embargo"),
+        )
+
+    def to_row(self) -> dict[str, Any]:
+        """The value of `manifest` in the document."""
+        embargo = {} if self.embargo is None else {"embargo": self.embargo}
+        return {
+            "version": self.version,
+            "text": self.text,
+            "by": self.by,
+            "digest": self.digest,
+            **embargo,
+        }
--- a/src/petrelhaven/control/storage/core_store.py
+++ b/src/petrelhaven/control/storage/core_store.py
@@ -137,7 +137,7 @@
     def wipe(self) -> None:
         """Forgets everything; the core goes on as an empty one with another disk identity."""
         disk = "%016x" % self._rng.getrandbits(64)
-        empty = StateFrame(disk, self.name, no_vote(), 0, self._state().frame(), 0)
+        empty = StateFrame(disk, self.name, no_vote(), 0, self._state().snapshot(), 0)
         self._guarded(lambda: self._log.begin(to_document(empty)))
         self.disk, self.vote, self.done = disk, no_vote(), 0
         self._forget_state(self._state(), 0)
@@ -154,7 +154,7 @@
 
     def _frame(self) -> StateFrame:
         return StateFrame(
-            self.disk, self.name, self.vote, self.done, self.control_state.frame(), self.mark
+            self.disk, self.name, self.vote, self.done, self.control_state.snapshot(), self.mark
         )
 
     def _frame_document(self) -> dict:
--- a/src/petrelhaven/proxy/core_connection.py
+++ b/src/petrelhaven/proxy/core_connection.py
@@ -159,7 +159,7 @@
         self.tasks.spawn(self._pulse([[group, member, how]]))
 
     async def _frame(self, ch, b):
-        return {"frame": self.control_state.frame() if self.joined else None}
+        return {"frame": self.control_state.snapshot() if self.joined else None}
 
     async def _push(self, ch, b):
         if ch is not self._ch and self._ch is not None:
--- a/src/petrelhaven/proxy/resumable/control_client.py
+++ b/src/petrelhaven/proxy/resumable/control_client.py
@@ -84,7 +84,7 @@
         return min(self._calm, default=self.control_state.seq + 1) - 1
 
     async def _frame(self, ch, b):
-        return {"frame": self.control_state.frame() if self.joined else None}
+        return {"frame": self.control_state.snapshot() if self.joined else None}
 
     def hold_ack(self, seq, fut):
         """Keeps change `seq` unacknowledged until `fut` is done."""
--- a/tests/model/observer.py
+++ b/tests/model/observer.py
@@ -172,7 +172,7 @@
                 self._same(self._records, seq, _text(record), "one record a number", node.name)
                 self._check_version(seq, record)
         if chain.commit == chain.control_state.seq:
-            state = _text(chain.control_state.frame())
+            state = _text(chain.control_state.snapshot())
             self._same(self._states, chain.commit, state, "one state a number", node.name)
         self._checked[node.name] = max(self._checked[node.name], chain.commit)
         self.committed = max(self.committed, chain.commit)
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -323,7 +323,7 @@
 
 def reform_asks_nobody(mp):
     async def newest(self):
-        return self._c.chain.control_state.frame(), self._c.name
+        return self._c.chain.control_state.snapshot(), self._c.name
 
     mp.setattr(reform.Reform, "_newest", newest)
 
--- a/tests/test_control_state.py
+++ b/tests/test_control_state.py
@@ -162,7 +162,7 @@
     a = ControlState()
     for r in taken[:cut]:
         a.apply(a.seq + 1, r)
-    b = ControlState(json.loads(json.dumps(a.frame())))
+    b = ControlState(json.loads(json.dumps(a.snapshot())))
     at = state(a)
     for r in taken[cut:]:
         b.apply(b.seq + 1, r)
@@ -227,7 +227,7 @@
     led = ControlState()
     for version in (3, 5, 9):
         assert enter(led, configuration(version, f'{{"x": {version}}}'))
-    led = ControlState(json.loads(json.dumps(led.frame())))
+    led = ControlState(json.loads(json.dumps(led.snapshot())))
     for r, fault in (
         (configuration(5, '{"x": 5}'), Duplicate),
         (configuration(3, '{"x": 3}'), Duplicate),
@@ -311,7 +311,7 @@
 def test_a_frame_is_a_copy():
     led = ControlState()
     enter(led, member("m1"))
-    f = led.frame()
+    f = led.snapshot()
     f["members"]["m1"]["state"] = "gone"
     f["halls"]["a"] = "emptied"
     assert set(led.group("g")) == {"m1"} and led.zone("a") == "open"
--- a/tests/test_crash_points.py
+++ b/tests/test_crash_points.py
@@ -31,7 +31,7 @@
         self.doc = doc or {"seq": 0, "sum": 0}
         self.seq = self.doc["seq"]
 
-    def frame(self):
+    def snapshot(self):
         return copy.deepcopy(self.doc)
 
     def apply(self, seq, record):
--- a/tests/test_embargoes.py
+++ b/tests/test_embargoes.py
@@ -296,7 +296,7 @@
 def test_a_frame_and_the_records_after_it_leave_the_same_rules():
     c = Chain(embargoing=["g1"])
     c.add("a")
-    other = ControlState(json.loads(json.dumps(c.led.frame())))
+    other = ControlState(json.loads(json.dumps(c.led.snapshot())))
     for r in (
         placed({"do": "move", "name": "a", "until": "2026-03-01T10:00:00Z"}),
         placed({"do": "add", **rule("b")}),
--- a/tests/test_entered_record.py
+++ b/tests/test_entered_record.py
@@ -56,7 +56,7 @@
             "prev": 1,
             "mark": 2,
             "recs": [],
-            "frame": control_state.frame(),
+            "frame": control_state.snapshot(),
             "done": True,
         }
         await chain.append(None, body)
--- a/tests/test_failover_evidence.py
+++ b/tests/test_failover_evidence.py
@@ -336,4 +336,4 @@
     record = {"t": "evidence", "group": "g", "what": "bounded", "pos": [1, 9]}
     newer.apply(newer.seq + 1, {**record, "members": ["unrecorded-1"]})
     assert newer.evidence("g") == Evidence(floor=(1, 9)) and newer.doc["sizes"]["g"] == 2
-    assert ControlState(json.loads(json.dumps(newer.frame()))).evidence("g") == newer.evidence("g")
+    assert ControlState(json.loads(json.dumps(newer.snapshot()))).evidence("g") == newer.evidence("g")
--- a/tests/test_proxy_interface.py
+++ b/tests/test_proxy_interface.py
@@ -101,7 +101,7 @@
             for r in records:
                 led.check(r)
                 led.apply(led.seq + 1, r)
-            await core_connection._push(None, {"frame": led.frame(), "recs": [], "commit": led.seq})
+            await core_connection._push(None, {"frame": led.snapshot(), "recs": [], "commit": led.seq})
         try:
             return await fn(proxy, http_server)
         finally:
--- a/tests/test_record_log.py
+++ b/tests/test_record_log.py
@@ -169,7 +169,7 @@
         "name": "c1",
         "vote": {"num": 3, "who": "c1", "anum": 0, "awho": "", "value": None},
         "done": 0,
-        "realm": core_store._default_state().frame(),
+        "realm": core_store._default_state().snapshot(),
         "mark": 0,
     }
     vote = {**frame["vote"], "num": 4, "ids": None}
