--- a/tests/test_boot_watch.py
+++ b/tests/test_boot_watch.py
@@ -75,7 +75,7 @@
         self.path = path
         self.put(EDGE)
         self.log, self.taken, self.boot = Log(), [], load(str(path))
-        live = {"seeds": "seeds", "cloud": "platform"}
+        live = {"seeds": "seeds", "platform_address": "platform"}
         self.reload = Reload(LoopClock(), self.boot, "edge", live, self.taken.append, self.log)
 
     def put(self, text):
@@ -117,17 +117,19 @@
 def test_seeds_and_the_platforms_address_are_taken_without_a_signal(tmp_path):
     async def go(w):
         assert await w.at(EDGE) == (0, [], []) and w.told() == []
-        assert await w.at(OTHER) == (1, [], []) and w.taken[0].seeds == [
+        assert await w.at(OTHER) == (1, [], []) and w.taken[0].seeds == (
             "10.1.0.45:7580",
             "10.3.0.41:7580",
-        ]
+        )
         assert w.log.lines[0].endswith("fields=seeds") and w.told() == ["E107"]
         assert await w.at(OTHER.replace("10.200.0.62", "10.200.0.63")) == (2, [], [])
-        assert w.taken[1].cloud == "10.200.0.63:8186" and w.log.lines[0].endswith("fields=platform")
+        assert w.taken[1].platform_address == "10.200.0.63:8186" and w.log.lines[0].endswith(
+            "fields=platform"
+        )
         w.told()
         assert await w.at(OTHER.replace("10.200.0.62", "10.200.0.63") + "# words\n") == (2, [], [])
         assert w.log.lines[0].endswith("fields=none")
-        w.reload.again()
+        w.reload.reload()
         assert w.told() == ["E107", "E107"] and len(w.taken) == 2
 
     watched(tmp_path / "b.toml", go)
@@ -154,7 +156,7 @@
         n, declined, _ = await w.at(bad)
         assert n == 0 and declined and w.told() == ["E106"]
         assert (await w.at(bad))[1] == declined and w.told() == []
-        w.reload.again()
+        w.reload.reload()
         assert w.told() == ["E106"] and w.taken == []
         assert w.reload.status() == {"file": str(w.path), "waiting": [], "declined": declined}
         assert await w.at(EDGE) == (0, [], []) and w.told() == ["E107"]
@@ -219,7 +221,7 @@
             assert got == n or whole
         assert await w.at(EDGE + "\n") == (len(w.taken), [], [])
         assert w.taken == [] or w.taken[-1].seeds == w.boot.seeds
-        assert {x.cloud for x in w.taken} <= {w.boot.cloud}
+        assert {x.platform_address for x in w.taken} <= {w.boot.platform_address}
 
     watched(tmp_path / "b.toml", go)
 
--- a/tests/test_platform_boot.py
+++ b/tests/test_platform_boot.py
@@ -91,15 +91,22 @@
 
 def test_an_edges_file(loaded):
     s = loaded(EDGE)
-    assert (s.name, s.zone, s.ip, s.link) == (
+    assert (s.name, s.zone, s.ip, s.link_address) == (
         "edge-sthlm-hall-a-1",
         "sthlm-hall-a",
         "10.1.0.42",
         "10.1.0.42:7580",
     )
-    assert (s.front, s.ready, s.control, s.data) == ("10.1.0.42:8182", "10.1.0.42:8181", None, None)
-    assert s.seeds == ["10.1.0.45:7580", "10.2.0.41:7580"] and s.cloud == "10.200.0.62:8186"
-    assert (s.DrainMs, s.GraceS, s.EvacuateMs, s.heartbeat_us) == (
+    assert (s.client_address, s.ready_address, s.control_address, s.data_folder) == (
+        "10.1.0.42:8182",
+        "10.1.0.42:8181",
+        None,
+        None,
+    )
+    assert (
+        s.seeds == ("10.1.0.45:7580", "10.2.0.41:7580") and s.platform_address == "10.200.0.62:8186"
+    )
+    assert (s.drain_us, s.grace_us, s.evacuate_us, s.heartbeat_us) == (
         7_000_000,
         6_000_000,
         5_000_000,
@@ -112,9 +119,14 @@
 
 def test_a_cores_file(loaded):
     s = loaded(CORE)
-    assert (s.control, s.data, s.front, s.ready) == ("10.1.0.42:8180", "/data", None, None)
-    assert loaded(changed(CORE, "SeedNodes", "[]")).seeds == ["10.1.0.42:7580"]
-    assert loaded(changed(changed(CORE, "SeedNodes", "[]"), "Bootstrap", "false")).seeds == []
+    assert (s.control_address, s.data_folder, s.client_address, s.ready_address) == (
+        "10.1.0.42:8180",
+        "/data",
+        None,
+        None,
+    )
+    assert loaded(changed(CORE, "SeedNodes", "[]")).seeds == ("10.1.0.42:7580",)
+    assert loaded(changed(changed(CORE, "SeedNodes", "[]"), "Bootstrap", "false")).seeds == ()
 
 
 @pytest.mark.parametrize(
@@ -146,7 +158,7 @@
 
 def test_fractions_of_bounds_are_kept(loaded):
     s = loaded(changed(changed(EDGE, "GraceS", "6.5"), "BeatIntervalMs", "0.5"))
-    assert (s.GraceS, s.heartbeat_us) == (6_500_000, 500)
+    assert (s.grace_us, s.heartbeat_us) == (6_500_000, 500)
 
 
 @pytest.mark.parametrize(
@@ -288,7 +300,7 @@
         except ExceptionGroup as g:
             assert all(type(e) is BootFault and ": " in str(e) for e in g.exceptions)
         else:
-            assert s.front and s.ready or s.control and s.data
+            assert s.client_address and s.ready_address or s.control_address and s.data_folder
 
 
 @pytest.fixture
