--- a/src/petrelhaven/emulator/main.py
+++ b/src/petrelhaven/emulator/main.py
@@ -10,9 +10,10 @@
 from petrelhaven.emulator.balancer import LoadBalancer
 from petrelhaven.emulator.member import Member
 from petrelhaven.emulator.platform import PlatformLogic
-from petrelhaven.runtime.clock import BackgroundTasks, Clock
+from petrelhaven.runtime.clock import Clock
 from petrelhaven.runtime.daemon import say
 from petrelhaven.runtime.errors import Fenced, Unreachable
+from petrelhaven.runtime.tasks import BackgroundTasks
 from petrelhaven.transport.http import fetch
 from petrelhaven.transport.http_server import HttpServer, body_of
 
--- a/src/petrelhaven/emulator/member.py
+++ b/src/petrelhaven/emulator/member.py
@@ -9,10 +9,11 @@
 from aiohttp import web
 
 from petrelhaven.emulator.store import Declined, Store, Unanswered
-from petrelhaven.runtime.clock import BackgroundTasks, Clock
+from petrelhaven.runtime.clock import Clock
 from petrelhaven.runtime.daemon import say
 from petrelhaven.runtime.errors import Fault
 from petrelhaven.runtime.events import emit, logger
+from petrelhaven.runtime.tasks import BackgroundTasks
 from petrelhaven.transport.http_server import HttpServer, body_of
 
 __all__ = ["Member"]
--- a/src/petrelhaven/membership/prober.py
+++ b/src/petrelhaven/membership/prober.py
@@ -14,7 +14,8 @@
 if TYPE_CHECKING:
     from petrelhaven.membership.peer import Peer
     from petrelhaven.membership.roster import Roster
-    from petrelhaven.runtime.clock import BackgroundTasks, Clock
+    from petrelhaven.runtime.clock import Clock
+    from petrelhaven.runtime.tasks import BackgroundTasks
     from petrelhaven.transport.link import Channel, Link
 
 __all__ = ["Prober"]
--- a/src/petrelhaven/proxy/node.py
+++ b/src/petrelhaven/proxy/node.py
@@ -22,9 +22,10 @@
 from petrelhaven.proxy.session.client_session import ClientSession
 from petrelhaven.proxy.session.immediate_reply import reply_at_once
 from petrelhaven.proxy.session.statement import Ask, Reply
-from petrelhaven.runtime.clock import BackgroundTasks, Clock
+from petrelhaven.runtime.clock import Clock
 from petrelhaven.runtime.errors import Busy, DeadlineExceeded, NoRoute
 from petrelhaven.runtime.events import emit
+from petrelhaven.runtime.tasks import BackgroundTasks
 
 if TYPE_CHECKING:
     import logbook
--- a/src/petrelhaven/proxy/reads/log_progress.py
+++ b/src/petrelhaven/proxy/reads/log_progress.py
@@ -10,7 +10,8 @@
 
 if TYPE_CHECKING:
     from petrelhaven.proxy.reads.position import LogPosition
-    from petrelhaven.runtime.clock import BackgroundTasks, Clock
+    from petrelhaven.runtime.clock import Clock
+    from petrelhaven.runtime.tasks import BackgroundTasks
 
 __all__ = ["LogProgress"]
 
--- a/src/petrelhaven/runtime/clock.py
+++ b/src/petrelhaven/runtime/clock.py
@@ -1,20 +1,15 @@
-"""Time and tasks: whole microseconds of monotonic time, timers, limits, the tasks of a node."""
+"""Monotonic time in whole microseconds: the present, timers, and limits on how long to wait."""
 
 from __future__ import annotations
 
 import asyncio
-import os
 import time
-from collections.abc import Awaitable, Callable, Coroutine
-from typing import TYPE_CHECKING, Any, TypeVar
+from collections.abc import Awaitable, Callable
+from typing import TypeVar
 
-from petrelhaven.runtime.errors import DeadlineExceeded, Fault
-from petrelhaven.runtime.events import emit
+from petrelhaven.runtime.errors import DeadlineExceeded
 
-if TYPE_CHECKING:
-    import logbook
-
-__all__ = ["Clock", "BackgroundTasks"]
+__all__ = ["Clock"]
 
 _Result = TypeVar("_Result")
 
@@ -47,10 +42,15 @@
             timer.cancel()
 
     async def limit(self, awaited: Awaitable[_Result], us: int, keep: bool = False) -> _Result:
-        """The outcome of `awaited` within `us`; with `keep`, it goes on after that.
+        """Returns the outcome of `awaited`, which has `us` microseconds.
+
+        Args:
+            awaited: what to wait for.
+            us: how long to wait, in microseconds.
+            keep: whether `awaited` goes on after that; otherwise it is cancelled.
 
         Raises:
-            Late: it was not there in time.
+            DeadlineExceeded: the outcome was not there in time.
         """
         outcome = asyncio.ensure_future(awaited)
         over = asyncio.get_running_loop().create_future()
@@ -66,57 +66,3 @@
                 outcome.cancelled() or outcome.exception()
             elif not keep:
                 outcome.cancel()
-
-
-class BackgroundTasks:
-    """The tasks of one node; closing it ends them all."""
-
-    __slots__ = ("_tasks", "_log", "shut")
-
-    def __init__(self, log: logbook.Logger | None = None) -> None:
-        """Has no tasks yet; faults of tasks that no other code expects go to `log`."""
-        self._tasks: dict[asyncio.Task[Any], None] = {}
-        self._log = log
-        self.shut = False
-
-    def spawn(self, work: Coroutine[Any, Any, _Result]) -> asyncio.Task[_Result] | None:
-        """Runs `work` as a task of this node; None, and it is not run, once the node has ended."""
-        if self.shut:
-            work.close()
-            return None
-        task = asyncio.ensure_future(work)
-        self._tasks[task] = None
-        task.add_done_callback(self._ended)
-        return task
-
-    def _ended(self, task: asyncio.Task[Any]) -> None:
-        self._tasks.pop(task, None)
-        if task.cancelled():
-            return
-        fault = task.exception()
-        if fault is None or isinstance(fault, Fault):
-            return
-        frame = fault.__traceback__
-        while frame is not None and frame.tb_next is not None:
-            frame = frame.tb_next
-        where = "?"
-        if frame is not None:
-            file = os.path.basename(frame.tb_frame.f_code.co_filename)
-            where = f"{file}:{frame.tb_lineno}"
-        emit(self._log, 903, what=repr(fault), at=where)
-
-    async def close(self) -> None:
-        """Cancels every task and waits for their end."""
-        self.kill()
-        this = asyncio.current_task()
-        others = [task for task in self._tasks if task is not this]
-        if others:
-            await asyncio.gather(*others, return_exceptions=True)
-
-    def kill(self) -> None:
-        """Cancels every task without waiting."""
-        self.shut = True
-        this = asyncio.current_task() if asyncio.get_event_loop().is_running() else None
-        for task in list(self._tasks):
-            if task is not this:
-                task.cancel()
--- a/src/petrelhaven/runtime/daemon.py
+++ b/src/petrelhaven/runtime/daemon.py
@@ -9,11 +9,12 @@
 from collections.abc import Awaitable, Callable, Sequence
 from typing import Any
 
-from petrelhaven.runtime.clock import BackgroundTasks, Clock
+from petrelhaven.runtime.clock import Clock
 from petrelhaven.runtime.errors import WrongNode
 from petrelhaven.runtime.events import emit, logger, turn_level
 from petrelhaven.runtime.file_watch import Watch
 from petrelhaven.runtime.settings import SettingsFault, load, seeds_from_stdin
+from petrelhaven.runtime.tasks import BackgroundTasks
 from petrelhaven.transport.http_server import HttpServer
 from petrelhaven.transport.link import Link
 
--- /dev/null
+++ b/src/petrelhaven/runtime/tasks.py
@@ -0,0 +1,83 @@
+"""The background tasks of a node, which end together with it."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+from collections.abc import Coroutine
+from typing import TYPE_CHECKING, Any, TypeVar
+
+from petrelhaven.runtime.errors import Fault
+from petrelhaven.runtime.events import emit
+
+if TYPE_CHECKING:
+    import logbook
+
+__all__ = ["BackgroundTasks"]
+
+_Result = TypeVar("_Result")
+
+
+def _origin(error: BaseException) -> str:
+    """The file and line that raised `error`."""
+    traceback = error.__traceback__
+    while traceback is not None and traceback.tb_next is not None:
+        traceback = traceback.tb_next
+    if traceback is None:
+        return "?"
+    file = os.path.basename(traceback.tb_frame.f_code.co_filename)
+    return f"{file}:{traceback.tb_lineno}"
+
+
+class BackgroundTasks:
+    """The background tasks of one node; closing it ends them all.
+
+    This is not `asyncio.TaskGroup`, for three reasons. An error of one task must not cancel the
+    others: a node goes on serving. The tasks outlive the block that starts them: they run until the
+    node ends. And a typed `Fault` is an expected end of a task, which is not logged, while any
+    other exception is logged with the line that raised it.
+    """
+
+    __slots__ = ("_tasks", "_log", "shut")
+
+    def __init__(self, log: logbook.Logger | None = None) -> None:
+        """Starts without tasks; errors that no other code expects are written to `log`."""
+        # A dictionary, not a set: tasks are cancelled in the order in which they were started.
+        self._tasks: dict[asyncio.Task[Any], None] = {}
+        self._log = log
+        self.shut = False
+
+    def spawn(self, work: Coroutine[Any, Any, _Result]) -> asyncio.Task[_Result] | None:
+        """Runs `work` as a task of this node; returns None, and runs nothing, once it has ended."""
+        if self.shut:
+            work.close()
+            return None
+        task = asyncio.ensure_future(work)
+        self._tasks[task] = None
+        task.add_done_callback(self._ended)
+        return task
+
+    def _ended(self, task: asyncio.Task[Any]) -> None:
+        self._tasks.pop(task, None)
+        if task.cancelled():
+            return
+        error = task.exception()
+        if error is None or isinstance(error, Fault):
+            return
+        emit(self._log, 903, what=repr(error), at=_origin(error))
+
+    async def close(self) -> None:
+        """Cancels every task but the calling one and waits until they have ended."""
+        self.kill()
+        this = asyncio.current_task()
+        others = [task for task in self._tasks if task is not this]
+        if others:
+            await asyncio.gather(*others, return_exceptions=True)
+
+    def kill(self) -> None:
+        """Cancels every task but the calling one, without waiting."""
+        self.shut = True
+        this = asyncio.current_task() if asyncio.get_event_loop().is_running() else None
+        for task in list(self._tasks):
+            if task is not this:
+                task.cancel()
--- a/src/petrelhaven/simulator/fleet.py
+++ b/src/petrelhaven/simulator/fleet.py
@@ -10,8 +10,9 @@
 import aiohttp
 
 from petrelhaven.emulator.balancer import LoadBalancer
-from petrelhaven.runtime.clock import BackgroundTasks, Clock
+from petrelhaven.runtime.clock import Clock
 from petrelhaven.runtime.errors import Fault
+from petrelhaven.runtime.tasks import BackgroundTasks
 from petrelhaven.simulator.load_client import LoadClient
 from petrelhaven.simulator.resumable.history_check import check
 from petrelhaven.simulator.resumable.world import SIZES, configuration
--- a/src/petrelhaven/simulator/hollow_nodes.py
+++ b/src/petrelhaven/simulator/hollow_nodes.py
@@ -10,7 +10,8 @@
 from petrelhaven.control.node import ControlNode
 from petrelhaven.control.storage.disk import Folder
 from petrelhaven.proxy.core_connection import CoreConnection
-from petrelhaven.runtime.clock import BackgroundTasks, Clock
+from petrelhaven.runtime.clock import Clock
+from petrelhaven.runtime.tasks import BackgroundTasks
 from petrelhaven.transport import link as linking
 
 __all__ = ["hollow"]
--- a/src/petrelhaven/simulator/net.py
+++ b/src/petrelhaven/simulator/net.py
@@ -5,8 +5,9 @@
 import errno
 import itertools
 
-from petrelhaven.runtime.clock import BackgroundTasks, Clock
+from petrelhaven.runtime.clock import Clock
 from petrelhaven.runtime.errors import Fault, Malformed, NotSent, Unreachable
+from petrelhaven.runtime.tasks import BackgroundTasks
 from petrelhaven.transport.link import Channel, Link, SharedConnections
 from petrelhaven.transport.messages import TELL, pack
 
--- a/src/petrelhaven/transport/channel.py
+++ b/src/petrelhaven/transport/channel.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from petrelhaven.runtime.clock import BackgroundTasks, Clock
+from petrelhaven.runtime.clock import Clock
 from petrelhaven.runtime.errors import (
     Fault,
     Malformed,
@@ -20,6 +20,7 @@
     rebuild,
 )
 from petrelhaven.runtime.events import emit
+from petrelhaven.runtime.tasks import BackgroundTasks
 from petrelhaven.transport.contracts import RELAY, Repeat, repeat_of
 from petrelhaven.transport.messages import CALL, FAULT, RESULT, Message, pack, unpack
 
--- a/src/petrelhaven/transport/link.py
+++ b/src/petrelhaven/transport/link.py
@@ -7,7 +7,7 @@
 
 import logbook
 
-from petrelhaven.runtime.clock import BackgroundTasks, Clock
+from petrelhaven.runtime.clock import Clock
 from petrelhaven.runtime.errors import (
     DeadlineExceeded,
     Fault,
@@ -17,6 +17,7 @@
     VersionMismatch,
 )
 from petrelhaven.runtime.events import emit
+from petrelhaven.runtime.tasks import BackgroundTasks
 from petrelhaven.transport.channel import Channel, Handler
 from petrelhaven.transport.contracts import Repeat, repeat_of
 from petrelhaven.transport.messages import CALL, FAULT, TELL, pack, unpack
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -9,8 +9,9 @@
 
 from petrelhaven.control.configuration.document import read
 from petrelhaven.proxy.resumable.member_protocol import Wire
-from petrelhaven.runtime.clock import BackgroundTasks, Clock
+from petrelhaven.runtime.clock import Clock
 from petrelhaven.runtime.errors import Fault, Invalid, Malformed, Unreachable
+from petrelhaven.runtime.tasks import BackgroundTasks
 from petrelhaven.simulator.resumable.storm import inside
 from petrelhaven.transport.http_server import HttpServer, body_of
 from petrelhaven.transport.messages import KINDS, TELL, pack
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -15,8 +15,9 @@
 from hypothesis import strategies as st
 from wire_model import Node, virtual
 
-from petrelhaven.runtime.clock import BackgroundTasks, Clock
+from petrelhaven.runtime.clock import Clock
 from petrelhaven.runtime.errors import Busy, DeadlineExceeded, Fault, NotSent, Stale, Unreachable
+from petrelhaven.runtime.tasks import BackgroundTasks
 from petrelhaven.transport import channel as channel_module
 from petrelhaven.transport import reach as reach_module
 from petrelhaven.transport.contracts import KINDS, RELAY, Contract, Repeat, repeat_of
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -10,8 +10,9 @@
 from hypothesis import strategies as st
 
 from petrelhaven.proxy.reads.read_clock import Order, ReadClock
-from petrelhaven.runtime.clock import BackgroundTasks, Clock
+from petrelhaven.runtime.clock import Clock
 from petrelhaven.runtime.errors import Unreachable
+from petrelhaven.runtime.tasks import BackgroundTasks
 from petrelhaven.simulator.virtual_time import WarpLoop, end_all
 
 BOUNDS = SimpleNamespace(fetch_us=50_000, join_us=200_000, lanes=1)
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -8,8 +8,9 @@
 
 from petrelhaven.proxy.pool.connection_pool import ConnectionPool
 from petrelhaven.proxy.pool.member_connection import MemberConnection
-from petrelhaven.runtime.clock import BackgroundTasks, Clock
+from petrelhaven.runtime.clock import Clock
 from petrelhaven.runtime.errors import Busy, Fault, NotSent
+from petrelhaven.runtime.tasks import BackgroundTasks
 from petrelhaven.simulator.virtual_time import WarpLoop, end_all
 
 DRAWN = settings(
--- a/tests/test_control_interface.py
+++ b/tests/test_control_interface.py
@@ -26,7 +26,7 @@
 from petrelhaven.control.state.control_state import ControlState
 from petrelhaven.control.storage.data_folder import DataFolder
 from petrelhaven.control.storage.disk import Folder
-from petrelhaven.runtime.clock import BackgroundTasks, Clock
+from petrelhaven.runtime.clock import Clock
 from petrelhaven.runtime.errors import (
     DeadlineExceeded,
     Fault,
@@ -36,6 +36,7 @@
     NoRoute,
     NotSent,
 )
+from petrelhaven.runtime.tasks import BackgroundTasks
 from petrelhaven.simulator.fleet import until as soon
 from petrelhaven.simulator.resumable.world import configuration
 from petrelhaven.transport.http import fetch
--- a/tests/test_entered_record.py
+++ b/tests/test_entered_record.py
@@ -9,8 +9,9 @@
 from petrelhaven.control.consensus.chain import Chain
 from petrelhaven.control.state.control_state import ControlState
 from petrelhaven.control.storage.core_store import CoreStore
-from petrelhaven.runtime.clock import BackgroundTasks, Clock
+from petrelhaven.runtime.clock import Clock
 from petrelhaven.runtime.errors import NotReady, NotSent
+from petrelhaven.runtime.tasks import BackgroundTasks
 
 
 class LoopClock(Clock):
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -10,8 +10,9 @@
 
 from petrelhaven.control.failover.coordinator import FailoverCoordinator
 from petrelhaven.control.state.control_state import ControlState
-from petrelhaven.runtime.clock import BackgroundTasks, Clock
+from petrelhaven.runtime.clock import Clock
 from petrelhaven.runtime.errors import Conflict, Fenced, Invalid, NotSent, Unreachable
+from petrelhaven.runtime.tasks import BackgroundTasks
 from petrelhaven.simulator.virtual_time import WarpLoop, end_all
 
 DRAWN = settings(
--- a/tests/test_member_group.py
+++ b/tests/test_member_group.py
@@ -13,8 +13,9 @@
 from petrelhaven.proxy.reads.read_clock import Order
 from petrelhaven.proxy.routing.group import MemberGroup
 from petrelhaven.proxy.routing.outside_contact import OutsideContact
-from petrelhaven.runtime.clock import BackgroundTasks, Clock
+from petrelhaven.runtime.clock import Clock
 from petrelhaven.runtime.errors import Busy, MemberDeclined, MemberReplaced, NotSent, Unreachable
+from petrelhaven.runtime.tasks import BackgroundTasks
 from petrelhaven.simulator.virtual_time import WarpLoop, end_all
 
 DRAWN = settings(
--- a/tests/test_member_proofs.py
+++ b/tests/test_member_proofs.py
@@ -11,8 +11,9 @@
 from petrelhaven.proxy.reads.read_clock import Order
 from petrelhaven.proxy.routing.group import MemberGroup
 from petrelhaven.proxy.routing.outside_contact import OutsideContact
-from petrelhaven.runtime.clock import BackgroundTasks, Clock
+from petrelhaven.runtime.clock import Clock
 from petrelhaven.runtime.errors import Unreachable
+from petrelhaven.runtime.tasks import BackgroundTasks
 
 LOGS = {"m1": (1, 9), "m2": (1, 135), "m3": (1, 137)}
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -6,8 +6,9 @@
 
 from petrelhaven.emulator.balancer import LoadBalancer
 from petrelhaven.emulator.platform import PlatformLogic
-from petrelhaven.runtime.clock import BackgroundTasks, Clock
+from petrelhaven.runtime.clock import Clock
 from petrelhaven.runtime.errors import Fenced, NotReady
+from petrelhaven.runtime.tasks import BackgroundTasks
 
 
 class LoopClock(Clock):
--- a/tests/test_platform_lines.py
+++ b/tests/test_platform_lines.py
@@ -19,7 +19,7 @@
 from petrelhaven.proxy.node import ProxyNode  # noqa: E402
 from petrelhaven.proxy.pool.member_connection import MemberConnection  # noqa: E402
 from petrelhaven.proxy.session.statement import Ask, Reply  # noqa: E402
-from petrelhaven.runtime.clock import BackgroundTasks, Clock  # noqa: E402
+from petrelhaven.runtime.clock import Clock  # noqa: E402
 from petrelhaven.runtime.errors import (  # noqa: E402
     Busy,
     Fault,
@@ -28,6 +28,7 @@
     NotSent,
     Unreachable,
 )
+from petrelhaven.runtime.tasks import BackgroundTasks  # noqa: E402
 from petrelhaven.simulator.virtual_time import WarpLoop, end_all  # noqa: E402
 from words import MOST  # noqa: E402
 
--- a/tests/test_proxy_interface.py
+++ b/tests/test_proxy_interface.py
@@ -14,7 +14,8 @@
 from petrelhaven.proxy.core_connection import CoreConnection
 from petrelhaven.proxy.node import ProxyNode
 from petrelhaven.proxy.proxy_interface import ProxyInterface
-from petrelhaven.runtime.clock import BackgroundTasks, Clock
+from petrelhaven.runtime.clock import Clock
+from petrelhaven.runtime.tasks import BackgroundTasks
 from petrelhaven.transport.light_http import LightHttpServer, _Request
 from petrelhaven.transport.link import Link
 
--- a/tests/test_unleased_commits.py
+++ b/tests/test_unleased_commits.py
@@ -16,7 +16,8 @@
 from petrelhaven.proxy.routing.transaction_path import TransactionPath
 from petrelhaven.proxy.routing.write_path import WritePath
 from petrelhaven.proxy.session.statement import Reply
-from petrelhaven.runtime.clock import BackgroundTasks, Clock
+from petrelhaven.runtime.clock import Clock
+from petrelhaven.runtime.tasks import BackgroundTasks
 from petrelhaven.transport.link import Link
 
 WRITTEN = (1, 241)
--- a/tests/wire_model.py
+++ b/tests/wire_model.py
@@ -3,8 +3,9 @@
 import asyncio
 import collections
 
-from petrelhaven.runtime.clock import BackgroundTasks, Clock
+from petrelhaven.runtime.clock import Clock
 from petrelhaven.runtime.errors import Fault, Malformed, NotSent
+from petrelhaven.runtime.tasks import BackgroundTasks
 from petrelhaven.simulator.virtual_time import WarpLoop, end_all
 from petrelhaven.transport.channel import Channel
 from petrelhaven.transport.link import SharedConnections
