--- a/src/petrelhaven/commands/ctl.py
+++ b/src/petrelhaven/commands/ctl.py
@@ -94,10 +94,10 @@
 
 def _fall(e):
     print(f"petrelhavenctl: declined: {e.code}: {e.note}", file=sys.stderr)
-    for at, w in e.more.get("faults", []):
+    for at, w in e.details.get("faults", []):
         print(f"  {at}: {w}", file=sys.stderr)
-    if e.back:
-        print(f"  come back in {e.back / 1e6:g} s", file=sys.stderr)
+    if e.retry_after_us:
+        print(f"  come back in {e.retry_after_us / 1e6:g} s", file=sys.stderr)
     return 1
 
 
--- a/src/petrelhaven/control/base_node.py
+++ b/src/petrelhaven/control/base_node.py
@@ -186,7 +186,7 @@
                 await self._consider()
                 self.undecided = False
             except Fault as e:
-                v = e.more.get("value")
+                v = e.details.get("value")
                 if self.chain.view is None and v:
                     await self._finish(v)
 
@@ -383,7 +383,7 @@
         if m.embargoing or m.embargoes:
             raise Invalid(
                 "manifest declined",
-                more={
+                details={
                     "faults": [
                         [
                             "embargoing",
--- a/src/petrelhaven/control/configuration/document.py
+++ b/src/petrelhaven/control/configuration/document.py
@@ -220,7 +220,7 @@
     try:
         doc = json.loads(text, object_pairs_hook=_once)
     except (ValueError, RecursionError) as e:
-        raise Invalid("manifest is not JSON", more={"faults": [["$", str(e)]]}) from None
+        raise Invalid("manifest is not JSON", details={"faults": [["$", str(e)]]}) from None
     out = []
     _walk(Configuration, doc, "", out)
     if not out:
@@ -230,5 +230,5 @@
         except SerdeError as e:
             out.append(("$", str(e)))
     if out:
-        raise Invalid("manifest declined", more={"faults": [list(x) for x in out]})
+        raise Invalid("manifest declined", details={"faults": [list(x) for x in out]})
     return m
--- a/src/petrelhaven/control/consensus/chain.py
+++ b/src/petrelhaven/control/consensus/chain.py
@@ -295,7 +295,7 @@
             if not (self.head and self.active):
                 raise NotHead(
                     "not the active head",
-                    more={"head": self.view["chain"][0] if self.view else None},
+                    details={"head": self.view["chain"][0] if self.view else None},
                 )
             self.control_state.check(rec)
             seq = self.control_state.seq + 1
@@ -317,7 +317,7 @@
         """The control state, answered only by the tail of the current view."""
         if not (self.tail and self.active):
             raise NotReady(
-                "not the active tail", more={"tail": self.view["chain"][-1] if self.view else None}
+                "not the active tail", details={"tail": self.view["chain"][-1] if self.view else None}
             )
         return self.control_state.doc
 
--- a/src/petrelhaven/control/consensus/reform.py
+++ b/src/petrelhaven/control/consensus/reform.py
@@ -26,11 +26,11 @@
         if odd or not lost or c.name in lost or len(set(lost)) != len(lost):
             raise Malformed(
                 "lost: must name other cores of the view, each once",
-                more={"faults": [["lost", f"no core {n}"] for n in odd]},
+                details={"faults": [["lost", f"no core {n}"] for n in odd]},
             )
         if len(ids) - len(lost) > len(ids) // 2:
             raise Conflict(
-                "a majority of the disks is left; the chain mends itself", more={"ids": sorted(ids)}
+                "a majority of the disks is left; the chain mends itself", details={"ids": sorted(ids)}
             )
         infos = {}
         for n in sorted(ids):
--- a/src/petrelhaven/control/consensus/register.py
+++ b/src/petrelhaven/control/consensus/register.py
@@ -64,7 +64,7 @@
         best = max(got, key=lambda r: (r["num"], r["who"]), default=None)
         if len(ok) < need:
             v = best["value"] if best else None
-            raise Conflict("no majority promised", more={"value": v})
+            raise Conflict("no majority promised", details={"value": v})
         best = max(ok, key=lambda r: (r["num"], r["who"]))
         new = fn(best["value"])
         got = await self._round(
--- a/src/petrelhaven/control/embargo/duty.py
+++ b/src/petrelhaven/control/embargo/duty.py
@@ -69,7 +69,7 @@
                 "edges that may not know that embargoes are on: "
                 + ", ".join(late)[:200]
                 + "; restart them, or name those that are gone for good",
-                more={"edges": late},
+                details={"edges": late},
             )
 
     async def apply(self, m, rec):
@@ -97,7 +97,7 @@
             got = await self.s.enter(r, True)
         except Duplicate as e:
             emit(self.s.log, 330, do=r["do"], embargo=r["name"], by=r["by"] or "-", again=True)
-            e.more["in_force"] = True
+            e.details["in_force"] = True
             raise
         emit(
             self.s.log,
@@ -128,7 +128,7 @@
             if not isinstance(d.get(k, ""), str)
         ]
         if bad or not d.get("thing"):
-            raise Invalid("question declined", more={"faults": bad or [["thing", "missing"]]})
+            raise Invalid("question declined", details={"faults": bad or [["thing", "missing"]]})
         doc = await self.s.control_state()
         t = Table(rules_of(doc))
         got = self.time.interval()
--- a/src/petrelhaven/control/embargo/rules.py
+++ b/src/petrelhaven/control/embargo/rules.py
@@ -124,10 +124,10 @@
     """A record for the chain from an operator's call; Invalid by field, all at once."""
     out = []
     if not isinstance(d, dict):
-        raise Invalid("embargo declined", more={"faults": [["$", "must be an object"]]})
+        raise Invalid("embargo declined", details={"faults": [["$", "must be an object"]]})
     do = d.get("do")
     if do not in ("add", "move", "lift"):
-        raise Invalid("embargo declined", more={"faults": [["do", "must be add, move or lift"]]})
+        raise Invalid("embargo declined", details={"faults": [["do", "must be add, move or lift"]]})
     fields = {
         "add": ("name", "group", "thing", "prefix", "until", "zone", "early"),
         "move": ("name", "until", "zone"),
@@ -145,7 +145,7 @@
     if type(n) is not int or n < 0:
         out.append(("n", "must be a whole number"))
     if out:
-        raise Invalid("embargo declined", more={"faults": [list(x) for x in out]})
+        raise Invalid("embargo declined", details={"faults": [list(x) for x in out]})
     e = Embargo(
         d.get("name", ""),
         d.get("group", ""),
@@ -159,7 +159,7 @@
     if do == "lift":
         out = [x for x in out if x[0] != "until"]
     if out:
-        raise Invalid("embargo declined", more={"faults": [list(x) for x in out]})
+        raise Invalid("embargo declined", details={"faults": [list(x) for x in out]})
     keep = {"add": _FIELDS, "move": ("until", "said", "zone"), "lift": ()}[do]
     return {
         "t": "embargo",
@@ -179,7 +179,7 @@
         if r["group"] not in scope:
             raise Invalid(
                 "embargo declined",
-                more={
+                details={
                     "faults": [
                         ["group", f"group {r['group']} is not named in the manifest's embargoing"]
                     ]
@@ -187,10 +187,10 @@
             )
         if have is not None:
             if all(have[k] == r[k] for k in _FIELDS):
-                raise Duplicate(f"embargo {r['name']} stands already", more={"n": have["n"]})
+                raise Duplicate(f"embargo {r['name']} stands already", details={"n": have["n"]})
             raise Stale(
                 f"embargo {r['name']} stands with another content; move or lift it",
-                more={"n": have["n"]},
+                details={"n": have["n"]},
             )
         if sum(map(_size, doc.get("embargoes", {}).values())) + _size(r) > _MOST:
             raise TooLarge("no room for one more embargo; lift old ones, or place one on a prefix")
@@ -200,9 +200,9 @@
             raise Duplicate(f"no embargo {r['name']} stands")
         raise Stale(f"no embargo {r['name']}")
     if r["n"] and r["n"] != have["n"] + 1:
-        raise Conflict(f"embargo {r['name']} was changed meanwhile", more={"n": have["n"]})
+        raise Conflict(f"embargo {r['name']} was changed meanwhile", details={"n": have["n"]})
     if r["do"] == "move" and have["until"] == r["until"]:
-        raise Duplicate(f"embargo {r['name']} is released then already", more={"n": have["n"]})
+        raise Duplicate(f"embargo {r['name']} is released then already", details={"n": have["n"]})
 
 
 def check_configuration(doc, r):
@@ -212,7 +212,7 @@
     if lost:
         raise Invalid(
             "manifest declined",
-            more={
+            details={
                 "faults": [
                     ["embargoing", f"embargoes are placed for group {g}; lift them first"]
                     for g in lost
--- a/src/petrelhaven/control/interface/control_interface.py
+++ b/src/petrelhaven/control/interface/control_interface.py
@@ -79,13 +79,13 @@
         zones = m["halls"] if m else ()
         if zone not in zones:
             raise Invalid(
-                f"no hall {zone[:60]}", more={"faults": [["hall", f"no hall {zone[:60]}"]]}
+                f"no hall {zone[:60]}", details={"faults": [["hall", f"no hall {zone[:60]}"]]}
             )
         if state == "emptied" and not any(
             h != zone and self._c.chain.control_state.zone(h) == "open" for h in zones
         ):
             raise Invalid(
-                "last open hall", more={"faults": [["hall", "the last open hall can't be emptied"]]}
+                "last open hall", details={"faults": [["hall", "the last open hall can't be emptied"]]}
             )
         return await self._forced(await self._c.set_zone_state(zone, state, self._by(q)))
 
@@ -103,7 +103,7 @@
         if q.query.get("accept_loss") != "true":
             raise Invalid(
                 "acknowledged commits may be lost",
-                more={"faults": [["accept_loss", "must be true"]]},
+                details={"faults": [["accept_loss", "must be true"]]},
             )
         return await self._c.elect(unquote(group), member, leadership, self._by(q))
 
--- a/src/petrelhaven/control/orders.py
+++ b/src/petrelhaven/control/orders.py
@@ -114,7 +114,7 @@
             try:
                 return await self._watched(attempt(view["chain"][place], left), view, end)
             except _TRY_AGAIN as fault:
-                if self._clock.now() + _LOOK_US >= end or fault.more.get("final"):
+                if self._clock.now() + _LOOK_US >= end or fault.details.get("final"):
                     raise
                 self._require_majority()
             await self._clock.sleep(_LOOK_US)
@@ -153,7 +153,7 @@
         if chain.view is None:
             raise NotReady("no view yet")
         if now >= chain.confirmed and now - chain.adopted > _TRANSITION_US:
-            raise NotReady("no majority of the cores answers", more={"final": True})
+            raise NotReady("no majority of the cores answers", details={"final": True})
 
     def _require_heard(self, view: dict[str, Any]) -> None:
         """NotReady where a core of the chain has fallen silent of late: the caller comes again sooner than the view.
@@ -163,7 +163,7 @@
         silent = [n for n in view["chain"] if n != self._name and self._state_of(n) == "suspect"]
         if silent:
             note = f"nothing heard from {','.join(silent)}; come again"
-            raise NotReady(note, more={"final": True})
+            raise NotReady(note, details={"final": True})
 
     def _decline_after_pause(self, within_us: int) -> None:
         """NotReady where this process has just stood still for so long that callers may have gone meanwhile.
--- a/src/petrelhaven/control/resumable/control_state.py
+++ b/src/petrelhaven/control/resumable/control_state.py
@@ -60,22 +60,22 @@
             if m.version == now["version"]:
                 if h == now["digest"]:
                     raise Duplicate(
-                        f"version {m.version} is in force already", more={"version": m.version}
+                        f"version {m.version} is in force already", details={"version": m.version}
                     )
                 raise Stale(
                     f"version {m.version} is taken by another manifest",
-                    more={"version": now["version"]},
+                    details={"version": now["version"]},
                 )
             if m.version < now["version"]:
                 raise Stale(
-                    f"version {now['version']} is in force", more={"version": now["version"]}
+                    f"version {now['version']} is in force", details={"version": now["version"]}
                 )
             gone = {g.name for g in self.configuration.groups} - {g.name for g in m.groups}
             live = [g for g in gone if g in self.doc["epochs"] and not r.get("retire")]
             if live:
                 raise Invalid(
                     "manifest declined",
-                    more={
+                    details={
                         "faults": [
                             ["groups", f"group {g} is served; retire it with retire=true"]
                             for g in sorted(live)
@@ -102,10 +102,10 @@
     def _check_zone(self, r):
         if not self.configuration or r["hall"] not in self.configuration.zones:
             raise Invalid(
-                f"no hall {r['hall']}", more={"faults": [["hall", f"no hall {r['hall']}"]]}
+                f"no hall {r['hall']}", details={"faults": [["hall", f"no hall {r['hall']}"]]}
             )
         if r["state"] not in ("open", "emptied"):
-            raise Invalid("hall state", more={"faults": [["state", "must be open or emptied"]]})
+            raise Invalid("hall state", details={"faults": [["state", "must be open or emptied"]]})
         if self.doc["halls"].get(r["hall"], "open") == r["state"]:
             raise Duplicate(f"hall {r['hall']} is {r['state']} already")
         if r["state"] == "emptied":
@@ -117,7 +117,7 @@
             if not rest:
                 raise Invalid(
                     "last open hall",
-                    more={"faults": [["hall", "the last open hall can't be emptied"]]},
+                    details={"faults": [["hall", "the last open hall can't be emptied"]]},
                 )
 
     def _apply_zone(self, r):
--- a/src/petrelhaven/control/state/control_state.py
+++ b/src/petrelhaven/control/state/control_state.py
@@ -103,14 +103,14 @@
         version, digest = r["version"], self._accepted(r["version"])
         if digest is not None and digest == _digest(r["text"]):
             state = "in force" if version == now["version"] else "accepted"
-            raise Duplicate(f"version {version} is {state} already", more={"version": version})
+            raise Duplicate(f"version {version} is {state} already", details={"version": version})
         if digest is not None:
             raise VersionTaken(
                 f"version {version} is taken by another manifest",
-                more={"version": now["version"], "taken": version, "digest": digest},
+                details={"version": now["version"], "taken": version, "digest": digest},
             )
         if version < now["version"]:
-            raise Stale(f"version {now['version']} is in force", more={"version": now["version"]})
+            raise Stale(f"version {now['version']} is in force", details={"version": now["version"]})
         if r.get("retire") is False:
             gone = {g["name"] for g in self.configuration["groups"]} - {
                 g["name"] for g in json.loads(r["text"])["groups"]
@@ -119,7 +119,7 @@
             if live:
                 raise Invalid(
                     "manifest declined",
-                    more={
+                    details={
                         "faults": [
                             ["groups", f"group {g} is served; retire it with retire=true"]
                             for g in live
@@ -155,7 +155,7 @@
 
     def _check_zone(self, r):
         if r["state"] not in ("open", "emptied"):
-            raise Invalid("hall state", more={"faults": [["state", "must be open or emptied"]]})
+            raise Invalid("hall state", details={"faults": [["state", "must be open or emptied"]]})
         if self.zone(r["hall"]) == r["state"]:
             raise Duplicate(f"hall {r['hall']} is {r['state']} already")
 
@@ -167,7 +167,7 @@
         if m and m["state"] != "ready" and r["state"] == "ready" and r["count"] <= m["count"]:
             raise Stale(
                 f"member {r['name']} is {m['state']}; this was said before",
-                more={"count": m["count"]},
+                details={"count": m["count"]},
             )
         if r["state"] == "gone" and (m is None or m["state"] == "gone"):
             raise Duplicate(f"member {r['name']} is gone")
@@ -235,12 +235,12 @@
         group, member = r["group"], r["member"]
         if leadership["phase"] != "move":
             faults = [["group", f"group {group[:60]} is served by {leadership['primary']}"]]
-            raise Invalid("no election is waited for", more={"faults": faults})
+            raise Invalid("no election is waited for", details={"faults": faults})
         if r["n"] != leadership["n"]:
             raise Conflict(f"office {leadership['n']} of {group[:60]} waits, not {r['n']}")
         if member not in self.group(group):
             faults = [["member", f"no member {member[:60]} in group {group[:60]}"]]
-            raise Invalid("no such member", more={"faults": faults})
+            raise Invalid("no such member", details={"faults": faults})
         order = self.evidence(group).order
         if order is not None and order.member == member:
             raise Duplicate(f"{order.by} ordered {member} already")
--- a/src/petrelhaven/proxy/node.py
+++ b/src/petrelhaven/proxy/node.py
@@ -261,7 +261,7 @@
         try:
             return await self.request_slots.enter(self._path.run(request), horizon_us)
         except Busy as fault:
-            code, text = "busy", self.retry_after(fault.back)
+            code, text = "busy", self.retry_after(fault.retry_after_us)
         except DeadlineExceeded:
             code, text = "timeout", "the statement ran out of time"
         if inside:
--- a/src/petrelhaven/proxy/resumable/member_protocol.py
+++ b/src/petrelhaven/proxy/resumable/member_protocol.py
@@ -13,7 +13,7 @@
 def raise_first(rs):
     """Raises the typed fault of the batch's last step, if it has one; what came before it was run."""
     if rs and "fault" in rs[-1]:
-        raise MemberDeclined(rs[-1]["fault"], more=rs[-1])
+        raise MemberDeclined(rs[-1]["fault"], details=rs[-1])
     return rs
 
 
@@ -72,7 +72,7 @@
                 if not isinstance(d, dict):
                     raise Unreachable(f"{addr} answered oddly: not an object")
                 if r.status != 200:
-                    raise MemberDeclined(d.get("fault", "?"), more=d)
+                    raise MemberDeclined(d.get("fault", "?"), details=d)
                 return d
         except aiohttp.ClientConnectorError:
             raise NotSent(addr) from None
--- a/src/petrelhaven/proxy/resumable/node.py
+++ b/src/petrelhaven/proxy/resumable/node.py
@@ -229,8 +229,8 @@
         except Fault as f:
             if isinstance(f, Busy):
                 emit(self.log, 422, used=self.request_slots.used)
-            if f.back is not None:
-                f.back = int(f.back * self.rng.uniform(0.75, 1.25))
+            if f.retry_after_us is not None:
+                f.retry_after_us = int(f.retry_after_us * self.rng.uniform(0.75, 1.25))
             raise
 
     def moved(self, s):
--- a/src/petrelhaven/proxy/resumable/reads.py
+++ b/src/petrelhaven/proxy/resumable/reads.py
@@ -68,7 +68,7 @@
                 last = f
                 if f.note == "LAGGING":
                     e.waits["lagging"] += 1
-                    post.log_progress.note(f.more.get("log", -1), f.more.get("term", -1))
+                    post.log_progress.note(f.details.get("log", -1), f.details.get("term", -1))
                     left = min(stop, e.clock.now() + b.wait_us // 2) - e.clock.now()
                     try:
                         yield e.tasks.spawn(
@@ -89,7 +89,7 @@
         """The last resort: the primary, which needs no AFTER."""
         e = self.e
         if t.key is None:
-            raise NoPrimary("the group has no primary now", more={"epoch": t.epoch["n"]})
+            raise NoPrimary("the group has no primary now", details={"epoch": t.epoch["n"]})
         post = t.posts[t.epoch["primary"]]
         e.waits["primary"] += 1
         try:
--- a/src/petrelhaven/proxy/resumable/sender.py
+++ b/src/petrelhaven/proxy/resumable/sender.py
@@ -53,7 +53,7 @@
                 conn.lost = True
             if f.note not in _NOTHING:
                 raise StatementRejected(
-                    f.note, more={k: v for k, v in f.more.items() if k != "fault"}
+                    f.note, details={k: v for k, v in f.details.items() if k != "fault"}
                 ) from None
             raise
         except (DeadlineExceeded, Unreachable) as f:
--- a/src/petrelhaven/proxy/resumable/statement_flow.py
+++ b/src/petrelhaven/proxy/resumable/statement_flow.py
@@ -51,11 +51,11 @@
                     return {**s.tries[d["try"]], "repeated": True}
                 raise TransactionEnded(
                     "that transaction has ended; nothing of it was kept unless a commit said so",
-                    more={"txn": d["txn"]},
+                    details={"txn": d["txn"]},
                 )
             if s.txn is not None and "txn" not in d:
                 raise InvalidSequence(
-                    "a transaction is open; name it by txn", more={"txn": s.txn.num}
+                    "a transaction is open; name it by txn", details={"txn": s.txn.num}
                 )
             if v in ("set", "unset"):
                 return (yield from self.changer.set(s, d))
@@ -92,7 +92,7 @@
             raise Malformed("say must be a rising whole number")
         if k < s.said:
             raise Superseded(
-                "a later statement of this session was served already", more={"said": s.said}
+                "a later statement of this session was served already", details={"said": s.said}
             )
         s.said = k
 
--- a/src/petrelhaven/proxy/resumable/transactions.py
+++ b/src/petrelhaven/proxy/resumable/transactions.py
@@ -29,7 +29,7 @@
         """Opens a transaction pinned to one connection."""
         e = self.e
         if s.txn is not None:
-            raise InvalidSequence("a transaction is open already", more={"txn": s.txn.num})
+            raise InvalidSequence("a transaction is open already", details={"txn": s.txn.num})
         mode = d.get("mode", "write")
         if mode not in ("read", "write"):
             raise Malformed("mode must be read or write")
@@ -67,7 +67,7 @@
         except (DeadlineExceeded, Unreachable, MemberDeclined):
             e.end_txn(s)
             raise TransactionEnded(
-                "the transaction's connection was lost; nothing of it was kept", more={"txn": x.num}
+                "the transaction's connection was lost; nothing of it was kept", details={"txn": x.num}
             ) from None
         except (NoLease, NoPrimary):
             raise
@@ -104,7 +104,7 @@
             e.end_txn(s)
             raise TransactionEnded(
                 "the transaction ended before its commit left; nothing was kept",
-                more={"txn": x.num},
+                details={"txn": x.num},
             )
         x.pool.writes += 1
         try:
@@ -118,7 +118,7 @@
             e.end_txn(s)
             s.tries.pop(n, None)
             raise TransactionEnded(
-                "the member declined the commit; nothing was kept", more={"txn": x.num}
+                "the member declined the commit; nothing was kept", details={"txn": x.num}
             ) from None
         except StatementRejected as f:
             e.end_txn(s)
--- a/src/petrelhaven/proxy/resumable/writes.py
+++ b/src/petrelhaven/proxy/resumable/writes.py
@@ -37,11 +37,11 @@
         """The primary, if writes are taken now."""
         if t.key is None:
             raise NoPrimary(
-                "writes are stopped while a primary is elected", more={"epoch": t.epoch["n"]}
+                "writes are stopped while a primary is elected", details={"epoch": t.epoch["n"]}
             )
         if not t.epoch["open"]:
             raise NoPrimary(
-                "too few in-sync replicas to keep a write safe", more={"epoch": t.epoch["n"]}
+                "too few in-sync replicas to keep a write safe", details={"epoch": t.epoch["n"]}
             )
         return t.posts[t.epoch["primary"]]
 
--- a/src/petrelhaven/runtime/errors.py
+++ b/src/petrelhaven/runtime/errors.py
@@ -1,51 +1,78 @@
-"""Typed faults: every failure that crosses a face or a link has a class, a code and a status."""
+"""Typed errors that cross an interface or a link, each with a code, an HTTP status and a wait.
+
+A subclass gives them as class arguments and inherits what it does not give. The codes are part of
+the wire: clients, operators' programs and other nodes see them in the documents that
+`Fault.doc` makes and `rebuild` reads.
+"""
 
 from typing import Any
 
 __all__ = ["Fault", "REGISTRY", "rebuild"]
 
 REGISTRY: dict[str, "type[Fault]"] = {}
+"""Every class of error by its code."""
 
 
 class Fault(Exception):  # noqa: N818 (codes on the wire speak of faults)
-    """Base of all faults. `back` is the retry-after in microseconds, where a later try can help.
-
-    `answered` says that the other side of a call answered with this fault: the call has certainly
-    arrived there.
+    """Base of all typed errors.
+
+    Attributes:
+        code: the name of the error on the wire.
+        status: the HTTP status that it is answered with.
+        retry_after_us: after how many microseconds a retry can help; None where none does.
+        answered: whether the other side of a call answered with this error, so that the call has
+            certainly arrived there.
+        note: what went wrong, for people.
+        details: fields for whoever handles the error.
     """
 
     code = "fault"
     status = 500
-    back: int | None = None
+    retry_after_us: int | None = None
     answered = False
 
     def __init__(
-        self, note: str = "", back: int | None = None, more: dict[str, Any] | None = None
+        self,
+        note: str = "",
+        retry_after_us: int | None = None,
+        details: dict[str, Any] | None = None,
     ) -> None:
-        """Says in `note` what went wrong; `more` has fields for whoever handles the fault."""
+        """Describes one error; `retry_after_us`, if given, takes the place of its class's."""
         super().__init__(note)
         self.note = note
-        self.more = more or {}
-        if back is not None:
-            self.back = back
-
-    def __init_subclass__(cls, **kw: Any) -> None:  # noqa: ANN401 (whatever object takes)
-        """Registers each fault by its code."""
-        super().__init_subclass__(**kw)
+        self.details = details or {}
+        if retry_after_us is not None:
+            self.retry_after_us = retry_after_us
+
+    def __init_subclass__(
+        cls,
+        *,
+        code: str | None = None,
+        status: int | None = None,
+        retry_after_us: int | None = None,
+    ) -> None:
+        """Sets what the class gives and registers it by its code."""
+        super().__init_subclass__()
+        if code is not None:
+            cls.code = code
+        if status is not None:
+            cls.status = status
+        if retry_after_us is not None:
+            cls.retry_after_us = retry_after_us
         REGISTRY[cls.code] = cls
 
     def doc(self) -> dict[str, Any]:
-        """The fault as a plain document for a face or a link."""
+        """The error as a plain document, for an interface or a link."""
         document: dict[str, Any] = {"fault": self.code, "note": self.note}
-        if self.back is not None:
-            document["retry_after_us"] = self.back
-        if self.more:
-            document["more"] = self.more
+        if self.retry_after_us is not None:
+            document["retry_after_us"] = self.retry_after_us
+        if self.details:
+            document["more"] = self.details
         return document
 
 
 def rebuild(doc: dict[str, Any]) -> Fault:
-    """The typed fault that `doc` describes; an unknown code becomes a plain Fault."""
+    """The typed error that `doc` describes; an unknown code becomes a plain Fault."""
     kind = REGISTRY.get(doc.get("fault", ""), Fault)
     return kind(doc.get("note", ""), doc.get("retry_after_us"), doc.get("more"))
 
@@ -53,205 +80,137 @@
 REGISTRY[Fault.code] = Fault
 
 
-class Malformed(Fault):
+class Malformed(Fault, code="malformed", status=400):
     """A call lacks a field, or has one of another type."""
 
-    code, status = "malformed", 400
-
 
-class Invalid(Fault):
-    """A configuration is wrong; `more` names every fault by path."""
+class Invalid(Fault, code="invalid", status=422):
+    """A configuration is wrong; `details` names every fault by path."""
 
-    code, status = "invalid", 422
 
-
-class Stale(Fault):
+class Stale(Fault, code="stale", status=409):
     """It rests on something older than what is in force."""
 
-    code, status = "stale", 409
-
-
-class VersionTaken(Stale):
-    """Another manifest was accepted under this version."""
 
-    code = "taken"
+class VersionTaken(Stale, code="taken"):
+    """Another configuration was accepted under this version."""
 
 
-class Duplicate(Fault):
+class Duplicate(Fault, code="duplicate", status=409):
     """What was asked for is in force already."""
 
-    code, status = "duplicate", 409
 
-
-class Conflict(Fault):
+class Conflict(Fault, code="racing", status=409, retry_after_us=200_000):
     """Another record was entered first; the same call may succeed later."""
 
-    code, status, back = "racing", 409, 200_000
-
 
-class NoSession(Fault):
+class NoSession(Fault, code="no-session", status=404):
     """No proxy knows the session."""
 
-    code, status = "no-session", 404
 
-
-class InvalidSequence(Fault):
+class InvalidSequence(Fault, code="unordered", status=409):
     """A statement that its session's state does not allow."""
 
-    code, status = "unordered", 409
-
 
-class Superseded(Fault):
+class Superseded(Fault, code="superseded", status=409):
     """A newer copy of the session exists."""
 
-    code, status = "superseded", 409
-
 
-class TransactionEnded(Fault):
+class TransactionEnded(Fault, code="transaction-ended", status=409):
     """The transaction has ended; nothing of it was kept."""
 
-    code, status = "transaction-ended", 409
 
-
-class TooLarge(Fault):
+class TooLarge(Fault, code="oversize", status=413):
     """A message or a value is too large."""
 
-    code, status = "oversize", 413
-
 
-class NoRoute(Fault):
+class NoRoute(Fault, code="no-route", status=404):
     """No route or group has this name."""
 
-    code, status = "no-route", 404
 
-
-class Busy(Fault):
+class Busy(Fault, code="busy", status=503, retry_after_us=250_000):
     """As much is under way as may be."""
 
-    code, status, back = "busy", 503, 250_000
-
 
-class NoLease(Fault):
+class NoLease(Fault, code="no-lease", status=503, retry_after_us=500_000):
     """This proxy holds no lease, so it may not send."""
 
-    code, status, back = "no-lease", 503, 500_000
 
-
-class NoPrimary(Fault):
+class NoPrimary(Fault, code="halted", status=503, retry_after_us=500_000):
     """The group has no primary that may be sent to now."""
 
-    code, status, back = "halted", 503, 500_000
-
 
-class ShuttingDown(Fault):
+class ShuttingDown(Fault, code="leaving", status=503, retry_after_us=200_000):
     """This node is leaving."""
 
-    code, status, back = "leaving", 503, 200_000
 
-
-class SessionMoving(Fault):
+class SessionMoving(Fault, code="moving", status=503, retry_after_us=500_000):
     """The session is being handed over."""
 
-    code, status, back = "moving", 503, 500_000
-
 
-class DeadlineExceeded(Fault):
+class DeadlineExceeded(Fault, code="late", status=504, retry_after_us=300_000):
     """A bound on time has passed; what was asked may still happen."""
 
-    code, status, back = "late", 504, 300_000
-
 
-class Unreachable(Fault):
+class Unreachable(Fault, code="unreached", status=503, retry_after_us=300_000):
     """The other side did not answer; it may have got the message."""
 
-    code, status, back = "unreached", 503, 300_000
 
-
-class NotSent(Unreachable):
+class NotSent(Unreachable, code="unsent"):
     """Nothing has left this node."""
 
-    code = "unsent"
-
 
-class NotRelayed(NotSent):
+class NotRelayed(NotSent, code="not-relayed"):
     """A relay's answer: nothing of the call that it was to send on has left it."""
 
-    code = "not-relayed"
 
-
-class NotHead(Fault):
+class NotHead(Fault, code="not-head", status=503, retry_after_us=300_000):
     """Only the head of the chain takes this call."""
 
-    code, status, back = "not-head", 503, 300_000
-
 
-class Expired(Fault):
+class Expired(Fault, code="expired", status=503, retry_after_us=300_000):
     """An order reached the head after the call that brought it had ended."""
 
-    code, status, back = "expired", 503, 300_000
-
 
-class NotReady(Fault):
+class NotReady(Fault, code="not-ready", status=503, retry_after_us=500_000):
     """The node can't serve yet, or not any more."""
 
-    code, status, back = "not-ready", 503, 500_000
-
-
-class ViewSuperseded(Fault):
-    """The call rests on another view than this core does."""
 
-    code, status = "deposed", 409
+class ViewSuperseded(Fault, code="deposed", status=409):
+    """The call rests on another view than this control node has."""
 
 
-class Fenced(Fault):
+class Fenced(Fault, code="fenced", status=409):
     """The platform declined a promotion: it has seen a higher fence, or the member does not run."""
 
-    code, status = "fenced", 409
 
-
-class MemberReplaced(Fault):
+class MemberReplaced(Fault, code="gone", status=410):
     """The member at this address is another one."""
 
-    code, status = "gone", 410
-
 
-class VersionMismatch(Fault):
+class VersionMismatch(Fault, code="version", status=400):
     """The other side speaks another version."""
 
-    code, status = "version", 400
-
 
-class UnknownKind(Fault):
+class UnknownKind(Fault, code="unknown-kind", status=400):
     """The other side does not know this kind of message."""
 
-    code, status = "unknown-kind", 400
 
-
-class Damaged(Fault):
+class Damaged(Fault, code="damaged"):
     """A file or a record on disk is damaged."""
 
-    code = "damaged"
-
 
-class DiskRefused(Fault):
+class DiskRefused(Fault, code="disk-refused", status=503, retry_after_us=500_000):
     """The disk did not take a write; nothing was remembered of it."""
 
-    code, status, back = "disk-refused", 503, 500_000
 
-
-class WrongNode(Fault):
+class WrongNode(Fault, code="misplaced"):
     """The data folder belongs to another node."""
 
-    code = "misplaced"
-
 
-class MemberDeclined(Fault):
+class MemberDeclined(Fault, code="member-declined", status=503, retry_after_us=200_000):
     """A member declined and ran nothing."""
 
-    code, status, back = "member-declined", 503, 200_000
 
-
-class StatementRejected(Fault):
+class StatementRejected(Fault, code="statement", status=422):
     """A member declined a statement for its content."""
-
-    code, status = "statement", 422
--- a/src/petrelhaven/simulator/connection_sessions/control_answer.py
+++ b/src/petrelhaven/simulator/connection_sessions/control_answer.py
@@ -47,11 +47,11 @@
     except VersionTaken as e:
         return Answer(AnswerKind.REFUSED, e.status, e.note)
     except Stale as e:
-        if isinstance(order, ConfigOrder) and e.more.get("version", 0) > order.version:
+        if isinstance(order, ConfigOrder) and e.details.get("version", 0) > order.version:
             return Answer(AnswerKind.OLDER, 200, e.note)
         return Answer(AnswerKind.REFUSED, e.status, e.note)
     except Fault as e:
-        refused = e.status in _REFUSALS and e.back is None
+        refused = e.status in _REFUSALS and e.retry_after_us is None
         return Answer(AnswerKind.REFUSED if refused else AnswerKind.FAILED, e.status, e.note)
     return Answer(AnswerKind.TAKEN, 200)
 
--- a/src/petrelhaven/simulator/load_client.py
+++ b/src/petrelhaven/simulator/load_client.py
@@ -52,7 +52,7 @@
             del self.last[:-20]
             if (
                 isinstance(e, (DeadlineExceeded, Unreachable))
-                and e.back is not None
+                and e.retry_after_us is not None
                 and self.w.loop.time() - now > 0.9
             ):
                 self.bad[id(b)] = now
@@ -89,7 +89,7 @@
                     raise
                 if e.status in (400, 404, 409, 422):
                     raise
-                await asyncio.sleep(min((e.back or 200_000) / 1e6, 1.0) * (0.5 + self.rng.random()))
+                await asyncio.sleep(min((e.retry_after_us or 200_000) / 1e6, 1.0) * (0.5 + self.rng.random()))
         return {"outcome": "unknown", "gave_up": True}
 
     async def run(self):
@@ -194,8 +194,8 @@
                 r = await self._say({"verb": "commit", "txn": x, "try": self.n})
                 out = r["outcome"]
         except Fault as e:
-            if e.code == "unordered" and "txn" in e.more:
-                await self._undo(e.more["txn"])
+            if e.code == "unordered" and "txn" in e.details:
+                await self._undo(e.details["txn"])
             elif out == "not kept" and e.code != "transaction-ended":
                 await self._undo(None)
             elif e.code == "transaction-ended" and out == "unknown":
@@ -220,8 +220,8 @@
                 )
                 return
             except Fault as e:
-                if e.code == "unordered" and "txn" in e.more:
-                    x = e.more["txn"]
+                if e.code == "unordered" and "txn" in e.details:
+                    x = e.details["txn"]
                 elif e.code in ("unordered", "transaction-ended"):
                     return
                 else:
@@ -289,8 +289,8 @@
                     {"t": "closed", "sid": self.sid, "at": self._now(), "by": self.num}
                 )
                 self.stop = True
-            elif e.back:
-                await asyncio.sleep(min(e.back / 1e6, 0.5))
+            elif e.retry_after_us:
+                await asyncio.sleep(min(e.retry_after_us / 1e6, 0.5))
             return
         self.count["ok"] += 1
         if "value" in r:
--- a/src/petrelhaven/simulator/resumable/scenes/edges.py
+++ b/src/petrelhaven/simulator/resumable/scenes/edges.py
@@ -116,7 +116,7 @@
         except Fault as f:
             if f.code == "busy":
                 shed.append(w.loop.time() - t)
-                if f.back is None:
+                if f.retry_after_us is None:
                     bad.append(("shed without a retry-after",))
 
     ts = [asyncio.ensure_future(one(s)) for s in sids]
--- a/src/petrelhaven/simulator/resumable/scenes/members.py
+++ b/src/petrelhaven/simulator/resumable/scenes/members.py
@@ -77,7 +77,7 @@
         )
         bad.append(("write taken without a safe primary",))
     except Fault as f:
-        if w.loop.time() - t > 0.05 or f.back is None:
+        if w.loop.time() - t > 0.05 or f.retry_after_us is None:
             bad.append(("given up, but held back", w.loop.time() - t))
     w.boot_member("g1m3", keep[1])
     await asyncio.sleep(2)
--- a/src/petrelhaven/simulator/resumable/world.py
+++ b/src/petrelhaven/simulator/resumable/world.py
@@ -105,7 +105,7 @@
             try:
                 return fn(m)
             except Declined as e:
-                raise MemberDeclined(e.document["fault"], more=e.document) from None
+                raise MemberDeclined(e.document["fault"], details=e.document) from None
             except Unanswered:
                 await dst.clock.sleep(3_600_000_000)
 
--- a/src/petrelhaven/transport/channel.py
+++ b/src/petrelhaven/transport/channel.py
@@ -56,7 +56,7 @@
     """
     fault = rebuild(doc)
     if isinstance(fault, NotSent) and not (kind == RELAY and isinstance(fault, NotRelayed)):
-        fault = Unreachable(fault.note, fault.back, fault.more)
+        fault = Unreachable(fault.note, fault.retry_after_us, fault.details)
     fault.answered = True
     return fault
 
--- a/src/petrelhaven/transport/http_server.py
+++ b/src/petrelhaven/transport/http_server.py
@@ -52,7 +52,7 @@
     @staticmethod
     def fault(e):
         """The HTTP result of a typed fault."""
-        h = {"Retry-After": str(-(-e.back // 1_000_000))} if e.back is not None else {}
+        h = {"Retry-After": str(-(-e.retry_after_us // 1_000_000))} if e.retry_after_us is not None else {}
         return web.json_response(e.doc(), status=e.status, headers=h)
 
     async def start(self):
--- a/src/petrelhaven/transport/light_http.py
+++ b/src/petrelhaven/transport/light_http.py
@@ -196,7 +196,7 @@
                 (),
             )
         except Fault as e:
-            back = (("Retry-After", str(-(-e.back // 1_000_000))),) if e.back is not None else ()
+            back = (("Retry-After", str(-(-e.retry_after_us // 1_000_000))),) if e.retry_after_us is not None else ()
             return e.status, json.dumps(e.doc()).encode(), back
         except Exception as e:
             emit(self._log, 112, path=q.path[:60], what=repr(e))
--- a/src/petrelhaven/transport/link.py
+++ b/src/petrelhaven/transport/link.py
@@ -260,8 +260,8 @@
         except (VersionMismatch, UnknownKind) as fault:
             self.garbage += 1
             emit(self.log, 111, note=fault.note)
-            if fault.more.get("flow") == CALL:
-                kind, number = fault.more.get("kind", ""), fault.more.get("id", 0)
+            if fault.details.get("flow") == CALL:
+                kind, number = fault.details.get("kind", ""), fault.details.get("id", 0)
                 writer.write(_framed(pack(kind, FAULT, number, {"doc": fault.doc()})))
 
     async def close(self) -> None:
--- a/src/petrelhaven/transport/messages.py
+++ b/src/petrelhaven/transport/messages.py
@@ -97,7 +97,7 @@
         raise Malformed(f"head: {type(error).__name__}") from None
     if head["v"] != VERSION:
         more = {"id": head["id"], "flow": head["flow"], "kind": head["kind"][:_LONGEST_KIND]}
-        raise VersionMismatch(f"message version {head['v']}", more=more)
+        raise VersionMismatch(f"message version {head['v']}", details=more)
     return head
 
 
--- a/tests/model/operators.py
+++ b/tests/model/operators.py
@@ -87,7 +87,7 @@
             except Stale:
                 return "refused", 0
             except (Invalid, Malformed) as fault:
-                raise AssertionError(f"a proper order was declined: {fault.more}") from fault
+                raise AssertionError(f"a proper order was declined: {fault.details}") from fault
             except Fault:
                 attempt += 1
                 await asyncio.sleep(_PAUSE_S)
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -148,7 +148,7 @@
     for x in (json.dumps(doc), text):
         with pytest.raises(Invalid) as e:
             read(x)
-        assert e.value.more["faults"] and all(at and why for at, why in e.value.more["faults"])
+        assert e.value.details["faults"] and all(at and why for at, why in e.value.details["faults"])
 
 
 def test_junk_inside_well_formed_messages_is_counted_and_no_node_stumbles():
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -359,7 +359,7 @@
             raise NotSent("the next node")
 
         async def stale(channel, body):
-            raise Stale("older", more={"n": 3})
+            raise Stale("older", details={"n": 3})
 
         b.on("chain.enter", unsent)
         b.on("creed.belief", stale)
@@ -368,7 +368,7 @@
         assert not isinstance(seen.value, NotSent)
         with pytest.raises(Stale) as seen:
             await a.call("b", "creed.belief", {"who": "x"}, 100_000)
-        assert seen.value.more == {"n": 3}
+        assert seen.value.details == {"n": 3}
 
     virtual(go)
 
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -47,9 +47,9 @@
         with pytest.raises(Invalid) as e:
             read(text)
         got[n] = (
-            e.value.more["faults"]
+            e.value.details["faults"]
             if n not in ("not-json", "deep", "field-twice")
-            else [x[0] for x in e.value.more["faults"]]
+            else [x[0] for x in e.value.details["faults"]]
         )
     assert got == snapshot
 
@@ -91,5 +91,5 @@
     )
     with pytest.raises(Fault) as e:
         r.check({"t": "manifest", "text": json.dumps(less)})
-    assert "g3" in str(e.value.more)
+    assert "g3" in str(e.value.details)
     r.check({"t": "manifest", "text": json.dumps(less), "retire": True})
--- a/tests/test_control_state.py
+++ b/tests/test_control_state.py
@@ -238,7 +238,7 @@
         with pytest.raises(fault) as told:
             led.check(r)
         assert type(told.value) is fault and told.value.status == 409
-        assert told.value.more["version"] == (r["version"] if fault is Duplicate else 9)
+        assert told.value.details["version"] == (r["version"] if fault is Duplicate else 9)
 
 
 def test_the_versions_that_were_accepted_are_forgotten_in_the_end():
--- a/tests/test_embargo_world.py
+++ b/tests/test_embargo_world.py
@@ -435,7 +435,7 @@
                         "until": "2199-01-01T00:00:00Z",
                     }
                 )
-            assert e.value.code == "not-ready" and e.value.more["edges"] == ["e3"]
+            assert e.value.code == "not-ready" and e.value.details["edges"] == ["e3"]
         assert (await w.read("e3", "a")).ok
         r = await w.cores["c2"].node.embargoes.change(
             {
@@ -558,7 +558,7 @@
         await w.embargo("add", "opening", w.true() + 60 * S)
         with pytest.raises(Fault) as e:
             await w.call(lambda s: s.apply(w.configuration(embargoing=[]), by="op"))
-        assert e.value.code == "invalid" and "lift" in str(e.value.more)
+        assert e.value.code == "invalid" and "lift" in str(e.value.details)
         await w.embargo("lift", "opening")
         m = w.configuration(embargoing=[])
         await w.call(lambda s: s.apply(m, by="op"))
--- a/tests/test_embargoes.py
+++ b/tests/test_embargoes.py
@@ -129,7 +129,7 @@
 def faults_of(**kw):
     with pytest.raises(Invalid) as e:
         read(json.dumps({**json.loads(configuration("small")), **kw}))
-    return {p for p, _ in e.value.more["faults"]}
+    return {p for p, _ in e.value.details["faults"]}
 
 
 def test_a_configurations_embargoes_are_checked_by_path():
@@ -264,7 +264,7 @@
 def test_a_call_that_is_wrong_is_declined_by_field(d, at):
     with pytest.raises(Invalid) as e:
         placed(d)
-    assert at in {p for p, _ in e.value.more["faults"]}
+    assert at in {p for p, _ in e.value.details["faults"]}
 
 
 def test_a_group_is_embargoed_before_a_record_is_placed_and_as_long_as_one_stands():
@@ -417,7 +417,7 @@
     m = {**json.loads(configuration("small")), "embargoing": ["g1"]}
     with pytest.raises(Invalid) as e:
         asyncio.run(BaseControlNode.apply(None, json.dumps(m)))
-    assert [p for p, _ in e.value.more["faults"]] == ["embargoing"]
+    assert [p for p, _ in e.value.details["faults"]] == ["embargoing"]
 
 
 CONFIG = {
@@ -474,4 +474,4 @@
 def test_a_platforms_configuration_is_declined_by_field(section, at):
     with pytest.raises(Invalid) as e:
         configuration_of(json.dumps({**CONFIG, "Embargo": section}).encode(), ["a"])
-    assert [p for p, _ in e.value.more["faults"]] == [at]
+    assert [p for p, _ in e.value.details["faults"]] == [at]
--- a/tests/test_light_http.py
+++ b/tests/test_light_http.py
@@ -51,7 +51,7 @@
 
         async def odd(q):
             raise {
-                "/stale": Stale("old", more={"n": 1}),
+                "/stale": Stale("old", details={"n": 1}),
                 "/busy": NotReady("soon"),
                 "/fault": ValueError("x"),
                 "/deep": RecursionError(),
--- a/tests/test_platform_forms.py
+++ b/tests/test_platform_forms.py
@@ -77,7 +77,7 @@
     with pytest.raises(Invalid) as e:
         configuration_of(d if isinstance(d, bytes) else json.dumps(d).encode(), ["a"])
     assert e.value.status == 422
-    return [at for at, what in e.value.more["faults"] if what]
+    return [at for at, what in e.value.details["faults"] if what]
 
 
 NAMES = st.text(min_size=1, max_size=64).filter(
@@ -340,7 +340,7 @@
         try:
             m = mapped(json.dumps(d).encode())
         except Invalid as f:
-            assert f.more["faults"] and all(at and what for at, what in f.more["faults"])
+            assert f.details["faults"] and all(at and what for at, what in f.details["faults"])
         else:
             assert m["version"] == d["Revision"] and json.loads(m["origin"]) == json.loads(
                 json.dumps(d)
@@ -348,7 +348,7 @@
     try:
         mapped(raw)
     except Invalid as f:
-        assert f.more["faults"][0][0] == "$" or raw.strip()[:1] == b"{"
+        assert f.details["faults"][0][0] == "$" or raw.strip()[:1] == b"{"
 
 
 def test_numbers_beyond_all_bounds_are_held_to_bounds():
