--- a/src/petrelhaven/proxy/node.py
+++ b/src/petrelhaven/proxy/node.py
@@ -21,7 +21,7 @@
 from petrelhaven.proxy.routing.statement_path import StatementPath
 from petrelhaven.proxy.session.client_session import ClientSession
 from petrelhaven.proxy.session.immediate_reply import reply_at_once
-from petrelhaven.proxy.session.statement import Ask, Reply
+from petrelhaven.proxy.session.statement import Reply, Statement
 from petrelhaven.runtime.clock import BackgroundTasks, Clock
 from petrelhaven.runtime.errors import Busy, DeadlineExceeded, NoRoute
 from petrelhaven.runtime.events import emit
@@ -213,7 +213,7 @@
             self._path.transactions.release(session)
         session.close()
 
-    async def serve_one(self, session: ClientSession, statement: Ask) -> Reply:
+    async def serve_one(self, session: ClientSession, statement: Statement) -> Reply:
         """The reply to one statement."""
         if session.state == "ended":
             return Reply(code="aborted", text="the session has ended")
@@ -231,7 +231,7 @@
             self._path.transactions.watch_idle(session, session.transaction)
         return reply
 
-    async def _run_routed(self, session: ClientSession, statement: Ask) -> Reply:
+    async def _run_routed(self, session: ClientSession, statement: Statement) -> Reply:
         """Runs a statement at a member of its group, unless an embargo withholds it."""
         transaction = session.transaction
         route = transaction.route if transaction is not None else self.routes.get(session.host)
--- a/src/petrelhaven/proxy/routing/member_calls.py
+++ b/src/petrelhaven/proxy/routing/member_calls.py
@@ -23,7 +23,7 @@
     from petrelhaven.proxy.routing.member import Member
     from petrelhaven.proxy.routing.request import Request
     from petrelhaven.proxy.session.client_session import ClientSession, Transaction
-    from petrelhaven.proxy.session.statement import Ask, Reply
+    from petrelhaven.proxy.session.statement import Reply, Statement
 
 __all__ = ["MemberCalls", "note_fault"]
 
@@ -88,7 +88,7 @@
                 self._give_back(member, connection, reusable)
 
     async def send_pinned(
-        self, connection: MemberConnection, session: ClientSession, statement: Ask
+        self, connection: MemberConnection, session: ClientSession, statement: Statement
     ) -> Reply:
         """The member's reply to a statement inside the transaction that has `connection`."""
         alias, _ = await self._set_up(connection, session, statement)
@@ -159,7 +159,7 @@
         self,
         connection: MemberConnection,
         session: ClientSession,
-        statement: Ask | None,
+        statement: Statement | None,
         more: Sequence[tuple[str, tuple, str]] = (),
     ) -> tuple[str | None, Sequence[Reply]]:
         """Makes the connection fit; answers the prepared name to use, and the replies to `more`."""
--- a/src/petrelhaven/proxy/routing/request.py
+++ b/src/petrelhaven/proxy/routing/request.py
@@ -9,7 +9,7 @@
     from petrelhaven.proxy.routing.group import MemberGroup
     from petrelhaven.proxy.routing.route import Route
     from petrelhaven.proxy.session.client_session import ClientSession
-    from petrelhaven.proxy.session.statement import Ask
+    from petrelhaven.proxy.session.statement import Statement
 
 __all__ = ["Request"]
 
@@ -21,7 +21,7 @@
     """A statement with its session, route and group; `end` is when its time is over (clock µs)."""
 
     session: ClientSession
-    statement: Ask
+    statement: Statement
     route: Route
     group: MemberGroup
     end: int
--- a/src/petrelhaven/proxy/session/immediate_reply.py
+++ b/src/petrelhaven/proxy/session/immediate_reply.py
@@ -11,13 +11,13 @@
     from petrelhaven.proxy.node import ProxyNode
     from petrelhaven.proxy.routing.transaction_path import TransactionPath
     from petrelhaven.proxy.session.client_session import ClientSession
-    from petrelhaven.proxy.session.statement import Ask
+    from petrelhaven.proxy.session.statement import Statement
 
 __all__ = ["reply_at_once"]
 
 
 def reply_at_once(
-    proxy: ProxyNode, transactions: TransactionPath, session: ClientSession, statement: Ask
+    proxy: ProxyNode, transactions: TransactionPath, session: ClientSession, statement: Statement
 ) -> Reply | None:
     """The reply to a statement that needs no member, or None if it needs one."""
     verb = statement.verb
@@ -46,7 +46,7 @@
     return Reply(code="aborted", text="the transaction had failed; nothing of it is kept")
 
 
-def _out_of_place(session: ClientSession, statement: Ask) -> Reply | None:
+def _out_of_place(session: ClientSession, statement: Statement) -> Reply | None:
     if statement.verb == "execute" and statement.name not in session.prepared:
         if session.transaction is not None:
             session.fail()
@@ -56,7 +56,7 @@
     return None
 
 
-def _begin(proxy: ProxyNode, session: ClientSession, statement: Ask) -> Reply:
+def _begin(proxy: ProxyNode, session: ClientSession, statement: Statement) -> Reply:
     if session.transaction is not None:
         return Reply(code="malformed", text="a transaction is open", state=session.mark)
     session.begin()
@@ -70,7 +70,7 @@
     return Reply(state=session.mark)
 
 
-def _change_session(session: ClientSession, statement: Ask) -> None:
+def _change_session(session: ClientSession, statement: Statement) -> None:
     if statement.verb == "set":
         session.values[statement.name] = statement.data
         session.nums[statement.name] = statement.num
--- a/src/petrelhaven/proxy/session/statement.py
+++ b/src/petrelhaven/proxy/session/statement.py
@@ -8,10 +8,10 @@
 if TYPE_CHECKING:
     from petrelhaven.proxy.reads.position import Position
 
-__all__ = ["Ask", "Reply"]
+__all__ = ["Statement", "Reply"]
 
 
-class Ask:
+class Statement:
     """One statement of a client.
 
     `num` is the number that the client gave it, `text` how it came. Verbs: begin, commit, rollback,
--- a/src/petrelhaven/simulator/connection_sessions/client.py
+++ b/src/petrelhaven/simulator/connection_sessions/client.py
@@ -1,6 +1,6 @@
 """A client of the path where sessions live with their connection: operations, tries, what it was told."""
 
-from petrelhaven.proxy.session.statement import Ask
+from petrelhaven.proxy.session.statement import Statement as ClientStatement
 from petrelhaven.runtime.errors import DeadlineExceeded, Fault
 from petrelhaven.simulator.connection_sessions.attempt import PROMISES, Attempt
 from petrelhaven.simulator.connection_sessions.front import Front
@@ -102,12 +102,14 @@
             a = (
                 self._access(writes)
                 if verb == "access"
-                else Ask(self._num(), verb, verb, writes=writes)
+                else ClientStatement(self._num(), verb, verb, writes=writes)
             )
             if await self._ask(t, a, end):
                 if self._state in ("T", "E") and self._front is not None:
                     await self._ask(
-                        t, Ask(self._num(), "rollback", "rollback"), self._clock.now() + 2_000_000
+                        t,
+                        ClientStatement(self._num(), "rollback", "rollback"),
+                        self._clock.now() + 2_000_000,
                     )
                 return
 
@@ -121,7 +123,7 @@
         ns = [n for n, s in self._prepared.items() if s.startswith(kind)]
         if ns and self.rng.random() < 0.5:
             n = self.rng.choice(ns)
-            return Ask(
+            return ClientStatement(
                 self._num(),
                 "execute",
                 f"execute {n} {words}",
@@ -129,7 +131,9 @@
                 data=words,
                 shape=self._prepared[n],
             )
-        return Ask(self._num(), "write" if writes else "read", f"{kind} {words}", writes=writes)
+        return ClientStatement(
+            self._num(), "write" if writes else "read", f"{kind} {words}", writes=writes
+        )
 
     async def _ask(self, t, a, end):
         """Asks one statement; its code if it was not served."""
@@ -156,7 +160,7 @@
                 await self._set(end)
             elif x < 0.15 and self._prepared:
                 n = self.rng.choice(sorted(self._prepared))
-                await self._say(Ask(self._num(), "forget", "forget", name=n), end)
+                await self._say(ClientStatement(self._num(), "forget", "forget", name=n), end)
                 del self._prepared[n]
                 await self._prepare(n, end)
             return
@@ -172,12 +176,14 @@
 
     async def _prepare(self, n, end):
         shape = f"{'put' if self.mix[1] and self.rng.random() < 0.5 else 'get'} q{self.rng.randrange(3)}"
-        await self._say(Ask(self._num(), "prepare", "prepare", name=n, shape=shape), end)
+        await self._say(
+            ClientStatement(self._num(), "prepare", "prepare", name=n, shape=shape), end
+        )
         self._prepared[n] = shape
 
     async def _set(self, end):
         k, v = self.rng.choice(("lang", "zone")), self.rng.choice("abc")
-        await self._say(Ask(self._num(), "set", "set", name=k, data=v), end)
+        await self._say(ClientStatement(self._num(), "set", "set", name=k, data=v), end)
         self._values[k] = v
 
     async def _say(self, a, end):
--- a/src/petrelhaven/simulator/connection_sessions/embargo.py
+++ b/src/petrelhaven/simulator/connection_sessions/embargo.py
@@ -4,7 +4,7 @@
 import json
 import random
 
-from petrelhaven.proxy.session.statement import Ask
+from petrelhaven.proxy.session.statement import Statement as ClientStatement
 from petrelhaven.runtime.errors import DeadlineExceeded, Fault, NotSent
 from petrelhaven.simulator.connection_sessions.attempt import Attempt
 from petrelhaven.simulator.connection_sessions.fleet import SimulatedFleet
@@ -197,7 +197,7 @@
         if not await self.embargo("add", thing, self.releases[thing]):
             return self.find("stuck", f"embargo of {thing} is not acknowledged")
         for i in range(400):
-            a = Ask(f"{thing}.{i}", "write", f"put {thing} {_SECRET}", writes=True)
+            a = ClientStatement(f"{thing}.{i}", "write", f"put {thing} {_SECRET}", writes=True)
             x = await self._ask(g, [a])
             if x is not None and x.ok:
                 break
@@ -219,14 +219,14 @@
             i += 1
             await asyncio.sleep(r.uniform(0.02, 0.1))
             thing, num = r.choice(sorted(self.records)), f"reader{n}.{i}"
-            read = Ask(num, "read", f"get {thing}")
+            read = ClientStatement(num, "read", f"get {thing}")
             if r.random() < 0.4:
-                read = Ask(
+                read = ClientStatement(
                     num, "execute", f"execute q {thing}", name="q", data=thing, shape="get q0"
                 )
-            asks = [Ask("p" + num, "prepare", "prepare", name="q", shape="get q0")]
+            asks = [ClientStatement("p" + num, "prepare", "prepare", name="q", shape="get q0")]
             if r.random() < 0.4:
-                asks.append(Ask("b" + num, "begin", "begin", writes=r.random() < 0.5))
+                asks.append(ClientStatement("b" + num, "begin", "begin", writes=r.random() < 0.5))
             await self._ask(g + r.choice(("", "-browse")), [*asks, read])
 
     async def _step(self):
--- a/src/petrelhaven/simulator/embargo_cost.py
+++ b/src/petrelhaven/simulator/embargo_cost.py
@@ -7,7 +7,7 @@
 import time
 import tracemalloc
 
-from petrelhaven.proxy.session.statement import Ask
+from petrelhaven.proxy.session.statement import Statement
 
 __all__ = ["embargo"]
 
@@ -52,7 +52,7 @@
         size = tracemalloc.get_traced_memory()[0]
         tracemalloc.stop()
     v, r = g.open("g1", "u"), random.Random(5)
-    asks = [Ask(str(i), "read", f"get {r.getrandbits(40):010x}") for i in range(_READS)]
+    asks = [Statement(str(i), "read", f"get {r.getrandbits(40):010x}") for i in range(_READS)]
     for a in asks[:200]:
         await g.serve_one(v, a)
     t = time.process_time()
@@ -77,7 +77,7 @@
     async def reader(b):
         v = b.node.open("g1", "u")
         while True:
-            r = await b.node.serve_one(v, Ask("r", "read", "get r0"))
+            r = await b.node.serve_one(v, Statement("r", "read", "get r0"))
             if r.ok:
                 return out.append((f.true() - until) / 1000)
             await asyncio.sleep(0.001 if f.true() > until - 20_000 else 0.05)
@@ -103,7 +103,7 @@
             at = f.true()
             if at >= until:
                 came[(at - until) // 100_000] += 1
-            x = await g.serve_one(v, Ask(f"{i}", "read", "get r0"))
+            x = await g.serve_one(v, Statement(f"{i}", "read", "get r0"))
             if x.ok:
                 done.append((f.true() - until) / 1e6)
                 return g.close(v)
--- a/tests/embargo_world.py
+++ b/tests/embargo_world.py
@@ -9,7 +9,7 @@
 from petrelhaven.proxy.core_connection import CoreConnection
 from petrelhaven.proxy.node import ProxyNode
 from petrelhaven.proxy.pool.member_connection import MemberConnection
-from petrelhaven.proxy.session.statement import Ask, Reply
+from petrelhaven.proxy.session.statement import Reply, Statement
 from petrelhaven.runtime.errors import DeadlineExceeded, Duplicate, Fault, NotSent, Unreachable
 from petrelhaven.simulator.net import Net, SimulatedMachine
 from petrelhaven.simulator.virtual_time import WarpLoop, end_all
@@ -462,7 +462,9 @@
                 if b.node is None or b.frozen or b.node.state != "serving":
                     continue
                 v = b.node.open("db", "writer")
-                r = await b.node.serve_one(v, Ask("w", "write", f"PUT {thing} {data}", writes=True))
+                r = await b.node.serve_one(
+                    v, Statement("w", "write", f"PUT {thing} {data}", writes=True)
+                )
                 b.node.close(v)
                 if r.ok:
                     return
@@ -489,18 +491,20 @@
         v = g.open(host, client)
         if how == "prepared":
             await g.serve_one(
-                v, Ask("p", "prepare", "PREPARE q FETCH s1", name="q", shape="FETCH s1")
+                v, Statement("p", "prepare", "PREPARE q FETCH s1", name="q", shape="FETCH s1")
+            )
+            a = Statement(
+                "r", "execute", f"EXECUTE q {thing}", name="q", data=thing, shape="FETCH s1"
             )
-            a = Ask("r", "execute", f"EXECUTE q {thing}", name="q", data=thing, shape="FETCH s1")
         else:
-            a = Ask("r", "read", f"FETCH {thing}")
+            a = Statement("r", "read", f"FETCH {thing}")
         if how in ("reads", "writes"):
-            await g.serve_one(v, Ask("b", "begin", "BEGIN", writes=how == "writes"))
+            await g.serve_one(v, Statement("b", "begin", "BEGIN", writes=how == "writes"))
         r = await g.serve_one(v, a)
         if b.life == life:
             self.note(n, thing, r, client)
         if how in ("reads", "writes"):
-            await g.serve_one(v, Ask("e", "rollback", "ROLLBACK"))
+            await g.serve_one(v, Statement("e", "rollback", "ROLLBACK"))
         g.close(v)
         return r
 
@@ -538,15 +542,17 @@
         if g is None or g.state != "serving":
             return
         v = g.open("db", "u")
-        await g.serve_one(v, Ask("p", "prepare", "PREPARE q FETCH s1", name="q", shape="FETCH s1"))
-        await g.serve_one(v, Ask("b", "begin", "BEGIN", writes=r.random() < 0.5))
-        await g.serve_one(v, Ask("r", "read", "FETCH other"))
+        await g.serve_one(
+            v, Statement("p", "prepare", "PREPARE q FETCH s1", name="q", shape="FETCH s1")
+        )
+        await g.serve_one(v, Statement("b", "begin", "BEGIN", writes=r.random() < 0.5))
+        await g.serve_one(v, Statement("r", "read", "FETCH other"))
         for _ in range(4):
             await b.clock.sleep(r.randrange(200_000, 2_000_000))
             a = r.choice(
                 (
-                    Ask("r", "read", f"FETCH {thing}"),
-                    Ask(
+                    Statement("r", "read", f"FETCH {thing}"),
+                    Statement(
                         "r", "execute", f"EXECUTE q {thing}", name="q", data=thing, shape="FETCH s1"
                     ),
                 )
@@ -554,7 +560,7 @@
             x = await g.serve_one(v, a)
             if b.life == life:
                 self.note(n, thing, x)
-        await g.serve_one(v, Ask("e", "rollback", "ROLLBACK"))
+        await g.serve_one(v, Statement("e", "rollback", "ROLLBACK"))
         g.close(v)
 
     def crowd(self, things, each=2):
--- a/tests/test_embargo_world.py
+++ b/tests/test_embargo_world.py
@@ -6,7 +6,7 @@
 import pytest
 from embargo_world import virtual
 
-from petrelhaven.proxy.session.statement import Ask
+from petrelhaven.proxy.session.statement import Statement
 from petrelhaven.runtime.errors import Fault
 
 S = 1_000_000
@@ -111,19 +111,23 @@
     g = w.edges["e1"].node
     v, x = g.open("db", "u"), g.open("db", "u")
     for s in (v, x):
-        await g.serve_one(s, Ask("1", "prepare", "PREPARE q FETCH s1", name="q", shape="FETCH s1"))
-    await g.serve_one(x, Ask("2", "begin", "BEGIN", writes=True))
-    assert (await g.serve_one(x, Ask("3", "read", "FETCH opening"))).ok
+        await g.serve_one(
+            s, Statement("1", "prepare", "PREPARE q FETCH s1", name="q", shape="FETCH s1")
+        )
+    await g.serve_one(x, Statement("2", "begin", "BEGIN", writes=True))
+    assert (await g.serve_one(x, Statement("3", "read", "FETCH opening"))).ok
     until = await placed(w, secs=6)
     for s in (v, x):
         for a in (
-            Ask("4", "execute", "EXECUTE q opening", name="q", data="opening", shape="FETCH s1"),
-            Ask("5", "read", "FETCH opening"),
+            Statement(
+                "4", "execute", "EXECUTE q opening", name="q", data="opening", shape="FETCH s1"
+            ),
+            Statement("5", "read", "FETCH opening"),
         ):
             w.note("e1", "opening", await g.serve_one(s, a))
-    r = await g.serve_one(x, Ask("6", "write", "PUT other 1", writes=True))
+    r = await g.serve_one(x, Statement("6", "write", "PUT other 1", writes=True))
     assert r.ok and r.state == "T"
-    assert (await g.serve_one(x, Ask("7", "commit", "COMMIT"))).ok
+    assert (await g.serve_one(x, Statement("7", "commit", "COMMIT"))).ok
     assert w.true() < until
     return w.bad
 
@@ -225,7 +229,7 @@
 
 
 def executes_unseen(mp):
-    mp.setattr(Ask, "things", property(lambda self: {self.text.partition(" ")[2]}))
+    mp.setattr(Statement, "things", property(lambda self: {self.text.partition(" ")[2]}))
 
 
 def transactions_unseen(mp):
--- a/tests/test_embargoes.py
+++ b/tests/test_embargoes.py
@@ -22,7 +22,7 @@
 from petrelhaven.control.embargo.instant import instant, spoken  # noqa: E402
 from petrelhaven.control.embargo.rules import Table, of_configuration, placed, rules_of, told  # noqa: E402
 from petrelhaven.control.state.control_state import ControlState  # noqa: E402
-from petrelhaven.proxy.session.statement import Ask  # noqa: E402
+from petrelhaven.proxy.session.statement import Statement  # noqa: E402
 from petrelhaven.runtime.errors import Conflict, Duplicate, Invalid, Stale, TooLarge  # noqa: E402
 from petrelhaven.runtime.wall_clock import agreed  # noqa: E402
 from petrelhaven.simulator.resumable.world import configuration  # noqa: E402
@@ -369,9 +369,13 @@
 
 
 def test_each_way_that_a_member_may_take_a_readers_words_is_looked_up():
-    assert Ask("1", "read", "FETCH a").things == {"a"}
-    assert Ask("1", "read", "FETCH a  b ").things == {"a  b ", "a", "b"}
-    assert Ask("1", "execute", "EXECUTE q a b", name="q", data="a b").things == {"a b", "a", "b"}
+    assert Statement("1", "read", "FETCH a").things == {"a"}
+    assert Statement("1", "read", "FETCH a  b ").things == {"a  b ", "a", "b"}
+    assert Statement("1", "execute", "EXECUTE q a b", name="q", data="a b").things == {
+        "a b",
+        "a",
+        "b",
+    }
 
 
 @DRAWN
--- a/tests/test_platform_lines.py
+++ b/tests/test_platform_lines.py
@@ -18,7 +18,7 @@
 from petrelhaven.control.state.control_state import ControlState  # noqa: E402
 from petrelhaven.proxy.node import ProxyNode  # noqa: E402
 from petrelhaven.proxy.pool.member_connection import MemberConnection  # noqa: E402
-from petrelhaven.proxy.session.statement import Ask, Reply  # noqa: E402
+from petrelhaven.proxy.session.statement import Reply, Statement  # noqa: E402
 from petrelhaven.runtime.clock import BackgroundTasks, Clock  # noqa: E402
 from petrelhaven.runtime.errors import (  # noqa: E402
     Busy,
@@ -800,7 +800,7 @@
         asyncio.set_event_loop(None)
 
 
-ASK = Ask("7f", "read", "FETCH k")
+ASK = Statement("7f", "read", "FETCH k")
 ROWS = st.lists(
     st.binary(max_size=12).filter(lambda b: b"\r\n" not in b and not b.endswith(b"\r")), max_size=3
 )
--- a/tests/test_platform_words.py
+++ b/tests/test_platform_words.py
@@ -9,7 +9,7 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent / "platform"))
 
-from petrelhaven.proxy.session.statement import Ask, Reply  # noqa: E402
+from petrelhaven.proxy.session.statement import Reply, Statement  # noqa: E402
 from petrelhaven.runtime.errors import Fault  # noqa: E402
 from words import CODES, WORDS, ask_line, ask_of, own_line, place, position, reply_lines, row_of  # noqa: E402
 
@@ -51,7 +51,7 @@
         ("ROLLBACK", "rollback", False),
     ):
         a = ask_of("7f", text)
-        assert isinstance(a, Ask) and (a.num, a.verb, a.text, a.writes) == (
+        assert isinstance(a, Statement) and (a.num, a.verb, a.text, a.writes) == (
             "7f",
             verb,
             text,
@@ -122,7 +122,7 @@
 )
 def test_no_text_raises_and_none_is_taken_for_another(text):
     a = ask_of("1", text)
-    if isinstance(a, Ask):
+    if isinstance(a, Statement):
         assert a.text == text and VERBS.get(text.split(" ")[0], a.verb) == a.verb
     else:
         assert a.code == "malformed"
