--- a/src/petrelhaven/control/resumable/control_state.py
+++ b/src/petrelhaven/control/resumable/control_state.py
@@ -71,7 +71,8 @@
             return share
         return min(share, _share(epoch["before"], proxy, member))
 
-    def _read_configuration(self, text: str) -> Configuration:
+    def read_configuration(self, text: str) -> Configuration:
+        """The configuration, checked."""
         configuration: Configuration = read(text)
         return configuration
 
@@ -109,19 +110,21 @@
                 self.doc["epochs"][record.group]["settled"] = True
 
     def _check_configuration(self, record: ConfigurationRecord) -> None:
-        configuration = self._read_configuration(record.text)
+        configuration = self.read_configuration(record.text)
         accepted = self.doc["manifest"]
         if not accepted:
             return
         version, in_force = configuration.version, accepted["version"]
         if version == in_force:
             if digest_of(record.text) == accepted["digest"]:
-                raise Duplicate(f"version {version} is in force already", more={"version": version})
+                raise Duplicate(
+                    f"version {version} is in force already", details={"version": version}
+                )
             raise Stale(
-                f"version {version} is taken by another manifest", more={"version": in_force}
+                f"version {version} is taken by another manifest", details={"version": in_force}
             )
         if version < in_force:
-            raise Stale(f"version {in_force} is in force", more={"version": in_force})
+            raise Stale(f"version {in_force} is in force", details={"version": in_force})
         if not record.retire:
             self._check_no_served_group_is_dropped(configuration)
 
@@ -136,7 +139,7 @@
             )
 
     def _apply_configuration(self, record: ConfigurationRecord) -> None:
-        configuration = self._read_configuration(record.text)
+        configuration = self.read_configuration(record.text)
         if self.doc["manifest"]:
             self.doc["old"] = (self.doc["old"] + [self.doc["manifest"]])[-_MOST_OLD:]
         accepted = AcceptedConfiguration(
--- a/src/petrelhaven/control/state/base.py
+++ b/src/petrelhaven/control/state/base.py
@@ -32,7 +32,7 @@
 
 def declined(note: str, *faults: tuple[str, str]) -> Invalid:
     """The error for a record that is not valid: `faults` are pairs of a field and what is wrong."""
-    return Invalid(note, more={"faults": [list(fault) for fault in faults]})
+    return Invalid(note, details={"faults": [list(fault) for fault in faults]})
 
 
 class BaseControlState(Generic[ConfigurationT, RecordT]):
@@ -55,7 +55,7 @@
     def configuration(self) -> ConfigurationT | None:
         """The configuration in force, or None before the first."""
         if self._configuration is None and self.doc["manifest"]:
-            self._configuration = self._read_configuration(self.doc["manifest"]["text"])
+            self._configuration = self.read_configuration(self.doc["manifest"]["text"])
         return self._configuration
 
     def snapshot(self) -> Document:
@@ -89,7 +89,7 @@
             **self._belief_of_groups(),
         }
 
-    def _read_configuration(self, text: str) -> ConfigurationT:
+    def read_configuration(self, text: str) -> ConfigurationT:
         """What `configuration` answers for the text of a configuration that was accepted."""
         raise NotImplementedError
 
--- a/src/petrelhaven/control/state/control_state.py
+++ b/src/petrelhaven/control/state/control_state.py
@@ -96,7 +96,8 @@
         """What is recorded about the logs of a group's members."""
         return Evidence.from_document(self.doc["evidence"].get(group))
 
-    def _read_configuration(self, text: str) -> dict[str, Any]:
+    def read_configuration(self, text: str) -> dict[str, Any]:
+        """The configuration as its text has it; the platform's start puts a reader of its own here."""
         configuration: dict[str, Any] = json.loads(text)
         return configuration
 
@@ -163,16 +164,16 @@
         if digest is not None and digest == digest_of(record.text):
             state = "in force" if record.version == accepted.version else "accepted"
             raise Duplicate(
-                f"version {record.version} is {state} already", more={"version": record.version}
+                f"version {record.version} is {state} already", details={"version": record.version}
             )
         if digest is not None:
             raise VersionTaken(
                 f"version {record.version} is taken by another manifest",
-                more={"version": accepted.version, "taken": record.version, "digest": digest},
+                details={"version": accepted.version, "taken": record.version, "digest": digest},
             )
         if record.version < accepted.version:
             raise Stale(
-                f"version {accepted.version} is in force", more={"version": accepted.version}
+                f"version {accepted.version} is in force", details={"version": accepted.version}
             )
         if record.retire is False:
             self._check_no_served_group_is_dropped(record)
@@ -216,7 +217,7 @@
         if row["state"] != _READY and record.state == _READY and not_newer:
             raise Stale(
                 f"member {record.name} is {row['state']}; this was said before",
-                more={"count": row["count"]},
+                details={"count": row["count"]},
             )
         if _without_count(row) == _without_count(record.row):
             raise Duplicate(f"member {record.name} is {record.state}")
--- a/src/petrelhaven/transport/link.py
+++ b/src/petrelhaven/transport/link.py
@@ -7,7 +7,7 @@
 
 import logbook
 
-from petrelhaven.runtime.clock import BackgroundTasks, Clock
+from petrelhaven.runtime.clock import Clock
 from petrelhaven.runtime.errors import (
     DeadlineExceeded,
     Fault,
@@ -17,6 +17,7 @@
     VersionMismatch,
 )
 from petrelhaven.runtime.events import emit
+from petrelhaven.runtime.tasks import BackgroundTasks
 from petrelhaven.transport.channel import Channel, Handler
 from petrelhaven.transport.contracts import Repeat, repeat_of
 from petrelhaven.transport.messages import CALL, FAULT, TELL, pack, unpack
@@ -259,8 +260,8 @@
         except (VersionMismatch, UnknownKind) as fault:
             self.garbage += 1
             emit(self.log, 111, note=fault.note)
-            if fault.more.get("flow") == CALL:
-                kind, number = fault.more.get("kind", ""), fault.more.get("id", 0)
+            if fault.details.get("flow") == CALL:
+                kind, number = fault.details.get("kind", ""), fault.details.get("id", 0)
                 writer.write(_framed(pack(kind, FAULT, number, {"doc": fault.doc()})))
 
     async def close(self) -> None:
