--- a/src/petrelhaven/control/base_node.py
+++ b/src/petrelhaven/control/base_node.py
@@ -11,7 +11,7 @@
 from petrelhaven.control.consensus.reform import Reform
 from petrelhaven.control.consensus.register import Proposer, Voter
 from petrelhaven.control.departure import Departure
-from petrelhaven.control.leases import LeaseTable
+from petrelhaven.control.resumable.leases import ResumableLeaseTable
 from petrelhaven.control.storage.core_store import CoreStore
 from petrelhaven.membership.prober import Prober
 from petrelhaven.membership.roster import Roster
@@ -91,8 +91,8 @@
             "disk.turned": self.disk_watch.heard,
             "chain.enter": self._enter,
             "chain.read": self._read,
-            "chain.force": self.lease_table.force,
-            "edge.hold": self.lease_table.hold,
+            "chain.force": self.lease_table.report,
+            "edge.hold": self.lease_table.subscribe,
             "creed.belief": self._belief,
             **self.handlers(),
         }.items():
@@ -100,8 +100,8 @@
         self.chain.on_view.append(self.turn)
 
     def make_lease_table(self):
-        """The desk that lends leases to edges."""
-        return LeaseTable(self.clock, self.tasks, self.chain, self.call, self.log)
+        """The leases that this node grants to proxies."""
+        return ResumableLeaseTable(self.clock, self.tasks, self.chain, self.call, self.log)
 
     def make_duty(self, platform):
         """The duty that this core does while it is the head."""
@@ -122,7 +122,7 @@
         """What this core answers beside the chain's own calls."""
         return {
             "duty.heard": self.duty.told,
-            "edge.lease": self.lease_table.lease,
+            "edge.lease": self.lease_table.renew,
             "edge.enter": self._edge,
         }
 
--- a/src/petrelhaven/control/leases.py
+++ b/src/petrelhaven/control/leases.py
@@ -1,185 +1,204 @@
-"""The lease desk: which edges may send, what they have acknowledged, and when a change is in force."""
+"""Leases of proxies: which may send statements, and when a record is in force.
 
-import asyncio
+A proxy sends statements only while it has a lease from a control node, and it gets one only if it
+follows the newest records. So a record is in force once each proxy has acknowledged it or its
+lease has certainly expired. Control nodes don't agree on leases: each knows those that it granted,
+and for a while after a new view it reckons with leases granted by nodes that are gone.
+
+`LeaseTable` is the contract; the tables of the two kinds of sessions differ in who may have a
+lease. That of resumable sessions is in `control/resumable/leases`.
+"""
+
+from __future__ import annotations
 
-from petrelhaven.control.consensus.chain import CONFIRM_US, DRIFT
-from petrelhaven.runtime.errors import DeadlineExceeded, Fault
+import asyncio
+import contextlib
+from collections.abc import Awaitable, Callable, Mapping, Sequence
+from typing import TYPE_CHECKING, Any
+
+from petrelhaven.control.consensus.chain import DRIFT
+from petrelhaven.control.state.record import kind_of
+from petrelhaven.control.state.records import ConfigurationRecord, SupersededConfiguration
+from petrelhaven.control.state_push import ChangeSignal, StatePusher
+from petrelhaven.runtime.errors import DeadlineExceeded, Fault, NotReady
 from petrelhaven.runtime.events import Events, emit
-from petrelhaven.transport.channel import Channel
+from petrelhaven.transport.lease_messages import AcknowledgementReport, NumberedRecord
+
+if TYPE_CHECKING:
+    import logbook
+
+    from petrelhaven.control.consensus.chain import Chain
+    from petrelhaven.runtime.clock import Clock
+    from petrelhaven.runtime.tasks import BackgroundTasks
+    from petrelhaven.transport.channel import Channel
+
+__all__ = ["ConnectionLeaseTable", "LeaseTable", "expiry_us"]
+
+_IN_FORCE_TIMEOUT_US = 15_000_000
+_REPORT_US = 500_000
+_POLL_US = 40_000
+
+Call = Callable[[str, str, dict[str, Any], int], Awaitable[dict[str, Any]]]
+Reports = Sequence[AcknowledgementReport | None]
 
-__all__ = ["LeaseTable", "LEASE_US", "LAPSE_US", "ConnectionLeaseTable"]
 
-LEASE_US = 1_500_000
-LAPSE_US = int((LEASE_US + CONFIRM_US) * DRIFT)
+def expiry_us(lease_us: int, confirm_us: int) -> int:
+    """After how long a lease has certainly expired, whatever the clocks of the machines drift.
+
+    Args:
+        lease_us: How long it lasts from the moment the proxy asked for it, in microseconds.
+        confirm_us: How long after a confirmation by a majority a node still grants leases.
+    """
+    return int((lease_us + confirm_us) * DRIFT)
 
 
 class LeaseTable:
-    """Grants leases under the newest held change and counts acknowledgements."""
-
-    def __init__(self, clock, tasks, chain, call, log=None, lapse_us=LAPSE_US):
-        self.clock, self.tasks, self.chain, self._call, self.log = clock, tasks, chain, call, log
-        self._lapse = lapse_us
-        self.live = {}
-        self.acked = {}
-        self.floor = clock.now() + lapse_us
-        self._hold: dict[Channel, asyncio.Task] = {}
-        chain.on_view.append(self._viewed)
-        chain.on_commit.append(self._wake)
-        self._news = asyncio.Event()
-
-    def _viewed(self):
-        self.floor = max(self.floor, self.clock.now() + self._lapse)
-
-    def _wake(self):
-        e, self._news = self._news, asyncio.Event()
-        e.set()
-
-    async def lease(self, ch, b):
-        """Renews an edge's lease, or says why not."""
-        c = self.chain
-        e = c.control_state.doc["edges"].get(b["edge"])
-        same = bool(e) and e["inc"] == b["inc"] and e.get("boot", b["boot"]) == b["boot"]
-        if same:
-            self.acked[b["edge"]] = max(self.acked.get(b["edge"], 0), b["acked"])
-            self._wake()
-        ok = bool(c.ruling and same and e["state"] != "gone")
-        need = c.control_state.seq
-        if ok:
-            self.live[b["edge"]] = self.clock.now() + int(LEASE_US * DRIFT)
-        return {"ok": ok, "us": LEASE_US, "need": need}
-
-    async def hold(self, ch, b):
-        """Takes an edge's held connection and pushes numbered changes down it."""
-        if not self.chain.complete:
-            return {"ok": False, "note": "not in the chain"}
-        # Connections may be heard in another order than they were opened in: each has pushes of its own, which end
-        # with it, and the edge closes those that it did not mean.
-        old = self._hold.pop(ch, None)
-        if old:
-            old.cancel()
-        task = self.tasks.spawn(self._push(ch, b["edge"], b["applied"]))
-        if task is not None:
-            self._hold[ch] = task
-            task.add_done_callback(lambda _: self._forget(ch, task))
-        return {"ok": True, "note": ""}
-
-    def _forget(self, channel: Channel, task: asyncio.Task) -> None:
-        if self._hold.get(channel) is task:
-            del self._hold[channel]
-
-    async def _push(self, ch, edge, at):
-        c = self.chain
-        while not ch.gone.done():
-            news = self._news
-            if not c.complete:
-                ch.close()
-                return
-            if c.commit > at or at < 0:
-                body = {"frame": None, "recs": [], "commit": c.commit}
-                rs = c.mem.since(at) if at >= 0 else None
-                if rs is None or at == 0:
-                    if c.commit != c.control_state.seq:
-                        await self.clock.sleep(20_000)
-                        continue
-                    body["frame"] = c.control_state.snapshot()
-                else:
-                    body["recs"] = self.slim([[s, r] for s, _, r in rs if s <= c.commit][:200])
-                try:
-                    r = await ch.call("edge.push", body, 1_000_000)
-                except Fault:
-                    ch.close()
-                    return
-                at = r["applied"]
-                self.acked[edge] = max(self.acked.get(edge, 0), r["acked"])
-                self._wake()
-                continue
-            t = asyncio.ensure_future(news.wait())
-            try:
-                await asyncio.wait([t, ch.gone], return_when=asyncio.FIRST_COMPLETED)
-            finally:
-                t.cancel()
-
-    def slim(self, rows):
-        """What of the records is worth sending."""
-        return rows
-
-    async def force(self, ch, b):
-        """What this core knows of who has acknowledged `seq`."""
-        now = self.clock.now()
-        return {
-            "acked": dict(self.acked),
-            "live": {e: t - now for e, t in self.live.items() if t > now},
-            "floor": max(self.floor - now, 0),
-            "commit": self.chain.commit,
-        }
-
-    async def in_force(self, seq, grace=0, horizon=15_000_000):
-        """Waits until every edge acknowledged `seq` or its lease has certainly lapsed; returns who lapsed."""
-        t0 = self.clock.now()
-        sure = t0 + self._lapse + int(grace * DRIFT)
+    """What one control node knows of leases and acknowledgements.
+
+    Attributes:
+        lease_ends: When the lease that this node granted to a proxy has certainly expired.
+        acknowledged: The newest record that each proxy has acknowledged to this node.
+        unknown_leases_end: When leases granted by nodes of earlier views have certainly expired.
+    """
+
+    def __init__(  # noqa: PLR0913, PLR0917 (a node assembles it)
+        self,
+        clock: Clock,
+        tasks: BackgroundTasks,
+        chain: Chain,
+        call: Call,
+        log: logbook.Logger | None,
+        certain_expiry_us: int,
+    ) -> None:
+        """Takes the parts of a control node; `certain_expiry_us` is that of `expiry_us`."""
+        self._clock, self._chain, self._call, self._log = clock, chain, call, log
+        self._expiry_us = certain_expiry_us
+        self.lease_ends: dict[str, int] = {}
+        self.acknowledged: dict[str, int] = {}
+        self.unknown_leases_end = clock.now() + certain_expiry_us
+        self._changed = ChangeSignal()
+        self._pusher = StatePusher(
+            clock, tasks, chain, self._changed, self.acknowledge, self.condense
+        )
+        self.subscribe = self._pusher.subscribe
+        chain.on_view.append(self._view_changed)
+        chain.on_commit.append(self._changed.wake)
+
+    def acknowledge(self, proxy: str, seq: int) -> None:
+        """Notes that `proxy` follows the records up to `seq`."""
+        self.acknowledged[proxy] = max(self.acknowledged.get(proxy, 0), seq)
+
+    def grant(self, proxy: str, lease_us: int) -> None:
+        """Notes that `proxy` may have a lease for `lease_us` from now."""
+        self.lease_ends[proxy] = self._clock.now() + int(lease_us * DRIFT)
+
+    def condense(self, records: list[NumberedRecord]) -> list[NumberedRecord]:
+        """The records of one push without what proxies don't need."""
+        return records
+
+    async def report(self, channel: Channel, body: Mapping[str, Any]) -> dict[str, Any]:
+        """Answers `chain.force`: what this node knows of leases and acknowledgements."""
+        now = self._clock.now()
+        report = AcknowledgementReport(
+            acknowledged=dict(self.acknowledged),
+            lease_us={proxy: end - now for proxy, end in self.lease_ends.items() if end > now},
+            unknown_leases_us=max(self.unknown_leases_end - now, 0),
+            commit=self._chain.commit,
+        )
+        return report.to_body()
+
+    async def in_force(
+        self, seq: int, grace_us: int = 0, timeout_us: int = _IN_FORCE_TIMEOUT_US
+    ) -> int:
+        """Waits until record `seq` is in force; returns how long that took, in microseconds.
+
+        Args:
+            seq: The number of a committed record.
+            grace_us: How long proxies may go on under the record before, once they know this one.
+            timeout_us: How long to wait at most.
+
+        Raises:
+            DeadlineExceeded: It is not known to be in force; it stays committed.
+            NotReady: This node knows of no view.
+        """
+        start = self._clock.now()
+        all_expired_at = start + self._expiry_us + int(grace_us * DRIFT)
         while True:
-            v = self.chain.view
-            news = self._news
-            rs = await asyncio.gather(*[self._ask(n, seq) for n in v["chain"]])
-            if self.chain.view is v and self._held(rs, seq, sure):
-                emit(self.log, Events.RECORD_IN_FORCE, seq=seq, us=self.clock.now() - t0)
-                return self.clock.now() - t0
-            if self.clock.now() - t0 > horizon:
+            view = self._chain.view
+            if view is None:
+                raise NotReady("no view yet")
+            event = self._changed.event
+            reports = await asyncio.gather(*[self._ask(name, seq) for name in view["chain"]])
+            waited_us = self._clock.now() - start
+            if self._chain.view is view and self._is_in_force(reports, seq, all_expired_at):
+                emit(self._log, Events.RECORD_IN_FORCE, seq=seq, us=waited_us)
+                return waited_us
+            if waited_us > timeout_us:
                 raise DeadlineExceeded("not in force yet; it stays committed")
-            try:
-                await self.clock.limit(news.wait(), 40_000)
-            except DeadlineExceeded:
-                pass
-
-    def _held(self, rs, seq, sure):
-        got = [r for r in rs if r is not None]
-        acked, live = {}, set()
-        for r in got:
-            live.update(r["live"])
-            for e, s in r["acked"].items():
-                acked[e] = max(acked.get(e, 0), s)
-        known = live | {
-            n
-            for n, e in self.chain.control_state.doc["edges"].items()
-            if e["state"] != "gone" or not e.get("lapsed")
-        }
-        late = {e for e in known if acked.get(e, 0) < seq}
-        if len(got) == len(rs):
-            return (
-                not late
-                or not late & live
-                and (all(r["floor"] == 0 for r in rs) or self.clock.now() >= sure)
-            )
-        return self.clock.now() >= sure + self._lapse and not late & live
-
-    async def _ask(self, name, seq):
+            with contextlib.suppress(DeadlineExceeded):
+                await self._clock.limit(event.wait(), _POLL_US)
+
+    def _is_in_force(self, reports: Reports, seq: int, all_expired_at: int) -> bool:
+        """Whether the chain's nodes together know that record `seq` is in force.
+
+        Args:
+            reports: What each node of the chain knows; None of those that didn't answer.
+            seq: The record's number.
+            all_expired_at: When each lease granted before the record has expired.
+        """
+        raise NotImplementedError
+
+    def _view_changed(self) -> None:
+        end = self._clock.now() + self._expiry_us
+        self.unknown_leases_end = max(self.unknown_leases_end, end)
+
+    async def _ask(self, name: str, seq: int) -> AcknowledgementReport | None:
         try:
-            return await self._call(name, "chain.force", {"seq": seq}, 500_000)
+            answer = await self._call(name, "chain.force", {"seq": seq}, _REPORT_US)
         except Fault:
             return None
+        return AcknowledgementReport.from_body(answer)
+
+
+def newest_acknowledged(reports: Sequence[AcknowledgementReport]) -> dict[str, int]:
+    """The newest record that each proxy has acknowledged to any of the nodes."""
+    newest: dict[str, int] = {}
+    for report in reports:
+        for proxy, seq in report.acknowledged.items():
+            newest[proxy] = max(newest.get(proxy, 0), seq)
+    return newest
 
 
 class ConnectionLeaseTable(LeaseTable):
-    """The desk of ties: edges stand in no record, so those that a lost core may have lent to are waited for by time."""
-
-    def slim(self, rows):
-        """A manifest that a later one in the same push replaces is passed over."""
-        last = max((s for s, r in rows if r["t"] == "manifest"), default=0)
-        return [[s, {"t": "pass"} if r["t"] == "manifest" and s < last else r] for s, r in rows]
-
-    def grant(self, edge, us):
-        """Notes that `edge` may hold a lease for `us` from now."""
-        self.live[edge] = self.clock.now() + int(us * DRIFT)
-
-    def _held(self, rs, seq, sure):
-        got = [r for r in rs if r is not None]
-        acked = {}
-        for r in got:
-            for e, s in r["acked"].items():
-                acked[e] = max(acked.get(e, 0), s)
-        if any(acked.get(e, 0) < seq for r in got for e in r["live"]):
+    """Leases of proxies with connection sessions.
+
+    No record tells which proxies there are, so those that a lost control node may have granted a
+    lease to are waited for by time.
+    """
+
+    def condense(self, records: list[NumberedRecord]) -> list[NumberedRecord]:
+        """A configuration that a later one in the same push replaces is left out."""
+        placeholder = SupersededConfiguration().to_document()
+        configurations = [seq for seq, record in records if _is_configuration(record)]
+        last = max(configurations, default=0)
+        return [
+            (seq, placeholder if _is_configuration(record) and seq < last else record)
+            for seq, record in records
+        ]
+
+    def _is_in_force(self, reports: Reports, seq: int, all_expired_at: int) -> bool:
+        answered = [report for report in reports if report is not None]
+        acknowledged = newest_acknowledged(answered)
+        leased = {proxy for report in answered for proxy in report.lease_us}
+        if any(acknowledged.get(proxy, 0) < seq for proxy in leased):
             return False
-        now = self.clock.now()
-        if len(got) < len(rs):
-            return now >= sure + self._lapse
-        return all(r["floor"] == 0 for r in got) or now >= sure
+        now = self._clock.now()
+        if len(answered) < len(reports):
+            return now >= all_expired_at + self._expiry_us
+        if all(report.unknown_leases_us == 0 for report in answered):
+            return True
+        return now >= all_expired_at
+
+
+def _is_configuration(record: Mapping[str, Any]) -> bool:
+    return kind_of(record) == ConfigurationRecord.kind
--- a/src/petrelhaven/control/node.py
+++ b/src/petrelhaven/control/node.py
@@ -4,11 +4,10 @@
 
 from petrelhaven.control.base_node import _ADDR, BaseControlNode
 from petrelhaven.control.configuration.document import read
-from petrelhaven.control.consensus.chain import DRIFT
 from petrelhaven.control.consensus.proxy_survey import ProxySurvey
 from petrelhaven.control.core_changes import CoreChanges
 from petrelhaven.control.failover.coordinator import FailoverCoordinator
-from petrelhaven.control.leases import ConnectionLeaseTable
+from petrelhaven.control.leases import ConnectionLeaseTable, expiry_us
 from petrelhaven.control.orders import ANSWER_US, OrderRouter
 from petrelhaven.control.state.control_state import ControlState
 from petrelhaven.runtime.errors import (
@@ -108,9 +107,9 @@
         return self.embargoes.edge_time()
 
     def make_lease_table(self):
-        """The desk of the edges' ties."""
-        lapse = int((CONNECTION_LEASE_US + self.confirm_us) * DRIFT)
-        return ConnectionLeaseTable(self.clock, self.tasks, self.chain, self.call, self.log, lapse)
+        """The leases that this node grants to connected proxies."""
+        expiry = expiry_us(CONNECTION_LEASE_US, self.confirm_us)
+        return ConnectionLeaseTable(self.clock, self.tasks, self.chain, self.call, self.log, expiry)
 
     def make_duty(self, platform):
         """The duty that keeps a primary in office for each group."""
@@ -120,7 +119,7 @@
         """What edges and other cores ask."""
         return {
             "edge.hold": self._hold,
-            "chain.force": self.lease_table.force,
+            "chain.force": self.lease_table.report,
             "tie.pulse": self._pulse,
             "warden.doubt": self._suspected,
             "warden.look": self.duty.answer_look,
@@ -209,11 +208,11 @@
             await self.proxy_survey.meet(ch, b["edge"])
             return {"ok": False, "note": "not confirmed by a majority"}
         self._applied(b["edge"], b["applied"])
-        return await self.lease_table.hold(ch, b)
+        return await self.lease_table.subscribe(ch, b)
 
     def _applied(self, edge, seq):
         """An edge says what it has applied, also what another core pushed to it."""
-        self.lease_table.acked[edge] = max(self.lease_table.acked.get(edge, 0), seq)
+        self.lease_table.acknowledge(edge, seq)
 
     async def _pulse(self, ch, b):
         now = self.clock.now()
--- a/src/petrelhaven/control/resumable/planning_duty.py
+++ b/src/petrelhaven/control/resumable/planning_duty.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from petrelhaven.control.leases import LAPSE_US, LEASE_US
+from petrelhaven.control.resumable.leases import EXPIRY_US, LEASE_US
 from petrelhaven.control.resumable.plan import GroupObservation, after, step
 from petrelhaven.runtime.errors import DeadlineExceeded, Fault, Malformed
 from petrelhaven.runtime.events import Events, emit
@@ -11,7 +11,7 @@
 
 _TURN_US = 80_000
 _FORGET_US = 600_000_000
-_REKEEP_US = LAPSE_US + 2_500_000
+_REKEEP_US = EXPIRY_US + 2_500_000
 
 
 class PlanningDuty:
@@ -64,7 +64,7 @@
                 "members": {
                     m: {"doc": h["doc"], "age": now - h["at"]} for m, h in self.heard.items()
                 },
-                "edges": {e: t - now for e, t in self.lease_table.live.items()},
+                "edges": {e: t - now for e, t in self.lease_table.lease_ends.items()},
             }
         }
 
@@ -143,7 +143,7 @@
 
     def _edges(self, now):
         seen = {}
-        for e, t in self.lease_table.live.items():
+        for e, t in self.lease_table.lease_ends.items():
             seen[e] = max(seen.get(e, -1 << 60), t - now)
         for at, d in self._others.values():
             for e, left in d["edges"].items():
@@ -152,7 +152,7 @@
             if ("edge", n) in self._busy:
                 continue
             if e["state"] == "gone":
-                if not e.get("lapsed") and now - self._began > LAPSE_US:
+                if not e.get("lapsed") and now - self._began > EXPIRY_US:
                     self._do(("edge", n), self._lapse, n, e["inc"], self.chain.control_state.seq)
                 continue
             born = self._born.setdefault((n, e["inc"]), now)
@@ -169,7 +169,7 @@
             mute = (
                 quiet < -2_500_000
                 and now - self._began > 2_500_000
-                and self.lease_table.floor <= now
+                and self.lease_table.unknown_leases_end <= now
             )
             if lost or mute:
                 self._let_go[e["hall"]] = now
@@ -306,7 +306,7 @@
 
     async def _force(self, key, e, seq):
         try:
-            await self.lease_table.in_force(seq, e["grace"], horizon=60_000_000)
+            await self.lease_table.in_force(seq, e["grace"], timeout_us=60_000_000)
             self._forced[key] = self.clock.now()
         except Fault:
             pass
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -128,7 +128,7 @@
 
 
 def acked_at_once(mp):
-    async def in_force(self, seq, grace=0, horizon=0):
+    async def in_force(self, seq, grace_us=0, timeout_us=0):
         return 0
 
     mp.setattr(lease_table.LeaseTable, "in_force", in_force)
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -409,8 +409,8 @@
             on_view=[],
             on_commit=[],
         )
-        lease_table = ConnectionLeaseTable(core.clock, core.tasks, chain, None)
-        core.on("edge.hold", lease_table.hold)
+        lease_table = ConnectionLeaseTable(core.clock, core.tasks, chain, None, None, 2_000_000)
+        core.on("edge.hold", lease_table.subscribe)
         pushed = []
 
         async def push(channel, body):
--- a/tests/test_connection_sessions_storm.py
+++ b/tests/test_connection_sessions_storm.py
@@ -97,7 +97,7 @@
 
 
 def no_barrier(mp):
-    async def in_force(self, seq, grace=0, horizon=0):
+    async def in_force(self, seq, grace_us=0, timeout_us=0):
         return 0
 
     mp.setattr(lease_table.ConnectionLeaseTable, "in_force", in_force)
--- a/tests/test_embargo_world.py
+++ b/tests/test_embargo_world.py
@@ -192,7 +192,7 @@
 def acknowledged_at_once(mp):
     from petrelhaven.control import leases as lease_table
 
-    async def in_force(self, seq, grace=0, horizon=0):
+    async def in_force(self, seq, grace_us=0, timeout_us=0):
         return 0
 
     mp.setattr(lease_table.LeaseTable, "in_force", in_force)
