--- a/src/petrelhaven/proxy/core_connection.py
+++ b/src/petrelhaven/proxy/core_connection.py
@@ -1,184 +1,338 @@
-"""An edge's tie to the core: a held connection, numbered changes, a pulse that brings a lease, doubts told at once."""
+"""A proxy's core connection: the control state as it is pushed, and the lease that comes with it.
+
+A proxy keeps a connection to the nearest control node that a majority confirms. Over it come the
+records of the control state, numbered, and every quarter of a second the renewal of a lease. The
+rules of that lease are in docs/notes/ties-and-leases.md.
+"""
+
+from __future__ import annotations
 
 import asyncio
+import random
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import TYPE_CHECKING, Any, Protocol
 
 from petrelhaven.control.state.control_state import ControlState
 from petrelhaven.runtime.errors import Fault
 from petrelhaven.runtime.events import emit
+from petrelhaven.transport.proxy_messages import (
+    LeaseAnswer,
+    LeaseRenewal,
+    StatePush,
+    StateReceipt,
+    Suspicion,
+)
+
+if TYPE_CHECKING:
+    import logbook
+
+    from petrelhaven.runtime.clock import Clock
+    from petrelhaven.runtime.tasks import BackgroundTasks
+    from petrelhaven.transport.channel import Channel
+    from petrelhaven.transport.link import Link
+
+__all__ = ["CoreConnection", "StateListener"]
+
+StateListener = Callable[[list[dict[str, Any]], bool], None]
+"""Called with the records just applied, and whether a whole control state was taken over."""
+
+_RENEWAL_PERIOD_US = 250_000
+_RENEWAL_LIMIT_US = 450_000
+_RENEWAL_RETRY_US = 200_000
+_RENEWALS_MISSED_MOST = 2
+_RECENT_CONFIRMATION_US = 600_000
+_UNCONFIRMED_MOST_US = 3_000_000
+
+_OPEN_LIMIT_US = 1_000_000
+_FIRST_OPEN_LIMIT_US = 250_000
+_HOLD_LIMIT_US = 800_000
+
+_UNREACHABLE_PAUSE_US = 1_500_000
+_FIRST_UNREACHABLE_PAUSE_US = 250_000
+_DECLINED_PAUSE_US = 150_000
+_LOST_PAUSE_US = 100_000
+_NOBODY_PAUSE_US = 100_000
+
+_SUSPICION_PERIOD_US = 250_000
+_UNKNOWN_DISTANCE = 9
+_NOTHING_APPLIED = -1
+
 
-__all__ = ["CoreConnection"]
+class LeaseCompanion(Protocol):
+    """Something that asks the control node for more at each renewal of the lease."""
 
-_PULSE_US = 250_000
-_CONFIRMED_US = 600_000
-_BAD_US = 1_500_000
-_PATIENT_US = 3_000_000
-_SUSPICION_US = 250_000
+    async def ask(self, channel: Channel) -> None:
+        """Asks the control node behind `channel`."""
+
+
+@dataclass(frozen=True, slots=True)
+class _PendingLease:
+    """A lease that counts once the proxy has applied record `required_seq`."""
+
+    required_seq: int
+    asked_at: int
+    lease_us: int
+    confirmation_age_us: int
 
 
 class CoreConnection:
-    """Holds the ledger as pushed. `near(hall)` ranks halls; the nearest core that rules is held."""
+    """Follows the control state, renews the lease and reports primaries that fail.
+
+    Attributes:
+        name: The proxy's name.
+        seeds: Addresses of control nodes to begin with.
+        control_state: The control state as far as it has been pushed.
+        joined: Whether a control state has been received at all.
+        view_number: The number of the newest known view of control nodes.
+        control_nodes: The distance of each control node of that view, by its address.
+        proxy_count: How many proxies are connected to control nodes, as last reported.
+        lease_until: When the lease ends, in microseconds of the proxy's clock.
+        on_change: Called after each change of the control state or of `proxy_count`.
+        true_time: What asks for the time agreed on, while an embargo needs it.
+    """
+
+    def __init__(  # noqa: PLR0913, PLR0917 (what a node gives to each of its parts)
+        self,
+        clock: Clock,
+        tasks: BackgroundTasks,
+        link: Link,
+        rng: random.Random,
+        name: str,
+        seeds: list[str],
+        zone_distance: Callable[[str], int],
+        log: logbook.Logger | None = None,
+    ) -> None:
+        """Serves pushes on `link`; `start` connects.
 
-    def __init__(self, clock, tasks, link, rng, name, seeds, near, log=None):
+        Args:
+            clock: Monotonic time.
+            tasks: Where the connection's tasks run.
+            link: Opens channels to control nodes.
+            rng: Chooses among control nodes at the same distance.
+            name: The proxy's name.
+            seeds: Addresses of control nodes to begin with.
+            zone_distance: How far a zone is, 0 the proxy's own.
+            log: Where events go.
+        """
         self.clock, self.tasks, self.link, self.rng, self.log = clock, tasks, link, rng, log
-        self.name, self.seeds, self._near = name, seeds, near
+        self.name, self.seeds, self._zone_distance = name, seeds, zone_distance
         self.control_state = ControlState()
         self.joined = False
-        self.view = 0
-        self.cores = {}
-        self.edges = 0
-        self.on_change = []
-        self.lease = self._confirmed_at = 0
-        self.time = None
-        self._need = None
-        self._bad, self._asked = {}, {}
-        self._ch = self._core = None
-        link.on("edge.push", self._push)
-        link.on("edge.frame", self._frame)
-
-    def start(self):
-        """Starts the task of the tie."""
+        self.view_number = 0
+        self.control_nodes: dict[str, int] = {}
+        self.proxy_count = 0
+        self.on_change: list[StateListener] = []
+        self.lease_until = self._confirmed_at = 0
+        self.true_time: LeaseCompanion | None = None
+        self._pending_lease: _PendingLease | None = None
+        self._avoid_until: dict[str, int] = {}
+        self._next_report_at: dict[str, int] = {}
+        self._channel: Channel | None = None
+        link.on("edge.push", self._apply_push)
+        link.on("edge.frame", self._send_snapshot)
+
+    def start(self) -> None:
+        """Starts the task that keeps the connection."""
         self.tasks.spawn(self._run())
 
     @property
-    def holds(self):
-        """Whether this edge holds a lease: what it has applied is the newest in force, asked right before a send."""
-        return self.clock.now() < self.lease
+    def holds_lease(self) -> bool:
+        """Whether this proxy holds a lease; to be asked right before a send.
+
+        While it does, what it has applied is the newest control state in force.
+        """
+        return self.clock.now() < self.lease_until
 
     @property
-    def confirmed(self):
-        """Whether the lease holds, and a majority of cores was in reach as lately as on calm days.
+    def lease_confirmed(self) -> bool:
+        """Whether the lease holds, and a majority of control nodes was reached a moment ago.
 
         A lease outlives the contact that brought it; what came to be known since the last renewal,
         such as a new replica of a group, may be known to nobody in reach.
         """
-        return self.holds and self.clock.now() - self._confirmed_at <= _CONFIRMED_US
+        confirmed_us = self.clock.now() - self._confirmed_at
+        return self.holds_lease and confirmed_us <= _RECENT_CONFIRMATION_US
 
-    def _renew(self, asked_at, us, age):
-        """Takes a lease of `us` asked for at `asked_at`; the core had a majority's word `age` before."""
-        self.lease = max(self.lease, asked_at + us)
-        self._confirmed_at = max(self._confirmed_at, asked_at - age)
+    def _extend_lease(self, asked_at: int, lease_us: int, confirmation_age_us: int) -> None:
+        """Takes a lease of `lease_us` asked for at `asked_at`.
 
-    def _choose(self):
-        now = self.clock.now()
-        known = dict(self.cores)
-        for a in self.seeds:
-            known.setdefault(a, 9)
-        good = [a for a in known if self._bad.get(a, 0) <= now]
-        if not good:
+        The control node had been confirmed by a majority `confirmation_age_us` before it answered.
+        """
+        self.lease_until = max(self.lease_until, asked_at + lease_us)
+        self._confirmed_at = max(self._confirmed_at, asked_at - confirmation_age_us)
+
+    def _is_avoided(self, address: str) -> bool:
+        return self._avoid_until.get(address, 0) > self.clock.now()
+
+    def _nearest(self) -> str | None:
+        """The address of a control node to connect to, or None if all are avoided for now."""
+        distances = dict(self.control_nodes)
+        for address in self.seeds:
+            distances.setdefault(address, _UNKNOWN_DISTANCE)
+        usable = sorted(address for address in distances if not self._is_avoided(address))
+        if not usable:
             return None
-        best = min(known[a] for a in good)
-        return self.rng.choice([a for a in sorted(good) if known[a] == best])
+        least = min(distances[address] for address in usable)
+        return self.rng.choice([address for address in usable if distances[address] == least])
 
-    async def _run(self):
+    def _nearer_is_usable(self, address: str) -> bool:
+        """Whether a control node nearer than `address` may be connected to again."""
+        distance = self.control_nodes.get(address, _UNKNOWN_DISTANCE)
+        return any(
+            other_distance < distance and not self._is_avoided(other)
+            for other, other_distance in self.control_nodes.items()
+        )
+
+    async def _run(self) -> None:
+        """Connects to one control node after the other, for as long as the proxy runs."""
         while True:
-            a = self._choose()
-            if a is None:
-                await self.clock.sleep(100_000)
+            address = self._nearest()
+            if address is None:
+                await self.clock.sleep(_NOBODY_PAUSE_US)
                 continue
-            try:
-                ch = await self.clock.limit(
-                    self.link.open(a), 1_000_000 if self.joined else 250_000
-                )
-            except Fault:
-                self._bad[a] = self.clock.now() + (_BAD_US if self.joined else 250_000)
+            channel = await self._open(address)
+            if channel is None:
                 continue
             try:
-                await self._hold(a, ch)
+                await self._follow(address, channel)
             except Fault:
                 pass
             finally:
-                self._ch = None
-                ch.close()
-            self._bad[a] = max(self._bad.get(a, 0), self.clock.now() + 100_000)
-
-    async def _hold(self, a, ch):
-        at = self.control_state.seq if self.joined else -1
-        r = await ch.call("edge.hold", {"edge": self.name, "inc": 0, "applied": at}, 800_000)
-        if not r["ok"]:
-            self._bad[a] = self.clock.now() + 150_000
+                self._channel = None
+                channel.close()
+            avoid_until = self.clock.now() + _LOST_PAUSE_US
+            self._avoid_until[address] = max(self._avoid_until.get(address, 0), avoid_until)
+
+    async def _open(self, address: str) -> Channel | None:
+        """A channel to a control node; None if it could not be reached."""
+        limit_us = _OPEN_LIMIT_US if self.joined else _FIRST_OPEN_LIMIT_US
+        try:
+            return await self.clock.limit(self.link.open(address), limit_us)
+        except Fault:
+            pause_us = _UNREACHABLE_PAUSE_US if self.joined else _FIRST_UNREACHABLE_PAUSE_US
+            self._avoid_until[address] = self.clock.now() + pause_us
+            return None
+
+    async def _follow(self, address: str, channel: Channel) -> None:
+        """Has the control state pushed over `channel`, and renews the lease until that fails."""
+        applied_seq = self.control_state.seq if self.joined else _NOTHING_APPLIED
+        hold = {"edge": self.name, "inc": 0, "applied": applied_seq}
+        answer = await channel.call("edge.hold", hold, _HOLD_LIMIT_US)
+        if not answer["ok"]:
+            self._avoid_until[address] = self.clock.now() + _DECLINED_PAUSE_US
             return
-        self._ch, self._core = ch, a
-        emit(self.log, 401, core=a)
-        mute, good = 0, self.clock.now()
-        while not ch.gone.done():
+        self._channel = channel
+        emit(self.log, 401, core=address)
+        missed, granted_at = 0, self.clock.now()
+        while not channel.gone.done():
             try:
-                ok = await self._pulse([])
-                if self.time is not None:
-                    self.tasks.spawn(self.time.ask(ch))
-                mute = 0
-                good = self.clock.now() if ok else good
+                granted = await self._renew_lease()
+                if self.true_time is not None:
+                    self.tasks.spawn(self.true_time.ask(channel))
+                missed = 0
+                granted_at = self.clock.now() if granted else granted_at
             except Fault:
-                mute += 1
-            if mute >= 2 or self.clock.now() - good > _PATIENT_US:
-                emit(self.log, 402, core=a)
-                self._bad[a] = self.clock.now() + _BAD_US
+                missed += 1
+            ungranted_us = self.clock.now() - granted_at
+            if missed >= _RENEWALS_MISSED_MOST or ungranted_us > _UNCONFIRMED_MOST_US:
+                emit(self.log, 402, core=address)
+                self._avoid_until[address] = self.clock.now() + _UNREACHABLE_PAUSE_US
                 return
-            mine = self.cores.get(a, 9)
-            if any(
-                r < mine and self._bad.get(b, 0) <= self.clock.now() for b, r in self.cores.items()
-            ):
+            if self._nearer_is_usable(address):
                 return
-            await asyncio.wait([ch.gone], timeout=(_PULSE_US if not mute else 200_000) / 1e6)
+            pause_us = _RENEWAL_RETRY_US if missed else _RENEWAL_PERIOD_US
+            await asyncio.wait([channel.gone], timeout=pause_us / 1e6)
 
-    async def _pulse(self, suspicions):
-        ch = self._ch
-        if ch is None:
+    async def _renew_lease(self, suspicions: tuple[Suspicion, ...] = ()) -> bool:
+        """Asks for a lease and reports suspicions; whether a lease was granted."""
+        channel = self._channel
+        if channel is None:
             return False
-        t0 = self.clock.now()
-        r = await ch.call(
-            "tie.pulse",
-            {
-                "name": self.name,
-                "seq": self.control_state.seq,
-                "cores": self.view,
-                "doubts": suspicions,
-            },
-            450_000,
-        )
-        if r["edges"] != self.edges:
-            self.edges = r["edges"]
-            for f in self.on_change:
-                f([], False)
-        if r["cores"]:
-            self.view = r["view"]
-            self.cores = {a: self._near(h) for _, h, a in r["cores"]}
-        if r["ok"]:
-            if self.control_state.seq >= r["need"]:
-                self._renew(t0, r["us"], r["age"])
-            else:
-                self._need = (r["need"], t0, r["us"], r["age"])
-        return r["ok"]
-
-    def suspect(self, group, member, how):
-        """Tells the core that a primary seems lost; said again at most every quarter of a second."""
+        asked_at = self.clock.now()
+        renewal = LeaseRenewal(self.name, self.control_state.seq, self.view_number, suspicions)
+        body = await channel.call("tie.pulse", renewal.to_body(), _RENEWAL_LIMIT_US)
+        answer = LeaseAnswer.from_body(body)
+        self._take_fleet(answer)
+        if answer.granted:
+            self._take_lease(answer, asked_at)
+        return answer.granted
+
+    def _take_fleet(self, answer: LeaseAnswer) -> None:
+        """Takes what an answer says of the other proxies and of the control nodes."""
+        if answer.proxy_count != self.proxy_count:
+            self.proxy_count = answer.proxy_count
+            self._notify([], False)
+        if answer.control_nodes:
+            self.view_number = answer.view_number
+            self.control_nodes = {
+                node.address: self._zone_distance(node.zone) for node in answer.control_nodes
+            }
+
+    def _take_lease(self, answer: LeaseAnswer, asked_at: int) -> None:
+        """Takes a lease, at once or when its control state has been applied."""
+        if self.control_state.seq >= answer.required_seq:
+            self._extend_lease(asked_at, answer.lease_us, answer.confirmation_age_us)
+        else:
+            self._pending_lease = _PendingLease(
+                answer.required_seq, asked_at, answer.lease_us, answer.confirmation_age_us
+            )
+
+    def _take_pending_lease(self) -> None:
+        pending = self._pending_lease
+        if pending is not None and self.control_state.seq >= pending.required_seq:
+            self._extend_lease(pending.asked_at, pending.lease_us, pending.confirmation_age_us)
+            self._pending_lease = None
+
+    def suspect(self, group: str, member: str, how: str) -> None:
+        """Reports that a primary seems lost, at most every quarter of a second for a group.
+
+        Args:
+            group: The group.
+            member: The name of its primary.
+            how: The sign of it: mute, reset, refused or replica.
+        """
         now = self.clock.now()
-        if self._asked.get(group, 0) > now or self._ch is None:
+        if self._next_report_at.get(group, 0) > now or self._channel is None:
             return
-        self._asked[group] = now + _SUSPICION_US
+        self._next_report_at[group] = now + _SUSPICION_PERIOD_US
         emit(self.log, 423, group=group, member=member, how=how)
-        self.tasks.spawn(self._pulse([[group, member, how]]))
+        self.tasks.spawn(self._renew_lease((Suspicion(group, member, how),)))
+
+    def _notify(self, records: list[dict[str, Any]], is_snapshot: bool) -> None:
+        for listener in self.on_change:
+            listener(records, is_snapshot)
 
-    async def _frame(self, ch, b):
+    async def _send_snapshot(self, _channel: Channel, _body: dict[str, Any]) -> dict[str, Any]:
+        """Answers `edge.frame`: the control state as this proxy has it, for a reform."""
         return {"frame": self.control_state.frame() if self.joined else None}
 
-    async def _push(self, ch, b):
-        if ch is not self._ch and self._ch is not None:
-            ch.close()
-            return {"applied": self.control_state.seq, "acked": self.control_state.seq}
-        recs, fresh = [], False
-        if b["frame"] is not None and (
-            b["frame"]["seq"] > self.control_state.seq or not self.joined
-        ):
-            self.control_state = ControlState(b["frame"])
-            self.joined = fresh = True
-        for s, r in b["recs"]:
-            if s == self.control_state.seq + 1:
-                self.control_state.apply(s, r)
-                recs.append(r)
-        if fresh or recs:
-            for f in self.on_change:
-                f(recs, fresh)
-        if self._need and self.control_state.seq >= self._need[0]:
-            self._renew(*self._need[1:])
-            self._need = None
-        return {"applied": self.control_state.seq, "acked": self.control_state.seq}
+    async def _apply_push(self, channel: Channel, body: dict[str, Any]) -> dict[str, Any]:
+        """Answers `edge.push`: applies a snapshot and records that are newer than what is known."""
+        if self._channel is not None and channel is not self._channel:
+            channel.close()
+            return StateReceipt(self.control_state.seq).to_body()
+        push = StatePush.from_body(body)
+        is_snapshot = self._apply_snapshot(push.snapshot)
+        records = self._apply_records(push.records)
+        if is_snapshot or records:
+            self._notify(records, is_snapshot)
+        self._take_pending_lease()
+        return StateReceipt(self.control_state.seq).to_body()
+
+    def _apply_snapshot(self, snapshot: dict[str, Any] | None) -> bool:
+        """Takes a whole control state over; whether it was newer."""
+        if snapshot is None or (self.joined and snapshot["seq"] <= self.control_state.seq):
+            return False
+        self.control_state = ControlState(snapshot)
+        self.joined = True
+        return True
+
+    def _apply_records(self, records: list[tuple[int, dict[str, Any]]]) -> list[dict[str, Any]]:
+        """Applies the records that follow the control state; which those are."""
+        applied = []
+        for seq, record in records:
+            if seq == self.control_state.seq + 1:
+                self.control_state.apply(seq, record)
+                applied.append(record)
+        return applied
--- a/src/petrelhaven/proxy/embargo.py
+++ b/src/petrelhaven/proxy/embargo.py
@@ -89,7 +89,7 @@
 
     def held(self, group, things, client):
         """Why a read is withheld now and until when in true time (0: not known), or None."""
-        if group in self.scope and not self.g.core_connection.holds:
+        if group in self.scope and not self.g.core_connection.holds_lease:
             return "lease", 0, ""
         now = self.time.lowest()
         hit = self.table.held(group, things, client, now)
@@ -130,7 +130,7 @@
         return r
 
     def _lease(self, group):
-        if group in self.scope and self.g.core_connection.holds != self._led:
+        if group in self.scope and self.g.core_connection.holds_lease != self._led:
             self._led = not self._led
             emit(self.g.log, 433 if self._led else 432)
 
@@ -159,6 +159,6 @@
             "scope": sorted(self.scope),
             "rules": len(self.table),
             "time": self.time.interval(),
-            "lease": self.g.core_connection.holds,
+            "lease": self.g.core_connection.holds_lease,
             "count": dict(self.count),
         }
--- a/src/petrelhaven/proxy/node.py
+++ b/src/petrelhaven/proxy/node.py
@@ -47,8 +47,8 @@
 class ProxyNode:
     """One proxy's logic; clock, links, core connection and wire are given.
 
-    `near(zone)` ranks zones; `drain_us` and `empty_us` are how long a primary that drains, or whose
-    zone is evacuated, still takes statements.
+    `zone_distance(zone)` ranks zones (0 the own one); `drain_us` and `empty_us` are how long a
+    primary that drains, or whose zone is evacuated, still takes statements.
     """
 
     states = ["starting", "serving", "leaving", "left"]
@@ -62,7 +62,7 @@
         rng: random.Random,
         core_connection: CoreConnection,
         wire: MemberWire,
-        near: Callable[[str], int],
+        zone_distance: Callable[[str], int],
         drain_us: int,
         empty_us: int,
         log: logbook.Logger | None = None,
@@ -70,7 +70,7 @@
         """Puts a proxy together; `start` starts it."""
         self.name, self.zone, self.log = name, zone, log
         self.clock, self.tasks, self.rng = clock, tasks, rng
-        self.core_connection, self.wire, self.near = core_connection, wire, near
+        self.core_connection, self.wire, self.zone_distance = core_connection, wire, zone_distance
         self.drain_us, self.empty_us = drain_us, empty_us
         self.order = Order()
         self.outside_contact = OutsideContact(clock)
@@ -153,7 +153,7 @@
         self.embargo.turn(control_state, records, fresh)
         if not self.embargo.on:
             self.embargo = None
-        self.core_connection.time = self.embargo and self.embargo.time
+        self.core_connection.true_time = self.embargo and self.embargo.time
 
     def _configure(self, configuration: dict[str, Any]) -> None:
         configuration = fill(configuration)
--- a/src/petrelhaven/proxy/proxy_interface.py
+++ b/src/petrelhaven/proxy/proxy_interface.py
@@ -1,68 +1,85 @@
-"""The operators' face of a gate: what this edge believes and counts. Clients come in by the wire that they speak."""
+"""The operators' interface of a proxy: what it believes and counts.
+
+Clients come in by the protocol that they speak, not here. What only the majority of control nodes
+can confirm is declined here.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING, Any
 
 from petrelhaven.control.interface.documents import configuration_of, why_of
-from petrelhaven.runtime.errors import Malformed, NoRoute, NotReady
+from petrelhaven.proxy.state_routes import serve_state
+from petrelhaven.runtime.errors import Malformed, NoRoute
+
+if TYPE_CHECKING:
+    from petrelhaven.proxy.node import ProxyNode
+    from petrelhaven.proxy.state_routes import HttpRequest, HttpRoutes
 
 __all__ = ["ProxyInterface"]
 
 
 class ProxyInterface:
-    """Routes of an edge's face. What the core's majority must confirm is declined here."""
+    """Serves the documents of one proxy over HTTP (docs/http.md)."""
 
-    def __init__(self, proxy, http_server, settings=dict):
-        self._g, self._settings = proxy, settings
-        for p, f in (
-            ("/status", self._status),
-            ("/belief", self._belief),
-            ("/ready", self._ready),
-            ("/realm", self._control_state),
-            ("/why", self._why),
-            ("/manifest", self._show),
-        ):
-            http_server.on("GET", p, f)
+    def __init__(
+        self,
+        proxy: ProxyNode,
+        http_server: HttpRoutes,
+        settings: Callable[[], dict[str, Any]] = dict,
+    ) -> None:
+        """Adds its routes.
 
-    def belief(self):
-        """What this node believes."""
-        led = self._g.core_connection.control_state
+        Args:
+            proxy: Whose documents are served.
+            http_server: Where the routes are added.
+            settings: Makes the part of the status that tells which settings are in force.
+        """
+        self._proxy, self._settings = proxy, settings
+        serve_state(http_server, proxy, self.status, self.belief)
+        http_server.on("GET", "/realm", self._show_control_state)
+        http_server.on("GET", "/why", self._show_leadership)
+        http_server.on("GET", "/manifest", self._show_configuration)
+
+    def belief(self) -> dict[str, Any]:
+        """What this proxy believes of the control state, in the form that all nodes share."""
+        control_state = self._proxy.core_connection.control_state
         return {
-            **led.belief(),
-            "name": self._g.name,
+            **control_state.belief(),
+            "name": self._proxy.name,
             "role": "edge",
-            "state": self._g.state,
-            "commit": led.seq,
+            "state": self._proxy.state,
+            "commit": control_state.seq,
             "view": None,
         }
 
-    async def _status(self, q):
-        t = self._g.core_connection
+    def status(self) -> dict[str, Any]:
+        """The belief, the proxy's counters and its core connection."""
+        core_connection = self._proxy.core_connection
         return {
-            **self._g.status(),
+            **self._proxy.status(),
             **self.belief(),
             "settings": self._settings(),
-            "joined": t.joined,
-            "lease_us": max(0, t.lease - self._g.clock.now()),
-            "cores": sorted(t.cores),
-            "edges_tied": t.edges,
+            "joined": core_connection.joined,
+            "lease_us": max(0, core_connection.lease_until - self._proxy.clock.now()),
+            "cores": sorted(core_connection.control_nodes),
+            "edges_tied": core_connection.proxy_count,
         }
 
-    async def _belief(self, q):
-        return self.belief()
-
-    async def _ready(self, q):
-        if not self._g.ready:
-            raise NotReady(f"the edge is {self._g.state}")
-        return {"ready": True}
+    async def _show_control_state(self, _request: HttpRequest) -> dict[str, Any]:
+        return self._proxy.core_connection.control_state.doc
 
-    async def _control_state(self, q):
-        return self._g.core_connection.control_state.doc
+    async def _show_leadership(self, request: HttpRequest) -> dict[str, Any]:
+        return why_of(self._proxy.core_connection.control_state.doc, request.query)
 
-    async def _why(self, q):
-        return why_of(self._g.core_connection.control_state.doc, q.query)
-
-    async def _show(self, q):
-        if q.query.get("unconfirmed") != "true":
+    async def _show_configuration(self, request: HttpRequest) -> tuple[int, bytes, Any]:
+        if request.query.get("unconfirmed") != "true":
             raise Malformed("an edge confirms no manifest; ask a core, or say unconfirmed=true")
-        m = self._g.core_connection.control_state.doc["manifest"]
-        if m is None or q.query.get("version", str(m["version"])) != str(m["version"]):
+        stored = self._proxy.core_connection.control_state.doc["manifest"]
+        if stored is None:
+            raise NoRoute("no such manifest")
+        version = str(stored["version"])
+        if request.query.get("version", version) != version:
             raise NoRoute("no such manifest")
-        return configuration_of(m["text"], False)
+        return configuration_of(stored["text"], False)
--- a/src/petrelhaven/proxy/resumable/proxy_interface.py
+++ b/src/petrelhaven/proxy/resumable/proxy_interface.py
@@ -1,42 +1,37 @@
-"""The visitors' and the platform's face of an edge."""
+"""The clients' and the platform's interface of a proxy with resumable sessions."""
 
-from petrelhaven.runtime.errors import NotReady
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any
+
+from petrelhaven.proxy.state_routes import serve_state
 from petrelhaven.transport.http_server import body_of
 
+if TYPE_CHECKING:
+    from aiohttp import web
+
+    from petrelhaven.proxy.resumable.node import ResumableProxy
+    from petrelhaven.proxy.state_routes import HttpRoutes
+
 __all__ = ["ResumableProxyInterface"]
 
 
 class ResumableProxyInterface:
-    """Routes of the visitors' face."""
-
-    def __init__(self, edge, http_server):
-        self._e = edge
-        for v, p, f in (
-            ("POST", "/sessions", self._open),
-            ("POST", "/sessions/{sid}", self._say),
-            ("DELETE", "/sessions/{sid}", self._close),
-            ("GET", "/ready", self._ready),
-            ("GET", "/status", self._status),
-            ("GET", "/belief", self._belief),
-        ):
-            http_server.on(v, p, f)
-
-    async def _open(self, req):
-        return await self._e.open_session()
-
-    async def _say(self, req):
-        return await self._e.statement(req.match_info["sid"], await body_of(req))
-
-    async def _close(self, req):
-        return await self._e.close_session(req.match_info["sid"])
-
-    async def _ready(self, req):
-        if not self._e.ready:
-            raise NotReady(f"the edge is {self._e.state}")
-        return {"ready": True}
-
-    async def _status(self, req):
-        return self._e.status()
-
-    async def _belief(self, req):
-        return self._e.belief()
+    """Serves sessions, statements and the proxy's state over HTTP (docs/http.md)."""
+
+    def __init__(self, proxy: ResumableProxy, http_server: HttpRoutes) -> None:
+        """Adds its routes to `http_server`."""
+        self._proxy = proxy
+        http_server.on("POST", "/sessions", self._open)
+        http_server.on("POST", "/sessions/{sid}", self._run_statement)
+        http_server.on("DELETE", "/sessions/{sid}", self._close)
+        serve_state(http_server, proxy, proxy.status, proxy.belief)
+
+    async def _open(self, _request: web.Request) -> dict[str, Any]:
+        return await self._proxy.open_session()
+
+    async def _run_statement(self, request: web.Request) -> dict[str, Any]:
+        return await self._proxy.statement(request.match_info["sid"], await body_of(request))
+
+    async def _close(self, request: web.Request) -> dict[str, Any]:
+        return await self._proxy.close_session(request.match_info["sid"])
--- a/src/petrelhaven/proxy/resumable/transactions.py
+++ b/src/petrelhaven/proxy/resumable/transactions.py
@@ -67,7 +67,8 @@
         except (DeadlineExceeded, Unreachable, MemberDeclined):
             e.end_txn(s)
             raise TransactionEnded(
-                "the transaction's connection was lost; nothing of it was kept", details={"txn": x.num}
+                "the transaction's connection was lost; nothing of it was kept",
+                details={"txn": x.num},
             ) from None
         except (NoLease, NoPrimary):
             raise
--- /dev/null
+++ b/src/petrelhaven/proxy/routing/base.py
@@ -0,0 +1,94 @@
+"""What the modules of this package need of the proxy and of the group that they work for.
+
+These contracts are for type checkers and readers: nothing imports this module at run time. They
+keep imports in one direction: `proxy/node` imports this package, and nothing here imports it.
+"""
+
+from __future__ import annotations
+
+import collections
+import random
+from typing import TYPE_CHECKING, Any, Protocol
+
+if TYPE_CHECKING:
+    import logbook
+
+    from petrelhaven.proxy.bounds import ProxyBounds
+    from petrelhaven.proxy.core_connection import CoreConnection
+    from petrelhaven.proxy.reads.position import Position
+    from petrelhaven.proxy.reads.read_clock import Order
+    from petrelhaven.proxy.routing.leadership import Leadership
+    from petrelhaven.proxy.routing.member import Member
+    from petrelhaven.proxy.routing.member_wire import MemberWire
+    from petrelhaven.proxy.routing.outside_contact import OutsideContact
+    from petrelhaven.proxy.routing.route import Route
+    from petrelhaven.proxy.session.statement import Reply
+    from petrelhaven.runtime.clock import Clock
+    from petrelhaven.runtime.tasks import BackgroundTasks
+
+__all__ = ["GroupMembers", "ProxyServices"]
+
+
+class ProxyServices(Protocol):
+    """A proxy as its groups and statements use it; `proxy/node.ProxyNode` is the one there is.
+
+    Attributes:
+        clock: Monotonic time, in microseconds.
+        tasks: The proxy's background tasks, which end with it.
+        rng: Spreads the times at which clients come back.
+        log: Where events go, or None.
+        order: Gives the order points of arrivals and position fetches.
+        core_connection: Brings the lease and the control state, takes reports of failures.
+        wire: Opens connections to members.
+        outside_contact: When members far away last answered.
+        routes: The configured routes by host.
+        count: Counters that the proxy's status shows.
+        drain_us: How long a draining primary still takes new statements, in microseconds.
+        empty_us: The same for a primary whose zone is evacuated.
+    """
+
+    clock: Clock
+    tasks: BackgroundTasks
+    rng: random.Random
+    log: logbook.Logger | None
+    order: Order
+    core_connection: CoreConnection
+    wire: MemberWire
+    outside_contact: OutsideContact
+    routes: dict[str, Route]
+    count: collections.Counter[str]
+    drain_us: int
+    empty_us: int
+
+    def bounds(self) -> ProxyBounds:
+        """The bounds in force."""
+
+    def zone_distance(self, zone: str) -> int:
+        """How far a zone is: 0 the proxy's own, 1 its region, 2 farther."""
+
+    def retry_after(self, delay_us: int = ...) -> str:
+        """The text of a reply that sends a client away, with the time to come back."""
+
+    def out_of_time(self, tried: bool = False) -> Reply:
+        """The reply to a statement whose time is over; `tried` if a member has it."""
+
+
+class GroupMembers(Protocol):
+    """A group as `MemberProofs` uses it; `group.MemberGroup` is the one there is.
+
+    Attributes:
+        members: The members that are not gone, by name.
+        leadership: Who leads the group, or None while that is not known.
+        sync_replicas: How many replicas have a commit before it is acknowledged.
+        size: The most members that the group has had.
+        lower_bound: A log position that every acknowledged commit of departed members is within.
+    """
+
+    members: dict[str, Member]
+    leadership: Leadership | None
+    sync_replicas: int
+    size: int
+    lower_bound: Position
+
+    async def status(self, member: Member) -> dict[str, Any]:
+        """The answer of a member to STATUS."""
--- a/src/petrelhaven/proxy/routing/group.py
+++ b/src/petrelhaven/proxy/routing/group.py
@@ -17,10 +17,10 @@
 
 if TYPE_CHECKING:
     from petrelhaven.control.state.control_state import ControlState
-    from petrelhaven.proxy.node import ProxyNode
     from petrelhaven.proxy.pool.member_connection import MemberConnection
     from petrelhaven.proxy.reads.position import Position
     from petrelhaven.proxy.routing.attempt import Attempt
+    from petrelhaven.proxy.routing.base import ProxyServices
     from petrelhaven.proxy.routing.route import Route
 
 __all__ = ["MemberGroup"]
@@ -54,7 +54,7 @@
     members the group has had, and `strong_sessions` counts sessions whose route reads strongly.
     """
 
-    def __init__(self, name: str, proxy: ProxyNode) -> None:
+    def __init__(self, name: str, proxy: ProxyServices) -> None:
         """Makes a group that knows no members yet."""
         self.name = name
         self._proxy = proxy
@@ -65,7 +65,7 @@
         self._leadership_record: dict[str, Any] | None = None
         self.connection_cap = _CONNECTION_CAP
         self.sync_replicas = self.size = self.strong_sessions = 0
-        self.floor: Position = NO_POSITION
+        self.lower_bound: Position = NO_POSITION
         self.read_clock = ReadClock(
             proxy.clock, proxy.tasks, proxy.order, self._fetch, proxy.bounds
         )
@@ -85,7 +85,7 @@
     def sure(self) -> Member | None:
         """The primary that leads under this proxy's lease, or None; asked right before a send."""
         now = self.leadership
-        if now is None or now.phase != "serve" or not self._proxy.core_connection.holds:
+        if now is None or now.phase != "serve" or not self._proxy.core_connection.holds_lease:
             return None
         return self.members.get(now.primary)
 
@@ -107,7 +107,7 @@
         """
         rows = control_state.group(self.name)
         self.size = control_state.doc["sizes"].get(self.name, 0)
-        self.floor = control_state.evidence(self.name).floor
+        self.lower_bound = control_state.evidence(self.name).floor
         for name, row in rows.items():
             self._turn_member(name, row, control_state, fresh)
         for name in [name for name in self.members if name not in rows]:
@@ -126,7 +126,7 @@
         if member is None:
             member = self.members[name] = self._new_member(name, row)
         member.state = row["state"]
-        proxies = max(self._proxy.core_connection.edges, _FEWEST_PROXIES)
+        proxies = max(self._proxy.core_connection.proxy_count, _FEWEST_PROXIES)
         share = (self.connection_cap - _RESERVED_CONNECTIONS) // proxies - 1
         member.pool.most = max(1, share)
         draining = member.state == "draining"
@@ -142,7 +142,7 @@
 
     def _new_member(self, name: str, row: dict[str, Any]) -> Member:
         proxy = self._proxy
-        proxy.outside_contact.expect(proxy.near(row["hall"]))
+        proxy.outside_contact.expect(proxy.zone_distance(row["hall"]))
         pool = ConnectionPool(
             self._clock,
             proxy.tasks,
@@ -152,7 +152,7 @@
         )
         log_progress = LogProgress(self._clock, proxy.tasks, None)
         log_progress.log = (0, 0)
-        member = Member(name, row, proxy.near(row["hall"]), pool, log_progress)
+        member = Member(name, row, proxy.zone_distance(row["hall"]), pool, log_progress)
         return member
 
     def _turn_leadership(self, record: dict[str, Any] | None) -> None:
--- a/src/petrelhaven/proxy/routing/member_calls.py
+++ b/src/petrelhaven/proxy/routing/member_calls.py
@@ -15,10 +15,10 @@
 )
 
 if TYPE_CHECKING:
-    from petrelhaven.proxy.node import ProxyNode
     from petrelhaven.proxy.pool.member_connection import MemberConnection
     from petrelhaven.proxy.reads.position import Position
     from petrelhaven.proxy.routing.attempt import Attempt
+    from petrelhaven.proxy.routing.base import ProxyServices
     from petrelhaven.proxy.routing.group import MemberGroup
     from petrelhaven.proxy.routing.member import Member
     from petrelhaven.proxy.routing.request import Request
@@ -41,7 +41,7 @@
 class MemberCalls:
     """The calls of one proxy to its members."""
 
-    def __init__(self, proxy: ProxyNode) -> None:
+    def __init__(self, proxy: ProxyServices) -> None:
         """Uses the clock, the tasks and the counters of `proxy`."""
         self._proxy = proxy
         self._clock = proxy.clock
--- a/src/petrelhaven/proxy/routing/member_proofs.py
+++ b/src/petrelhaven/proxy/routing/member_proofs.py
@@ -11,9 +11,8 @@
 from petrelhaven.runtime.errors import Fault, Unreachable
 
 if TYPE_CHECKING:
-    from petrelhaven.proxy.node import ProxyNode
     from petrelhaven.proxy.reads.position import Position
-    from petrelhaven.proxy.routing.group import MemberGroup
+    from petrelhaven.proxy.routing.base import GroupMembers, ProxyServices
     from petrelhaven.proxy.routing.member import Member
 
 __all__ = ["MemberProofs"]
@@ -26,7 +25,7 @@
 class MemberProofs:
     """Proves commits by a replica, and positions by all members but the primary."""
 
-    def __init__(self, group: MemberGroup, proxy: ProxyNode) -> None:
+    def __init__(self, group: GroupMembers, proxy: ProxyServices) -> None:
         """Uses the members of `group` and the contacts of `proxy`."""
         self._group = group
         self._proxy = proxy
@@ -49,7 +48,7 @@
             return True
         if not self._proxy.outside_contact.is_recent(answered.distance):
             return True
-        return not self._proxy.core_connection.confirmed
+        return not self._proxy.core_connection.lease_confirmed
 
     def commit_shown(
         self, position: Position | None, answered: Member, end: int
@@ -105,7 +104,7 @@
         for member, row in zip(others, rows, strict=True):
             member.note_log(row["pos"])
         highest = max(row["pos"] for row in rows)
-        if highest < self._group.floor:
+        if highest < self._group.lower_bound:
             raise Unreachable("a member that left had more")
         self._proxy.count["fetched_others"] += 1
         return highest
@@ -114,7 +113,9 @@
         """Whether `others` are all members but one, as a proxy knows only under a lease."""
         sync_replicas = self._group.sync_replicas
         fewest = max(sync_replicas + 1, self._group.size - 1)
-        return sync_replicas > 0 and len(others) >= fewest and self._proxy.core_connection.holds
+        return (
+            sync_replicas > 0 and len(others) >= fewest and self._proxy.core_connection.holds_lease
+        )
 
     def is_silent(self, member: Member) -> bool:
         """Whether asking the member is in vain: nobody is there, or it has not answered for long.
--- a/src/petrelhaven/proxy/routing/read_path.py
+++ b/src/petrelhaven/proxy/routing/read_path.py
@@ -10,8 +10,8 @@
 from petrelhaven.proxy.routing.waiting import first_done
 
 if TYPE_CHECKING:
-    from petrelhaven.proxy.node import ProxyNode
     from petrelhaven.proxy.reads.position import Position
+    from petrelhaven.proxy.routing.base import ProxyServices
     from petrelhaven.proxy.routing.member import Member
     from petrelhaven.proxy.routing.member_calls import MemberCalls
     from petrelhaven.proxy.routing.read_placement import ReadPlacement
@@ -67,7 +67,7 @@
 class ReadPath:
     """Runs reads outside transactions, each as a continuation that ends with a reply."""
 
-    def __init__(self, proxy: ProxyNode, calls: MemberCalls, placement: ReadPlacement) -> None:
+    def __init__(self, proxy: ProxyServices, calls: MemberCalls, placement: ReadPlacement) -> None:
         """Uses the clock, the tasks and the counters of `proxy`."""
         self._proxy = proxy
         self._clock = proxy.clock
--- a/src/petrelhaven/proxy/routing/read_placement.py
+++ b/src/petrelhaven/proxy/routing/read_placement.py
@@ -10,8 +10,8 @@
 from petrelhaven.proxy.routing.waiting import first_done
 
 if TYPE_CHECKING:
-    from petrelhaven.proxy.node import ProxyNode
     from petrelhaven.proxy.reads.position import Position
+    from petrelhaven.proxy.routing.base import ProxyServices
     from petrelhaven.proxy.routing.group import MemberGroup
     from petrelhaven.proxy.routing.member import Member
 
@@ -27,7 +27,7 @@
 class ReadPlacement:
     """What single reads and transactions that only read share."""
 
-    def __init__(self, proxy: ProxyNode) -> None:
+    def __init__(self, proxy: ProxyServices) -> None:
         """Uses the clock, the tasks and the counters of `proxy`."""
         self._proxy = proxy
         self._clock = proxy.clock
--- a/src/petrelhaven/proxy/routing/statement_path.py
+++ b/src/petrelhaven/proxy/routing/statement_path.py
@@ -14,7 +14,7 @@
 from petrelhaven.proxy.routing.write_path import WritePath
 
 if TYPE_CHECKING:
-    from petrelhaven.proxy.node import ProxyNode
+    from petrelhaven.proxy.routing.base import ProxyServices
     from petrelhaven.proxy.routing.request import Request
     from petrelhaven.proxy.session.statement import Reply
 
@@ -24,7 +24,7 @@
 class StatementPath:
     """Runs statements as continuations that yield the futures they wait for, and end in a reply."""
 
-    def __init__(self, proxy: ProxyNode) -> None:
+    def __init__(self, proxy: ProxyServices) -> None:
         """Uses the clock, the tasks and the counters of `proxy`."""
         calls = MemberCalls(proxy)
         placement = ReadPlacement(proxy)
--- a/src/petrelhaven/proxy/routing/transaction_path.py
+++ b/src/petrelhaven/proxy/routing/transaction_path.py
@@ -14,7 +14,7 @@
 from petrelhaven.runtime.events import emit
 
 if TYPE_CHECKING:
-    from petrelhaven.proxy.node import ProxyNode
+    from petrelhaven.proxy.routing.base import ProxyServices
     from petrelhaven.proxy.routing.member_calls import MemberCalls
     from petrelhaven.proxy.routing.request import Request
     from petrelhaven.proxy.routing.transaction_start import TransactionStart
@@ -29,7 +29,7 @@
 class TransactionPath:
     """Runs statements inside transactions, and ends transactions."""
 
-    def __init__(self, proxy: ProxyNode, calls: MemberCalls, start: TransactionStart) -> None:
+    def __init__(self, proxy: ProxyServices, calls: MemberCalls, start: TransactionStart) -> None:
         """Uses the clock, the tasks and the counters of `proxy`."""
         self._proxy = proxy
         self._clock = proxy.clock
--- a/src/petrelhaven/proxy/routing/transaction_start.py
+++ b/src/petrelhaven/proxy/routing/transaction_start.py
@@ -13,8 +13,8 @@
 from petrelhaven.runtime.errors import Busy, DeadlineExceeded, Fault
 
 if TYPE_CHECKING:
-    from petrelhaven.proxy.node import ProxyNode
     from petrelhaven.proxy.reads.position import Position
+    from petrelhaven.proxy.routing.base import ProxyServices
     from petrelhaven.proxy.routing.member_calls import MemberCalls
     from petrelhaven.proxy.routing.read_placement import ReadPlacement
     from petrelhaven.proxy.routing.request import Request
@@ -66,7 +66,7 @@
 class TransactionStart:
     """Finds a member for a transaction and says BEGIN to it."""
 
-    def __init__(self, proxy: ProxyNode, calls: MemberCalls, placement: ReadPlacement) -> None:
+    def __init__(self, proxy: ProxyServices, calls: MemberCalls, placement: ReadPlacement) -> None:
         """Uses the clock, the tasks and the counters of `proxy`."""
         self._proxy = proxy
         self._clock = proxy.clock
--- a/src/petrelhaven/proxy/routing/write_path.py
+++ b/src/petrelhaven/proxy/routing/write_path.py
@@ -14,7 +14,7 @@
 from petrelhaven.runtime.events import emit
 
 if TYPE_CHECKING:
-    from petrelhaven.proxy.node import ProxyNode
+    from petrelhaven.proxy.routing.base import ProxyServices
     from petrelhaven.proxy.routing.group import MemberGroup
     from petrelhaven.proxy.routing.member_calls import MemberCalls
     from petrelhaven.proxy.routing.request import Request
@@ -32,7 +32,7 @@
 class WritePath:
     """Runs writes outside transactions, each as a continuation that ends with a reply."""
 
-    def __init__(self, proxy: ProxyNode, calls: MemberCalls) -> None:
+    def __init__(self, proxy: ProxyServices, calls: MemberCalls) -> None:
         """Uses the clock, the tasks and the counters of `proxy`."""
         self._proxy = proxy
         self._clock = proxy.clock
--- a/src/petrelhaven/proxy/session/immediate_reply.py
+++ b/src/petrelhaven/proxy/session/immediate_reply.py
@@ -8,7 +8,7 @@
 from petrelhaven.proxy.session.statement import Reply
 
 if TYPE_CHECKING:
-    from petrelhaven.proxy.node import ProxyNode
+    from petrelhaven.proxy.routing.base import ProxyServices
     from petrelhaven.proxy.routing.transaction_path import TransactionPath
     from petrelhaven.proxy.session.client_session import ClientSession
     from petrelhaven.proxy.session.statement import Statement
@@ -17,7 +17,10 @@
 
 
 def reply_at_once(
-    proxy: ProxyNode, transactions: TransactionPath, session: ClientSession, statement: Statement
+    proxy: ProxyServices,
+    transactions: TransactionPath,
+    session: ClientSession,
+    statement: Statement,
 ) -> Reply | None:
     """The reply to a statement that needs no member, or None if it needs one."""
     verb = statement.verb
@@ -56,7 +59,7 @@
     return None
 
 
-def _begin(proxy: ProxyNode, session: ClientSession, statement: Statement) -> Reply:
+def _begin(proxy: ProxyServices, session: ClientSession, statement: Statement) -> Reply:
     if session.transaction is not None:
         return Reply(code="malformed", text="a transaction is open", state=session.mark)
     session.begin()
--- a/src/petrelhaven/simulator/hollow_nodes.py
+++ b/src/petrelhaven/simulator/hollow_nodes.py
@@ -126,7 +126,7 @@
             )
             held.append(t)
             t.start()
-        await _until(lambda: all(t.holds for t in held))
+        await _until(lambda: all(t.holds_lease for t in held))
         await asyncio.sleep(2)
         a = (
             time.process_time(),
--- a/tests/embargo_world.py
+++ b/tests/embargo_world.py
@@ -349,7 +349,9 @@
         )
         await self.call(lambda s: s.apply(self.configuration(), by="op"))
         await self.until(
-            lambda: all(e.node.ready and e.node.core_connection.holds for e in self.edges.values()),
+            lambda: all(
+                e.node.ready and e.node.core_connection.holds_lease for e in self.edges.values()
+            ),
             20,
         )
         await self.until(
--- a/tests/test_connection_sessions_storm.py
+++ b/tests/test_connection_sessions_storm.py
@@ -104,7 +104,7 @@
 
 
 def no_lease(mp):
-    mp.setattr(core_connection.CoreConnection, "holds", property(lambda self: True))
+    mp.setattr(core_connection.CoreConnection, "holds_lease", property(lambda self: True))
 
 
 def no_after(mp):
--- a/tests/test_embargo_world.py
+++ b/tests/test_embargo_world.py
@@ -568,7 +568,7 @@
         await w.call(lambda s: s.apply(m, by="op"))
         await w.until(
             lambda: all(
-                e.node.embargo is None and e.node.core_connection.time is None
+                e.node.embargo is None and e.node.core_connection.true_time is None
                 for e in w.edges.values()
             ),
             5,
--- a/tests/test_member_group.py
+++ b/tests/test_member_group.py
@@ -66,7 +66,10 @@
         self.members, self.drain_us, self.empty_us = members, DRAIN_US, EMPTY_US
         self.count, self.suspicions = collections.Counter(), []
         self.core_connection = types.SimpleNamespace(
-            edges=3, holds=True, confirmed=True, suspect=lambda *a: self.suspicions.append(a)
+            proxy_count=3,
+            holds_lease=True,
+            lease_confirmed=True,
+            suspect=lambda *a: self.suspicions.append(a),
         )
         self.wire = self
         self.outside_contact = OutsideContact(self.clock)
@@ -87,7 +90,7 @@
             )
         self.leadership("serve", "p")
 
-    def near(self, zone):
+    def zone_distance(self, zone):
         return "abcd".index(zone)
 
     def bounds(self):
@@ -195,9 +198,9 @@
 
 def test_without_a_lease_the_others_prove_nothing():
     async def go(e):
-        e.members["p"].how, e.core_connection.holds = "refused", False
+        e.members["p"].how, e.core_connection.holds_lease = "refused", False
         assert await e.position() is None
-        e.core_connection.holds = True
+        e.core_connection.holds_lease = True
         assert await e.position() == (1, 8)
 
     virtual(go, group(9, 8, 4))
@@ -405,7 +408,7 @@
         assert e.band.primary.name == "p" and e.band.sure is None
         e.leadership("serve", "r1")
         assert e.band.primary.name == e.band.sure.name == "r1"
-        e.core_connection.holds = False
+        e.core_connection.holds_lease = False
         assert e.band.sure is None and e.band.primary.name == "r1"
 
     virtual(go, group(9, 8, 4))
--- a/tests/test_member_proofs.py
+++ b/tests/test_member_proofs.py
@@ -47,14 +47,16 @@
 
 
 def _band(names, size, holds, floor=(0, 0)):
-    core_connection = types.SimpleNamespace(holds=holds, edges=3, suspect=lambda *_: None)
+    core_connection = types.SimpleNamespace(
+        holds_lease=holds, proxy_count=3, suspect=lambda *_: None
+    )
     proxy = types.SimpleNamespace(
         clock=LoopClock(),
         tasks=BackgroundTasks(),
         order=Order(),
         core_connection=core_connection,
         wire=_Wire(),
-        near=lambda h: 0,
+        zone_distance=lambda h: 0,
         outside_contact=OutsideContact(LoopClock()),
         drain_us=0,
         empty_us=0,
--- a/tests/test_platform_lines.py
+++ b/tests/test_platform_lines.py
@@ -128,7 +128,7 @@
 
 
 class FakeTie:
-    holds, confirmed, edges = True, True, 3
+    holds_lease, lease_confirmed, proxy_count = True, True, 3
 
     def __init__(self):
         self.control_state, self.on_change = ControlState(), []
--- a/tests/test_proxy_interface.py
+++ b/tests/test_proxy_interface.py
@@ -102,7 +102,9 @@
             for r in records:
                 led.check(r)
                 led.apply(led.seq + 1, r)
-            await core_connection._push(None, {"frame": led.frame(), "recs": [], "commit": led.seq})
+            await core_connection._apply_push(
+                None, {"frame": led.frame(), "recs": [], "commit": led.seq}
+            )
         try:
             return await fn(proxy, http_server)
         finally:
@@ -167,14 +169,14 @@
         assert (await ask(http_server, "/ready"))[0] == 503
         assert (await ask(http_server, "/manifest?unconfirmed=true"))[0] == 404
         assert (await ask(http_server, "/why?group=g1"))[0] == 404
-        assert (await proxy.core_connection._frame(None, {}))["frame"] is None
+        assert (await proxy.core_connection._send_snapshot(None, {}))["frame"] is None
 
     on_a_gate(go, [])
 
 
 def test_an_edge_hands_its_control_state_to_a_core_that_asks():
     async def go(proxy, http_server):
-        f = (await proxy.core_connection._frame(None, {}))["frame"]
+        f = (await proxy.core_connection._send_snapshot(None, {}))["frame"]
         assert f["seq"] == 5 and f is not proxy.core_connection.control_state.doc
 
     on_a_gate(go)
--- a/tests/test_unleased_commits.py
+++ b/tests/test_unleased_commits.py
@@ -107,10 +107,10 @@
         order=Order(),
         log=None,
         core_connection=types.SimpleNamespace(
-            holds=True, confirmed=confirmed, edges=3, suspect=lambda *_: None
+            holds_lease=True, lease_confirmed=confirmed, proxy_count=3, suspect=lambda *_: None
         ),
         wire=_Wire(logs, delays, clock),
-        near=lambda zone: {"a": 0, "b": 2}[zone],
+        zone_distance=lambda zone: {"a": 0, "b": 2}[zone],
         outside_contact=OutsideContact(clock),
         drain_us=0,
         empty_us=0,
@@ -176,7 +176,7 @@
 
     def contact_again(self, phase):
         """The proxy, cut off as it sent, gets its lease back together with a newer office."""
-        self.proxy.core_connection.confirmed = True
+        self.proxy.core_connection.lease_confirmed = True
         self.leadership(phase, "p", 1)
 
 
@@ -322,8 +322,8 @@
     core_connection = CoreConnection(
         clock, BackgroundTasks(), Link(clock, BackgroundTasks()), None, "e1", [], lambda zone: 0
     )
-    assert not core_connection.holds and not core_connection.confirmed
-    core_connection._renew(now, 1_500_000, 200_000)
-    assert core_connection.holds and core_connection.confirmed
+    assert not core_connection.holds_lease and not core_connection.lease_confirmed
+    core_connection._extend_lease(now, 1_500_000, 200_000)
+    assert core_connection.holds_lease and core_connection.lease_confirmed
     now += 450_000
-    assert core_connection.holds and not core_connection.confirmed
+    assert core_connection.holds_lease and not core_connection.lease_confirmed
