--- a/src/petrelhaven/proxy/node.py
+++ b/src/petrelhaven/proxy/node.py
@@ -19,7 +19,7 @@
 from petrelhaven.proxy.routing.request_slots import RequestSlots
 from petrelhaven.proxy.routing.route import Route
 from petrelhaven.proxy.routing.statement_path import StatementPath
-from petrelhaven.proxy.session.client_session import ClientSession
+from petrelhaven.proxy.session.client_session import ENDED, ClientSession
 from petrelhaven.proxy.session.immediate_reply import reply_at_once
 from petrelhaven.proxy.session.statement import Reply, Statement
 from petrelhaven.runtime.clock import Clock
@@ -35,7 +35,16 @@
     from petrelhaven.proxy.embargo import EmbargoFilter
     from petrelhaven.proxy.routing.member_wire import MemberWire
 
-__all__ = ["ProxyNode"]
+__all__ = ["LEAVING", "LEFT", "SERVING", "STARTING", "ProxyNode"]
+
+STARTING = "starting"
+"""No configuration is known yet."""
+SERVING = "serving"
+"""New connections should come here."""
+LEAVING = "leaving"
+"""New connections should go elsewhere; those that are open are served."""
+LEFT = "left"
+"""Every connection has ended."""
 
 _SLOTS = 1024
 _SLACK_US = 30_000
@@ -51,7 +60,19 @@
     primary that drains, or whose zone is evacuated, still takes statements.
     """
 
-    states = ["starting", "serving", "leaving", "left"]
+    states = [STARTING, SERVING, LEAVING, LEFT]
+    state: str
+
+    if TYPE_CHECKING:  # what the machine adds
+
+        def serve(self) -> bool:
+            """A configuration is known: clients may come."""
+
+        def leave(self) -> bool:
+            """No new connections should come any more."""
+
+        def finish(self) -> bool:
+            """Every client's connection has ended."""
 
     def __init__(  # noqa: PLR0913, PLR0917 (what a node is made of; each is given by whoever runs it)
         self,
@@ -86,15 +107,15 @@
         Machine(
             self,
             states=self.states,
-            initial="starting",
+            initial=STARTING,
             auto_transitions=False,
             transitions=[
-                {"trigger": "serve", "source": "starting", "dest": "serving"},
-                {"trigger": "leave", "source": ["starting", "serving"], "dest": "leaving"},
-                {"trigger": "finish", "source": "leaving", "dest": "left"},
+                {"trigger": "serve", "source": STARTING, "dest": SERVING},
+                {"trigger": "leave", "source": [STARTING, SERVING], "dest": LEAVING},
+                {"trigger": "finish", "source": LEAVING, "dest": LEFT},
             ],
         )
-        core_connection.on_change.append(self._changed)
+        core_connection.on_change.append(self._apply_changes)
 
     def start(self) -> None:
         """Starts the proxy's tasks."""
@@ -108,7 +129,7 @@
     @property
     def ready(self) -> bool:
         """Whether new connections should come here."""
-        return self.state == "serving"
+        return self.state == SERVING
 
     async def opened(self, limit_us: int) -> None:
         """Waits until this proxy knows a configuration.
@@ -116,7 +137,7 @@
         Raises:
             Busy: that takes longer than `limit_us`.
         """
-        if self.state != "starting":
+        if self.state != STARTING:
             return
         if self._opened is None:
             self._opened = asyncio.get_running_loop().create_future()
@@ -125,8 +146,8 @@
         except DeadlineExceeded:
             raise Busy("this edge knows no manifest yet") from None
 
-    def _changed(self, records: list[dict[str, Any]], fresh: bool) -> None:
-        """Takes records of the control state, or with `fresh` a whole state."""
+    def _apply_changes(self, records: list[dict[str, Any]], fresh: bool) -> None:
+        """Follows the control state: `records` were applied, or with `fresh` a whole state was."""
         control_state = self.core_connection.control_state
         configuration = control_state.configuration
         if configuration is None:
@@ -136,8 +157,8 @@
         if fresh or any(record["t"] == "manifest" for record in records):
             self._configure(configuration)
         for group in self.groups.values():
-            group.turn(control_state, fresh)
-        if self.state == "starting":
+            group.apply(control_state, fresh)
+        if self.state == STARTING:
             self.serve()
             if self._opened is not None:
                 self._opened.set_result(None)
@@ -216,7 +237,7 @@
 
     async def serve_one(self, session: ClientSession, statement: Statement) -> Reply:
         """The reply to one statement."""
-        if session.state == "ended":
+        if session.state == ENDED:
             return Reply(code="aborted", text="the session has ended")
         session.busy = True
         try:
@@ -226,7 +247,7 @@
         finally:
             session.busy = False
             session.idle_since = self.clock.now()
-            if session.state == "ended":
+            if session.state == ENDED:
                 self._path.transactions.release(session)
         if session.transaction is not None:
             self._path.transactions.watch_idle(session, session.transaction)
@@ -244,7 +265,7 @@
             if refusal is not None:
                 return refusal
         self.count["asked"] += 1
-        group.earn()
+        group.earn_retry()
         limit_us = route.timeout_us - _SLACK_US
         started = self.clock.now()
         request = Request(session, statement, route, group, started + limit_us)
@@ -252,7 +273,7 @@
         if self.embargo is not None:
             reply = self.embargo.passed(session, statement, group.name, reply)
         if reply.code is not None:
-            self._tell_not_served(request, reply, self.clock.now() - started)
+            self._log_not_served(request, reply, self.clock.now() - started)
         return reply
 
     async def _run_slotted(self, request: Request, horizon_us: int) -> Reply:
@@ -268,7 +289,7 @@
             session.fail()
         return Reply(code=code, text=text, state=session.mark)
 
-    def _tell_not_served(self, request: Request, reply: Reply, took_us: int) -> None:
+    def _log_not_served(self, request: Request, reply: Reply, took_us: int) -> None:
         group = request.group
         emit(
             self.log,
--- a/src/petrelhaven/proxy/pool/connection_pool.py
+++ b/src/petrelhaven/proxy/pool/connection_pool.py
@@ -1,159 +1,227 @@
-"""The connections of one edge to one member, handed to the session whose values and shapes they have, if any."""
+"""The connections of one proxy to one member.
+
+A session gets the connection that needs the least set-up: one that it had before, else one with
+its values and prepared statements, else any other, else a new one.
+"""
+
+from __future__ import annotations
 
 import asyncio
 import collections
+from collections.abc import Awaitable, Callable
+from typing import TYPE_CHECKING
 
+from petrelhaven.proxy.pool.member_connection import FITS, LACKS_VALUES, OTHER_VALUES
 from petrelhaven.runtime.errors import Busy, Fault, NotSent
 
+if TYPE_CHECKING:
+    from petrelhaven.proxy.pool.member_connection import MemberConnection, SessionValues
+    from petrelhaven.runtime.clock import Clock
+    from petrelhaven.runtime.tasks import BackgroundTasks
+
 __all__ = ["ConnectionPool"]
 
 _FULL_US = 2_000_000
+_WAITERS_PER_CONNECTION = 4
+_NOT_FOUND = 9
+_CLOSED = "member left the plan"
 
 
 class ConnectionPool:
-    """Hands out connections; `most` bounds how many are held, `want()` how many are worth opening."""
-
-    def __init__(self, clock, tasks, opener, most, want):
-        self.clock, self.tasks, self._open, self.most, self._want = clock, tasks, opener, most, want
-        self._full = None
-        self.idle, self.busy = [], set()
+    """Hands out connections, and opens new ones as long as that is worth it.
+
+    Attributes:
+        max_size: How many connections may be open at once.
+        idle: Connections that nobody uses, the last used one last.
+        busy: Connections that are handed out.
+        closed: Whether the member has left its group.
+    """
+
+    def __init__(
+        self,
+        clock: Clock,
+        tasks: BackgroundTasks,
+        opener: Callable[[], Awaitable[MemberConnection]],
+        max_size: int,
+        worth_opening: Callable[[], int],
+    ) -> None:
+        """An empty pool.
+
+        Args:
+            clock: Monotonic time.
+            tasks: Where connections are opened.
+            opener: Opens one connection, or raises a `Fault`.
+            max_size: How many connections may be open at once.
+            worth_opening: How many connections are worth having: beyond that, an idle one is set
+                up for another session rather than a new one opened.
+        """
+        self.clock, self.tasks, self._open = clock, tasks, opener
+        self.max_size, self._worth_opening = max_size, worth_opening
+        self._full_at: int | None = None
+        self.idle: list[MemberConnection] = []
+        self.busy: set[MemberConnection] = set()
         self._opening = 0
-        self._wait = collections.deque()
+        self._waiting: collections.deque[asyncio.Future[MemberConnection]] = collections.deque()
         self.closed = False
 
     @property
-    def total(self):
+    def total(self) -> int:
+        """How many connections are open or being opened."""
         return len(self.idle) + len(self.busy) + self._opening
 
-    def saturation(self):
+    @property
+    def limit(self) -> int:
+        """How many connections may be open now: fewer for a while after the member was full."""
+        if self._full_at is None:
+            return self.max_size
+        return max(1, min(self.max_size, self._full_at))
+
+    def saturation(self) -> str:
         """Idle, busy, opening and waiting, in one word for a log."""
-        return f"{len(self.idle)}/{len(self.busy)}/{self._opening}/{len(self._wait)}"
+        return f"{len(self.idle)}/{len(self.busy)}/{self._opening}/{len(self._waiting)}"
+
+    def acquire(self, session: SessionValues) -> asyncio.Future[MemberConnection]:
+        """A future of a connection for `session`.
 
-    def take(self, start_clients):
-        """A future of a connection."""
-        f = asyncio.get_running_loop().create_future()
+        It fails with NotSent once the member has left, with Busy if too many wait already, and
+        with what the opener raised if a new connection could not be opened.
+        """
+        waiter: asyncio.Future[MemberConnection] = asyncio.get_running_loop().create_future()
         if self.closed:
-            f.set_exception(NotSent("member left the plan"))
-            return f
-        c, cost = self._best(start_clients)
-        most = self.limit
-        full = self.total >= min(most, self._want())
-        if cost == 3 and full:
+            waiter.set_exception(NotSent(_CLOSED))
+            return waiter
+        connection, cost = self._cheapest(session)
+        limit = self.limit
+        full = self.total >= min(limit, self._worth_opening())
+        if cost == OTHER_VALUES and full:
             self.idle.pop(0).close()
-            c = c if self.total >= most and c in self.idle else None
-        if c is not None and (cost < 2 or full):
-            self.idle.remove(c)
-            self.busy.add(c)
-            f.set_result(c)
-        elif self.total < most:
-            self._opening += 1
-            self.tasks.spawn(self._fresh(f))
-        elif len(self._wait) >= 4 * self.most:
-            f.set_exception(Busy("too many wait for a connection"))
+            if self.total < limit or connection not in self.idle:
+                connection = None
+        if connection is not None and (cost < LACKS_VALUES or full):
+            self.idle.remove(connection)
+            self.busy.add(connection)
+            waiter.set_result(connection)
+        elif self.total < limit:
+            self._open_for(waiter)
+        elif len(self._waiting) >= _WAITERS_PER_CONNECTION * self.max_size:
+            waiter.set_exception(Busy("too many wait for a connection"))
         else:
-            self._wait.append(f)
-        return f
-
-    @property
-    def limit(self):
-        """How many connections may be held now; a member that was full is not pressed for a while."""
-        return self.most if self._full is None else max(1, min(self.most, self._full))
-
-    def _ease(self):
-        self._full = None
-        self._next()
-
-    def _best(self, start_clients):
-        best, cost = None, 9
-        for c in reversed(self.idle):
-            k = 0 if c.owner is start_clients else c.cost(start_clients)
-            if k < cost:
-                best, cost = c, k
-                if not k:
+            self._waiting.append(waiter)
+        return waiter
+
+    def _cheapest(self, session: SessionValues) -> tuple[MemberConnection | None, int]:
+        """The idle connection that needs the least set-up, and its cost."""
+        best, best_cost = None, _NOT_FOUND
+        for connection in reversed(self.idle):
+            cost = FITS if connection.owner is session else connection.set_up_cost(session)
+            if cost < best_cost:
+                best, best_cost = connection, cost
+                if cost == FITS:
                     break
-        return best, cost
+        return best, best_cost
+
+    def _hand_out(
+        self, connection: MemberConnection, waiter: asyncio.Future[MemberConnection]
+    ) -> None:
+        self.busy.add(connection)
+        waiter.set_result(connection)
 
-    async def _fresh(self, f):
+    def _open_for(self, waiter: asyncio.Future[MemberConnection]) -> None:
+        self._opening += 1
+        self.tasks.spawn(self._open_one(waiter))
+
+    async def _open_one(self, waiter: asyncio.Future[MemberConnection]) -> None:
+        """Opens a connection for `waiter`."""
         try:
-            c = await self._open()
-        except Fault as e:
+            connection = await self._open()
+        except Fault as fault:
             self._opening -= 1
-            if isinstance(e, Busy):
-                if self._full is None:
-                    self.clock.later(_FULL_US, self._ease)
-                self._full = self.total
-                if self.total and not f.done():
-                    self._wait.appendleft(f)
-                    self._next()
-                    return
-            if not f.done():
-                f.set_exception(e)
-            self._next()
+            self._open_failed(waiter, fault)
             return
         except BaseException:
             self._opening -= 1
             raise
         self._opening -= 1
-        c.on_lost = self._lost
+        connection.on_lost = self._forget
         if self.closed:
-            c.close()
-            if not f.done():
-                f.set_exception(NotSent("member left the plan"))
-        elif f.done():
-            self.idle.append(c)
-            self._next()
+            connection.close()
+            if not waiter.done():
+                waiter.set_exception(NotSent(_CLOSED))
+        elif waiter.done():
+            self.idle.append(connection)
+            self._serve_waiting()
         else:
-            self.busy.add(c)
-            f.set_result(c)
-
-    def _lost(self, c):
-        if c in self.idle:
-            self.idle.remove(c)
-        self.busy.discard(c)
-        self._next()
-
-    def _next(self):
-        while self._wait and (self._wait[0].done() or self.idle or self.total < self.limit):
-            f = self._wait.popleft()
-            if f.done():
+            self._hand_out(connection, waiter)
+
+    def _open_failed(self, waiter: asyncio.Future[MemberConnection], fault: Fault) -> None:
+        """Fails `waiter`, unless the member is full and another connection may come back."""
+        if isinstance(fault, Busy):
+            if self._full_at is None:
+                self.clock.later(_FULL_US, self._forget_full)
+            self._full_at = self.total
+            if self.total and not waiter.done():
+                self._waiting.appendleft(waiter)
+                self._serve_waiting()
+                return
+        if not waiter.done():
+            waiter.set_exception(fault)
+        self._serve_waiting()
+
+    def _forget_full(self) -> None:
+        self._full_at = None
+        self._serve_waiting()
+
+    def _forget(self, connection: MemberConnection) -> None:
+        """A connection was lost or closed."""
+        if connection in self.idle:
+            self.idle.remove(connection)
+        self.busy.discard(connection)
+        self._serve_waiting()
+
+    def _serve_waiting(self) -> None:
+        """Serves who waits, in order, as far as connections are idle or may be opened."""
+        while self._waiting and (self._waiting[0].done() or self.idle or self.total < self.limit):
+            waiter = self._waiting.popleft()
+            if waiter.done():
                 continue
             if self.idle:
-                c = self.idle.pop()
-                self.busy.add(c)
-                f.set_result(c)
+                self._hand_out(self.idle.pop(), waiter)
             else:
-                self._opening += 1
-                self.tasks.spawn(self._fresh(f))
-
-    def give(self, c):
-        """Takes a connection back; one that still waits for replies is closed, for nobody knows its state."""
-        self.busy.discard(c)
-        if c.lost or c.due or self.closed or self.total >= self.most:
-            c.close()
+                self._open_for(waiter)
+
+    def release(self, connection: MemberConnection) -> None:
+        """Takes a connection back.
+
+        One that still waits for replies is closed, for nobody knows its state.
+        """
+        self.busy.discard(connection)
+        unusable = connection.lost or connection.due
+        if unusable or self.closed or self.total >= self.max_size:
+            connection.close()
         else:
-            self.idle.append(c)
-        self._next()
+            self.idle.append(connection)
+        self._serve_waiting()
 
-    def drop(self, c):
+    def discard(self, connection: MemberConnection) -> None:
         """Closes a connection whose state is not known."""
-        self.busy.discard(c)
-        c.close()
-        self._next()
-
-    def quit(self, f):
-        """Gives back whatever `f` brought or will bring."""
-        if f.done() and not f.cancelled() and f.exception() is None:
-            self.give(f.result())
+        self.busy.discard(connection)
+        connection.close()
+        self._serve_waiting()
+
+    def cancel(self, waiter: asyncio.Future[MemberConnection]) -> None:
+        """Takes back whatever a future of `acquire` has brought or will bring."""
+        if waiter.done() and not waiter.cancelled() and waiter.exception() is None:
+            self.release(waiter.result())
         else:
-            f.cancel()
+            waiter.cancel()
 
-    def close(self):
-        """Closes idle connections at once, busy ones when they come back, and declines all waits."""
+    def close(self) -> None:
+        """Closes idle connections at once, busy ones when they come back; fails who waits."""
         self.closed = True
-        for c in self.idle:
-            c.close()
+        for connection in self.idle:
+            connection.close()
         self.idle.clear()
-        w, self._wait = self._wait, collections.deque()
-        for f in w:
-            if not f.done():
-                f.set_exception(NotSent("member left the plan"))
+        waiting, self._waiting = self._waiting, collections.deque()
+        for waiter in waiting:
+            if not waiter.done():
+                waiter.set_exception(NotSent(_CLOSED))
--- a/src/petrelhaven/proxy/reads/log_progress.py
+++ b/src/petrelhaven/proxy/reads/log_progress.py
@@ -1,4 +1,4 @@
-"""What a proxy knows of one member's log, and those who wait for it to rise."""
+"""What a proxy knows of one member's log, and the reads that wait for it to rise."""
 
 from __future__ import annotations
 
@@ -13,7 +13,10 @@
     from petrelhaven.runtime.clock import Clock
     from petrelhaven.runtime.tasks import BackgroundTasks
 
-__all__ = ["LogProgress"]
+__all__ = ["AskPosition", "LogProgress"]
+
+AskPosition = Callable[[], Awaitable[tuple[int, int]]]
+"""Asks a member for (position, term)."""
 
 _PERIOD_US = 8_000
 _DOUBLINGS_MOST = 5
@@ -21,34 +24,44 @@
 
 
 class LogProgress:
-    """Asks STATUS only while somebody waits; one question in flight a member.
+    """Asks STATUS only while a read waits, one question at a time for a member.
 
-    `log` is the newest known position, under `term`; `asked` counts questions. Positions are whole
-    numbers on the kept path and (term, number) on the held path.
+    Attributes:
+        log: The newest known position.
+        term: The term under which `log` was reported.
+        asked: How many questions were asked.
+        gap_us: The pause between two questions, in microseconds.
     """
 
     def __init__(
         self,
         clock: Clock,
         tasks: BackgroundTasks,
-        ask: Callable[[], Awaitable[tuple[int, int]]] | None,
+        ask: AskPosition | None,
         gap_us: int = _PERIOD_US,
     ) -> None:
-        """Asks by `ask`, which answers (position, term), every `gap_us`; never if it is None."""
+        """Knows no position yet.
+
+        Args:
+            clock: Monotonic time.
+            tasks: Where questions are asked.
+            ask: Asks the member for (position, term); None if nothing is ever asked.
+            gap_us: The pause between two questions, in microseconds.
+        """
         self.clock, self.tasks, self._ask, self.gap_us = clock, tasks, ask, gap_us
         self.log: LogPosition = _NOTHING_KNOWN
         self.term = 0
         self.asked = 0
-        self._waiting: list[tuple[LogPosition, asyncio.Future]] = []
+        self._waiting: list[tuple[LogPosition, asyncio.Future[LogPosition]]] = []
         self._polling = False
 
     @property
     def busy(self) -> bool:
-        """Whether somebody waits already, so that a new position is about to be known."""
+        """Whether the member is being asked, so that a new position is about to be known."""
         return self._polling
 
-    def turn(self, term: int) -> None:
-        """Positions of a former term say nothing any more."""
+    def set_term(self, term: int) -> None:
+        """Enters a term; positions of another one mean nothing any more."""
         if term != self.term:
             self.log, self.term = _NOTHING_KNOWN, term
 
@@ -66,12 +79,12 @@
             else:
                 self._waiting.append((position, risen))
 
-    def wait(self, position: LogPosition) -> asyncio.Future:
+    def wait(self, position: LogPosition) -> asyncio.Future[LogPosition]:
         """A future that is done once another statement shows that the log holds `position`.
 
         Nothing is asked for it.
         """
-        risen = asyncio.get_running_loop().create_future()
+        risen: asyncio.Future[LogPosition] = asyncio.get_running_loop().create_future()
         if self.log >= position:
             risen.set_result(self.log)
         else:
@@ -79,23 +92,23 @@
             self._waiting.append((position, risen))
         return risen
 
-    def reach(self, position: LogPosition) -> asyncio.Future:
+    def reach(self, position: LogPosition) -> asyncio.Future[LogPosition]:
         """A future that is done once the member's log holds `position`."""
-        risen = asyncio.get_running_loop().create_future()
+        risen: asyncio.Future[LogPosition] = asyncio.get_running_loop().create_future()
         if self.log >= position:
             risen.set_result(self.log)
             return risen
         self._waiting.append((position, risen))
-        if not self._polling:
+        if not self._polling and self._ask is not None:
             self._polling = True
-            self.tasks.spawn(self._poll())
+            self.tasks.spawn(self._poll(self._ask))
         return risen
 
     def _forget_done(self) -> None:
         self._waiting = [(position, risen) for position, risen in self._waiting if not risen.done()]
 
-    async def _poll(self) -> None:
-        """Asks until nobody waits; at a pause that doubles while the member does not answer."""
+    async def _poll(self, ask: AskPosition) -> None:
+        """Asks until no read waits, at a pause that doubles while the member does not answer."""
         doublings = 0
         try:
             while True:
@@ -104,7 +117,7 @@
                     return
                 try:
                     self.asked += 1
-                    self.note(*await self._ask())
+                    self.note(*await ask())
                     doublings = 0
                 except Fault:
                     doublings = min(doublings + 1, _DOUBLINGS_MOST)
--- a/src/petrelhaven/proxy/reads/position.py
+++ b/src/petrelhaven/proxy/reads/position.py
@@ -1,9 +1,14 @@
-"""Places in a member's log, as proxies compare them."""
+"""Positions in a member's log, as proxies compare them."""
+
+from typing import Any
 
 __all__ = ["LogPosition", "Position"]
 
 Position = tuple[int, int]
-"""On the held path: (term, number). A later one holds everything that an earlier one holds."""
+"""With connection sessions: (term, number). A later one holds all that an earlier one holds."""
+
+LogPosition = Any
+"""With either kind of sessions: a `Position`, or with resumable ones a whole number.
 
-LogPosition = int | Position
-"""On either path; a place is compared only with places of the same path."""
+One proxy has only one kind, so the two are never compared.
+"""
--- a/src/petrelhaven/proxy/reads/read_clock.py
+++ b/src/petrelhaven/proxy/reads/read_clock.py
@@ -1,68 +1,133 @@
-"""The read clock: pairs of a primary's log position and the order point at which its fetch started."""
+"""The read clock: which log position a strongly consistent read must find, asked as seldom as can be.
+
+The linear Lamport timestamp of *PolarDB-SCC: A Cloud-Native Database Ensuring Low Latency for
+Strongly Consistent Reads*, section 4.1; section 4.4 (read your writes) needs nothing of its own.
+docs/clock.md says what is changed and why.
+
+A fetch asks the primary for the position of its log. A read that arrived before a fetch started
+may use what the fetch brings: everything committed before the read arrived was committed before
+the primary answered. So one fetch serves many reads, and a read starts one only if it arrived
+after the start of every other.
+"""
+
+from __future__ import annotations
 
 import asyncio
 import itertools
+from collections.abc import Awaitable, Callable, Sequence
+from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
 
 from petrelhaven.runtime.errors import Fault
 
-__all__ = ["Order", "Pair", "ReadClock"]
+if TYPE_CHECKING:
+    from petrelhaven.proxy.reads.base import ReadBounds
+    from petrelhaven.proxy.reads.position import LogPosition
+    from petrelhaven.runtime.clock import Clock
+    from petrelhaven.runtime.tasks import BackgroundTasks
+
+__all__ = ["Fetch", "Leading", "Order", "Pair", "ReadClock"]
+
+Leading = tuple[int, str]
+"""What pairs belong to: the number of a leadership, and the primary that it names."""
+
+_READ_WAIT = "read-wait"
+_RETRY_US = 10_000
+_RETRY_DOUBLINGS_MOST = 5
 
 
 class Order:
-    """One strictly rising counter a node; arrivals and fetch starts are stamped from it, never from wall time."""
+    """One strictly rising counter for a node, from which arrivals and fetch starts are stamped.
+
+    Wall time is never compared, and two events never share an order point.
+    """
 
-    __slots__ = ("_it",)
+    __slots__ = ("_points",)
 
-    def __init__(self):
-        self._it = itertools.count(1)
+    def __init__(self) -> None:
+        """Begins at 1."""
+        self._points = itertools.count(1)
 
-    def next(self):
+    def next(self) -> int:
         """The next order point."""
-        return next(self._it)
+        return next(self._points)
 
 
+@dataclass(slots=True, eq=False)
 class Pair:
-    """A fetched position with the order point and the moment its fetch started."""
+    """A fetched position, and when its fetch started: as an order point and in microseconds."""
 
-    __slots__ = ("pos", "start", "us")
-
-    def __init__(self, pos, start, us):
-        self.pos, self.start, self.us = pos, start, us
+    position: LogPosition
+    start: int
+    started_us: int
 
 
+@dataclass(slots=True, eq=False)
 class _Read:
-    __slots__ = ("arr", "since", "end", "out")
+    """A read that waits for a position.
+
+    It arrived at the order point `arrival`. With `since`, a fetch that started at that moment
+    (microseconds) or later will do also.
+    """
+
+    arrival: int
+    since: int | None
+    position: asyncio.Future[LogPosition | None]
 
-    def __init__(self, arr, since, end, out):
-        self.arr, self.since, self.end, self.out = arr, since, end, out
 
+@dataclass(slots=True, eq=False)
+class Fetch:
+    """A position fetch on its way, with the reads that wait for it.
 
-class _Flight:
-    __slots__ = ("key", "start", "us", "reads", "stuck", "tick")
+    It started at the order point `start` and the moment `started_us`. `stuck` once it has taken
+    so long that others are started beside it; `timer` sets that.
+    """
 
-    def __init__(self, key, start, us, reads):
-        self.key, self.start, self.us, self.reads = key, start, us, reads
-        self.stuck, self.tick = False, None
+    leading: Leading
+    start: int
+    started_us: int
+    reads: list[_Read]
+    stuck: bool = False
+    timer: asyncio.TimerHandle = field(init=False)
 
 
 class ReadClock:
-    """One group's clock on one edge. `fetch(key)` asks the primary of `key` for its position."""
-
-    def __init__(self, clock, tasks, order, fetch, bounds, vary=None):
-        self.clock, self.tasks, self.order, self._fetch, self.bounds = (
-            clock,
-            tasks,
-            order,
-            fetch,
-            bounds,
-        )
-        self.key = None
-        self.pair = None
-        self._flights = []
-        self._queue = []
-        self._again = None
-        self._bad = 0
-        self.vary = vary
+    """The read clock of one group on one proxy.
+
+    Attributes:
+        leading: The leadership and primary that pairs belong to, or None while none is known.
+        pair: The newest pair, or None.
+        count: Counters that the proxy's status shows.
+    """
+
+    def __init__(  # noqa: PLR0913, PLR0917 (given by the group, once)
+        self,
+        clock: Clock,
+        tasks: BackgroundTasks,
+        order: Order,
+        fetch: Callable[[Leading], Awaitable[LogPosition]],
+        bounds: Callable[[], ReadBounds],
+        scheme: str | None = None,
+    ) -> None:
+        """A clock that knows no primary yet.
+
+        Args:
+            clock: Monotonic time, in microseconds.
+            tasks: Where fetches run.
+            order: The order points of the node.
+            fetch: Asks the primary for its position; a `Fault` if that fails.
+            bounds: The bounds in force.
+            scheme: `read-wait` fetches for every read, for comparison; None is the read clock.
+        """
+        self.clock, self.tasks, self.order = clock, tasks, order
+        self._fetch_position, self._bounds = fetch, bounds
+        self._shares_fetches = scheme != _READ_WAIT
+        self.leading: Leading | None = None
+        self.pair: Pair | None = None
+        self._fetches: list[Fetch] = []
+        self._queue: list[_Read] = []
+        self._retry_timer: asyncio.TimerHandle | None = None
+        self._failures = 0
         self.count = {
             "reads": 0,
             "reused": 0,
@@ -75,164 +140,198 @@
             "carried": 0,
         }
 
-    def turn(self, key):
-        """Enters (epoch, primary); the cache and all fetches in flight are void, waiting reads fetch anew."""
-        if key == self.key:
+    def set_leading(self, leading: Leading | None) -> None:
+        """Enters a leadership: pair and fetches of another one are void.
+
+        The reads that wait fetch anew, under the arrival that they have.
+        """
+        if leading == self.leading:
             return
-        self.key = key
+        self.leading = leading
         self.pair = None
-        fs, self._flights = self._flights, []
-        for f in fs:
+        fetches, self._fetches = self._fetches, []
+        for fetch in fetches:
             self.count["voided"] += 1
-            f.tick.cancel()
-            self._queue += f.reads
-            f.reads = []
-        self._bad = 0
-        self._pump()
+            fetch.timer.cancel()
+            self._queue += fetch.reads
+            fetch.reads = []
+        self._failures = 0
+        self._start_queued()
 
-    def position_for(self, arr, since=None):
-        """A future of the position that a read which arrived at `arr` must wait for.
+    def position_for(
+        self, arrival: int, since: int | None = None
+    ) -> asyncio.Future[LogPosition | None]:
+        """A future of the position that a read which arrived at `arrival` must find.
 
         With `since`, a browsing read: any fetch that started at that moment or later will do.
-        The result is None once the bound on joining has passed: the read goes to the primary.
+        The result is None if the bound on joining passes first.
         """
         self.count["reads"] += 1
-        out = asyncio.get_running_loop().create_future()
-        r = _Read(arr, since, self.clock.now() + self.bounds().join_us, out)
-        h = self.clock.later(self.bounds().join_us, lambda: self._give_up(r))
-        out.add_done_callback(lambda _: h.cancel())
-        p = self.pair
-        if self.vary == "read-wait":
-            self._launch([r])
-        elif p is not None and self._fits(p.start, p.us, r):
+        position: asyncio.Future[LogPosition | None] = asyncio.get_running_loop().create_future()
+        read = _Read(arrival, since, position)
+        timer = self.clock.later(self._bounds().join_us, lambda: self._give_up(position))
+        position.add_done_callback(lambda _: timer.cancel())
+        pair = self.pair
+        if not self._shares_fetches:
+            self._start([read])
+        elif pair is not None and self._fits(pair.start, pair.started_us, read):
             self.count["reused"] += 1
-            out.set_result(p.pos)
+            position.set_result(pair.position)
         else:
-            self._join(r)
-        return out
+            self._join(read)
+        return position
 
     @staticmethod
-    def _fits(start, us, r):
-        return start > r.arr or (r.since is not None and us >= r.since)
-
-    def _join(self, r):
-        for f in reversed(self._flights):
-            if not f.stuck and self._fits(f.start, f.us, r):
+    def _fits(start: int, started_us: int, read: _Read) -> bool:
+        """Whether a fetch that started then brings a position that the read may use."""
+        return start > read.arrival or (read.since is not None and started_us >= read.since)
+
+    def _join(self, read: _Read) -> None:
+        """Has a read wait for a fetch under way that fits it, or for the next one."""
+        for fetch in reversed(self._fetches):
+            if not fetch.stuck and self._fits(fetch.start, fetch.started_us, read):
                 self.count["joined"] += 1
-                f.reads.append(r)
+                fetch.reads.append(read)
                 return
-        self._queue.append(r)
-        self._pump()
+        self._queue.append(read)
+        self._start_queued()
 
-    def carrier(self, arr, since=None):
-        """A flight that the caller's own statement to the primary is to be, or None if a pair or a flight will do.
+    def carried_fetch(self, arrival: int, since: int | None = None) -> Fetch | None:
+        """A fetch that the caller's own statement to the primary is to be.
 
-        The caller stamps nothing: the flight started here. It must call `landed` or `failed` with it.
+        None if a pair or a fetch under way will do for a read of this arrival. The fetch has
+        started here; the caller must end it with `finish_carried` or `fail_carried`.
         """
-        p = self.pair
-        r = _Read(arr, since, 0, None)
-        if self.key is None or p is not None and self._fits(p.start, p.us, r):
+        pair = self.pair
+        read = _Read(arrival, since, None)  # type: ignore[arg-type]  # nobody waits for it
+        if self.leading is None:
+            return None
+        if pair is not None and self._fits(pair.start, pair.started_us, read):
             return None
-        if any(not f.stuck and self._fits(f.start, f.us, r) for f in self._flights):
+        if any(not f.stuck and self._fits(f.start, f.started_us, read) for f in self._fetches):
             return None
-        f = _Flight(self.key, self.order.next(), self.clock.now(), [])
         self.count["reads"] += 1
         self.count["carried"] += 1
-        self._flights.append(f)
-        f.tick = self.clock.later(self.bounds().fetch_us, lambda: self._stick(f))
-        return f
-
-    def landed(self, f, pos):
-        """A carrier's statement was answered by the primary, whose log is at `pos`."""
-        f.tick.cancel()
-        if f in self._flights:
-            self._flights.remove(f)
-            self._bad = 0
-            self._took(f, pos)
-
-    def failed(self, f):
-        """A carrier's statement brought no position; whoever joined it fetches anew."""
-        f.tick.cancel()
-        if f in self._flights:
-            self._flights.remove(f)
-            self._queue += f.reads
-            self._pump()
-
-    def noted(self, key, start, us, pos):
-        """A statement that only a primary in office answers, sent at `start`, came back with the log at `pos`."""
-        if key == self.key and key is not None and (self.pair is None or start > self.pair.start):
-            self.pair = Pair(pos, start, us)
-            self._serve_queue()
-
-    def _pump(self):
-        if self.key is None or self._again is not None:
+        return self._new_fetch([])
+
+    def finish_carried(self, fetch: Fetch, position: LogPosition) -> None:
+        """The primary has answered the statement that carries `fetch`, its log at `position`."""
+        fetch.timer.cancel()
+        if fetch in self._fetches:
+            self._fetches.remove(fetch)
+            self._failures = 0
+            self._take(fetch, position)
+
+    def fail_carried(self, fetch: Fetch) -> None:
+        """The statement that carries `fetch` brought no position; who joined it fetches anew."""
+        fetch.timer.cancel()
+        if fetch in self._fetches:
+            self._fetches.remove(fetch)
+            self._queue += fetch.reads
+            self._start_queued()
+
+    def note_position(
+        self, leading: Leading | None, start: int, started_us: int, position: LogPosition
+    ) -> None:
+        """A statement sent at `start`, which only a leading primary answers, brought `position`."""
+        if leading != self.leading or leading is None:
             return
-        self._queue = [r for r in self._queue if not r.out.done()]
-        if self._queue and sum(not f.stuck for f in self._flights) < self.bounds().lanes:
-            q, self._queue = self._queue, []
-            self.count["joined"] += len(q) - 1
-            self._launch(q)
-
-    def _launch(self, reads):
-        f = _Flight(self.key, self.order.next(), self.clock.now(), reads)
-        self.count["fetches"] += 1
-        self._flights.append(f)
-        f.tick = self.clock.later(self.bounds().fetch_us, lambda: self._stick(f))
-        self.tasks.spawn(self._fly(f))
+        if self.pair is None or start > self.pair.start:
+            self.pair = Pair(position, start, started_us)
+            self._serve_queue(self.pair)
 
-    def _stick(self, f):
-        if f in self._flights and not f.stuck:
-            f.stuck = True
+    def _start_queued(self) -> None:
+        """Starts one fetch for all reads that wait for one, if a lane is free."""
+        if self.leading is None or self._retry_timer is not None:
+            return
+        self._queue = _undone(self._queue)
+        under_way = sum(not fetch.stuck for fetch in self._fetches)
+        if self._queue and under_way < self._bounds().lanes:
+            reads, self._queue = self._queue, []
+            self.count["joined"] += len(reads) - 1
+            self._start(reads)
+
+    def _start(self, reads: list[_Read]) -> None:
+        self.count["fetches"] += 1
+        self.tasks.spawn(self._run(self._new_fetch(reads)))
+
+    def _new_fetch(self, reads: list[_Read]) -> Fetch:
+        fetch = Fetch(
+            self.leading,  # type: ignore[arg-type]  # nothing is fetched while it is None
+            self.order.next(),
+            self.clock.now(),
+            reads,
+        )
+        self._fetches.append(fetch)
+        fetch.timer = self.clock.later(self._bounds().fetch_us, lambda: self._set_stuck(fetch))
+        return fetch
+
+    def _set_stuck(self, fetch: Fetch) -> None:
+        """A fetch takes too long: its lane is free, and its reads go into another."""
+        if fetch in self._fetches and not fetch.stuck:
+            fetch.stuck = True
             self.count["stuck"] += 1
-            q, f.reads = f.reads, []
-            self._queue += [r for r in q if not r.out.done()]
-            self._pump()
+            reads, fetch.reads = fetch.reads, []
+            self._queue += _undone(reads)
+            self._start_queued()
 
-    async def _fly(self, f):
+    async def _run(self, fetch: Fetch) -> None:
+        """Asks the primary; a failure is tried again after a pause that doubles."""
+        position = None
         try:
-            pos = await self._fetch(f.key)
+            position = await self._fetch_position(fetch.leading)
         except Fault:
-            pos = None
-        f.tick.cancel()
-        if f not in self._flights:
-            return
-        self._flights.remove(f)
-        if pos is None:
-            self.count["faults"] += 1
-            self._bad = min(self._bad + 1, 5)
-            self._queue += f.reads
-            if self._again is None:
-                self._again = self.clock.later(10_000 << self._bad, self._retry)
+            pass
+        fetch.timer.cancel()
+        if fetch not in self._fetches:
             return
-        self._bad = 0
-        self._took(f, pos)
-
-    def _took(self, f, pos):
-        if self.pair is None or f.start > self.pair.start:
-            self.pair = Pair(pos, f.start, f.us)
-        for r in f.reads:
-            if not r.out.done():
-                r.out.set_result(pos)
-        for r in [r for x in self._flights for r in x.reads]:
-            if not r.out.done() and self._fits(f.start, f.us, r):
-                r.out.set_result(pos)
-        self._serve_queue()
-
-    def _serve_queue(self):
+        self._fetches.remove(fetch)
+        if position is None:
+            self._retry_later(fetch)
+        else:
+            self._failures = 0
+            self._take(fetch, position)
+
+    def _retry_later(self, fetch: Fetch) -> None:
+        self.count["faults"] += 1
+        self._failures = min(self._failures + 1, _RETRY_DOUBLINGS_MOST)
+        self._queue += fetch.reads
+        if self._retry_timer is None:
+            pause_us = _RETRY_US << self._failures
+            self._retry_timer = self.clock.later(pause_us, self._retry)
+
+    def _retry(self) -> None:
+        self._retry_timer = None
+        self._start_queued()
+
+    def _take(self, fetch: Fetch, position: LogPosition) -> None:
+        """Serves what a fetch has brought to every read that it fits, whatever that waits for."""
+        if self.pair is None or fetch.start > self.pair.start:
+            self.pair = Pair(position, fetch.start, fetch.started_us)
+        for read in fetch.reads:
+            if not read.position.done():
+                read.position.set_result(position)
+        for read in [read for other in self._fetches for read in other.reads]:
+            if not read.position.done() and self._fits(fetch.start, fetch.started_us, read):
+                read.position.set_result(position)
+        self._serve_queue(self.pair)
+
+    def _serve_queue(self, pair: Pair) -> None:
+        """Serves `pair` to the reads that wait for a fetch to start, and starts one for others."""
         left = []
-        for r in self._queue:
-            if not r.out.done() and self._fits(self.pair.start, self.pair.us, r):
-                r.out.set_result(self.pair.pos)
+        for read in self._queue:
+            if not read.position.done() and self._fits(pair.start, pair.started_us, read):
+                read.position.set_result(pair.position)
             else:
-                left.append(r)
+                left.append(read)
         self._queue = left
-        self._pump()
+        self._start_queued()
 
-    def _retry(self):
-        self._again = None
-        self._pump()
-
-    def _give_up(self, r):
-        if not r.out.done():
+    def _give_up(self, position: asyncio.Future[LogPosition | None]) -> None:
+        if not position.done():
             self.count["gaveup"] += 1
-            r.out.set_result(None)
+            position.set_result(None)
+
+
+def _undone(reads: Sequence[_Read]) -> list[_Read]:
+    return [read for read in reads if not read.position.done()]
--- a/src/petrelhaven/proxy/resumable/member_group.py
+++ b/src/petrelhaven/proxy/resumable/member_group.py
@@ -96,7 +96,7 @@
                 p.boot = w["boot"]
                 p.pool.renew()
             p.pool.warm_us = b.warm_us
-            p.log_progress.turn(e["term"])
+            p.log_progress.set_term(e["term"])
         for n in [n for n in self.posts if n not in e["where"]]:
             self.posts.pop(n).pool.close()
         out = []
@@ -113,11 +113,11 @@
                     p.pool.reopen()
             p.pool.resize(share(n))
         if new:
-            self.reads.turn(self.key)
+            self.reads.set_leading(self.key)
         return out
 
     def close(self):
         """The group left the manifest."""
         for p in self.posts.values():
             p.pool.close()
-        self.reads.turn(None)
+        self.reads.set_leading(None)
--- a/src/petrelhaven/proxy/routing/attempt.py
+++ b/src/petrelhaven/proxy/routing/attempt.py
@@ -6,32 +6,40 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
+    from petrelhaven.proxy.reads.read_clock import Fetch
     from petrelhaven.proxy.routing.member import Member
+    from petrelhaven.proxy.session.statement import Reply
 
 __all__ = ["Attempt"]
 
 
 class Attempt:
-    """An attempt at `member`, run by `task`; `sent` once its bytes may have left.
-
-    `flight` is the position fetch that it carries, if any, and `leadership` the (number, primary)
-    under which it was made. `started` is the order point and `started_us` the moment right before
-    it was sent; both are 0 before that.
+    """An attempt at a member.
+
+    Attributes:
+        member: The member.
+        leadership: The (number, primary) of the leadership under which the attempt was made.
+        fetch: The position fetch that it carries, if any.
+        sent: Whether its bytes may have left.
+        started: The order point right before it was sent, 0 before that.
+        started_us: The moment of that, in microseconds.
+        task: What runs it; set by whoever makes the attempt.
     """
 
-    __slots__ = ("member", "leadership", "flight", "sent", "started", "started_us", "task")
+    __slots__ = ("member", "leadership", "fetch", "sent", "started", "started_us", "task")
+
+    task: asyncio.Task[Reply]
 
     def __init__(
         self,
         member: Member,
         leadership: tuple[int, str] | None = None,
-        flight: object | None = None,
+        fetch: Fetch | None = None,
     ) -> None:
         """Makes an attempt that has not been sent."""
         self.member = member
         self.leadership = leadership
-        self.flight = flight
+        self.fetch = fetch
         self.sent = False
         self.started = 0
         self.started_us = 0
-        self.task: asyncio.Task | None = None
--- a/src/petrelhaven/proxy/routing/base.py
+++ b/src/petrelhaven/proxy/routing/base.py
@@ -6,9 +6,11 @@
 
 from __future__ import annotations
 
+import asyncio
 import collections
 import random
-from typing import TYPE_CHECKING, Any, Protocol
+from collections.abc import Generator
+from typing import TYPE_CHECKING, Any, Protocol, TypeVar
 
 if TYPE_CHECKING:
     import logbook
@@ -26,7 +28,12 @@
     from petrelhaven.runtime.clock import Clock
     from petrelhaven.runtime.tasks import BackgroundTasks
 
-__all__ = ["GroupMembers", "ProxyServices"]
+__all__ = ["Continuation", "GroupMembers", "ProxyServices"]
+
+_Result = TypeVar("_Result")
+
+Continuation = Generator[asyncio.Future[Any], Any, _Result]
+"""A request, or a part of one: yields the futures that it waits for and returns its result."""
 
 
 class ProxyServices(Protocol):
--- a/src/petrelhaven/proxy/routing/group.py
+++ b/src/petrelhaven/proxy/routing/group.py
@@ -10,8 +10,8 @@
 from petrelhaven.proxy.pool.connection_pool import ConnectionPool
 from petrelhaven.proxy.reads.log_progress import LogProgress
 from petrelhaven.proxy.reads.read_clock import ReadClock
-from petrelhaven.proxy.routing.leadership import Leadership
-from petrelhaven.proxy.routing.member import Member
+from petrelhaven.proxy.routing.leadership import MOVING, SERVING, Leadership
+from petrelhaven.proxy.routing.member import NO_ANSWER, NOT_PRIMARY, REFUSED, Member
 from petrelhaven.proxy.routing.member_proofs import MemberProofs
 from petrelhaven.runtime.errors import DeadlineExceeded, Fault, MemberReplaced, NotSent, Unreachable
 
@@ -32,7 +32,7 @@
 _OPEN_US = 450_000
 _RECENTLY_HEARD_US = 350_000
 _ROLLBACK_US = 500_000
-_DARK_US = 4_000_000
+_UNREACHABLE_US = 4_000_000
 _NEVER_US = 1 << 60
 
 _CONNECTION_CAP = 40
@@ -40,22 +40,31 @@
 _FEWEST_PROXIES = 3
 _SPARE_CONNECTIONS = 2
 
-_SECOND_TRIES = 10.0
-_SECOND_TRIES_MOST = 20.0
-_SECOND_TRIES_EARNED = 0.1
+_RETRIES = 10.0
+_RETRIES_MOST = 20.0
+_RETRIES_EARNED = 0.1
 
 
 class MemberGroup:
     """Follows the leadership and the members of one group.
 
-    `leading` is (number, primary) of the leadership, also while it moves; the read clock's pairs
-    belong to it. `connection_cap` bounds the connections that all proxies hold to one member,
-    `sync_replicas` is how many replicas have a commit before it is acknowledged, `size` the most
-    members the group has had, and `strong_sessions` counts sessions whose route reads strongly.
+    Attributes:
+        name: Its name.
+        members: The members that are not gone, by name.
+        leadership: Who leads the group, or None while that is not known.
+        leading: (number, primary) of the leadership, also while it moves; the read clock's pairs
+            belong to it.
+        connection_cap: How many connections all proxies together may have to one member.
+        sync_replicas: How many replicas have a commit before it is acknowledged.
+        size: The most members that the group has had.
+        strong_sessions: How many sessions have a route with strong reads.
+        lower_bound: A log position that no acknowledged commit of departed members is beyond.
+        read_clock: Gives reads their positions.
+        proofs: Proves commits and positions by other members than the primary.
     """
 
     def __init__(self, name: str, proxy: ProxyServices) -> None:
-        """Makes a group that knows no members yet."""
+        """Makes a group of `proxy` that knows no members yet."""
         self.name = name
         self._proxy = proxy
         self._clock = proxy.clock
@@ -70,22 +79,26 @@
             proxy.clock, proxy.tasks, proxy.order, self._fetch, proxy.bounds
         )
         self.proofs = MemberProofs(self, proxy)
-        self._turned: asyncio.Future[None] | None = None
-        self._second_tries = _SECOND_TRIES
+        self._next_leadership: asyncio.Future[None] | None = None
+        self._retries = _RETRIES
 
     @property
     def primary(self) -> Member | None:
-        """The primary that serves, or None."""
+        """The primary, or None while the leadership moves or is not known."""
         now = self.leadership
-        if now is None or now.phase == "move":
+        if now is None or now.phase == MOVING:
             return None
         return self.members.get(now.primary)
 
     @property
-    def sure(self) -> Member | None:
-        """The primary that leads under this proxy's lease, or None; asked right before a send."""
+    def leased_primary(self) -> Member | None:
+        """The primary that certainly leads, for this proxy holds a lease; else None.
+
+        It is asked right before a send, with no await in between. A proxy without a lease gets
+        positions by STATUS instead of carried fetches, see `read_placement`.
+        """
         now = self.leadership
-        if now is None or now.phase != "serve" or not self._proxy.core_connection.holds_lease:
+        if now is None or now.phase != SERVING or not self._proxy.core_connection.holds_lease:
             return None
         return self.members.get(now.primary)
 
@@ -100,7 +113,7 @@
         """Whether statements that begin anew may go to the primary `member` now."""
         return member.stop_at is None or self._clock.now() < member.stop_at
 
-    def turn(self, control_state: ControlState, fresh: bool) -> None:
+    def apply(self, control_state: ControlState, fresh: bool) -> None:
         """Takes the leadership, the members and the zones as the control state has them.
 
         `fresh` tells that the whole state was handed over: how old its changes are is not known.
@@ -109,14 +122,14 @@
         self.size = control_state.doc["sizes"].get(self.name, 0)
         self.lower_bound = control_state.evidence(self.name).floor
         for name, row in rows.items():
-            self._turn_member(name, row, control_state, fresh)
+            self._apply_member(name, row, control_state, fresh)
         for name in [name for name in self.members if name not in rows]:
             self.members.pop(name).close()
         record = control_state.doc["offices"].get(self.name)
         if record != self._leadership_record:
-            self._turn_leadership(record)
+            self._apply_leadership(record)
 
-    def _turn_member(
+    def _apply_member(
         self, name: str, row: dict[str, Any], control_state: ControlState, fresh: bool
     ) -> None:
         member = self.members.get(name)
@@ -128,7 +141,7 @@
         member.state = row["state"]
         proxies = max(self._proxy.core_connection.proxy_count, _FEWEST_PROXIES)
         share = (self.connection_cap - _RESERVED_CONNECTIONS) // proxies - 1
-        member.pool.most = max(1, share)
+        member.pool.max_size = max(1, share)
         draining = member.state == "draining"
         evacuated = control_state.zone(member.zone) != "open"
         if not draining and not evacuated:
@@ -155,30 +168,34 @@
         member = Member(name, row, proxy.zone_distance(row["hall"]), pool, log_progress)
         return member
 
-    def _turn_leadership(self, record: dict[str, Any] | None) -> None:
+    def _apply_leadership(self, record: dict[str, Any] | None) -> None:
         self._leadership_record = record
         now = Leadership.from_record(record) if record is not None else None
         self.leadership = now
         self.leading = (now.number, now.primary) if now is not None else None
-        self.read_clock.turn(self.leading)
+        self.read_clock.set_leading(self.leading)
         primary = self.primary
-        if primary is not None and self.leadership.phase == "serve":
+        if primary is not None and now is not None and now.phase == SERVING:
             primary.down_until = primary.failures = 0
-        turned, self._turned = self._turned, None
-        if turned is not None:
-            turned.set_result(None)
+        waiter, self._next_leadership = self._next_leadership, None
+        if waiter is not None:
+            waiter.set_result(None)
 
-    def turned(self) -> asyncio.Future[None]:
-        """A future that is done at the next change of the leadership."""
-        if self._turned is None:
-            self._turned = asyncio.get_running_loop().create_future()
-        return self._turned
+    def next_leadership(self) -> asyncio.Future[None]:
+        """A future that is done at the next change of the leadership.
+
+        All who wait share one future.
+        """
+        if self._next_leadership is None:
+            self._next_leadership = asyncio.get_running_loop().create_future()
+        return self._next_leadership
 
     def pick(self, position: Position, excluded: Collection[str]) -> Member | None:
-        """The member for a read: well, near, not full; one known to hold `position` first."""
+        """The member for a read: one that is up, has `position`, is not full, and is near."""
         now = self._clock.now()
         primary = self.leadership.primary if self.leadership is not None else None
-        best = best_cost = None
+        best: Member | None = None
+        best_cost: tuple[Any, ...] = ()
         for name, member in self.members.items():
             if name in excluded:
                 continue
@@ -198,49 +215,54 @@
                 best, best_cost = member, cost
         return best
 
-    def spend(self) -> bool:
-        """Whether a second try is within the budget of this group."""
-        if self._second_tries < 1:
+    def spend_retry(self) -> bool:
+        """Whether a retry is within the budget of this group; it is spent then."""
+        if self._retries < 1:
             return False
-        self._second_tries -= 1
+        self._retries -= 1
         return True
 
-    def earn(self) -> None:
-        """A request came: a tenth of a second try is earned."""
-        self._second_tries = min(_SECOND_TRIES_MOST, self._second_tries + _SECOND_TRIES_EARNED)
+    def earn_retry(self) -> None:
+        """A request came: a tenth of a retry is earned."""
+        self._retries = min(_RETRIES_MOST, self._retries + _RETRIES_EARNED)
 
-    def fine(self, member: Member, position: Position | None = None) -> None:
+    def note_answer(self, member: Member, position: Position | None = None) -> None:
         """The member has answered, its log at `position`."""
         member.note_answer(self._clock.now())
         self._proxy.outside_contact.note(member.distance)
         if position is not None:
             member.note_log(position)
 
-    def missed(self, member: Member, how: str) -> None:
-        """The member did not answer (`mute`, `reset`, `refused`); a primary is suspected."""
+    def note_failure(self, member: Member, how: str) -> None:
+        """The member did not answer: it is avoided for a while, and a primary is suspected.
+
+        `how` is NO_ANSWER, CONNECTION_RESET or REFUSED.
+        """
         now = self._clock.now()
-        if how == "mute" and now - member.last_heard <= _RECENTLY_HEARD_US:
+        if how == NO_ANSWER and now - member.last_heard <= _RECENTLY_HEARD_US:
             return
-        member.refuses = how == "refused"
+        member.refuses = how == REFUSED
         member.failures = min(member.failures + 1, _FAILURES_MOST)
         member.down_until = now + min(_DOWN_US << (member.failures - 1), _DOWN_MOST_US)
         leadership = self.leadership
-        if leadership is None or leadership.primary != member.name or leadership.phase == "move":
+        if leadership is None or leadership.primary != member.name or leadership.phase == MOVING:
             return
         self._proxy.core_connection.suspect(self.name, member.name, how)
 
     def note_position(self, attempt: Attempt, position: Position) -> None:
         """A statement that only a leading primary answers came back with its log at `position`."""
-        self.read_clock.noted(attempt.leadership, attempt.started, attempt.started_us, position)
+        self.read_clock.note_position(
+            attempt.leadership, attempt.started, attempt.started_us, position
+        )
 
-    def hopeless(self, route: Route, end: int) -> bool:
+    def primary_is_lost(self, route: Route, end: int) -> bool:
         """Whether the primary has been away too long to be waited for."""
         stuck = self.leadership is not None and self.leadership.stuck
-        if not stuck and self._dark_us() <= _DARK_US:
+        if not stuck and self._unreachable_us() <= _UNREACHABLE_US:
             return False
         return self._clock.now() > end - route.timeout_us + route.aim_us // 5
 
-    def _dark_us(self) -> int:
+    def _unreachable_us(self) -> int:
         """Microseconds since the primary last answered here, if it fails now."""
         member = self.members.get(self.leadership.primary) if self.leadership is not None else None
         if member is None or not member.failures or not member.last_heard:
@@ -257,12 +279,12 @@
             member.down_until = self._clock.now() + _MEMBER_GONE_US
             raise
         except NotSent as fault:
-            self.missed(member, fault.note)
+            self.note_failure(member, fault.note)
             raise
         except (DeadlineExceeded, Unreachable):
-            self.missed(member, "mute")
+            self.note_failure(member, NO_ANSWER)
             raise
-        self.fine(member)
+        self.note_answer(member)
         return connection
 
     async def status(self, member: Member) -> dict[str, Any]:
@@ -276,9 +298,9 @@
             )
         except (DeadlineExceeded, Unreachable):
             member.status_connection.close()
-            self.missed(member, "mute")
+            self.note_failure(member, NO_ANSWER)
             raise
-        self.fine(member)
+        self.note_answer(member)
         return row
 
     async def _fetch(self, leading: tuple[int, str]) -> Position:
@@ -293,24 +315,28 @@
         except Fault:
             return await self.proofs.position_of_others(leading[1])
         if row["role"] != "primary":
-            self._proxy.core_connection.suspect(self.name, primary.name, "replica")
+            self._proxy.core_connection.suspect(self.name, primary.name, NOT_PRIMARY)
             raise Unreachable("not the primary")
-        return row["pos"]
+        position: Position = row["pos"]
+        return position
 
     def close(self) -> None:
         """The group left the configuration."""
         for member in self.members.values():
             member.close()
-        self.read_clock.turn(None)
+        self.read_clock.set_leading(None)
 
     async def settle(self, connection: MemberConnection, member: Member, number: str) -> None:
-        """Rolls a connection back at its client's word; keeps it if that works in time."""
+        """Rolls a connection back as its client asked, under the ROLLBACK's number.
+
+        It goes back to the pool if that works in time.
+        """
         try:
             reply = await self._clock.limit(connection.plain("rollback", (), number), _ROLLBACK_US)
             clean = reply.state == "I"
         except Fault:
             clean = False
         if clean:
-            member.pool.give(connection)
+            member.pool.release(connection)
         else:
-            member.pool.drop(connection)
+            member.pool.discard(connection)
--- a/src/petrelhaven/proxy/routing/member.py
+++ b/src/petrelhaven/proxy/routing/member.py
@@ -11,19 +11,44 @@
     from petrelhaven.proxy.pool.member_connection import MemberConnection
     from petrelhaven.proxy.reads.position import Position
 
-__all__ = ["Member"]
+__all__ = ["CONNECTION_RESET", "NOT_PRIMARY", "NO_ANSWER", "REFUSED", "Member"]
+
+NO_ANSWER = "mute"
+"""Sign of a failure: nothing came in time."""
+CONNECTION_RESET = "reset"
+"""Sign of a failure: the connection was lost."""
+REFUSED = "refused"
+"""Sign of a failure: no process takes connections at the address."""
+NOT_PRIMARY = "replica"
+"""Sign of a failure: the primary answers as a replica."""
 
 
 class Member:
-    """A member's connections, how it does, and what is known of its log.
-
-    Times are clock microseconds. `distance` ranks its zone (0: this proxy's own). It is left alone
-    until `down_until`; `failures` counts faults since its last answer, at `last_heard`; the first
-    thing it was asked since then left at `asked_at` (0: nothing was). `refuses` tells that its
-    process is not there. New
-    statements may go to it before `stop_at`, if that is set. `lagging_replies` counts LAGGING
-    replies in a row; until `lagging_until` whoever needs its log joins that wait, and until
-    `slow_until` others are preferred. `status_connection` is the one that STATUS is asked on.
+    """A member's connections, its failures, and what is known of its log.
+
+    Times are microseconds of the proxy's clock.
+
+    Attributes:
+        name: Its name.
+        address: Where it takes connections.
+        zone: The zone it is in.
+        state: Its state in the control state, such as ready or draining.
+        capacity: How many statements it runs at once.
+        distance: How far its zone is, 0 the proxy's own.
+        pool: Its connections.
+        log_progress: What is known of its log.
+        status_connection: The connection on which STATUS is asked, or None.
+        down_until: Until when it is avoided after a failure.
+        failures: How many failures there were since its last answer.
+        in_flight: How many statements it is running for this proxy.
+        last_heard: When it answered last, 0 if never.
+        asked_at: When the first thing that it was asked since then was sent, 0 if nothing was.
+        refuses: Whether no process takes connections at its address.
+        stop_at: From when it takes no new statements; None while it stays.
+        lagging_replies: How many LAGGING replies came in a row.
+        lagging_until: Until when reads that need its log join the wait of one that was answered
+            LAGGING.
+        slow_until: Until when reads prefer other members.
     """
 
     __slots__ = (
@@ -73,7 +98,7 @@
         self.lagging_replies = self.lagging_until = self.slow_until = 0
 
     def note_asked(self, now: int) -> None:
-        """Something is sent to it now."""
+        """It is sent something now."""
         if not self.asked_at:
             self.asked_at = now
 
--- a/src/petrelhaven/proxy/routing/member_calls.py
+++ b/src/petrelhaven/proxy/routing/member_calls.py
@@ -2,10 +2,11 @@
 
 from __future__ import annotations
 
-import asyncio
 from collections.abc import Sequence
 from typing import TYPE_CHECKING
 
+from petrelhaven.proxy.pool.member_connection import SetUpStatement
+from petrelhaven.proxy.routing.member import CONNECTION_RESET, NO_ANSWER
 from petrelhaven.runtime.errors import (
     DeadlineExceeded,
     MemberDeclined,
@@ -35,7 +36,9 @@
     if isinstance(fault, (DeadlineExceeded, Unreachable)) and not isinstance(
         fault, (NotSent, MemberReplaced)
     ):
-        group.missed(member, "mute" if isinstance(fault, DeadlineExceeded) else "reset")
+        group.note_failure(
+            member, NO_ANSWER if isinstance(fault, DeadlineExceeded) else CONNECTION_RESET
+        )
 
 
 class MemberCalls:
@@ -66,7 +69,7 @@
                 member, request.session, min(limit_us, _CONNECTION_WAIT_US)
             )
             alias, _ = await self._set_up(connection, request.session, request.statement)
-            if attempt.flight is not None and request.group.sure is not member:
+            if attempt.fetch is not None and request.group.leased_primary is not member:
                 reusable = True
                 raise NotSent("lease")
             attempt.sent = True
@@ -80,10 +83,10 @@
                 member.in_flight -= 1
             reusable = reply.state == "I"
             if reply.code == "unprepared":
-                connection.odd = True
+                connection.needs_reset = True
             return reply
         finally:
-            self._end_flight(request.group, attempt, reply)
+            self._end_fetch(request.group, attempt, reply)
             if connection is not None:
                 self._give_back(member, connection, reusable)
 
@@ -109,11 +112,11 @@
             connection = await self._connection(
                 member, request.session, min(limit_us, _CONNECTION_WAIT_US)
             )
-            if attempt.flight is not None and request.group.sure is not member:
+            if attempt.fetch is not None and request.group.leased_primary is not member:
                 raise NotSent("lease")
             self._stamp(attempt)
             mode = "reads" if transaction.reads else "writes"
-            begin = ("begin", (mode, after), transaction.number)
+            begin = SetUpStatement("begin", (mode, after), transaction.number)
             _, replies = await self._clock.limit(
                 self._set_up(connection, request.session, None, [begin]), limit_us
             )
@@ -123,7 +126,7 @@
                 transaction.connection, transaction.member = connection, member
             return reply
         finally:
-            self._end_flight(request.group, attempt, reply)
+            self._end_fetch(request.group, attempt, reply)
             if connection is not None and transaction.connection is not connection:
                 self._give_back(member, connection, reply is not None and reply.state == "I")
 
@@ -135,7 +138,7 @@
         fault = task.exception()
         if fault is None:
             reply = task.result()
-            group.fine(attempt.member, reply.pos)
+            group.note_answer(attempt.member, reply.pos)
             return reply
         note_fault(group, attempt.member, fault)
         return None
@@ -148,11 +151,11 @@
     async def _connection(
         self, member: Member, session: ClientSession, limit_us: int
     ) -> MemberConnection:
-        waiting: asyncio.Future[MemberConnection] = member.pool.take(session)
+        waiting = member.pool.acquire(session)
         try:
             return await self._clock.limit(waiting, limit_us, keep=True)
         except BaseException:
-            member.pool.quit(waiting)
+            member.pool.cancel(waiting)
             raise
 
     async def _set_up(
@@ -160,10 +163,10 @@
         connection: MemberConnection,
         session: ClientSession,
         statement: Statement | None,
-        more: Sequence[tuple[str, tuple, str]] = (),
+        more: Sequence[SetUpStatement] = (),
     ) -> tuple[str | None, Sequence[Reply]]:
         """Makes the connection fit; answers the prepared name to use, and the replies to `more`."""
-        needed, alias = connection.outfit(session, statement)
+        needed, alias = connection.set_up(session, statement)
         if not needed and not more:
             return alias, ()
         sent = [connection.plain(verb, args, number) for verb, args, number in [*needed, *more]]
@@ -171,22 +174,22 @@
             await self._clock.limit(future, _CONNECTION_WAIT_US, keep=True) for future in sent
         ]
         if any(not reply.ok for reply in replies[: len(needed)]):
-            connection.odd = True
+            connection.needs_reset = True
             raise MemberDeclined("outfit")
         return alias, replies[len(needed) :]
 
     @staticmethod
-    def _end_flight(group: MemberGroup, attempt: Attempt, reply: Reply | None) -> None:
-        if attempt.flight is None:
+    def _end_fetch(group: MemberGroup, attempt: Attempt, reply: Reply | None) -> None:
+        if attempt.fetch is None:
             return
         if reply is not None and reply.ok and reply.pos:
-            group.read_clock.landed(attempt.flight, reply.pos)
+            group.read_clock.finish_carried(attempt.fetch, reply.pos)
         else:
-            group.read_clock.failed(attempt.flight)
+            group.read_clock.fail_carried(attempt.fetch)
 
     @staticmethod
     def _give_back(member: Member, connection: MemberConnection, reusable: bool) -> None:
         if reusable:
-            member.pool.give(connection)
+            member.pool.release(connection)
         else:
-            member.pool.drop(connection)
+            member.pool.discard(connection)
--- a/src/petrelhaven/proxy/routing/member_proofs.py
+++ b/src/petrelhaven/proxy/routing/member_proofs.py
@@ -4,15 +4,15 @@
 
 import asyncio
 import contextlib
-from collections.abc import Generator
 from typing import TYPE_CHECKING, Any
 
+from petrelhaven.proxy.routing.leadership import MOVING
 from petrelhaven.proxy.routing.waiting import first_done
 from petrelhaven.runtime.errors import Fault, Unreachable
 
 if TYPE_CHECKING:
     from petrelhaven.proxy.reads.position import Position
-    from petrelhaven.proxy.routing.base import GroupMembers, ProxyServices
+    from petrelhaven.proxy.routing.base import Continuation, GroupMembers, ProxyServices
     from petrelhaven.proxy.routing.member import Member
 
 __all__ = ["MemberProofs"]
@@ -42,7 +42,7 @@
         if self._group.sync_replicas == 0:
             return False
         now = self._group.leadership
-        if now is None or now.phase == "move" or now.primary != answered.name:
+        if now is None or now.phase == MOVING or now.primary != answered.name:
             return True
         if position is not None and position[0] < now.term:
             return True
@@ -52,7 +52,7 @@
 
     def commit_shown(
         self, position: Position | None, answered: Member, end: int
-    ) -> Generator[asyncio.Future, None, bool]:
+    ) -> Continuation[bool]:
         """Whether a known replica shows `position` by STATUS within a short bound or by `end`.
 
         The nearest is asked first, all others a little later; the first that shows it is enough. A
@@ -65,7 +65,7 @@
         pending: set[asyncio.Task[dict[str, Any]]] = set()
         while unasked or pending:
             asked, unasked = (unasked, []) if pending else (unasked[:1], unasked[1:])
-            pending |= {self._proxy.tasks.spawn(self._group.status(member)) for member in asked}
+            pending |= {self._ask(member) for member in asked}
             left_us = end - self._clock.now()
             if left_us <= 0:
                 return False
@@ -77,6 +77,11 @@
                 return True
         return False
 
+    def _ask(self, member: Member) -> asyncio.Task[dict[str, Any]]:
+        task = self._proxy.tasks.spawn(self._group.status(member))
+        assert task is not None, "the node runs"
+        return task
+
     def _replicas_by_distance(self, primary: Member) -> list[Member]:
         """All members but `primary`: those that answer first, then the nearest."""
         replicas = [m for m in self._group.members.values() if m.name != primary.name]
@@ -89,21 +94,24 @@
         members but one holds every acknowledged commit, whoever of them leads.
 
         Raises:
-            Unreached: not all others answered, or what they hold proves nothing.
+            Unreachable: not all others answered, or what they hold proves nothing.
         """
         await self._silence_of(self._group.members.get(primary))
         others = [member for name, member in self._group.members.items() if name != primary]
         if not self._are_enough(others):
             raise Unreachable("no primary to ask")
-        rows = await asyncio.gather(
+        answers = await asyncio.gather(
             *[self._group.status(member) for member in others], return_exceptions=True
         )
-        for row in rows:
-            if isinstance(row, BaseException):
-                raise row if isinstance(row, Fault) else Unreachable("not all others answered")
-        for member, row in zip(others, rows, strict=True):
-            member.note_log(row["pos"])
-        highest = max(row["pos"] for row in rows)
+        positions: list[Position] = []
+        for answer in answers:
+            if isinstance(answer, BaseException):
+                is_typed = isinstance(answer, Fault)
+                raise answer if is_typed else Unreachable("not all others answered")
+            positions.append(answer["pos"])
+        for member, position in zip(others, positions, strict=True):
+            member.note_log(position)
+        highest = max(positions)
         if highest < self._group.lower_bound:
             raise Unreachable("a member that left had more")
         self._proxy.count["fetched_others"] += 1
@@ -155,5 +163,5 @@
     """Whether a finished STATUS shows `position` in a log of its own term."""
     if task.cancelled() or task.exception() is not None:
         return False
-    shown = task.result()["pos"]
+    shown: Position = task.result()["pos"]
     return shown[0] == position[0] and shown >= position
--- a/src/petrelhaven/proxy/routing/member_wire.py
+++ b/src/petrelhaven/proxy/routing/member_wire.py
@@ -17,7 +17,7 @@
         """A new connection.
 
         Raises:
-            Unsent: the member refused or did not answer in time.
-            Gone: the member at this address is another one.
+            NotSent: the member refused or did not answer in time.
+            MemberReplaced: the member at this address is another one.
             Busy: the member takes no further connection.
         """
--- a/src/petrelhaven/proxy/routing/read_path.py
+++ b/src/petrelhaven/proxy/routing/read_path.py
@@ -2,16 +2,15 @@
 
 from __future__ import annotations
 
-import asyncio
-from collections.abc import Generator
 from typing import TYPE_CHECKING
 
 from petrelhaven.proxy.routing.attempt import Attempt
+from petrelhaven.proxy.routing.member import NO_ANSWER
 from petrelhaven.proxy.routing.waiting import first_done
 
 if TYPE_CHECKING:
     from petrelhaven.proxy.reads.position import Position
-    from petrelhaven.proxy.routing.base import ProxyServices
+    from petrelhaven.proxy.routing.base import Continuation, ProxyServices
     from petrelhaven.proxy.routing.member import Member
     from petrelhaven.proxy.routing.member_calls import MemberCalls
     from petrelhaven.proxy.routing.read_placement import ReadPlacement
@@ -74,7 +73,7 @@
         self._calls = calls
         self._placement = placement
 
-    def run(self, request: Request) -> Generator[asyncio.Future, None, Reply]:
+    def run(self, request: Request) -> Continuation[Reply]:
         """One read; attempts that have not left yet end with it."""
         state = _ReadState(request, self._proxy.order.next(), self._clock.now())
         try:
@@ -83,10 +82,10 @@
             for attempt in state.running:
                 if not attempt.sent:
                     attempt.task.cancel()
-                    if attempt.flight is not None:
-                        request.group.read_clock.failed(attempt.flight)
+                    if attempt.fetch is not None:
+                        request.group.read_clock.fail_carried(attempt.fetch)
 
-    def _until_answered(self, state: _ReadState) -> Generator[asyncio.Future, None, Reply]:
+    def _until_answered(self, state: _ReadState) -> Continuation[Reply]:
         while True:
             state.left_us = state.request.end - self._clock.now()
             if state.left_us <= 0:
@@ -95,7 +94,7 @@
             if reply is not None:
                 return reply
 
-    def _round(self, state: _ReadState) -> Generator[asyncio.Future, None, Reply | None]:
+    def _round(self, state: _ReadState) -> Continuation[Reply | None]:
         """Starts an attempt where there is a place for one, waits, and looks at what came."""
         group = state.request.group
         if state.leadership != group.leading:
@@ -131,7 +130,7 @@
             state.request.group, state.arrival, state.since, state.excluded
         )
 
-    def _find_position(self, state: _ReadState) -> Generator[asyncio.Future, None, None]:
+    def _find_position(self, state: _ReadState) -> Continuation[None]:
         state.position = yield from self._placement.position(
             state.request.group,
             state.arrival,
@@ -141,17 +140,20 @@
         )
 
     def _joins_log_wait(self, state: _ReadState, member: Member) -> bool:
-        return not state.running and self._placement.is_behind(member, state.position)
+        position = state.position
+        if state.running or position is None:
+            return False
+        return self._placement.is_behind(member, position)
 
     def _launch(self, state: _ReadState, attempt: Attempt) -> None:
         limit_us = max(state.request.end - self._clock.now(), _LEAST_LIMIT_US)
-        after = None if attempt.flight else state.position
-        attempt.task = self._proxy.tasks.spawn(
+        after = None if attempt.fetch else state.position
+        attempt.task = self._proxy.tasks.spawn(  # type: ignore[assignment]  # the node runs
             self._calls.send(state.request, attempt, after, limit_us)
         )
         state.running.append(attempt)
 
-    def _wait(self, state: _ReadState, may_hedge: bool) -> Generator[asyncio.Future, None, bool]:
+    def _wait(self, state: _ReadState, may_hedge: bool) -> Continuation[bool]:
         """Waits until an attempt ends; True if it is slow and a second one is to start."""
         running, group = state.running, state.request.group
         may_hedge = may_hedge and len(running) == 1
@@ -159,16 +161,16 @@
         yield first_done(self._clock, [attempt.task for attempt in running], limit_us)
         if not may_hedge or running[0].task.done():
             return False
-        if group.spend():
+        if group.spend_retry():
             member = running[0].member
-            group.missed(member, "mute")
+            group.note_failure(member, NO_ANSWER)
             state.excluded.add(member.name)
             self._proxy.count["hedged"] += 1
             return True
         yield first_done(self._clock, [running[0].task], state.request.end - self._clock.now())
         return False
 
-    def _collect(self, state: _ReadState) -> Generator[asyncio.Future, None, Reply | None]:
+    def _collect(self, state: _ReadState) -> Continuation[Reply | None]:
         """The reply that ends the read, or None if it must be tried again."""
         group = state.request.group
         done = [attempt for attempt in state.running if attempt.task.done()]
@@ -183,18 +185,18 @@
             elif reply.code in _RETRY_ELSEWHERE:
                 self._proxy.count[reply.code] += 1
                 state.excluded.add(attempt.member.name)
-                if reply.code == "failed" and not group.spend():
+                if reply.code == "failed" and not group.spend_retry():
                     return reply
             else:
                 return reply
         return None
 
-    def _lagging(
-        self, state: _ReadState, attempt: Attempt
-    ) -> Generator[asyncio.Future, None, None]:
+    def _lagging(self, state: _ReadState, attempt: Attempt) -> Continuation[None]:
         self._proxy.count["lagging"] += 1
         if state.position is None or state.running:
             return
         member = attempt.member
-        if not (yield from self._placement.told_lagging(member, state.position, state.request.end)):
+        if not (
+            yield from self._placement.wait_after_lagging(member, state.position, state.request.end)
+        ):
             state.excluded.add(member.name)
--- a/src/petrelhaven/proxy/routing/read_placement.py
+++ b/src/petrelhaven/proxy/routing/read_placement.py
@@ -3,15 +3,15 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Collection, Generator, Sequence
-from typing import TYPE_CHECKING
+from collections.abc import Collection, Sequence
+from typing import TYPE_CHECKING, Any
 
 from petrelhaven.proxy.routing.attempt import Attempt
 from petrelhaven.proxy.routing.waiting import first_done
 
 if TYPE_CHECKING:
     from petrelhaven.proxy.reads.position import Position
-    from petrelhaven.proxy.routing.base import ProxyServices
+    from petrelhaven.proxy.routing.base import Continuation, ProxyServices
     from petrelhaven.proxy.routing.group import MemberGroup
     from petrelhaven.proxy.routing.member import Member
 
@@ -36,13 +36,13 @@
         self, group: MemberGroup, arrival: int, since: int | None, excluded: Collection[str]
     ) -> Attempt | None:
         """An attempt at the primary as its own position fetch; None if another fetch will do."""
-        primary = group.sure
+        primary = group.leased_primary
         if primary is None or primary.name in excluded or primary.down_until > self._clock.now():
             return None
         if not group.serves(primary):
             return None
-        flight = group.read_clock.carrier(arrival, since)
-        return Attempt(primary, group.leading, flight) if flight is not None else None
+        fetch = group.read_clock.carried_fetch(arrival, since)
+        return Attempt(primary, group.leading, fetch) if fetch is not None else None
 
     def position(
         self,
@@ -50,8 +50,8 @@
         arrival: int,
         since: int | None,
         limit_us: int,
-        running: Sequence[asyncio.Future] = (),
-    ) -> Generator[asyncio.Future, None, Position | None]:
+        running: Sequence[asyncio.Future[Any]] = (),
+    ) -> Continuation[Position | None]:
         """The position that a read must find; None if time or one of `running` ended first."""
         position = group.read_clock.position_for(arrival, since)
         yield first_done(self._clock, [position, *running], limit_us)
@@ -64,15 +64,13 @@
         """Whether the member has just said LAGGING and is not known to hold `position` yet."""
         return member.lagging_until > self._clock.now() and member.log_progress.log < position
 
-    def joined(
-        self, member: Member, position: Position, end: int
-    ) -> Generator[asyncio.Future, None, None]:
+    def joined(self, member: Member, position: Position, end: int) -> Continuation[None]:
         """Joins the wait for the member's log of whoever was told LAGGING."""
         yield from self._log_wait(member, position, end, _JOINED_WAIT_US)
 
-    def told_lagging(
+    def wait_after_lagging(
         self, member: Member, position: Position, end: int
-    ) -> Generator[asyncio.Future, None, bool]:
+    ) -> Continuation[bool]:
         """Waits for the log of a member that said LAGGING; False if it is to be given up."""
         now = self._clock.now()
         member.lagging_replies += 1
@@ -88,7 +86,7 @@
 
     def _log_wait(
         self, member: Member, position: Position, end: int, pause_us: int
-    ) -> Generator[asyncio.Future, None, None]:
+    ) -> Continuation[None]:
         risen = member.log_progress.wait(position)
         yield first_done(self._clock, [risen], max(0, min(pause_us, end - self._clock.now())))
         risen.cancel()
--- a/src/petrelhaven/proxy/routing/statement_path.py
+++ b/src/petrelhaven/proxy/routing/statement_path.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-import asyncio
-from collections.abc import Generator
 from typing import TYPE_CHECKING
 
 from petrelhaven.proxy.routing.member_calls import MemberCalls
@@ -14,7 +12,7 @@
 from petrelhaven.proxy.routing.write_path import WritePath
 
 if TYPE_CHECKING:
-    from petrelhaven.proxy.routing.base import ProxyServices
+    from petrelhaven.proxy.routing.base import Continuation, ProxyServices
     from petrelhaven.proxy.routing.request import Request
     from petrelhaven.proxy.session.statement import Reply
 
@@ -33,7 +31,7 @@
         start = TransactionStart(proxy, calls, placement)
         self.transactions = TransactionPath(proxy, calls, start)
 
-    def run(self, request: Request) -> Generator[asyncio.Future, None, Reply]:
+    def run(self, request: Request) -> Continuation[Reply]:
         """The continuation of one statement."""
         if request.session.transaction is not None:
             return self.transactions.run(request)
--- a/src/petrelhaven/proxy/routing/transaction_path.py
+++ b/src/petrelhaven/proxy/routing/transaction_path.py
@@ -2,19 +2,20 @@
 
 from __future__ import annotations
 
-import asyncio
 import contextlib
-from collections.abc import Generator
 from typing import TYPE_CHECKING
 
 from petrelhaven.proxy.routing.attempt import Attempt
+from petrelhaven.proxy.routing.member import CONNECTION_RESET, NO_ANSWER, NOT_PRIMARY
 from petrelhaven.proxy.routing.waiting import first_done
+from petrelhaven.proxy.session.client_session import FAILED, IN_TRANSACTION
 from petrelhaven.proxy.session.statement import Reply
 from petrelhaven.runtime.errors import DeadlineExceeded
 from petrelhaven.runtime.events import emit
 
 if TYPE_CHECKING:
-    from petrelhaven.proxy.routing.base import ProxyServices
+    from petrelhaven.proxy.pool.member_connection import MemberConnection
+    from petrelhaven.proxy.routing.base import Continuation, ProxyServices
     from petrelhaven.proxy.routing.member_calls import MemberCalls
     from petrelhaven.proxy.routing.request import Request
     from petrelhaven.proxy.routing.transaction_start import TransactionStart
@@ -36,10 +37,10 @@
         self._calls = calls
         self._start = start
 
-    def run(self, request: Request) -> Generator[asyncio.Future, None, Reply]:
+    def run(self, request: Request) -> Continuation[Reply]:
         """One statement; the first one gets the transaction its connection."""
         session, statement = request.session, request.statement
-        transaction = session.transaction
+        transaction: Transaction = session.transaction  # type: ignore[assignment]  # one is open
         if transaction.connection is None:
             why = yield from self._begin(request, transaction)
             if why is not None:
@@ -49,12 +50,12 @@
             limit_us = self._limit_us(request)
             if limit_us <= 0:
                 return self._abort(request, self._proxy.retry_after())
-            connection = transaction.connection
+            connection: MemberConnection = transaction.connection  # type: ignore[assignment]  # one is open
             attempt = Attempt(transaction.member, transaction.group.leading)
             attempt.started = self._proxy.order.next()
             attempt.started_us = self._clock.now()
             attempt.member.note_asked(attempt.started_us)
-            attempt.task = self._proxy.tasks.spawn(
+            attempt.task = self._proxy.tasks.spawn(  # type: ignore[assignment]  # the node runs
                 self._calls.send_pinned(connection, session, statement)
             )
             with contextlib.suppress(DeadlineExceeded):
@@ -69,13 +70,11 @@
                 return self._failed(request, reply)
             if reply.code == "unprepared":
                 connection.shapes.clear()
-            self._proxy.count[reply.code] += 1
+            self._proxy.count[reply.code] += 1  # type: ignore[index]  # it is not ok
             yield first_done(self._clock, (), pause_us)
             pause_us *= 2
 
-    def _begin(
-        self, request: Request, transaction: Transaction
-    ) -> Generator[asyncio.Future, None, str | None]:
+    def _begin(self, request: Request, transaction: Transaction) -> Continuation[str | None]:
         """Gets the transaction its connection; why that could not be done, or None."""
         if transaction.timed_out:
             return "the transaction had ended"
@@ -89,35 +88,35 @@
             return
         connection, transaction.connection = transaction.connection, None
         if connection.lost or number is None:
-            transaction.member.pool.drop(connection)
+            transaction.member.pool.discard(connection)
             return
         if transaction.has_set:
-            connection.odd = True
+            connection.needs_reset = True
         self._proxy.tasks.spawn(transaction.group.settle(connection, transaction.member, number))
 
     def watch_idle(self, session: ClientSession, transaction: Transaction) -> None:
-        """Ends a transaction that rests too long.
+        """Ends a transaction that is idle too long.
 
-        Its member is told at once, its client at its next statement.
+        Its connection is closed at once; its client learns of it at its next statement.
         """
         limit_us = self._proxy.bounds().idle_txn_us
 
-        def look() -> None:
+        def check() -> None:
             if session.transaction is not transaction or session.busy:
                 return
-            if session.state not in ("trading", "failed"):
+            if session.state not in (IN_TRANSACTION, FAILED):
                 return
             left_us = session.idle_since + limit_us - self._clock.now()
             if left_us > 0:
-                self._clock.later(left_us, look)
+                self._clock.later(left_us, check)
             elif transaction.connection is not None:
                 connection, transaction.connection = transaction.connection, None
                 transaction.timed_out = True
                 emit(self._proxy.log, 424, member=transaction.member.name)
-                transaction.member.pool.drop(connection)
+                transaction.member.pool.discard(connection)
 
         if transaction.connection is not None:
-            self._clock.later(limit_us, look)
+            self._clock.later(limit_us, check)
 
     def _limit_us(self, request: Request) -> int:
         """How long one statement may take; a COMMIT has all the time that is left."""
@@ -127,17 +126,17 @@
         return min(left_us, max(_STATEMENT_LEAST_US, request.route.aim_us * 6 // 10))
 
     def _reply(self, transaction: Transaction, attempt: Attempt) -> Reply | None:
-        """The member's reply, or None; notes what that says of the member."""
+        """The member's reply, or None; notes what that shows of the member."""
         task = attempt.task
         if not task.done():
             task.cancel()
-            transaction.group.missed(attempt.member, "mute")
+            transaction.group.note_failure(attempt.member, NO_ANSWER)
             return None
         if task.cancelled() or task.exception() is not None:
-            transaction.group.missed(attempt.member, "reset")
+            transaction.group.note_failure(attempt.member, CONNECTION_RESET)
             return None
         reply = task.result()
-        transaction.group.fine(attempt.member, reply.pos)
+        transaction.group.note_answer(attempt.member, reply.pos)
         return reply
 
     @staticmethod
@@ -145,28 +144,28 @@
         return reply.code in ("busy", "unprepared") and reply.state == "T"
 
     def _succeeded(self, request: Request, attempt: Attempt, reply: Reply) -> Reply:
-        session, transaction = request.session, request.session.transaction
+        session = request.session
+        transaction: Transaction = session.transaction  # type: ignore[assignment]  # one is open
         commits = request.statement.verb == "commit"
         if self._proves_position(transaction, attempt, commits) and reply.pos:
             transaction.group.note_position(attempt, reply.pos)
         if commits:
             session.transaction = None
             session.settle()
-            connection, transaction.connection = transaction.connection, None
+            connection: MemberConnection = transaction.connection  # type: ignore[assignment]  # one is open
+            transaction.connection = None
             if reply.state == "I":
-                transaction.member.pool.give(connection)
+                transaction.member.pool.release(connection)
             else:
-                transaction.member.pool.drop(connection)
+                transaction.member.pool.discard(connection)
             reply.state = "I"
         elif request.statement.writes:
             transaction.wrote = True
         return reply
 
-    def _finish(
-        self, request: Request, attempt: Attempt, reply: Reply
-    ) -> Generator[asyncio.Future, None, Reply]:
+    def _finish(self, request: Request, attempt: Attempt, reply: Reply) -> Continuation[Reply]:
         """A success; a commit's that no replica known here shows counts as a lost answer."""
-        transaction = request.session.transaction
+        transaction: Transaction = request.session.transaction  # type: ignore[assignment]  # one is open
         wrote = request.statement.verb == "commit" and transaction.wrote
         group = transaction.group
         if wrote and group.proofs.commit_needs_replica(attempt.member, reply.pos):
@@ -185,11 +184,13 @@
         return not commits or transaction.wrote
 
     def _failed(self, request: Request, reply: Reply) -> Reply:
-        """The member said no: the transaction has failed, or ended with its commit."""
+        """The member declined: the transaction has failed, or ended with its commit."""
         session = request.session
         if reply.code == "readonly":
-            member = session.transaction.member
-            self._proxy.core_connection.suspect(request.group.name, member.name, "replica")
+            transaction: Transaction = session.transaction  # type: ignore[assignment]  # one is open
+            self._proxy.core_connection.suspect(
+                request.group.name, transaction.member.name, NOT_PRIMARY
+            )
         if request.statement.verb == "commit":
             self.release(session)
             session.settle()
@@ -209,10 +210,12 @@
         return Reply(code="aborted", text=why, state=session.mark)
 
     def _connection_lost(self, request: Request) -> Reply:
-        """The connection is lost or mute: closed, so that its member rolls back."""
-        session, transaction = request.session, request.session.transaction
-        connection, transaction.connection = transaction.connection, None
-        transaction.member.pool.drop(connection)
+        """The connection is lost or without answer: it is closed, so that its member rolls back."""
+        session = request.session
+        transaction: Transaction = session.transaction  # type: ignore[assignment]  # one is open
+        connection: MemberConnection = transaction.connection  # type: ignore[assignment]  # one is open
+        transaction.connection = None
+        transaction.member.pool.discard(connection)
         session.transaction = None
         if request.statement.verb == "commit":
             session.settle()
--- a/src/petrelhaven/proxy/routing/transaction_start.py
+++ b/src/petrelhaven/proxy/routing/transaction_start.py
@@ -2,19 +2,19 @@
 
 from __future__ import annotations
 
-import asyncio
 import contextlib
-from collections.abc import Coroutine, Generator
+from collections.abc import Coroutine
 from typing import TYPE_CHECKING, Any
 
 from petrelhaven.proxy.routing.attempt import Attempt
+from petrelhaven.proxy.routing.member import NO_ANSWER, NOT_PRIMARY
 from petrelhaven.proxy.routing.member_calls import note_fault
 from petrelhaven.proxy.routing.waiting import first_done
 from petrelhaven.runtime.errors import Busy, DeadlineExceeded, Fault
 
 if TYPE_CHECKING:
     from petrelhaven.proxy.reads.position import Position
-    from petrelhaven.proxy.routing.base import ProxyServices
+    from petrelhaven.proxy.routing.base import Continuation, ProxyServices
     from petrelhaven.proxy.routing.member_calls import MemberCalls
     from petrelhaven.proxy.routing.read_placement import ReadPlacement
     from petrelhaven.proxy.routing.request import Request
@@ -73,15 +73,13 @@
         self._calls = calls
         self._placement = placement
 
-    def run(
-        self, request: Request, transaction: Transaction
-    ) -> Generator[asyncio.Future, None, str | None]:
+    def run(self, request: Request, transaction: Transaction) -> Continuation[str | None]:
         """Begins the transaction at a member; why that could not be done, or None."""
         state = _StartState(request, transaction)
         group = request.group
         while True:
             state.left_us = request.end - self._clock.now()
-            if state.left_us <= 0 or self._hopeless(state):
+            if state.left_us <= 0 or self._primary_is_lost(state):
                 return self._proxy.retry_after()
             if state.leadership != group.leading:
                 state.leadership, state.position = group.leading, None
@@ -91,12 +89,14 @@
                 attempt = yield from self._write_attempt(state)
             if attempt is None:
                 continue
-            attempt.task = self._proxy.tasks.spawn(self._begin(state, attempt))
+            attempt.task = self._proxy.tasks.spawn(  # type: ignore[assignment]  # the node runs
+                self._begin(state, attempt)
+            )
             with contextlib.suppress(DeadlineExceeded):
                 yield first_done(self._clock, [attempt.task], state.left_us)
             if not attempt.task.done():
                 attempt.task.cancel()
-                group.missed(attempt.member, "mute")
+                group.note_failure(attempt.member, NO_ANSWER)
                 return self._proxy.retry_after()
             reply = yield from self._reply(state, attempt)
             if reply is None:
@@ -107,19 +107,19 @@
             if why is not None:
                 return why
 
-    def _hopeless(self, state: _StartState) -> bool:
+    def _primary_is_lost(self, state: _StartState) -> bool:
         """Whether a primary is needed that has been away too long to be waited for."""
         request = state.request
         if state.transaction.reads or request.group.available_primary() is not None:
             return False
-        return request.group.hopeless(request.route, request.end)
+        return request.group.primary_is_lost(request.route, request.end)
 
     def _begin(self, state: _StartState, attempt: Attempt) -> Coroutine[Any, Any, Reply]:
-        after = None if attempt.flight else state.position
+        after = None if attempt.fetch else state.position
         limit_us = min(state.left_us, _BEGIN_LIMIT_US)
         return self._calls.begin(state.request, state.transaction, attempt, after, limit_us)
 
-    def _read_attempt(self, state: _StartState) -> Generator[asyncio.Future, None, Attempt | None]:
+    def _read_attempt(self, state: _StartState) -> Continuation[Attempt | None]:
         """Where a transaction that only reads may begin; None if that must be looked at again."""
         group, transaction = state.request.group, state.transaction
         if state.position is None:
@@ -143,18 +143,18 @@
             return None
         return Attempt(member, state.leadership)
 
-    def _write_attempt(self, state: _StartState) -> Generator[asyncio.Future, None, Attempt | None]:
+    def _write_attempt(self, state: _StartState) -> Continuation[Attempt | None]:
         """An attempt at the primary; None if there was none to ask."""
         group = state.request.group
         member = group.available_primary()
         if member is not None:
             return Attempt(member, state.leadership)
-        yield first_done(self._clock, [group.turned()], min(state.left_us, _LEADERSHIP_WAIT_US))
+        yield first_done(
+            self._clock, [group.next_leadership()], min(state.left_us, _LEADERSHIP_WAIT_US)
+        )
         return None
 
-    def _reply(
-        self, state: _StartState, attempt: Attempt
-    ) -> Generator[asyncio.Future, None, Reply | None]:
+    def _reply(self, state: _StartState, attempt: Attempt) -> Continuation[Reply | None]:
         """The reply to BEGIN; None after a pause if none came."""
         group, task = state.request.group, attempt.task
         fault = Busy() if task.cancelled() else task.exception()
@@ -164,28 +164,32 @@
             note_fault(group, attempt.member, fault)
             state.excluded.add(attempt.member.name)
             pause_us = state.next_pause_us(_FAULT_PAUSE_MOST_US)
-            yield first_done(self._clock, [group.turned()], pause_us)
+            yield first_done(self._clock, [group.next_leadership()], pause_us)
             return None
         reply = task.result()
-        group.fine(attempt.member, reply.pos)
+        group.note_answer(attempt.member, reply.pos)
         if reply.ok and not state.transaction.reads and reply.pos:
             group.note_position(attempt, reply.pos)
         return reply
 
     def _declined(
         self, state: _StartState, attempt: Attempt, reply: Reply
-    ) -> Generator[asyncio.Future, None, str | None]:
+    ) -> Continuation[str | None]:
         """The member declined BEGIN: why the transaction ends, or None to try again."""
         group, member = state.request.group, attempt.member
         if reply.code == "lagging" and state.position is not None:
             self._proxy.count["lagging"] += 1
             if not (
-                yield from self._placement.told_lagging(member, state.position, state.request.end)
+                yield from self._placement.wait_after_lagging(
+                    member, state.position, state.request.end
+                )
             ):
                 state.excluded.add(member.name)
         elif reply.code in ("readonly", "misdirected"):
-            self._proxy.core_connection.suspect(group.name, member.name, "replica")
-            yield first_done(self._clock, [group.turned()], min(state.left_us, _REPLICA_WAIT_US))
+            self._proxy.core_connection.suspect(group.name, member.name, NOT_PRIMARY)
+            yield first_done(
+                self._clock, [group.next_leadership()], min(state.left_us, _REPLICA_WAIT_US)
+            )
         elif reply.code in ("busy", "crowded", "failed"):
             self._proxy.count[reply.code] += 1
             if state.transaction.reads:
--- a/src/petrelhaven/proxy/routing/waiting.py
+++ b/src/petrelhaven/proxy/routing/waiting.py
@@ -4,6 +4,7 @@
 
 import asyncio
 from collections.abc import Iterable
+from typing import Any
 
 from petrelhaven.runtime.clock import Clock
 
@@ -11,7 +12,7 @@
 
 
 def first_done(
-    clock: Clock, futures: Iterable[asyncio.Future], limit_us: int
+    clock: Clock, futures: Iterable[asyncio.Future[Any]], limit_us: int
 ) -> asyncio.Future[None]:
     """A future that is done once one of `futures` is, or after `limit_us`. It cancels none."""
     out = asyncio.get_running_loop().create_future()
--- a/src/petrelhaven/proxy/routing/write_path.py
+++ b/src/petrelhaven/proxy/routing/write_path.py
@@ -2,19 +2,18 @@
 
 from __future__ import annotations
 
-import asyncio
 import contextlib
-from collections.abc import Generator
 from typing import TYPE_CHECKING
 
 from petrelhaven.proxy.routing.attempt import Attempt
+from petrelhaven.proxy.routing.member import NO_ANSWER, NOT_PRIMARY
 from petrelhaven.proxy.routing.waiting import first_done
 from petrelhaven.proxy.session.statement import Reply
 from petrelhaven.runtime.errors import DeadlineExceeded
 from petrelhaven.runtime.events import emit
 
 if TYPE_CHECKING:
-    from petrelhaven.proxy.routing.base import ProxyServices
+    from petrelhaven.proxy.routing.base import Continuation, ProxyServices
     from petrelhaven.proxy.routing.group import MemberGroup
     from petrelhaven.proxy.routing.member_calls import MemberCalls
     from petrelhaven.proxy.routing.request import Request
@@ -38,7 +37,7 @@
         self._clock = proxy.clock
         self._calls = calls
 
-    def run(self, request: Request) -> Generator[asyncio.Future, None, Reply]:
+    def run(self, request: Request) -> Continuation[Reply]:
         """One write."""
         group = request.group
         pause_us = _FIRST_PAUSE_US
@@ -48,12 +47,14 @@
                 return self._proxy.out_of_time()
             member = group.available_primary()
             if member is None:
-                if group.hopeless(request.route, request.end):
+                if group.primary_is_lost(request.route, request.end):
                     return self._proxy.out_of_time()
-                yield first_done(self._clock, [group.turned()], min(left_us, _LEADERSHIP_WAIT_US))
+                yield first_done(
+                    self._clock, [group.next_leadership()], min(left_us, _LEADERSHIP_WAIT_US)
+                )
                 continue
             attempt = Attempt(member, group.leading)
-            attempt.task = self._proxy.tasks.spawn(
+            attempt.task = self._proxy.tasks.spawn(  # type: ignore[assignment]  # the node runs
                 self._calls.send(request, attempt, None, left_us)
             )
             with contextlib.suppress(DeadlineExceeded):
@@ -67,9 +68,7 @@
                 return (yield from self._finish(request, attempt, reply))
             pause_us = yield from self._before_retry(group, attempt, reply, left_us, pause_us)
 
-    def _finish(
-        self, request: Request, attempt: Attempt, reply: Reply
-    ) -> Generator[asyncio.Future, None, Reply]:
+    def _finish(self, request: Request, attempt: Attempt, reply: Reply) -> Continuation[Reply]:
         """The member's final reply, or `unsure` for a success that no replica known here shows."""
         group = request.group
         if reply.ok and group.proofs.commit_needs_replica(attempt.member, reply.pos):
@@ -89,14 +88,14 @@
         reply: Reply | None,
         left_us: int,
         pause_us: int,
-    ) -> Generator[asyncio.Future, None, int]:
+    ) -> Continuation[int]:
         """Waits as long as a write that did not run should; how long the next pause is."""
         if reply is None:
-            yield first_done(self._clock, [group.turned()], min(left_us, pause_us))
+            yield first_done(self._clock, [group.next_leadership()], min(left_us, pause_us))
             return min(pause_us * 2, _UNSENT_PAUSE_MOST_US)
         if reply.code in ("readonly", "misdirected"):
-            self._proxy.core_connection.suspect(group.name, attempt.member.name, "replica")
-            yield first_done(self._clock, [group.turned()], min(left_us, _REPLICA_WAIT_US))
+            self._proxy.core_connection.suspect(group.name, attempt.member.name, NOT_PRIMARY)
+            yield first_done(self._clock, [group.next_leadership()], min(left_us, _REPLICA_WAIT_US))
         elif reply.code in ("busy", "crowded"):
             self._proxy.count[reply.code] += 1
             yield first_done(self._clock, (), min(left_us, pause_us))
@@ -109,7 +108,7 @@
             attempt.task.cancel()
             return self._proxy.out_of_time()
         self._proxy.count["unsure"] += 1
-        request.group.missed(attempt.member, "mute")
+        request.group.note_failure(attempt.member, NO_ANSWER)
         return Reply(code="unsure", text="no answer came; the write may be kept or not")
 
     def _answer_lost(self, attempt: Attempt) -> Reply:
--- a/src/petrelhaven/proxy/session/client_session.py
+++ b/src/petrelhaven/proxy/session/client_session.py
@@ -12,15 +12,33 @@
     from petrelhaven.proxy.routing.member import Member
     from petrelhaven.proxy.routing.route import Route
 
-__all__ = ["ClientSession", "Transaction"]
+__all__ = ["ENDED", "FAILED", "IDLE", "IN_TRANSACTION", "ClientSession", "Transaction"]
+
+IDLE = "idle"
+"""No transaction is open."""
+IN_TRANSACTION = "in_transaction"
+"""A transaction is open."""
+FAILED = "failed"
+"""The open transaction has failed; only ROLLBACK and COMMIT end it."""
+ENDED = "ended"
+"""The client's connection has ended."""
 
 
 class Transaction:
     """An open transaction; it gets its member connection with its first statement.
 
-    `number` is the number of the client's BEGIN, `arrival` its order point, `started_us` its
-    moment. `has_set` tells that a SET came inside it, `timed_out` that it rested too long and
-    was ended at its member.
+    Attributes:
+        number: The number of the client's BEGIN.
+        reads: Whether it only reads.
+        arrival: The order point at which it arrived.
+        started_us: The moment of that, in microseconds.
+        route: The route of its session when it began.
+        group: The group in which it runs; set with its first statement.
+        member: The member at which it runs; set together with `connection`.
+        connection: Its connection; None before its first statement and after its end.
+        wrote: Whether a write in it succeeded.
+        has_set: Whether a SET came inside it.
+        timed_out: Whether it was idle too long and was ended at its member.
     """
 
     __slots__ = (
@@ -37,6 +55,10 @@
         "timed_out",
     )
 
+    group: MemberGroup
+    member: Member
+    connection: MemberConnection | None
+
     def __init__(
         self, number: str, reads: bool, arrival: int, started_us: int, route: Route | None
     ) -> None:
@@ -46,18 +68,25 @@
         self.arrival = arrival
         self.started_us = started_us
         self.route = route
-        self.group: MemberGroup | None = None
-        self.member: Member | None = None
-        self.connection: MemberConnection | None = None
+        self.connection = None
         self.wrote = self.has_set = self.timed_out = False
 
 
 class ClientSession:
-    """One session. States: idle (I), trading (T, a transaction is open), failed (E), ended.
-
-    `nums` has the number of the client's statement that set each value, and of each PREPARE under
-    ("", name). `idle_since` is the clock's time at its last statement's end, `counted_in` the group
-    that counts it as a session of strong reads.
+    """One session.
+
+    Attributes:
+        host: The database name that the client connected to.
+        client: Who it is for, if that is known.
+        values: What SET has set, by name.
+        prepared: The texts of its prepared statements, by name.
+        statement_numbers: The number of the client's statement that set each value, and of each
+            PREPARE under ("", name).
+        transaction: The open transaction, or None.
+        busy: Whether a statement is being served.
+        idle_since: When its last statement ended, in microseconds of the proxy's clock.
+        counted_in: The group that counts it as a session of strong reads, or None.
+        state: `IDLE`, `IN_TRANSACTION`, `FAILED` or `ENDED`.
     """
 
     __slots__ = (
@@ -65,7 +94,7 @@
         "client",
         "values",
         "prepared",
-        "nums",
+        "statement_numbers",
         "transaction",
         "busy",
         "idle_since",
@@ -73,29 +102,45 @@
         "state",
         "__dict__",
     )
+    state: str
     _machine = Machine(
         model=None,
-        states=["idle", "trading", "failed", "ended"],
-        initial="idle",
+        states=[IDLE, IN_TRANSACTION, FAILED, ENDED],
+        initial=IDLE,
         auto_transitions=False,
         transitions=[
-            {"trigger": "begin", "source": "idle", "dest": "trading"},
-            {"trigger": "settle", "source": ["trading", "failed"], "dest": "idle"},
-            {"trigger": "fail", "source": ["trading", "failed"], "dest": "failed"},
-            {"trigger": "settle", "source": "ended", "dest": "="},
-            {"trigger": "fail", "source": "ended", "dest": "="},
-            {"trigger": "end", "source": ["idle", "trading", "failed"], "dest": "ended"},
+            {"trigger": "begin", "source": IDLE, "dest": IN_TRANSACTION},
+            {"trigger": "settle", "source": [IN_TRANSACTION, FAILED], "dest": IDLE},
+            {"trigger": "fail", "source": [IN_TRANSACTION, FAILED], "dest": FAILED},
+            {"trigger": "settle", "source": ENDED, "dest": "="},
+            {"trigger": "fail", "source": ENDED, "dest": "="},
+            {"trigger": "end", "source": [IDLE, IN_TRANSACTION, FAILED], "dest": ENDED},
         ],
     )
-    MARK = {"idle": "I", "trading": "T", "failed": "E", "ended": "I"}
+    MARK = {IDLE: "I", IN_TRANSACTION: "T", FAILED: "E", ENDED: "I"}
+    """The states as the wire shows them."""
+
+    if TYPE_CHECKING:  # what the machine adds to each session
+
+        def begin(self) -> bool:
+            """A transaction is opened."""
+
+        def settle(self) -> bool:
+            """The transaction has ended."""
+
+        def fail(self) -> bool:
+            """A statement in the transaction has failed."""
+
+        def end(self) -> bool:
+            """The client's connection has ended."""
 
     def __init__(self, host: str, client: str = "") -> None:
-        """Opens a session of `host`; `visitor` names who it is for, if anybody."""
+        """Opens a session of `host`; `client` names who it is for, if anybody."""
         self.host = host
         self.client = client
         self.values: dict[str, str] = {}
         self.prepared: dict[str, str] = {}
-        self.nums: dict[str | tuple[str, str], str] = {}
+        self.statement_numbers: dict[str | tuple[str, str], str] = {}
         self.transaction: Transaction | None = None
         self.busy = False
         self.idle_since = 0
@@ -104,7 +149,7 @@
 
     @property
     def mark(self) -> str:
-        """The state as the wire tells it."""
+        """The state as the wire shows it."""
         return self.MARK[self.state]
 
     def close(self) -> None:
--- a/src/petrelhaven/proxy/session/immediate_reply.py
+++ b/src/petrelhaven/proxy/session/immediate_reply.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from petrelhaven.proxy.session.client_session import Transaction
+from petrelhaven.proxy.session.client_session import FAILED, IDLE, Transaction
 from petrelhaven.proxy.session.statement import Reply
 
 if TYPE_CHECKING:
@@ -25,11 +25,11 @@
     """The reply to a statement that needs no member, or None if it needs one."""
     verb = statement.verb
     if verb == "rollback":
-        if session.state != "idle":
+        if session.state != IDLE:
             transactions.release(session, statement.num)
             session.settle()
         return Reply()
-    if session.state == "failed":
+    if session.state == FAILED:
         return _in_failed_transaction(transactions, session, verb)
     if verb == "begin":
         return _begin(proxy, session, statement)
@@ -76,11 +76,11 @@
 def _change_session(session: ClientSession, statement: Statement) -> None:
     if statement.verb == "set":
         session.values[statement.name] = statement.data
-        session.nums[statement.name] = statement.num
+        session.statement_numbers[statement.name] = statement.num
         if session.transaction is not None:
             session.transaction.has_set = True
     elif statement.verb == "prepare":
         session.prepared[statement.name] = statement.shape
-        session.nums["", statement.name] = statement.num
+        session.statement_numbers["", statement.name] = statement.num
     else:
         session.prepared.pop(statement.name, None)
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -77,7 +77,7 @@
     mp.setattr(
         clock.ReadClock,
         "_fits",
-        staticmethod(lambda start, us, r: start > r.arr or r.since is not None),
+        staticmethod(lambda start, us, r: start > r.arrival or r.since is not None),
     )
 
 
@@ -170,11 +170,11 @@
 
 
 def epoch_voids_nothing(mp):
-    def turn(self, key):
-        self.key = key
-        self._pump()
+    def set_leading(self, leading):
+        self.leading = leading
+        self._start_queued()
 
-    mp.setattr(clock.ReadClock, "turn", turn)
+    mp.setattr(clock.ReadClock, "set_leading", set_leading)
 
 
 def resent(mp):
@@ -245,12 +245,12 @@
 
 
 def no_joining(mp):
-    def position_for(self, arr, since=None):
+    def position_for(self, arrival, since=None):
         async def alone():
             while True:
                 self.count["fetches"] += 1
                 try:
-                    return await self._fetch(self.key)
+                    return await self._fetch_position(self.leading)
                 except Exception:
                     await self.clock.sleep(20_000)
 
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -57,10 +57,10 @@
         return pos
 
     c = clock(fetch, lanes)
-    c.turn(world["key"])
+    c.set_leading(world["key"])
 
     async def read():
-        arr, must, key = c.order.next(), world["pos"], c.key
+        arr, must, key = c.order.next(), world["pos"], c.leading
         t0 = c.clock.now()
         pos = await c.position_for(arr)
         told.append((must, pos, c.clock.now() - t0, key))
@@ -75,7 +75,7 @@
         else:
             world["key"] = (world["key"][0] + 1, "p2")
             world["pos"] += 10
-            c.turn(world["key"])
+            c.set_leading(world["key"])
     await asyncio.gather(*ts)
     return told, c
 
@@ -110,7 +110,7 @@
                 ]
                 told, c = run(drama(steps, 1))
                 bad += any(pos is not None and pos < must for must, pos, _, _ in told) or any(
-                    f.key != c.key for f in c._flights
+                    f.leading != c.leading for f in c._fetches
                 )
             assert bad, guard
         finally:
@@ -129,7 +129,7 @@
         c = clock(fetch)
         arrivals = [c.order.next() for _ in range(20)]
         first = c.order.next()
-        c.turn((1, "p"))
+        c.set_leading((1, "p"))
         fs = [c.position_for(first)] + [c.position_for(a) for a in arrivals]
         assert await asyncio.gather(*fs) == [7] * 21
         assert len(n) == 1
@@ -150,7 +150,7 @@
             return await f
 
         c = clock(fetch)
-        c.turn((1, "p"))
+        c.set_leading((1, "p"))
         a = c.position_for(c.order.next())
         await asyncio.sleep(0.06)
         assert c.count["stuck"] == 1 and len(gates) == 2
@@ -158,7 +158,7 @@
         assert await a == 9
         gates[0].set_result(3)
         await asyncio.sleep(0)
-        assert c.pair.pos == 9
+        assert c.pair.position == 9
 
     run(go())
 
@@ -172,10 +172,10 @@
             return await f
 
         c = clock(fetch)
-        c.turn((1, "old"))
+        c.set_leading((1, "old"))
         r = c.position_for(c.order.next())
         await asyncio.sleep(0.001)
-        c.turn((2, "new"))
+        c.set_leading((2, "new"))
         await asyncio.sleep(0.001)
         gates[(1, "old")].set_result(1000)
         await asyncio.sleep(0.001)
@@ -192,7 +192,7 @@
             raise Unreachable("down")
 
         c = clock(fetch)
-        c.turn((1, "p"))
+        c.set_leading((1, "p"))
         assert await c.position_for(c.order.next()) is None
         assert c.clock.now() <= BOUNDS.join_us + 1000
         assert c.count["fetches"] < 12
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -25,7 +25,7 @@
 
 class LoadClient:
     def __init__(self, values=None):
-        self.values, self.prepared, self.nums = dict(values or {}), {}, {}
+        self.values, self.prepared, self.statement_numbers = dict(values or {}), {}, {}
 
 
 class Conn(MemberConnection):
@@ -85,7 +85,9 @@
 
 
 OUTCOME = st.tuples(st.sampled_from([0.0, 0.01, 0.4]), st.none())
-ACTION = st.sampled_from(["take"] * 4 + ["give"] * 3 + ["drop", "lose", "tick", "tick", "rest"])
+ACTION = st.sampled_from(
+    ["acquire"] * 4 + ["release"] * 3 + ["discard", "lose", "tick", "tick", "rest"]
+)
 
 
 @DRAWN
@@ -99,13 +101,13 @@
     async def go(s):
         waits, out = [], []
         for what, i in actions:
-            if what == "take":
-                waits.append(s.take(clients[i % 3]))
+            if what == "acquire":
+                waits.append(s.acquire(clients[i % 3]))
             elif what in ("tick", "rest"):
                 await asyncio.sleep(0.01 if what == "tick" else 3)
-            elif what == "quit":
+            elif what == "cancel":
                 if waits:
-                    s.quit(waits.pop(i % len(waits)))
+                    s.cancel(waits.pop(i % len(waits)))
             elif out:
                 c = out.pop(i % len(out))
                 c.close() if what == "lose" else getattr(s, what)(c)
@@ -129,7 +131,7 @@
                 if held(f) is not None:
                     out.append(held(f))
             while out:
-                s.give(out.pop())
+                s.release(out.pop())
         assert not waits and not s.busy and s.total == len(s.idle) == len(member.live)
 
     member = Member([*plan, (0.01, None)])
@@ -140,11 +142,11 @@
 def test_a_connection_fits_whom_it_was_given_to_before():
     async def go(s):
         a, b = LoadClient({"n": "1"}), LoadClient({"n": "2"})
-        ca, cb = await s.take(a), await s.take(b)
+        ca, cb = await s.acquire(a), await s.acquire(b)
         for v, c in ((a, ca), (b, cb)):
             c.values, c.owner = dict(v.values), v
-            s.give(c)
-        assert await s.take(a) is ca and await s.take(b) is cb
+            s.release(c)
+        assert await s.acquire(a) is ca and await s.acquire(b) is cb
 
     virtual(go, Member())
 
@@ -152,11 +154,11 @@
 def test_who_waits_is_served_in_order():
     async def go(s):
         v = LoadClient()
-        c = await s.take(v)
-        fs = [s.take(v) for _ in range(3)]
+        c = await s.acquire(v)
+        fs = [s.acquire(v) for _ in range(3)]
         for f in fs:
             assert not f.done()
-            s.give(c)
+            s.release(c)
             assert f.done() and f.result() is c
 
     virtual(go, Member(), most=1)
@@ -165,8 +167,8 @@
 def test_more_waiters_than_four_a_connection_are_told_at_once():
     async def go(s):
         v = LoadClient()
-        await s.take(v)
-        fs = [s.take(v) for _ in range(6)]
+        await s.acquire(v)
+        fs = [s.acquire(v) for _ in range(6)]
         assert [isinstance(f.exception(), Busy) if f.done() else None for f in fs] == [None] * 4 + [
             True
         ] * 2
@@ -177,12 +179,12 @@
 def test_a_lost_connection_makes_room():
     async def go(s):
         v = LoadClient()
-        c = await s.take(v)
-        f = s.take(v)
+        c = await s.acquire(v)
+        f = s.acquire(v)
         c.close()
         assert await f is not c and s.total == 1
-        s.give(f.result())
-        s.give(c)
+        s.release(f.result())
+        s.release(c)
         assert s.idle == [f.result()]
 
     virtual(go, Member(), most=1)
@@ -191,13 +193,13 @@
 def test_what_is_quit_comes_back():
     async def go(s):
         v = LoadClient()
-        f = s.take(v)
-        s.quit(f)
+        f = s.acquire(v)
+        s.cancel(f)
         assert f.cancelled() and s.total == 1
         await asyncio.sleep(1)
         assert len(s.idle) == 1 and not s.busy
-        f = s.take(v)
-        s.quit(f)
+        f = s.acquire(v)
+        s.cancel(f)
         assert len(s.idle) == 1 and not s.busy
 
     virtual(go, Member(), most=1)
@@ -206,11 +208,11 @@
 def test_a_full_member_is_not_pressed_for_a_while():
     async def go(s):
         v = LoadClient()
-        a, b = s.take(v), s.take(v)
+        a, b = s.acquire(v), s.acquire(v)
         await asyncio.sleep(0.1)
         assert held(a) and not b.done() and s.limit == 1
-        fs = [s.take(v) for _ in range(3)]
-        s.give(held(a))
+        fs = [s.acquire(v) for _ in range(3)]
+        s.release(held(a))
         assert held(b) is held(a)
         await asyncio.sleep(1)
         assert member.asked == 2 and not any(f.done() for f in fs)
@@ -224,7 +226,7 @@
 def test_where_nothing_is_open_a_full_member_is_told_at_once():
     async def go(s):
         with pytest.raises(Busy):
-            await s.take(LoadClient())
+            await s.acquire(LoadClient())
         assert s.total == 0 and s.limit == 1
 
     virtual(go, Member([(0.01, Busy)]))
@@ -233,16 +235,16 @@
 def test_the_end_declines_who_waits_and_closes_what_comes_back():
     async def go(s):
         v = LoadClient()
-        a, b, c = s.take(v), s.take(v), s.take(v)
+        a, b, c = s.acquire(v), s.acquire(v), s.acquire(v)
         await asyncio.sleep(0.1)
-        s.give(held(a))
+        s.release(held(a))
         d = held(c)
-        e = s.take(v)
+        e = s.acquire(v)
         s.close()
-        assert isinstance(e.exception(), NotSent) and isinstance(s.take(v).exception(), NotSent)
+        assert isinstance(e.exception(), NotSent) and isinstance(s.acquire(v).exception(), NotSent)
         assert held(b) in s.busy and not held(b).lost
-        s.give(held(b))
-        s.give(d)
+        s.release(held(b))
+        s.release(d)
         assert not member.live and s.total == 0
 
     member = Member()
@@ -251,7 +253,7 @@
 
 def test_what_opens_after_the_end_is_closed():
     async def go(s):
-        f = s.take(LoadClient())
+        f = s.acquire(LoadClient())
         s.close()
         with pytest.raises(NotSent):
             await f
--- a/tests/test_connection_sessions_storm.py
+++ b/tests/test_connection_sessions_storm.py
@@ -131,7 +131,7 @@
     mp.setattr(
         clock.ReadClock,
         "_fits",
-        staticmethod(lambda start, us, r: start > r.arr or r.since is not None),
+        staticmethod(lambda start, us, r: start > r.arrival or r.since is not None),
     )
 
 
@@ -174,13 +174,13 @@
 
 
 def _without(mp, verbs):
-    real = member_connection.MemberConnection.outfit
+    real = member_connection.MemberConnection.set_up
 
-    def outfit(self, start_clients, ask=None):
-        out, alias = real(self, start_clients, ask)
+    def set_up(self, session, statement=None):
+        out, alias = real(self, session, statement)
         return [x for x in out if x[0] not in verbs], alias
 
-    mp.setattr(member_connection.MemberConnection, "outfit", outfit)
+    mp.setattr(member_connection.MemberConnection, "set_up", set_up)
 
 
 def no_outfit(mp):
@@ -192,13 +192,13 @@
 
 
 def one_shape_for_all(mp):
-    real = member_connection.MemberConnection.outfit
+    real = member_connection.MemberConnection.set_up
 
-    def outfit(self, start_clients, ask=None):
-        out, alias = real(self, start_clients, ask)
+    def set_up(self, session, statement=None):
+        out, alias = real(self, session, statement)
         return out, alias and "p1"
 
-    mp.setattr(member_connection.MemberConnection, "outfit", outfit)
+    mp.setattr(member_connection.MemberConnection, "set_up", set_up)
 
 
 def another_connection(mp):
@@ -214,7 +214,7 @@
 def rolled_forward(mp):
     async def settle(self, conn, b, num):
         await conn.plain("commit", (), num)
-        b.pool.drop(conn)
+        b.pool.discard(conn)
 
     mp.setattr(group.MemberGroup, "settle", settle)
 
@@ -241,14 +241,14 @@
 
 
 def stops_ignored(mp):
-    real = group.MemberGroup.turn
+    real = group.MemberGroup.apply
 
-    def turn(self, control_state, fresh):
+    def apply(self, control_state, fresh):
         real(self, control_state, fresh)
         for b in self.members.values():
             b.stop_at = None
 
-    mp.setattr(group.MemberGroup, "turn", turn)
+    mp.setattr(group.MemberGroup, "apply", apply)
 
 
 def acked_by_the_head(mp):
--- a/tests/test_member_group.py
+++ b/tests/test_member_group.py
@@ -113,7 +113,7 @@
 
     def enter(self, fresh=False, **r):
         self.control_state.apply(self.control_state.seq + 1, r)
-        self.band.turn(self.control_state, fresh)
+        self.band.apply(self.control_state, fresh)
 
     def leadership(self, phase, primary):
         n = self.control_state.doc["offices"].get("g", {"n": 0})["n"] + 1
@@ -332,7 +332,7 @@
 def test_the_primary_serves_until_the_bound_where_this_edge_heard_of_it_in_time(leave, us, fresh):
     async def go(e):
         if fresh:
-            e.band.turn = lambda control_state, _, turn=e.band.turn: turn(control_state, True)
+            e.band.apply = lambda control_state, _, apply=e.band.apply: apply(control_state, True)
         leave(e)
         for at, serves in ((0, not fresh), (us / 1e6 - 0.01, not fresh), (0.02, False)):
             await asyncio.sleep(at)
@@ -401,15 +401,15 @@
 
 def test_an_leadership_on_the_move_has_no_primary_and_a_turn_is_told():
     async def go(e):
-        f = e.band.turned()
+        f = e.band.next_leadership()
         e.leadership("move", "p")
-        assert f.done() and e.band.primary is None and e.band.sure is None
+        assert f.done() and e.band.primary is None and e.band.leased_primary is None
         e.leadership("swap", "p")
-        assert e.band.primary.name == "p" and e.band.sure is None
+        assert e.band.primary.name == "p" and e.band.leased_primary is None
         e.leadership("serve", "r1")
-        assert e.band.primary.name == e.band.sure.name == "r1"
+        assert e.band.primary.name == e.band.leased_primary.name == "r1"
         e.core_connection.holds_lease = False
-        assert e.band.sure is None and e.band.primary.name == "r1"
+        assert e.band.leased_primary is None and e.band.primary.name == "r1"
 
     virtual(go, group(9, 8, 4))
 
@@ -418,17 +418,17 @@
     async def go(e):
         b = e.band.members["p"]
         await asyncio.sleep(1)
-        e.band.fine(b)
-        e.band.missed(b, "mute")
+        e.band.note_answer(b)
+        e.band.note_failure(b, "mute")
         assert e.suspicions == [] and b.down_until <= e.clock.now()
-        e.band.missed(b, "reset")
+        e.band.note_failure(b, "reset")
         assert e.suspicions == [("g", "p", "reset")] and b.down_until > e.clock.now()
-        e.band.missed(e.band.members["r1"], "refused")
+        e.band.note_failure(e.band.members["r1"], "refused")
         assert len(e.suspicions) == 1
         await asyncio.sleep(1)
-        e.band.missed(b, "mute")
+        e.band.note_failure(b, "mute")
         assert len(e.suspicions) == 2
-        e.band.fine(b)
+        e.band.note_answer(b)
         assert b.down_until == b.failures == 0
 
     virtual(go, group(9, 8, 4))
@@ -448,12 +448,12 @@
 
 def test_second_tries_are_within_a_budget():
     async def go(e):
-        assert [e.band.spend() for _ in range(11)] == [True] * 10 + [False]
+        assert [e.band.spend_retry() for _ in range(11)] == [True] * 10 + [False]
         for _ in range(11):
-            e.band.earn()
-        assert [e.band.spend() for _ in range(2)] == [True, False]
+            e.band.earn_retry()
+        assert [e.band.spend_retry() for _ in range(2)] == [True, False]
         for _ in range(1000):
-            e.band.earn()
-        assert [e.band.spend() for _ in range(21)] == [True] * 20 + [False]
+            e.band.earn_retry()
+        assert [e.band.spend_retry() for _ in range(21)] == [True] * 20 + [False]
 
     virtual(go, group(9, 8, 4))
--- a/tests/test_member_model.py
+++ b/tests/test_member_model.py
@@ -315,12 +315,12 @@
 
     mp.setattr(LineMemberConnection, "_end", end)
     mp.setattr(LineMemberConnection, "due", 0)
-    mp.setattr(ConnectionPool, "drop", lambda self, c: self.give(c))
+    mp.setattr(ConnectionPool, "discard", lambda self, c: self.release(c))
 
 
 def given_back_with_replies_due(mp):
     mp.setattr(LineMemberConnection, "due", 0)
-    mp.setattr(ConnectionPool, "drop", lambda self, c: self.give(c))
+    mp.setattr(ConnectionPool, "discard", lambda self, c: self.release(c))
 
 
 def sent_again_after_silence(mp):
@@ -408,8 +408,8 @@
             return Conn()
 
         connection_pool = ConnectionPool(door.clock, door.tasks, opened, 2, lambda: 2)
-        c = await connection_pool.take(None)
-        connection_pool.give(c)
+        c = await connection_pool.acquire(None)
+        connection_pool.release(c)
         assert c.lost and not connection_pool.idle
 
     virtual(go)
--- a/tests/test_member_proofs.py
+++ b/tests/test_member_proofs.py
@@ -95,7 +95,7 @@
     )
     b = MemberGroup("g", proxy)
     b.sync_replicas = 1
-    b.turn(led, True)
+    b.apply(led, True)
     return b
 
 
--- a/tests/test_unleased_commits.py
+++ b/tests/test_unleased_commits.py
@@ -85,10 +85,10 @@
     def __init__(self):
         self.given, self.dropped = [], []
 
-    def give(self, connection):
+    def release(self, connection):
         self.given.append(connection)
 
-    def drop(self, connection):
+    def discard(self, connection):
         self.dropped.append(connection)
 
 
@@ -130,7 +130,7 @@
     control_state.apply(control_state.seq + 1, leadership | {"cause": ""})
     group = MemberGroup("g", proxy)
     group.sync_replicas = sync_replicas
-    group.turn(control_state, True)
+    group.apply(control_state, True)
     return group, control_state
 
 
@@ -172,7 +172,7 @@
         number = self.control_state.doc["offices"]["g"]["n"] + 1
         record = {"t": "office", "group": "g", "n": number, "phase": phase, "primary": primary}
         self.control_state.apply(self.control_state.seq + 1, record | {"term": term, "cause": ""})
-        self.group.turn(self.control_state, False)
+        self.group.apply(self.control_state, False)
 
     def contact_again(self, phase):
         """The proxy, cut off as it sent, gets its lease back together with a newer office."""
@@ -297,7 +297,7 @@
 
     async def go():
         case = _Case(kind, {"m1": SHORT, "m2": SHORT}, confirmed=True, far="m2")
-        case.group.fine(case.group.members["m2"])
+        case.group.note_answer(case.group.members["m2"])
         await case.proxy.clock.sleep(silent_us)
         assert (await case.run()).ok == (silent_us < 100_000)
 
@@ -308,7 +308,7 @@
 def test_a_primary_elsewhere_is_itself_word_from_there(warp, kind):
     async def go():
         case = _Case(kind, {"m1": SHORT, "m2": SHORT}, confirmed=True, far="p")
-        case.group.fine(case.group.members["p"])
+        case.group.note_answer(case.group.members["p"])
         await case.proxy.clock.sleep(1_000_000)
         assert (await case.run()).ok
         assert case.proxy.wire.asked == []
