--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -31,7 +31,7 @@
 SOURCE = ROOT / "src" / "petrelhaven"
 sys.path.insert(0, str(ROOT / "platform"))
 
-from lines import LineMemberConnection  # noqa: E402
+from member_connections import LineMemberConnection  # noqa: E402
 
 DRAWN = settings(
     max_examples=400,
--- a/tests/test_control_interface.py
+++ b/tests/test_control_interface.py
@@ -455,7 +455,11 @@
 
 def test_a_configuration_that_no_configuration_stands_for_harms_no_program_on_the_platform():
     sys.path.insert(0, str(ROOT / "platform"))
-    from forms import _read_configuration, origin_of, unlabel
+    from configuration_documents import (
+        _read_configuration,
+        platform_configuration,
+        platform_name,
+    )
 
     doc = json.loads(configuration("small", 1))
     doc["groups"].append({"name": "x-h1"})
@@ -467,8 +471,8 @@
         assert fill(led.configuration)["groups"][-1]["sync"] == 0
         if not origin:
             with pytest.raises(NoRoute):
-                origin_of(json.dumps(d))
-    assert [unlabel(n) for n in ("x-", "x-zz", "x-1", "x-ff", "x-h1")] == [
+                platform_configuration(json.dumps(d))
+    assert [platform_name(n) for n in ("x-", "x-zz", "x-1", "x-ff", "x-h1")] == [
         "",
         "x-zz",
         "x-1",
--- a/tests/test_embargoes.py
+++ b/tests/test_embargoes.py
@@ -16,7 +16,7 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent / "platform"))
 
-from forms import configuration_of, label  # noqa: E402
+from configuration_documents import configuration_text, internal_name  # noqa: E402
 from petrelhaven.control.base_node import BaseControlNode  # noqa: E402
 from petrelhaven.control.configuration.document import read  # noqa: E402
 from petrelhaven.control.embargo.instant import instant, spoken  # noqa: E402
@@ -439,7 +439,7 @@
 
 
 def test_a_platforms_configuration_switches_embargoes_on_and_without_the_section_they_are_off():
-    assert "embargoes" not in json.loads(configuration_of(json.dumps(CONFIG).encode(), ["a"]))
+    assert "embargoes" not in json.loads(configuration_text(json.dumps(CONFIG).encode(), ["a"]))
     section = {
         "Services": ["svc"],
         "ClockErrorMs": 50,
@@ -447,15 +447,15 @@
         "SpreadMs": 0,
         "Rules": [ROW],
     }
-    m = read(configuration_of(json.dumps({**CONFIG, "Embargo": section}).encode(), ["a"]))
+    m = read(configuration_text(json.dumps({**CONFIG, "Embargo": section}).encode(), ["a"]))
     assert (m.bounds.skew_us, m.bounds.wall_us, m.bounds.spread_us) == (50_000, 300_000, 0)
     got = of_configuration(m)["embargo"]
-    assert got["scope"] == sorted(["svc", label("Ärger")]) and got["rules"]["n"]["until"] == us(
-        2026, 3, 1, 8
-    )
+    assert got["scope"] == sorted(["svc", internal_name("Ärger")]) and got["rules"]["n"][
+        "until"
+    ] == us(2026, 3, 1, 8)
     assert (
         of_configuration(
-            read(configuration_of(json.dumps({**CONFIG, "Embargo": {}}).encode(), ["a"]))
+            read(configuration_text(json.dumps({**CONFIG, "Embargo": {}}).encode(), ["a"]))
         )
         == {}
     )
@@ -477,5 +477,5 @@
 )
 def test_a_platforms_configuration_is_declined_by_field(section, at):
     with pytest.raises(Invalid) as e:
-        configuration_of(json.dumps({**CONFIG, "Embargo": section}).encode(), ["a"])
+        configuration_text(json.dumps({**CONFIG, "Embargo": section}).encode(), ["a"])
     assert [p for p, _ in e.value.details["faults"]] == [at]
--- a/tests/test_member_model.py
+++ b/tests/test_member_model.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 from test_platform_lines import virtual
 
-from lines import LineMemberConnection  # isort: skip
+from member_connections import LineMemberConnection  # isort: skip
 from petrelhaven.proxy.pool.connection_pool import ConnectionPool
 from petrelhaven.proxy.routing.member_calls import MemberCalls
 from petrelhaven.proxy.routing.transaction_path import TransactionPath
@@ -309,8 +309,8 @@
     real = LineMemberConnection._end
 
     def end(self, r):
-        while len(self._wait) > 1 and self._wait[0][0].done():
-            self._wait.popleft()
+        while len(self._awaited) > 1 and self._awaited[0].future.done():
+            self._awaited.popleft()
         real(self, r)
 
     mp.setattr(LineMemberConnection, "_end", end)
--- a/tests/test_platform_forms.py
+++ b/tests/test_platform_forms.py
@@ -10,7 +10,13 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent / "platform"))
 
-from forms import announcement, configuration_of, label, origin_of, unlabel  # noqa: E402
+from configuration_documents import (  # noqa: E402
+    announcement,
+    configuration_text,
+    internal_name,
+    platform_configuration,
+    platform_name,
+)
 from petrelhaven.control.configuration.document import read  # noqa: E402
 from petrelhaven.control.state.control_state import ControlState  # noqa: E402
 from petrelhaven.runtime.errors import Fault, Invalid  # noqa: E402
@@ -66,7 +72,7 @@
 
 def mapped(d, zones=("a",)):
     """What an edge holds of a configuration, once the product's own check has taken it."""
-    text = configuration_of(d if isinstance(d, bytes) else json.dumps(d).encode(), list(zones))
+    text = configuration_text(d if isinstance(d, bytes) else json.dumps(d).encode(), list(zones))
     read(text)
     led = ControlState()
     led.apply(1, {"t": "manifest", "text": text, "version": json.loads(text)["version"]})
@@ -75,7 +81,7 @@
 
 def faults(d):
     with pytest.raises(Invalid) as e:
-        configuration_of(d if isinstance(d, bytes) else json.dumps(d).encode(), ["a"])
+        configuration_text(d if isinstance(d, bytes) else json.dumps(d).encode(), ["a"])
     assert e.value.status == 422
     return [at for at, what in e.value.details["faults"] if what]
 
@@ -147,18 +153,20 @@
 @given(CONFIGS, st.sampled_from([None, 1, "\t"]), st.booleans(), st.sets(NAMES, max_size=3))
 def test_a_valid_configuration_is_taken_and_comes_back_byte_for_byte(d, indent, ascii_, zones):
     raw = json.dumps(d, indent=indent, ensure_ascii=ascii_).encode()
-    text = configuration_of(raw, zones)
+    text = configuration_text(raw, zones)
     m = read(text)
-    assert origin_of(text) == raw and m.version == d["Revision"] and m.bounds.keepers == 0
+    assert (
+        platform_configuration(text) == raw and m.version == d["Revision"] and m.bounds.keepers == 0
+    )
     held = mapped(raw, zones)
-    assert [unlabel(g["name"]) for g in held["groups"]] == [s["Name"] for s in d["Services"]]
+    assert [platform_name(g["name"]) for g in held["groups"]] == [s["Name"] for s in d["Services"]]
     got = {r["host"]: r for r in held["routes"]}
     assert len(got) == len(held["routes"])
     for r in {
         r["Hostname"]: r for r in sorted(d["Routes"], key=lambda r: -len(r.get("PathPrefix", "")))
     }.values():
         x = got.pop(r["Hostname"])
-        assert unlabel(x["group"]) == r["Service"]
+        assert platform_name(x["group"]) == r["Service"]
         assert x["timeout_us"] == int(r["TimeoutMs"] * 1000)
         assert x["aim_us"] == int(r.get("TargetMs", 500) * 1000)
         assert x["reads"] == ("browsing" if r.get("RouteType") == "bounded_staleness" else "strong")
@@ -282,7 +290,7 @@
         (config(Services=[]), "Routes[0].Service"),
         (config({"Service": "none"}, Services=[]), "Routes[0].Service"),
         (config({"Service": "x" * 65}), "Routes[0].Service"),
-        (config({"Service": label("Svc")}), "Routes[0].Service"),
+        (config({"Service": internal_name("Svc")}), "Routes[0].Service"),
         (config(Routes=[ROUTE, {**ROUTE, "Name": "r-2", "Service": "svc1"}]), "Routes[1].Hostname"),
         (config(Routes=[{**ROUTE, "Hostname": ""}] * 2), "Routes[1].Hostname"),
         (config(Routes=[without(ROUTE, "PathPrefix")] * 2), "Routes[1].Hostname"),
@@ -367,11 +375,11 @@
 @DRAWN
 @given(st.sets(st.text(st.characters(), max_size=64) | st.text("aZ.-_1x", max_size=40), max_size=8))
 def test_labels_are_names_and_each_stands_for_one_name(names):
-    assert len({label(n) for n in names}) == len(names)
+    assert len({internal_name(n) for n in names}) == len(names)
     for n in names:
-        assert NAME.fullmatch(label(n))
-        if label(n)[:3] != "x-h":
-            assert unlabel(label(n)) == n
+        assert NAME.fullmatch(internal_name(n))
+        if internal_name(n)[:3] != "x-h":
+            assert platform_name(internal_name(n)) == n
 
 
 @pytest.mark.parametrize(
@@ -397,14 +405,14 @@
 def test_a_name_that_does_not_fit_comes_back_by_way_of_the_configuration(name):
     m = mapped(config({"Service": name}, {"Name": name}))
     g = m["groups"][0]["name"]
-    assert NAME.fullmatch(g) and g == m["routes"][0]["group"] and unlabel(g) == name
+    assert NAME.fullmatch(g) and g == m["routes"][0]["group"] and platform_name(g) == name
     d = announcement("i-1", {"Service": name, "Zone": name})
-    assert d["group"] == g and d["hall"] == label(name)
+    assert d["group"] == g and d["hall"] == internal_name(name)
 
 
 def test_a_plain_name_is_its_own_label():
     for n in ("huvo11a", "a", "a" * 32, "lima-sala-a", "x", "xx-1"):
-        assert label(n) == unlabel(n) == n
+        assert internal_name(n) == platform_name(n) == n
 
 
 BEAT = {
--- a/tests/test_platform_lines.py
+++ b/tests/test_platform_lines.py
@@ -13,8 +13,9 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent / "platform"))
 
-from forms import configuration_of, label  # noqa: E402
-from lines import Front, LineMemberConnection, LineWire  # noqa: E402
+from client_connection import ClientConnection  # noqa: E402
+from configuration_documents import configuration_text, internal_name  # noqa: E402
+from member_connections import LineMemberConnection, LineWire  # noqa: E402
 from petrelhaven.control.state.control_state import ControlState  # noqa: E402
 from petrelhaven.proxy.node import ProxyNode  # noqa: E402
 from petrelhaven.proxy.pool.member_connection import MemberConnection  # noqa: E402
@@ -30,7 +31,7 @@
 )
 from petrelhaven.runtime.tasks import BackgroundTasks  # noqa: E402
 from petrelhaven.simulator.virtual_time import WarpLoop, end_all  # noqa: E402
-from words import MOST  # noqa: E402
+from statements import LONGEST_LINE  # noqa: E402
 
 DRAWN = settings(
     max_examples=60, phases=[Phase.generate], deadline=None, derandomize=True, database=None
@@ -191,7 +192,7 @@
             self.configure(CONFIG)
 
     def configure(self, config):
-        text = configuration_of(json.dumps(config).encode(), ["a"])
+        text = configuration_text(json.dumps(config).encode(), ["a"])
         recs = [
             {"t": "manifest", "text": text, "version": config["Revision"]},
             {
@@ -223,7 +224,7 @@
 
     def client(self, connect=b"CONNECT db me\r\n"):
         tr = FakeTransport()
-        f = Front(self.proxy, self.door)
+        f = ClientConnection(self.proxy, self.door)
         tr.front = f
         f.connection_made(tr)
         if connect:
@@ -426,7 +427,7 @@
         (b"CONNECT nowhere me\r\n", b"NODB"),
         (b"CONNECT  me\r\n", b"NODB"),
         (b"CONNECT DB me\r\n", b"NODB"),
-        (b"CONNECT " + b"x" * MOST + b"\r\n", b"TOOLARGE"),
+        (b"CONNECT " + b"x" * LONGEST_LINE + b"\r\n", b"TOOLARGE"),
         (b"CONNECT db\nQUERY 1 PUT k v\r\n", b"MALFORMED"),
         (b"CONNECT db me\r\r\n", b"MALFORMED"),
     ],
@@ -557,7 +558,7 @@
 def test_a_message_over_the_bound_is_not_run(whole):
     async def go(d):
         f, tr = d.client()
-        raw = b"QUERY 1 PUT k " + b"x" * MOST + (b"\r\n" if whole else b"")
+        raw = b"QUERY 1 PUT k " + b"x" * LONGEST_LINE + (b"\r\n" if whole else b"")
         for at in range(0, len(raw), 1 << 18):
             if not tr.closed:
                 f.data_received(raw[at : at + (1 << 18)])
@@ -571,11 +572,11 @@
     async def go(d):
         f, tr = d.client()
         head = b"QUERY 1 PUT k "
-        f.data_received(head + b"x" * (MOST - len(head)) + b"\r\n")
+        f.data_received(head + b"x" * (LONGEST_LINE - len(head)) + b"\r\n")
         await rest()
         assert replies(tr.out)[0][0][1].startswith(b"COMPLETE") and len(
             d.member.kept["k"]
-        ) == MOST - len(head)
+        ) == LONGEST_LINE - len(head)
 
     virtual(go)
 
@@ -751,13 +752,14 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "runs"), [(b"PUT a 1", range(64, 67)), (b"PUT a " + b"x" * (MOST >> 2), range(4, 8))]
+    ("text", "runs"),
+    [(b"PUT a 1", range(64, 67)), (b"PUT a " + b"x" * (LONGEST_LINE >> 2), range(4, 8))],
 )
 def test_more_than_a_session_may_ask_at_once_is_not_run_and_ends_it(text, runs):
     async def go(d):
         f, tr = d.client()
         f.data_received(said(*[text] * 200))
-        assert sum(len(t) for _, t in f._asked) <= 2 * MOST
+        assert sum(len(t) for _, t in f._queue) <= 2 * LONGEST_LINE
         await rest()
         got, end = replies(tr.out)
         assert (
@@ -839,7 +841,7 @@
         b"COMPLETE s\r\nCOMPLETE t\r\nREADY I -\r\n",
         b"ERROR BUSY x\r\nCOMPLETE t\r\nREADY I -\r\n",
         "COMPLETE s\r\nREADY I ².1\r\n".encode(),
-        b"ROW " + b"x" * (MOST + 9),
+        b"ROW " + b"x" * (LONGEST_LINE + 9),
     ],
 )
 def test_a_reply_out_of_order_is_no_reply(raw):
@@ -847,7 +849,7 @@
         c = member_connection()
         f = c.ask(ASK)
         c.data_received(raw)
-        assert c.lost and c.drops == [c] and c._tr.closed
+        assert c.lost and c.drops == [c] and c._transport.closed
         assert isinstance(f.exception(), Unreachable)
         assert isinstance(c.ask(ASK).exception(), Unreachable)
 
@@ -982,15 +984,15 @@
         1,
         {
             "t": "manifest",
-            "text": configuration_of(json.dumps(config).encode(), ["a"]),
+            "text": configuration_text(json.dumps(config).encode(), ["a"]),
             "version": 1,
         },
     )
-    assert led.configuration["groups"][0]["name"] == label(name)
+    assert led.configuration["groups"][0]["name"] == internal_name(name)
 
     async def go(wire, serve):
         a, got = await serve([b"REA", b"DY I 3.1\r\n"])
-        c = await wire.open(a, label(name), "i-1", 2_000_000)
+        c = await wire.open(a, internal_name(name), "i-1", 2_000_000)
         assert got == [f"CONNECT {name} petrelhaven i-1\r\n".encode()]
         c.close()
 
--- a/tests/test_platform_words.py
+++ b/tests/test_platform_words.py
@@ -11,7 +11,17 @@
 
 from petrelhaven.proxy.session.statement import Reply, Statement  # noqa: E402
 from petrelhaven.runtime.errors import Fault  # noqa: E402
-from words import CODES, WORDS, ask_line, ask_of, own_line, place, position, reply_lines, row_of  # noqa: E402
+from statements import (  # noqa: E402
+    CODES_BY_WORD,
+    ERROR_WORDS,
+    format_position,
+    format_reply,
+    format_statement,
+    format_system_statement,
+    parse_position,
+    parse_statement,
+    parse_status,
+)
 
 DRAWN = settings(
     max_examples=300, phases=[Phase.generate], deadline=None, derandomize=True, database=None
@@ -50,18 +60,18 @@
         ("COMMIT", "commit", False),
         ("ROLLBACK", "rollback", False),
     ):
-        a = ask_of("7f", text)
+        a = parse_statement("7f", text)
         assert isinstance(a, Statement) and (a.num, a.verb, a.text, a.writes) == (
             "7f",
             verb,
             text,
             writes,
         )
-    a = ask_of("1", f"PREPARE {name} {kind} {last}")
+    a = parse_statement("1", f"PREPARE {name} {kind} {last}")
     assert (a.name, a.shape) == (name, f"{kind} {last}")
-    a = ask_of("1", f"EXECUTE {name} {last}")
+    a = parse_statement("1", f"EXECUTE {name} {last}")
     assert (a.name, a.data) == (name, last)
-    a = ask_of("1", f"SET {name} {last}")
+    a = parse_statement("1", f"SET {name} {last}")
     assert (a.name, a.data) == (name, last)
 
 
@@ -111,7 +121,7 @@
     ],
 )
 def test_all_else_is_malformed(text):
-    r = ask_of("1", text)
+    r = parse_statement("1", text)
     assert isinstance(r, Reply) and r.code == "malformed"
 
 
@@ -121,7 +131,7 @@
     | st.builds("{} {}".format, st.sampled_from(sorted(VERBS)), st.text(max_size=12))
 )
 def test_no_text_raises_and_none_is_taken_for_another(text):
-    a = ask_of("1", text)
+    a = parse_statement("1", text)
     if isinstance(a, Statement):
         assert a.text == text and VERBS.get(text.split(" ")[0], a.verb) == a.verb
     else:
@@ -132,7 +142,9 @@
 @given(st.binary(max_size=30).filter(lambda b: b"\r\n" not in b), WORD, POSITION)
 def test_a_line_to_a_member_has_the_clients_id_and_text_byte_for_byte(data, num, after):
     text = b"PUT k " + data
-    line = ask_line(ask_of(num, text.decode("utf-8", "surrogateescape")), after, None)
+    line = format_statement(
+        parse_statement(num, text.decode("utf-8", "surrogateescape")), after, None
+    )
     front = f"AFTER {after[0]}.{after[1]} ".encode() if after else b""
     assert (
         line.encode("utf-8", "surrogateescape") == f"QUERY {num} ".encode() + front + text + b"\r\n"
@@ -143,18 +155,23 @@
 @given(WORD, WORD, LAST)
 def test_only_the_prepared_name_is_changed_in_an_execute(name, alias, last):
     assert (
-        ask_line(ask_of("9", f"EXECUTE {name} {last}"), None, alias)
+        format_statement(parse_statement("9", f"EXECUTE {name} {last}"), None, alias)
         == f"QUERY 9 EXECUTE {alias} {last}\r\n"
     )
 
 
 def test_statements_of_the_systems_own():
-    assert own_line("begin", ("reads", (3, 7)), "5") == "QUERY 5 AFTER 3.7 BEGIN FETCH\r\n"
-    assert own_line("begin", ("writes", None), "5") == "QUERY 5 BEGIN\r\n"
-    assert own_line("set", ("n", "a b"), "5") == "QUERY 5 SET n a b\r\n"
-    assert own_line("prepare", ("p1", "PUT q"), "5") == "QUERY 5 PREPARE p1 PUT q\r\n"
+    assert (
+        format_system_statement("begin", ("reads", (3, 7)), "5")
+        == "QUERY 5 AFTER 3.7 BEGIN FETCH\r\n"
+    )
+    assert format_system_statement("begin", ("writes", None), "5") == "QUERY 5 BEGIN\r\n"
+    assert format_system_statement("set", ("n", "a b"), "5") == "QUERY 5 SET n a b\r\n"
+    assert (
+        format_system_statement("prepare", ("p1", "PUT q"), "5") == "QUERY 5 PREPARE p1 PUT q\r\n"
+    )
     assert [
-        own_line(v, a)
+        format_system_statement(v, a)
         for v, a in (
             ("reset", ()),
             ("rollback", ()),
@@ -175,27 +192,27 @@
     WORD,
     st.sampled_from("ITE"),
     POSITION,
-    st.none() | st.sampled_from(sorted(WORDS)),
+    st.none() | st.sampled_from(sorted(ERROR_WORDS)),
 )
 def test_a_reply_has_its_rows_one_end_and_one_ready(rows, stamp, state, pos, code):
-    lines = reply_lines(Reply(rows, stamp, code, "why", state, pos)).split("\r\n")
+    lines = format_reply(Reply(rows, stamp, code, "why", state, pos)).split("\r\n")
     assert lines == [f"ROW {r}" for r in rows] + [
-        f"ERROR {WORDS[code]} why" if code else f"COMPLETE {stamp}",
-        f"READY {state} {place(pos)}",
+        f"ERROR {ERROR_WORDS[code]} why" if code else f"COMPLETE {stamp}",
+        f"READY {state} {format_position(pos)}",
         "",
     ]
-    assert position(place(pos)) == pos
+    assert parse_position(format_position(pos)) == pos
 
 
 def test_every_code_has_one_word():
-    assert {CODES[w] for w in WORDS.values()} == set(WORDS)
+    assert {CODES_BY_WORD[w] for w in ERROR_WORDS.values()} == set(ERROR_WORDS)
 
 
 @DRAWN
 @given(st.text(max_size=20))
 def test_a_row_of_a_status_is_whole_or_a_value_error(text):
     try:
-        d = row_of(Reply([text], pos=(1, 2)))
+        d = parse_status(Reply([text], pos=(1, 2)))
     except (ValueError, IndexError):
         return
     except Fault:
@@ -204,7 +221,7 @@
 
 
 def test_a_status_row():
-    assert row_of(Reply(["replica 3 3.1209 0 12 2 17"], pos=(3, 1204))) == {
+    assert parse_status(Reply(["replica 3 3.1209 0 12 2 17"], pos=(3, 1204))) == {
         "role": "replica",
         "term": 3,
         "pos": (3, 1209),
