--- a/src/petrelhaven/control/base_node.py
+++ b/src/petrelhaven/control/base_node.py
@@ -16,8 +16,9 @@
 from petrelhaven.membership.prober import Prober
 from petrelhaven.membership.roster import Roster
 from petrelhaven.runtime.errors import Duplicate, Fault, Invalid, Malformed, NotReady
-from petrelhaven.runtime.events import emit
+from petrelhaven.runtime.events import Events, emit
 from petrelhaven.runtime.limits import NAME
+from petrelhaven.transport.message_kinds import MessageKind
 from petrelhaven.transport.reach import Reach
 
 __all__ = ["BaseControlNode"]
@@ -82,18 +83,18 @@
             ],
         )
         for k, f in {
-            "vote.prepare": self.voter.prepare,
-            "vote.accept": self.voter.accept,
-            "view.ask": self._told,
-            "view.learn": self._learn,
-            "view.confirm": self.chain.confirmed_by,
-            "chain.append": self.chain.append,
-            "disk.turned": self.disk_watch.heard,
-            "chain.enter": self._enter,
-            "chain.read": self._read,
-            "chain.force": self.lease_table.force,
-            "edge.hold": self.lease_table.hold,
-            "creed.belief": self._belief,
+            MessageKind.REGISTER_PREPARE: self.voter.prepare,
+            MessageKind.REGISTER_ACCEPT: self.voter.accept,
+            MessageKind.VIEW_READ: self._told,
+            MessageKind.VIEW_LEARN: self._learn,
+            MessageKind.VIEW_CONFIRM: self.chain.confirmed_by,
+            MessageKind.CHAIN_APPEND: self.chain.append,
+            MessageKind.DISK_STATE_CHANGED: self.disk_watch.heard,
+            MessageKind.CHAIN_ENTER: self._enter,
+            MessageKind.CHAIN_READ: self._read,
+            MessageKind.CHAIN_IN_FORCE: self.lease_table.force,
+            MessageKind.PROXY_CONNECT: self.lease_table.hold,
+            MessageKind.NODE_BELIEF: self._belief,
             **self.handlers(),
         }.items():
             link.on(k, f)
@@ -121,14 +122,14 @@
     def handlers(self):
         """What this core answers beside the chain's own calls."""
         return {
-            "duty.heard": self.duty.told,
-            "edge.lease": self.lease_table.lease,
-            "edge.enter": self._edge,
+            MessageKind.PLANNER_OBSERVATIONS: self.duty.told,
+            MessageKind.PROXY_LEASE: self.lease_table.lease,
+            MessageKind.PROXY_ENTER: self._edge,
         }
 
     def start(self):
         """Starts the core's tasks."""
-        emit(self.log, 101, name=self.name, zone=self.zone, addr=self.link.addr, disk=self.mem.disk)
+        emit(self.log, Events.NODE_STARTED, name=self.name, zone=self.zone, addr=self.link.addr, disk=self.mem.disk)
         for co in (self.prober.run(), self.chain.confirm(), self._maintain_view(), self.duty.run()):
             self.tasks.spawn(co)
         self.disk_watch.start()
@@ -150,7 +151,9 @@
         if want != self.state:
             {"outside": self.part, "joining": self.knock, "chained": self.enchain}[want]()
             if want == "chained":
-                emit(self.log, 304 if self.chain.view["n"] > 1 else 102, view=self.chain.view["n"])
+                view = self.chain.view["n"]
+                event = Events.CHAIN_REJOINED if view > 1 else Events.NODE_READY
+                emit(self.log, event, view=view)
 
     async def _told(self, ch, b):
         return self.told()
@@ -208,13 +211,13 @@
             if addr == self.link.addr:
                 r = await self._told(None, {})
             else:
-                r = await self.link.call(addr, "view.ask", {"name": self.name}, 500_000)
+                r = await self.link.call(addr, MessageKind.VIEW_READ, {"name": self.name}, 500_000)
         except Fault:
             r = None
             for n, p in list(self.roster.peers.items()):
                 if p.addr == addr and p.state == "alive":
                     try:
-                        r = await self.reach.call(n, "view.ask", {"name": self.name}, 500_000)
+                        r = await self.reach.call(n, MessageKind.VIEW_READ, {"name": self.name}, 500_000)
                     except Fault:
                         pass
         _, before = self._infos.get(addr, (0, None))
@@ -243,7 +246,7 @@
 
     async def _send_view(self, n, view):
         try:
-            await self.call(n, "view.learn", {"view": view}, 500_000)
+            await self.call(n, MessageKind.VIEW_LEARN, {"view": view}, 500_000)
         except Fault:
             pass
 
@@ -263,7 +266,7 @@
             ids = {n: r["disk"] for n, r in sorted(infos.items())}
             new = {"n": 1, "chain": sorted(ids), "ids": ids, "cause": "first view", "by": self.name}
             new["before"] = []
-            emit(self.log, 302, n=1, cause="first view")
+            emit(self.log, Events.VIEW_PROPOSED, n=1, cause="first view")
             self.spread(await self._ask.change(ids, lambda x: x or new))
             return
         newest = self.mem.vote["value"]
@@ -320,7 +323,7 @@
         """Has a majority of the view's cores decide the next view."""
         new = {"n": v["n"] + 1, "chain": chain, "ids": ids, "cause": cause, "by": self.name}
         new["before"] = self.chain.former_cores()
-        emit(self.log, 302, n=new["n"], cause=cause)
+        emit(self.log, Events.VIEW_PROPOSED, n=new["n"], cause=cause)
         self.spread(
             await self._ask.change(v["ids"], lambda x: new if x is None or x["n"] == v["n"] else x)
         )
@@ -351,7 +354,7 @@
             return await self._enter(None, {"rec": rec, "force": force, "bound": None})
         return await self.reach.call(
             v["chain"][0],
-            "chain.enter",
+            MessageKind.CHAIN_ENTER,
             {"rec": rec, "force": force, "bound": None},
             20_000_000,
         )
@@ -373,7 +376,7 @@
             raise NotReady("no view yet")
         if v["chain"][-1] == self.name:
             return self.chain.read()
-        return (await self.reach.call(v["chain"][-1], "chain.read", {"what": None}, 2_000_000))[
+        return (await self.reach.call(v["chain"][-1], MessageKind.CHAIN_READ, {"what": None}, 2_000_000))[
             "doc"
         ]
 
@@ -409,11 +412,11 @@
 
         async def frame(n):
             try:
-                return n, (await self.reach.call(n, "edge.frame", {"name": self.name}, 1_500_000))[
+                return n, (await self.reach.call(n, MessageKind.PROXY_SNAPSHOT, {"name": self.name}, 1_500_000))[
                     "frame"
                 ]
             except Fault as e:
-                emit(self.log, 311, node=n, fault=e.code)
+                emit(self.log, Events.SURVEY_UNANSWERED, node=n, fault=e.code)
                 return n, None
 
         return {
--- a/src/petrelhaven/control/consensus/chain.py
+++ b/src/petrelhaven/control/consensus/chain.py
@@ -11,7 +11,8 @@
     NotReady,
     ViewSuperseded,
 )
-from petrelhaven.runtime.events import emit
+from petrelhaven.runtime.events import Events, emit
+from petrelhaven.transport.message_kinds import MessageKind
 
 __all__ = ["Chain", "CONFIRM_US", "DRIFT"]
 
@@ -110,7 +111,7 @@
         self.confirmed = 0
         self.adopted = self.clock.now()
         self.active_at = self.clock.now() + int(self.confirm_us * DRIFT)
-        emit(self.log, 301, n=view["n"], chain=",".join(view["chain"]), cause=view["cause"])
+        emit(self.log, Events.VIEW_ADOPTED, n=view["n"], chain=",".join(view["chain"]), cause=view["cause"])
         if self._feeder:
             self._feeder.cancel()
             self._feeder = None
@@ -255,7 +256,7 @@
         try:
             r = await self._call(
                 name,
-                "view.confirm",
+                MessageKind.VIEW_CONFIRM,
                 {"name": self.me, "n": n, "tied": self.connected_proxies()},
                 400_000,
             )
@@ -310,7 +311,7 @@
             await self.clock.sleep(30_000)
         what = ("name", "group", "hall", "state", "role") if rec["t"] == "member" else ()
         more = {k: rec[k] for k in what if rec.get(k)}
-        emit(self.log, 305, seq=seq, kind=rec["t"], **more)
+        emit(self.log, Events.RECORD_COMMITTED, seq=seq, kind=rec["t"], **more)
         return seq
 
     def read(self):
@@ -340,7 +341,7 @@
                     rs = self.mem.since(held, mark)
                     if rs is None:
                         body.update(
-                            frame=self.control_state.frame(),
+                            frame=self.control_state.snapshot(),
                             prev=self.control_state.seq,
                             mark=self.mem.mark,
                             done=True,
@@ -351,7 +352,7 @@
                         self._news.clear()
                         await self._news.wait()
                         continue
-                r = await self._call(to, "chain.append", body, 1_500_000)
+                r = await self._call(to, MessageKind.CHAIN_APPEND, body, 1_500_000)
                 held, mark = r["held"], r["mark"]
                 if body["done"]:
                     fed = held if r["commit"] >= held else None
--- a/src/petrelhaven/control/consensus/proxy_survey.py
+++ b/src/petrelhaven/control/consensus/proxy_survey.py
@@ -1,7 +1,8 @@
 """Ledgers of edges, gathered over their ties while a core has no majority and so holds no edge."""
 
 from petrelhaven.runtime.errors import Conflict, Fault
-from petrelhaven.runtime.events import emit
+from petrelhaven.runtime.events import Events, emit
+from petrelhaven.transport.message_kinds import MessageKind
 
 __all__ = ["ProxySurvey"]
 
@@ -34,10 +35,10 @@
             return
         self._asked.add(edge)
         try:
-            f = (await ch.call("edge.frame", {"name": edge}, _ASK_US))["frame"]
+            f = (await ch.call(MessageKind.PROXY_SNAPSHOT, {"name": edge}, _ASK_US))["frame"]
         except Fault as e:
             self._asked.discard(edge)
-            emit(self.log, 311, node=edge, fault=e.code)
+            emit(self.log, Events.SURVEY_UNANSWERED, node=edge, fault=e.code)
             return
         if f:
             self._got[edge] = f
--- a/src/petrelhaven/control/consensus/reform.py
+++ b/src/petrelhaven/control/consensus/reform.py
@@ -1,7 +1,8 @@
 """Forming the chain anew after a majority of the cores lost their disks: at the operator's word only."""
 
 from petrelhaven.runtime.errors import Conflict, Fault, Malformed, NotReady
-from petrelhaven.runtime.events import emit
+from petrelhaven.runtime.events import Events, emit
+from petrelhaven.transport.message_kinds import MessageKind
 
 __all__ = ["Reform"]
 
@@ -53,7 +54,7 @@
             "cause": "formed anew without " + ",".join(lost),
             "by": by or c.name,
         }
-        emit(self.log, 310, n=n, seq=frame["seq"], src=src, lost=",".join(lost), by=by)
+        emit(self.log, Events.CHAIN_REFORMED, n=n, seq=frame["seq"], src=src, lost=",".join(lost), by=by)
         c.mem.reset(frame, n)
         c.spread(view)
         return {
@@ -67,14 +68,14 @@
     async def _info(self, n):
         for _ in range(5):
             try:
-                return await self._c.call(n, "view.ask", {"name": self._c.name}, 800_000)
+                return await self._c.call(n, MessageKind.VIEW_READ, {"name": self._c.name}, 800_000)
             except Fault:
                 await self._c.clock.sleep(100_000)
         return None
 
     async def _newest(self):
         c = self._c
-        best, src = c.chain.control_state.frame(), c.name
+        best, src = c.chain.control_state.snapshot(), c.name
         for n, f in sorted((await c.frames()).items()):
             if f["seq"] > best["seq"]:
                 best, src = f, n
--- a/src/petrelhaven/proxy/core_connection.py
+++ b/src/petrelhaven/proxy/core_connection.py
@@ -15,7 +15,8 @@
 
 from petrelhaven.control.state.control_state import ControlState
 from petrelhaven.runtime.errors import Fault
-from petrelhaven.runtime.events import emit
+from petrelhaven.runtime.events import Events, emit
+from petrelhaven.transport.message_kinds import MessageKind
 from petrelhaven.transport.proxy_messages import (
     LeaseAnswer,
     LeaseRenewal,
@@ -129,8 +130,8 @@
         self._avoid_until: dict[str, int] = {}
         self._next_report_at: dict[str, int] = {}
         self._channel: Channel | None = None
-        link.on("edge.push", self._apply_push)
-        link.on("edge.frame", self._send_snapshot)
+        link.on(MessageKind.PROXY_PUSH, self._apply_push)
+        link.on(MessageKind.PROXY_SNAPSHOT, self._send_snapshot)
 
     def start(self) -> None:
         """Starts the task that keeps the connection."""
@@ -218,12 +219,12 @@
         """Has the control state pushed over `channel`, and renews the lease until that fails."""
         applied_seq = self.control_state.seq if self.joined else _NOTHING_APPLIED
         hold = {"edge": self.name, "inc": 0, "applied": applied_seq}
-        answer = await channel.call("edge.hold", hold, _HOLD_LIMIT_US)
+        answer = await channel.call(MessageKind.PROXY_CONNECT, hold, _HOLD_LIMIT_US)
         if not answer["ok"]:
             self._avoid_until[address] = self.clock.now() + _DECLINED_PAUSE_US
             return
         self._channel = channel
-        emit(self.log, 401, core=address)
+        emit(self.log, Events.CONTROL_NODE_CONNECTED, core=address)
         missed, granted_at = 0, self.clock.now()
         while not channel.gone.done():
             try:
@@ -236,7 +237,7 @@
                 missed += 1
             ungranted_us = self.clock.now() - granted_at
             if missed >= _RENEWALS_MISSED_MOST or ungranted_us > _UNCONFIRMED_MOST_US:
-                emit(self.log, 402, core=address)
+                emit(self.log, Events.CONTROL_NODE_LOST, core=address)
                 self._avoid_until[address] = self.clock.now() + _UNREACHABLE_PAUSE_US
                 return
             if self._nearer_is_usable(address):
@@ -251,7 +252,7 @@
             return False
         asked_at = self.clock.now()
         renewal = LeaseRenewal(self.name, self.control_state.seq, self.view_number, suspicions)
-        body = await channel.call("tie.pulse", renewal.to_body(), _RENEWAL_LIMIT_US)
+        body = await channel.call(MessageKind.LEASE_RENEW, renewal.to_body(), _RENEWAL_LIMIT_US)
         answer = LeaseAnswer.from_body(body)
         self._take_fleet(answer)
         if answer.granted:
@@ -296,7 +297,7 @@
         if self._next_report_at.get(group, 0) > now or self._channel is None:
             return
         self._next_report_at[group] = now + _SUSPICION_PERIOD_US
-        emit(self.log, 423, group=group, member=member, how=how)
+        emit(self.log, Events.PRIMARY_SUSPECTED, group=group, member=member, how=how)
         self.tasks.spawn(self._renew_lease((Suspicion(group, member, how),)))
 
     def _notify(self, records: list[dict[str, Any]], is_snapshot: bool) -> None:
@@ -305,7 +306,7 @@
 
     async def _send_snapshot(self, _channel: Channel, _body: dict[str, Any]) -> dict[str, Any]:
         """Answers `edge.frame`: the control state as this proxy has it, for a reform."""
-        return {"frame": self.control_state.frame() if self.joined else None}
+        return {"frame": self.control_state.snapshot() if self.joined else None}
 
     async def _apply_push(self, channel: Channel, body: dict[str, Any]) -> dict[str, Any]:
         """Answers `edge.push`: applies a snapshot and records that are newer than what is known."""
--- a/src/petrelhaven/proxy/resumable/handover.py
+++ b/src/petrelhaven/proxy/resumable/handover.py
@@ -3,7 +3,8 @@
 import asyncio
 
 from petrelhaven.runtime.errors import Fault
-from petrelhaven.runtime.events import emit
+from petrelhaven.runtime.events import Events, emit
+from petrelhaven.transport.message_kinds import MessageKind
 
 __all__ = ["SessionHandover"]
 
@@ -39,7 +40,7 @@
                 try:
                     r = await self.e.reach.call(
                         k.split("/")[0],
-                        "span.take",
+                        MessageKind.SESSION_TAKE,
                         {
                             "sid": s.sid,
                             "to": k,
@@ -56,7 +57,7 @@
                         self.e.deliver.at[s.sid] = k.split("/")[0]
                         return
                 except Fault as f:
-                    emit(self.e.log, 413, sid=s.sid, fault=f.code, note=f.note)
+                    emit(self.e.log, Events.SESSION_REPLICATION_DELAYED, sid=s.sid, fault=f.code, note=f.note)
                 await self.e.clock.sleep(100_000)
             if s.state == "moving":
                 s.stay()
@@ -85,7 +86,7 @@
 
     async def drain(self, us=9_000_000):
         """Leaves: tells control, hands every session over, waits until nothing is kept here and control has heard."""
-        emit(self.e.log, 103, sessions=len(self.e.homes), kept=len(self.e.session_replicas.kept))
+        emit(self.e.log, Events.NODE_LEAVING, sessions=len(self.e.homes), kept=len(self.e.session_replicas.kept))
         self.e.leave()
         end = self.e.clock.now() + us
         self.e.tasks.spawn(self._say("leaving", us))
@@ -101,7 +102,7 @@
         self.e.end()
         emit(
             self.e.log,
-            104,
+            Events.NODE_ENDED,
             left_sessions=len(self.e.homes),
             left_kept=len(self.e.session_replicas.kept),
         )
--- a/src/petrelhaven/proxy/resumable/node.py
+++ b/src/petrelhaven/proxy/resumable/node.py
@@ -27,7 +27,8 @@
     NotReady,
     SessionMoving,
 )
-from petrelhaven.runtime.events import emit
+from petrelhaven.runtime.events import Events, emit
+from petrelhaven.transport.message_kinds import MessageKind
 from petrelhaven.transport.reach import Reach
 
 __all__ = ["ResumableProxy"]
@@ -100,19 +101,19 @@
         self.control.on_lapse.append(self.follow.let_go)
         self.control.on_anew += [self.session_replicas.clear, self.keeper.clear]
         for k, f in {
-            "span.deliver": self.deliver.taken,
-            "span.keep": self.session_replicas.hold,
-            "span.take": self.session_replicas.take,
-            "span.drop": self.session_replicas.drop,
-            "span.cede": self.session_replicas.cede,
-            "span.seen": self.session_replicas.seen,
-            "creed.belief": self._belief,
+            MessageKind.SESSION_DELIVER: self.deliver.taken,
+            MessageKind.REPLICA_KEEP: self.session_replicas.hold,
+            MessageKind.SESSION_TAKE: self.session_replicas.take,
+            MessageKind.REPLICA_DROP: self.session_replicas.drop,
+            MessageKind.SESSION_CEDE: self.session_replicas.cede,
+            MessageKind.REPLICA_VERSIONS: self.session_replicas.seen,
+            MessageKind.NODE_BELIEF: self._belief,
         }.items():
             link.on(k, f)
 
     def start(self):
         """Starts the edge's tasks."""
-        emit(self.log, 101, name=self.name, zone=self.zone, addr=self.link.addr)
+        emit(self.log, Events.NODE_STARTED, name=self.name, zone=self.zone, addr=self.link.addr)
         self.tasks.spawn(self.prober.run())
         self.tasks.spawn(self.session_replicas.run())
         self.control.start()
@@ -228,7 +229,7 @@
             )
         except Fault as f:
             if isinstance(f, Busy):
-                emit(self.log, 422, used=self.request_slots.used)
+                emit(self.log, Events.LOAD_SHED, used=self.request_slots.used)
             if f.retry_after_us is not None:
                 f.retry_after_us = int(f.retry_after_us * self.rng.uniform(0.75, 1.25))
             raise
--- a/src/petrelhaven/proxy/resumable/session_keeper.py
+++ b/src/petrelhaven/proxy/resumable/session_keeper.py
@@ -3,7 +3,8 @@
 import asyncio
 
 from petrelhaven.runtime.errors import Fault, SessionMoving, ViewSuperseded
-from petrelhaven.runtime.events import emit
+from petrelhaven.runtime.events import Events, emit
+from petrelhaven.transport.message_kinds import MessageKind
 
 __all__ = ["SessionKeeper"]
 
@@ -47,7 +48,7 @@
     def _proxy_survey(self, s):
         ks = [k for k in s.keepers if self.control.lives(k)]
         if len(ks) < len(s.keepers):
-            emit(self.log, 412, sid=s.sid, was=",".join(s.keepers), left=",".join(ks))
+            emit(self.log, Events.SESSION_KEEPER_CHANGED, sid=s.sid, was=",".join(s.keepers), left=",".join(ks))
         while len(ks) < self.bounds().keepers:
             k = self.elect(ks, s.release)
             if k is None:
@@ -88,7 +89,7 @@
         try:
             r = await self.reach.call(
                 k.split("/")[0],
-                "span.keep",
+                MessageKind.REPLICA_KEEP,
                 {
                     "sid": s.sid,
                     "to": k,
@@ -121,7 +122,7 @@
             while self.control.lives(k):
                 try:
                     await self.reach.call(
-                        k.split("/")[0], "span.drop", {"sid": s.sid, "epoch": s.epoch}, 500_000
+                        k.split("/")[0], MessageKind.REPLICA_DROP, {"sid": s.sid, "epoch": s.epoch}, 500_000
                     )
                     break
                 except Fault:
@@ -186,7 +187,7 @@
                 s.keepers, s.release, s.sure = rest, s.release + bad, False
             await self.settle(s)
         except Fault as f:
-            emit(self.log, 413, sid=s.sid, fault=f.code, note=f.note)
+            emit(self.log, Events.SESSION_REPLICATION_DELAYED, sid=s.sid, fault=f.code, note=f.note)
         finally:
             self._tending.discard(s.sid)
             s.unlock()
@@ -205,10 +206,10 @@
     async def _drop(self, k, s):
         try:
             await self.reach.call(
-                k.split("/")[0], "span.drop", {"sid": s.sid, "epoch": s.epoch}, 500_000
+                k.split("/")[0], MessageKind.REPLICA_DROP, {"sid": s.sid, "epoch": s.epoch}, 500_000
             )
         except Fault as f:
-            emit(self.log, 413, sid=s.sid, fault=f.code, note=f.note)
+            emit(self.log, Events.SESSION_REPLICATION_DELAYED, sid=s.sid, fault=f.code, note=f.note)
 
     def clear(self):
         """This edge was declared gone: what it held lives elsewhere now."""
--- a/src/petrelhaven/proxy/routing/transaction_path.py
+++ b/src/petrelhaven/proxy/routing/transaction_path.py
@@ -11,7 +11,7 @@
 from petrelhaven.proxy.session.client_session import FAILED, IN_TRANSACTION
 from petrelhaven.proxy.session.statement import Reply
 from petrelhaven.runtime.errors import DeadlineExceeded
-from petrelhaven.runtime.events import emit
+from petrelhaven.runtime.events import Events, emit
 
 if TYPE_CHECKING:
     from petrelhaven.proxy.pool.member_connection import MemberConnection
@@ -112,7 +112,7 @@
             elif transaction.connection is not None:
                 connection, transaction.connection = transaction.connection, None
                 transaction.timed_out = True
-                emit(self._proxy.log, 424, member=transaction.member.name)
+                emit(self._proxy.log, Events.IDLE_TRANSACTION_ENDED, member=transaction.member.name)
                 transaction.member.pool.discard(connection)
 
         if transaction.connection is not None:
@@ -221,7 +221,11 @@
             session.settle()
             if transaction.wrote:
                 self._proxy.count["unsure"] += 1
-                emit(self._proxy.log, 420, member=transaction.member.name)
+                emit(
+                    self._proxy.log,
+                    Events.STATEMENT_OUTCOME_UNKNOWN,
+                    member=transaction.member.name,
+                )
                 return Reply(code="unsure", text="the answer to the commit was lost")
         else:
             session.fail()
--- a/tests/test_proxy_interface.py
+++ b/tests/test_proxy_interface.py
@@ -103,7 +103,7 @@
                 led.check(r)
                 led.apply(led.seq + 1, r)
             await core_connection._apply_push(
-                None, {"frame": led.frame(), "recs": [], "commit": led.seq}
+                None, {"frame": led.snapshot(), "recs": [], "commit": led.seq}
             )
         try:
             return await fn(proxy, http_server)
