--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -417,7 +417,7 @@
 
     async def go(net):
         edge, core = Node(net, "edge"), Node(net, "core")
-        control_state = SimpleNamespace(seq=3, frame=lambda: {"seq": 3})
+        control_state = SimpleNamespace(seq=3, snapshot=lambda: {"seq": 3})
         chain = SimpleNamespace(
             complete=True,
             commit=3,
@@ -443,7 +443,7 @@
         await old.call("edge.hold", hold, 100_000)
         await asyncio.sleep(0.1)
         chain.commit = control_state.seq = 4
-        control_state.frame = lambda: {"seq": 4}
+        control_state.snapshot = lambda: {"seq": 4}
         chain.mem.since = lambda at: None
         chain.on_commit[0]()
         await asyncio.sleep(0.1)
