--- a/src/petrelhaven/simulator/net.py
+++ b/src/petrelhaven/simulator/net.py
@@ -7,12 +7,15 @@
 
 from petrelhaven.runtime.clock import Clock
 from petrelhaven.runtime.errors import Fault, Malformed, NotSent, Unreachable
+from petrelhaven.runtime.events import Events
 from petrelhaven.runtime.tasks import BackgroundTasks
 from petrelhaven.transport.link import Channel, Link, SharedConnections
 from petrelhaven.transport.messages import TELL, pack
 
 __all__ = ["SimulatedMachine", "Net", "SimDisk", "SimLink"]
 
+_FINDINGS = tuple(f"E{event.number} " for event in (Events.TASK_FAILED, Events.HANDLER_FAILED))
+
 
 class _Handle:
     __slots__ = ("h", "off")
@@ -55,7 +58,7 @@
 
 
 class SimLog:
-    """Keeps events; a task fault in any node is a finding of the run."""
+    """Keeps events; a task or a handler that fails in any node is a finding of the run."""
 
     def __init__(self, net, name):
         self._net, self._name = net, name
@@ -63,7 +66,7 @@
     def log(self, level, text):
         """Keeps one event."""
         self._net.log.append((round(self._net.loop.time(), 4), self._name, text))
-        if " task fault" in text or "internal handler fault" in text:
+        if text.startswith(_FINDINGS):
             self._net.findings.append((round(self._net.loop.time(), 4), "code", self._name, text))
 
 
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -2,6 +2,7 @@
 
 import asyncio
 import json
+from types import SimpleNamespace
 
 import pytest
 from hypothesis import HealthCheck, Phase, given, settings
@@ -11,7 +12,9 @@
 from petrelhaven.proxy.resumable.member_protocol import Wire
 from petrelhaven.runtime.clock import Clock
 from petrelhaven.runtime.errors import Fault, Invalid, Malformed, Unreachable
+from petrelhaven.runtime.events import Events, emit
 from petrelhaven.runtime.tasks import BackgroundTasks
+from petrelhaven.simulator.net import SimLog
 from petrelhaven.simulator.resumable.storm import inside
 from petrelhaven.transport.http_server import HttpServer, body_of
 from petrelhaven.transport.messages import KINDS, TELL, pack
@@ -194,7 +197,7 @@
                             str(f["type"]), []
                         )
                     )
-                    for f in KINDS[kind].ask.schema["fields"]
+                    for f in KINDS[kind].request.schema["fields"]
                 }
                 if isinstance(ask.get("acked"), list):
                     ask["acked"] = 1
@@ -211,11 +214,21 @@
                 sid, {"verb": "put", "route": "g1", "key": "z", "value": 1, "try": 1}
             )
         )["outcome"] == "kept"
-        return [x for x in w.net.findings if "internal handler fault" not in x[3]]
+        return [x for x in w.net.findings if not x[3].startswith("E112 ")]
 
     assert inside(go, 2)[0] == []
 
 
+@pytest.mark.parametrize(
+    "event, found",
+    [(Events.TASK_FAILED, 1), (Events.HANDLER_FAILED, 1), (Events.MALFORMED_MESSAGE, 0)],
+)
+def test_a_task_or_handler_that_fails_is_a_finding_of_a_simulated_run(event, found):
+    net = SimpleNamespace(loop=SimpleNamespace(time=lambda: 1.0), log=[], findings=[])
+    emit(SimLog(net, "c1"), event, what="ValueError()")
+    assert len(net.log) == 1 and len(net.findings) == found
+
+
 def test_a_member_that_answers_oddly_is_a_typed_fault_never_a_result():
     async def go():
         odd = {}
