--- a/src/petrelhaven/commands/ctl.py
+++ b/src/petrelhaven/commands/ctl.py
@@ -6,7 +6,7 @@
 import sys
 
 from petrelhaven.commands import embargo as embargo_command
-from petrelhaven.control.configuration.document import read
+from petrelhaven.control.configuration.parsing import parse_configuration
 from petrelhaven.control.storage.data_folder import salvage
 from petrelhaven.runtime.errors import (
     DeadlineExceeded,
@@ -131,7 +131,7 @@
 
 async def _run(a, out):
     if a.verb == "check":
-        m = read(_text(a.file))
+        m = parse_configuration(_text(a.file))
         out(
             f"manifest {m.name} version {m.version} is good: {len(m.groups)} groups, {len(m.routes)} "
             f"routes, {len(m.zones)} halls"
--- a/src/petrelhaven/control/base_node.py
+++ b/src/petrelhaven/control/base_node.py
@@ -5,7 +5,7 @@
 
 from transitions import Machine
 
-from petrelhaven.control.configuration.document import read
+from petrelhaven.control.configuration.parsing import parse_configuration
 from petrelhaven.control.consensus.chain import Chain
 from petrelhaven.control.consensus.disk_watch import DiskWatch
 from petrelhaven.control.consensus.reform import Reform
@@ -379,7 +379,7 @@
 
     async def apply(self, text, by="", retire=False):
         """Checks and applies a manifest."""
-        m = read(text)
+        m = parse_configuration(text)
         if m.embargoing or m.embargoes:
             raise Invalid(
                 "manifest declined",
--- a/src/petrelhaven/control/configuration/defaults.py
+++ b/src/petrelhaven/control/configuration/defaults.py
@@ -1,9 +1,13 @@
-"""What a manifest leaves out, filled in where it is read without the types of `manifest`, which cost memory."""
+"""Defaults of the configuration, for readers that save the memory of the types of `document`."""
 
-__all__ = ["BOUNDS", "GROUP", "ROUTE", "fill"]
+from __future__ import annotations
 
-GROUP = {"members": 3, "cap": 40, "least": 1, "sync": 0}
-ROUTE = {
+from typing import Any
+
+__all__ = ["BOUNDS_DEFAULTS", "GROUP_DEFAULTS", "ROUTE_DEFAULTS", "with_defaults"]
+
+GROUP_DEFAULTS: dict[str, Any] = {"members": 3, "cap": 40, "least": 1, "sync": 0}
+ROUTE_DEFAULTS: dict[str, Any] = {
     "reads": "strong",
     "host": "",
     "prefix": "",
@@ -12,14 +16,15 @@
     "stale_us": 1_500_000,
     "rank": 1,
 }
-BOUNDS = {"idle_txn_us": 10_000_000, "keepers": 2}
+BOUNDS_DEFAULTS: dict[str, Any] = {"idle_txn_us": 10_000_000, "keepers": 2}
+"""Those that proxies of connection sessions read."""
 
 
-def fill(m):
-    """The manifest with a value for each field that this path looks at."""
+def with_defaults(document: dict[str, Any]) -> dict[str, Any]:
+    """Fills a parsed, checked configuration with a value for each field that those readers need."""
     return {
-        **m,
-        "groups": [{**GROUP, **g} for g in m["groups"]],
-        "routes": [{**ROUTE, **r} for r in m["routes"]],
-        "bounds": {**BOUNDS, **m.get("bounds", {})},
+        **document,
+        "groups": [{**GROUP_DEFAULTS, **group} for group in document["groups"]],
+        "routes": [{**ROUTE_DEFAULTS, **route} for route in document["routes"]],
+        "bounds": {**BOUNDS_DEFAULTS, **document.get("bounds", {})},
     }
--- a/src/petrelhaven/control/embargo/__init__.py
+++ b/src/petrelhaven/control/embargo/__init__.py
@@ -1,1 +1,1 @@
-"""Embargoed records: rules, agreed time and the duty that releases them."""
+"""Embargoes in the control state: rules, their records, and the true time that releases them."""
--- a/src/petrelhaven/control/embargo/agreed_time.py
+++ b/src/petrelhaven/control/embargo/agreed_time.py
@@ -1,112 +1,188 @@
-"""A core's bounds on true time: the wall clocks of all cores, what a majority agrees on, monotonic time between."""
+"""A control node's bounds on true time.
+
+They are what the wall clocks of a majority agree on, carried on by monotonic time.
+docs/notes/embargoes.md derives the interval.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Awaitable, Callable, Collection
+from dataclasses import dataclass
+from typing import TYPE_CHECKING, Any, TypeAlias
 
 from petrelhaven.control.consensus.chain import DRIFT
 from petrelhaven.runtime.errors import Fault
 from petrelhaven.runtime.events import emit
-from petrelhaven.runtime.wall_clock import agreed
+from petrelhaven.runtime.wall_clock import TimeInterval, agreed
+
+if TYPE_CHECKING:
+    import logbook
+
+    from petrelhaven.control.embargo.records import Limits
+    from petrelhaven.runtime.clock import BackgroundTasks, Clock
+    from petrelhaven.runtime.wall_clock import WallClock
 
 __all__ = ["AgreedTime", "widened"]
 
-_ASK_US = 500_000
+Call: TypeAlias = Callable[[str, str, dict[str, Any], int], Awaitable[dict[str, Any]]]
+
+_READ_EVERY_US = 500_000
 _CALL_US = 400_000
-_OLD_US = 3_000_000
+_READING_TRUSTED_US = 3_000_000
 _SUSPICION_US = 60_000_000
 
 
-def widened(lo, hi, us):
-    """An interval around true time after `us` of a monotonic clock that may run 5 % off."""
-    return lo + int(us / DRIFT), hi + int(us * DRIFT)
+def widened(interval: TimeInterval, elapsed_us: int) -> TimeInterval:
+    """The interval `elapsed_us` later, by a monotonic clock whose rate may be off."""
+    return TimeInterval(
+        interval.lowest + int(elapsed_us / DRIFT), interval.highest + int(elapsed_us * DRIFT)
+    )
 
 
-class AgreedTime:
-    """Asks the other cores for their readings while embargoes are on. `ids()` names all cores, `bounds()` is a dict."""
-
-    def __init__(self, clock, wall_clock, name, ids, bounds, call, tasks, log=None):
-        self.clock, self.wall_clock, self.name, self._ids, self._bounds = (
-            clock,
-            wall_clock,
-            name,
-            ids,
-            bounds,
+@dataclass(frozen=True, slots=True)
+class _Reading:
+    """What a control node's wall clock showed at some moment between two of ours."""
+
+    asked_us: int
+    received_us: int
+    wall_us: int
+
+    def interval(self, now_us: int, skew_us: int) -> TimeInterval:
+        """Where true time is now if that wall clock was within `skew_us` of it."""
+        then = TimeInterval(self.wall_us - skew_us, self.wall_us + skew_us)
+        return TimeInterval(
+            widened(then, now_us - self.received_us).lowest,
+            widened(then, now_us - self.asked_us).highest,
         )
-        self._call, self.tasks, self.log = call, tasks, log
-        self._got = {}
-        self._was = None
-        self._suspected = 0
-        self._told = {}
-
-    async def run(self):
-        """Keeps readings of all cores."""
+
+
+class AgreedTime:
+    """Reads the wall clocks of all control nodes while embargoes are on; works out true time."""
+
+    def __init__(  # noqa: PLR0913, PLR0917 (a node hands over its parts)
+        self,
+        clock: Clock,
+        wall_clock: WallClock,
+        name: str,
+        node_names: Callable[[], Collection[str]],
+        limits: Callable[[], Limits | None],
+        call: Call,
+        tasks: BackgroundTasks,
+        log: logbook.Logger | None = None,
+    ) -> None:
+        """Reads no clock yet.
+
+        Args:
+            clock: the node's monotonic clock.
+            wall_clock: the node's wall clock, which may be wrong.
+            name: the node's name.
+            node_names: answers the names of all control nodes.
+            limits: answers the configuration's limits, None while embargoes are off.
+            call: calls a control node by its name, with kind, body and timeout in microseconds.
+            tasks: the node's tasks.
+            log: where events go.
+        """
+        self._clock = clock
+        self.wall_clock = wall_clock
+        self._name = name
+        self._node_names = node_names
+        self._limits = limits
+        self._call = call
+        self._tasks = tasks
+        self._log = log
+        self._readings: dict[str, _Reading] = {}
+        self._previous: tuple[int, TimeInterval] | None = None
+        self._suspected_until_us = 0
+        self._was_agreed: bool | None = None
+        self._own_clock_was_good = True
+
+    async def run(self) -> None:
+        """Keeps readings of all control nodes."""
         while True:
-            if self._bounds():
-                for n in self._ids():
-                    self.tasks.spawn(self._ask(n))
-                self._watch()
-            await self.clock.sleep(_ASK_US)
-
-    async def _ask(self, n):
-        a = self.clock.now()
-        if n == self.name:
-            w = self.wall_clock.now()
+            if self._limits() is not None:
+                for name in self._node_names():
+                    self._tasks.spawn(self._read(name))
+                self._log_changes()
+            await self._clock.sleep(_READ_EVERY_US)
+
+    async def _read(self, name: str) -> None:
+        asked_us = self._clock.now()
+        if name == self._name:
+            wall_us = self.wall_clock.now()
         else:
             try:
-                w = (await self._call(n, "wall.read", {"name": self.name}, _CALL_US))["wall"]
+                answer = await self._call(name, "wall.read", {"name": self._name}, _CALL_US)
             except Fault:
                 return
-        if a >= self._got.get(n, (0,))[0]:
-            self._got[n] = (a, self.clock.now(), w)
-
-    def _of(self, n, now, skew):
-        a, b, w = self._got[n]
-        return widened(w - skew, 0, now - b)[0], widened(0, w + skew, now - a)[1]
+            wall_us = answer["wall"]
+        newest = self._readings.get(name)
+        if newest is None or asked_us >= newest.asked_us:
+            self._readings[name] = _Reading(asked_us, self._clock.now(), wall_us)
 
-    def interval(self):
-        """The (lowest, highest) moment that true time can be now, or None."""
-        m = self._bounds()
-        if not m:
+    def interval(self) -> TimeInterval | None:
+        """Where true time can be now; None while no majority agrees closely enough."""
+        limits = self._limits()
+        if limits is None:
             return None
-        now = self.clock.now()
-        ids = self._ids()
-        mine = [
-            self._of(n, now, m["skew_us"])
-            for n in ids
-            if n in self._got and now - self._got[n][0] < _OLD_US
-        ]
-        got = agreed(mine, len(ids) // 2 + 1)
-        if got is None:
+        now_us = self._clock.now()
+        interval = self._majority_interval(now_us, limits.skew_us)
+        if interval is None:
             return None
-        if self._was is not None:
-            lo, hi = widened(*self._was[1], now - self._was[0])
-            if got[1] < lo or got[0] > hi:
-                self._suspected = now + _SUSPICION_US
-                emit(self.log, 334, us=got[0] - lo)
-        self._was = (now, got)
-        if now < self._suspected or got[1] - got[0] > m["wall_us"]:
+        self._compare_with_previous(interval, now_us)
+        too_wide = interval.highest - interval.lowest > limits.wall_us
+        if now_us < self._suspected_until_us or too_wide:
             return None
-        return got
-
-    def _watch(self):
-        got = self.interval()
-        self._tell("time", got is not None, 333, 332)
-        if got is not None and self.name in self._got:
-            lo, hi = self._of(self.name, self.clock.now(), self._bounds()["skew_us"])
-            self._tell(
-                "own", lo <= got[1] and hi >= got[0], None, 331, core=self.name, us=lo - got[0]
-            )
-
-    def _tell(self, what, well, good, bad, **fields):
-        was = self._told.get(what, True if what == "own" else None)
-        self._told[what] = well
-        if was != well and (good if well else bad) is not None:
-            emit(self.log, good if well else bad, **fields)
-
-    def status(self):
-        """The interval and each core's reading against its middle."""
-        got, now = self.interval(), self.clock.now()
-        if got is None:
+        return interval
+
+    def _majority_interval(self, now_us: int, skew_us: int) -> TimeInterval | None:
+        names = self._node_names()
+        trusted = [
+            self._readings[name].interval(now_us, skew_us)
+            for name in names
+            if name in self._readings
+            and now_us - self._readings[name].asked_us < _READING_TRUSTED_US
+        ]
+        return agreed(trusted, len(names) // 2 + 1)
+
+    def _compare_with_previous(self, interval: TimeInterval, now_us: int) -> None:
+        """Suspects the majority's clocks where they cannot have come here from where they were."""
+        if self._previous is not None:
+            then_us, previous = self._previous
+            possible = widened(previous, now_us - then_us)
+            if interval.highest < possible.lowest or interval.lowest > possible.highest:
+                self._suspected_until_us = now_us + _SUSPICION_US
+                emit(self._log, 334, us=interval.lowest - possible.lowest)
+        self._previous = (now_us, interval)
+
+    def _log_changes(self) -> None:
+        interval = self.interval()
+        is_agreed = interval is not None
+        if is_agreed != self._was_agreed:
+            self._was_agreed = is_agreed
+            emit(self._log, 333 if is_agreed else 332)
+        if interval is not None:
+            self._log_own_clock(interval)
+
+    def _log_own_clock(self, interval: TimeInterval) -> None:
+        limits, reading = self._limits(), self._readings.get(self._name)
+        if limits is None or reading is None:
+            return
+        own = reading.interval(self._clock.now(), limits.skew_us)
+        is_good = own.lowest <= interval.highest and own.highest >= interval.lowest
+        if self._own_clock_was_good and not is_good:
+            emit(self._log, 331, core=self._name, us=own.lowest - interval.lowest)
+        self._own_clock_was_good = is_good
+
+    def status(self) -> dict[str, Any]:
+        """The interval, and how far each node's reading is from its middle."""
+        interval, now_us = self.interval(), self._clock.now()
+        if interval is None:
             return {"interval": None, "off_us": {}}
-        mid = sum(got) // 2
+        middle = (interval.lowest + interval.highest) // 2
         return {
-            "interval": got,
-            "off_us": {n: w + now - b - mid for n, (_, b, w) in sorted(self._got.items())},
+            "interval": interval,
+            "off_us": {
+                name: reading.wall_us + now_us - reading.received_us - middle
+                for name, reading in sorted(self._readings.items())
+            },
         }
--- a/src/petrelhaven/control/embargo/interface.py
+++ b/src/petrelhaven/control/embargo/interface.py
@@ -1,25 +1,44 @@
-"""Operators' calls about embargoes, on the face of a seat."""
+"""Operators' calls about embargoes, as routes of a control node's HTTP interface.
+
+Nothing else of this package is loaded until one is called.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any, Protocol
 
 from petrelhaven.runtime.errors import Malformed
 
-__all__ = ["serve"]
+if TYPE_CHECKING:
+    from petrelhaven.control.embargo.service import EmbargoService
+    from petrelhaven.control.interface.contracts import HttpRoutes, Request
+
+__all__ = ["NodeWithEmbargoes", "add_routes"]
+
+
+class NodeWithEmbargoes(Protocol):
+    """A control node, which makes its service when it is first asked for."""
+
+    @property
+    def embargoes(self) -> EmbargoService:
+        """What it does about embargoes."""
 
 
-def serve(http_server, node):
-    """Adds the routes; nothing is loaded until one is called."""
+def add_routes(http_server: HttpRoutes, node: NodeWithEmbargoes) -> None:
+    """Adds the routes to a control node's server."""
 
-    async def change(q):
-        return await node.embargoes.change(q.doc())
+    async def change(request: Request) -> dict[str, Any]:
+        return await node.embargoes.change(request.doc())
 
-    async def listed(q):
+    async def list_rules(request: Request) -> dict[str, Any]:
         return await node.embargoes.list()
 
-    async def why(q):
-        d = q.doc()
-        if not isinstance(d, dict):
+    async def explain(request: Request) -> dict[str, Any]:
+        document = request.doc()
+        if not isinstance(document, dict):
             raise Malformed("the question must be an object")
-        return await node.embargoes.why(d)
+        return await node.embargoes.why(document)
 
     http_server.on("POST", "/embargoes", change)
-    http_server.on("GET", "/embargoes", listed)
-    http_server.on("POST", "/embargoes-why", why)
+    http_server.on("GET", "/embargoes", list_rules)
+    http_server.on("POST", "/embargoes-why", explain)
--- a/src/petrelhaven/control/interface/control_interface.py
+++ b/src/petrelhaven/control/interface/control_interface.py
@@ -3,7 +3,7 @@
 import json
 from urllib.parse import unquote
 
-from petrelhaven.control.embargo.interface import serve
+from petrelhaven.control.embargo.interface import add_routes
 from petrelhaven.control.interface.documents import configuration_of, number, why_of
 from petrelhaven.runtime.errors import Invalid, Malformed, NoRoute, NotReady
 
@@ -18,7 +18,7 @@
     def __init__(self, node, http_server, settings=dict, announced=False):
         self._c, self._settings = node, settings
         self._event_feed = None
-        serve(http_server, node)
+        add_routes(http_server, node)
         for v, p, f in (
             ("POST", "/manifest", self._apply),
             ("GET", "/manifest", self._show),
--- a/src/petrelhaven/control/node.py
+++ b/src/petrelhaven/control/node.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from petrelhaven.control.base_node import _ADDR, BaseControlNode
-from petrelhaven.control.configuration.document import read
+from petrelhaven.control.configuration.parsing import parse_configuration
 from petrelhaven.control.consensus.chain import DRIFT
 from petrelhaven.control.consensus.proxy_survey import ProxySurvey
 from petrelhaven.control.core_changes import CoreChanges
@@ -90,11 +90,11 @@
 
     @property
     def embargoes(self):
-        """The duty of embargoes, loaded when it is first needed."""
+        """What this node does about embargoes, loaded when it is first needed."""
         if self._embargoes is None:
-            from petrelhaven.control.embargo.duty import EmbargoDuty
+            from petrelhaven.control.embargo.service import EmbargoService
 
-            self._embargoes = EmbargoDuty(self, self._wall_clock)
+            self._embargoes = EmbargoService(self, self._wall_clock)
         return self._embargoes
 
     def _committed(self):
@@ -105,7 +105,7 @@
         return {"wall": self.embargoes.time.wall_clock.now()}
 
     async def _true_time(self, ch, b):
-        return self.embargoes.edge_time()
+        return self.embargoes.proxy_time()
 
     def make_lease_table(self):
         """The desk of the edges' ties."""
@@ -287,7 +287,7 @@
 
     async def apply(self, text, by="", retire=True, within_us=_OWN_US):
         """Checks and applies a manifest; returns once it is on every disk of the view."""
-        m = read(text)
+        m = parse_configuration(text)
         rec = {
             "t": "manifest",
             "text": text,
--- a/src/petrelhaven/control/resumable/control_state.py
+++ b/src/petrelhaven/control/resumable/control_state.py
@@ -3,7 +3,7 @@
 import copy
 import hashlib
 
-from petrelhaven.control.configuration.document import read
+from petrelhaven.control.configuration.parsing import parse_configuration
 from petrelhaven.runtime.errors import Conflict, Duplicate, Invalid, Stale
 
 __all__ = ["ResumableControlState"]
@@ -35,7 +35,7 @@
     def configuration(self):
         """The manifest in force, or None."""
         if self._read is None and self.doc["manifest"]:
-            self._read = read(self.doc["manifest"]["text"])
+            self._read = parse_configuration(self.doc["manifest"]["text"])
         return self._read
 
     def frame(self):
@@ -53,7 +53,7 @@
         self.seq = self.doc["seq"] = seq
 
     def _check_configuration(self, r):
-        m = read(r["text"])
+        m = parse_configuration(r["text"])
         now = self.doc["manifest"]
         if now:
             h = hashlib.sha256(r["text"].encode()).hexdigest()
@@ -84,7 +84,7 @@
                 )
 
     def _apply_configuration(self, r):
-        m = read(r["text"])
+        m = parse_configuration(r["text"])
         if self.doc["manifest"]:
             self.doc["old"] = (self.doc["old"] + [self.doc["manifest"]])[-_KEEP:]
         self.doc["manifest"] = {
--- a/src/petrelhaven/proxy/embargo.py
+++ b/src/petrelhaven/proxy/embargo.py
@@ -1,164 +1,245 @@
-"""An edge's gate on embargoed records: looked at before a read is entered, and again when its reply is there."""
+"""A proxy's filter of embargoed records, which checks each read before it is sent and after."""
+
+from __future__ import annotations
 
 import collections
+from dataclasses import dataclass
+from typing import TYPE_CHECKING, Any
 
 from petrelhaven.control.embargo.agreed_time import widened
-from petrelhaven.control.embargo.rules import Table, rules_of
+from petrelhaven.control.embargo.records import (
+    PlacedRule,
+    RuleKey,
+    limits_of,
+    rules_of,
+    scope_of,
+)
+from petrelhaven.control.embargo.table import RuleTable
 from petrelhaven.proxy.session.statement import Reply
 from petrelhaven.runtime.errors import Fault
 from petrelhaven.runtime.events import emit
+from petrelhaven.runtime.wall_clock import TimeInterval
 
-__all__ = ["EdgeTime", "EmbargoFilter"]
-
-_CALL_US = 450_000
-_BACK_US = 500_000
-_MOST_MS = 7 * 86_400_000
-_NAMED = 50
-_OWN = ("busy", "aborted", "timeout")
-
+if TYPE_CHECKING:
+    from collections.abc import Collection, Sequence
 
-class EdgeTime:
-    """The lowest true time that is possible, from the intervals that cores tell with pulses. No wall clock is read."""
+    from petrelhaven.control.state.control_state import ControlState
+    from petrelhaven.proxy.node import ProxyNode
+    from petrelhaven.proxy.session.client_session import ClientSession
+    from petrelhaven.proxy.session.statement import Ask
+    from petrelhaven.runtime.clock import Clock
+    from petrelhaven.transport.channel import Channel
 
-    def __init__(self, clock, name, wall_us):
-        self.clock, self.name, self.wall_us = clock, name, wall_us
-        self._got = None
-        self._asked = 0
-        self._floor = 0
+__all__ = ["EmbargoFilter", "ProxyTime", "Withholding"]
 
-    async def ask(self, ch):
-        """Takes the interval of the core behind `ch`."""
-        a = self.clock.now()
+_CALL_US = 450_000
+_RETRY_US = 500_000
+_RETRY_MAX_MS = 7 * 86_400_000
+_LOGGED_PER_SECOND = 50
+_CLIENT_SHOWN = 60
+_FILTERED_VERBS = ("read", "execute")
+_PROXY_CODES = ("busy", "aborted", "timeout")
+"""Codes of replies that the proxy makes itself: no member's rows are in them."""
+
+
+class ProxyTime:
+    """The lowest possible true time, from what control nodes report; no wall clock is read."""
+
+    def __init__(self, clock: Clock, name: str, wall_us: int) -> None:
+        """Knows nothing yet.
+
+        Args:
+            clock: the proxy's monotonic clock.
+            name: the proxy's name.
+            wall_us: widest interval that is of use, in microseconds.
+        """
+        self._clock = clock
+        self._name = name
+        self.wall_us = wall_us
+        self._reported: tuple[int, TimeInterval] | None = None
+        self._asked_us = 0
+        self._lowest_us = 0
+
+    async def ask(self, channel: Channel) -> None:
+        """Takes the interval of the control node behind `channel`."""
+        asked_us = self._clock.now()
         try:
-            r = await ch.call("tie.wall", {"name": self.name}, _CALL_US)
+            answer = await channel.call("tie.wall", {"name": self._name}, _CALL_US)
         except Fault:
             return
-        if a >= self._asked:
-            self._asked = a
-            b = self.clock.now()
-            self._got = (b, r["lo"], widened(0, r["hi"], b - a)[1]) if r["ok"] else None
-            self.lowest()
-
-    def interval(self):
-        """The (lowest, highest) moment that true time can be now, or None."""
-        if self._got is None:
+        if asked_us < self._asked_us:
+            return
+        self._asked_us = asked_us
+        received_us = self._clock.now()
+        self._reported = None
+        if answer["ok"]:
+            # the node may have worked it out at any moment since it was asked
+            interval = TimeInterval(answer["lo"], answer["hi"])
+            highest_us = widened(interval, received_us - asked_us).highest
+            self._reported = (received_us, TimeInterval(interval.lowest, highest_us))
+        self.lowest()
+
+    def interval(self) -> TimeInterval | None:
+        """Where true time can be now, or None where that is not known well enough."""
+        if self._reported is None:
             return None
-        at, lo, hi = self._got
-        got = widened(lo, hi, self.clock.now() - at)
-        return got if got[1] - got[0] <= self.wall_us else None
+        received_us, reported = self._reported
+        interval = widened(reported, self._clock.now() - received_us)
+        return interval if interval.highest - interval.lowest <= self.wall_us else None
 
-    def lowest(self):
-        """The lowest moment that true time can be; it stands still while nothing is agreed on."""
-        got = self.interval()
-        if got is not None and got[0] > self._floor:
-            self._floor = got[0]
-        return self._floor
+    def lowest(self) -> int:
+        """The lowest moment that true time can be; it stays while no interval is known."""
+        interval = self.interval()
+        if interval is not None and interval.lowest > self._lowest_us:
+            self._lowest_us = interval.lowest
+        return self._lowest_us
+
+
+@dataclass(frozen=True, slots=True)
+class Withholding:
+    """Why a read is withheld.
+
+    Attributes:
+        reason: `embargo` (a rule) or `lease` (this proxy has lost touch).
+        left_us: microseconds of true time until the release; 0 where they are not known.
+        rule: the name of the rule, or empty.
+    """
+
+    reason: str
+    left_us: int = 0
+    rule: str = ""
 
 
 class EmbargoFilter:
-    """Decides what an edge withholds. Made when the control state first names embargoes; `turn` follows it."""
-
-    def __init__(self, proxy):
-        self.g = proxy
-        self.time = EdgeTime(proxy.clock, proxy.name, 0)
-        self.scope, self.spread_us = frozenset(), 0
-        self.table = Table()
-        self.count = collections.Counter()
-        self._second, self._named, self._more = 0, 0, 0
-        self._led = True
-
-    def turn(self, control_state, recs, fresh):
-        """Takes the rules of the control state."""
-        doc = control_state.doc
-        m = (doc["manifest"] or {}).get("embargo") or {}
-        self.scope = frozenset(m.get("scope", ()))
-        self.time.wall_us, self.spread_us = m.get("wall_us", 0), m.get("spread_us", 0)
-        if fresh or any(r["t"] == "manifest" for r in recs):
-            self.table = Table(rules_of(doc))
+    """Decides what a proxy withholds. Made when the control state first names embargoes."""
+
+    def __init__(self, proxy: ProxyNode) -> None:
+        """Withholds nothing until `apply_records` gives it the rules."""
+        self._proxy = proxy
+        self.time = ProxyTime(proxy.clock, proxy.name, 0)
+        self.scope: frozenset[str] = frozenset()
+        self.table: RuleTable[RuleKey] = RuleTable()
+        self._spread_us = 0
+        self._counts: collections.Counter[str] = collections.Counter()
+        self._log_second = 0
+        self._logged = 0
+        self._not_logged = 0
+        self._had_lease = True
+
+    def apply_records(
+        self, control_state: ControlState, records: Sequence[dict[str, Any]], fresh: bool
+    ) -> None:
+        """Follows the control state.
+
+        Args:
+            control_state: the state after the records.
+            records: what was applied to it since the last call.
+            fresh: whether it was replaced as a whole.
+        """
+        state = control_state.doc
+        limits = limits_of(state)
+        self.scope = frozenset(scope_of(state))
+        self.time.wall_us = limits.wall_us if limits is not None else 0
+        self._spread_us = limits.spread_us if limits is not None else 0
+        if fresh or any(record["t"] == "manifest" for record in records):
+            self.table = RuleTable(rules_of(state))
             return
-        for r in recs:
-            if r["t"] == "embargo":
-                now = doc.get("embargoes", {}).get(r["name"])
-                k = ("placed", r["name"])
-                self.table.put(k, now) if now is not None else self.table.drop(k)
+        for record in records:
+            if record["t"] == "embargo":
+                self._update_rule(state, record["name"])
+
+    def _update_rule(self, state: dict[str, Any], name: str) -> None:
+        key = RuleKey("placed", name)
+        stored = state.get("embargoes", {}).get(name)
+        if stored is None:
+            self.table.drop(key)
+        else:
+            self.table.put(key, PlacedRule.from_document(stored))
 
     @property
-    def on(self):
+    def on(self) -> bool:
         """Whether there is anything to withhold."""
         return bool(self.scope) or len(self.table) > 0
 
-    def held(self, group, things, client):
-        """Why a read is withheld now and until when in true time (0: not known), or None."""
-        if group in self.scope and not self.g.core_connection.holds:
-            return "lease", 0, ""
-        now = self.time.lowest()
-        hit = self.table.held(group, things, client, now)
-        if hit is None:
+    def withholding(self, group: str, things: Collection[str], client: str) -> Withholding | None:
+        """Why a read of `things` is withheld from `client` now, or None."""
+        if group in self.scope and not self._proxy.core_connection.holds:
+            return Withholding("lease")
+        now_us = self.time.lowest()
+        latest = self.table.latest_release(group, things, client, now_us)
+        if latest is None:
             return None
-        (_, name), rule = hit
-        return "embargo", rule["until"] - now if now else 0, name
+        key, rule = latest
+        return Withholding("embargo", rule.until_us - now_us if now_us else 0, key.name)
 
-    def refusal(self, v, a, group):
+    def refusal(self, session: ClientSession, statement: Ask, group: str) -> Reply | None:
         """The reply to a read that must not be served now, or None."""
-        if a.writes or a.verb not in ("read", "execute"):
+        if statement.writes or statement.verb not in _FILTERED_VERBS:
             return None
-        why = self.held(group, a.things, v.client)
-        self._lease(group)
-        if why is None:
+        withheld = self.withholding(group, statement.things, session.client)
+        self._log_lease(group)
+        if withheld is None:
             return None
-        how, left, name = why
-        self.count[how] += 1
-        self._name(group, v, how, name)
-        ms = (
-            int((left or _BACK_US) + self.g.rng.uniform(0, self.spread_us if left else _BACK_US))
-            // 1000
-            + 1
-        )
+        self._counts[withheld.reason] += 1
+        self._log_withheld(group, session.client, withheld)
+        retry_ms = self._retry_ms(withheld.left_us)
         return Reply(
-            code="withheld", text=f"withheld; come back in {min(ms, _MOST_MS)} ms", state=v.mark
+            code="withheld", text=f"withheld; come back in {retry_ms} ms", state=session.mark
         )
 
-    def passed(self, v, a, group, reply):
-        """The reply of a read that came back: itself, or a refusal if a rule came or a lease went meanwhile."""
-        if reply.code in _OWN:
+    def _retry_ms(self, left_us: int) -> int:
+        """When to come back: after the release, spread out so that not all do at once."""
+        if left_us:
+            wait_us = left_us + self._proxy.rng.uniform(0, self._spread_us)
+        else:
+            wait_us = _RETRY_US + self._proxy.rng.uniform(0, _RETRY_US)
+        return min(int(wait_us) // 1000 + 1, _RETRY_MAX_MS)
+
+    def check_reply(
+        self, session: ClientSession, statement: Ask, group: str, reply: Reply
+    ) -> Reply:
+        """The reply of a read, or a refusal if a rule came or the lease went since it was sent."""
+        if reply.code in _PROXY_CODES:
             return reply
-        r = self.refusal(v, a, group)
-        if r is None:
+        refusal = self.refusal(session, statement, group)
+        if refusal is None:
             return reply
-        self.count["late"] += 1
-        r.state = reply.state
-        return r
-
-    def _lease(self, group):
-        if group in self.scope and self.g.core_connection.holds != self._led:
-            self._led = not self._led
-            emit(self.g.log, 433 if self._led else 432)
-
-    def _name(self, group, v, why, rule):
-        second = self.g.clock.now() // 1_000_000
-        if second != self._second:
-            if self._more:
-                emit(self.g.log, 431, count=self._more)
-            self._second, self._named, self._more = second, 0, 0
-        if self._named >= _NAMED:
-            self._more += 1
+        self._counts["late"] += 1
+        refusal.state = reply.state
+        return refusal
+
+    def _log_lease(self, group: str) -> None:
+        has_lease = self._proxy.core_connection.holds
+        if group in self.scope and has_lease != self._had_lease:
+            self._had_lease = has_lease
+            emit(self._proxy.log, 433 if has_lease else 432)
+
+    def _log_withheld(self, group: str, client: str, withheld: Withholding) -> None:
+        """Logs a refusal; of many in one second, only how many more there were."""
+        second = self._proxy.clock.now() // 1_000_000
+        if second != self._log_second:
+            if self._not_logged:
+                emit(self._proxy.log, 431, count=self._not_logged)
+            self._log_second, self._logged, self._not_logged = second, 0, 0
+        if self._logged >= _LOGGED_PER_SECOND:
+            self._not_logged += 1
             return
-        self._named += 1
+        self._logged += 1
         emit(
-            self.g.log,
+            self._proxy.log,
             430,
             group=group,
-            why=why,
-            embargo=rule or "-",
-            client=v.client[:60] or "-",
+            why=withheld.reason,
+            embargo=withheld.rule or "-",
+            client=client[:_CLIENT_SHOWN] or "-",
         )
 
-    def status(self):
-        """What is withheld here and by which time."""
+    def status(self) -> dict[str, Any]:
+        """What is withheld here, and by which time."""
         return {
             "scope": sorted(self.scope),
             "rules": len(self.table),
             "time": self.time.interval(),
-            "lease": self.g.core_connection.holds,
-            "count": dict(self.count),
+            "lease": self._proxy.core_connection.holds,
+            "count": dict(self._counts),
         }
--- a/src/petrelhaven/proxy/node.py
+++ b/src/petrelhaven/proxy/node.py
@@ -10,7 +10,7 @@
 
 from transitions import Machine
 
-from petrelhaven.control.configuration.defaults import fill
+from petrelhaven.control.configuration.defaults import with_defaults
 from petrelhaven.proxy.bounds import ProxyBounds
 from petrelhaven.proxy.reads.read_clock import Order
 from petrelhaven.proxy.routing.group import MemberGroup
@@ -149,13 +149,13 @@
             from petrelhaven.proxy.embargo import EmbargoFilter
 
             self.embargo, fresh = EmbargoFilter(self), True
-        self.embargo.turn(control_state, records, fresh)
+        self.embargo.apply_records(control_state, records, fresh)
         if not self.embargo.on:
             self.embargo = None
         self.core_connection.time = self.embargo and self.embargo.time
 
     def _configure(self, configuration: dict[str, Any]) -> None:
-        configuration = fill(configuration)
+        configuration = with_defaults(configuration)
         self.routes = {
             row["host"]: Route.from_configuration(row) for row in reversed(configuration["routes"])
         }
@@ -249,7 +249,7 @@
         request = Request(session, statement, route, group, started + limit_us)
         reply = await self._run_slotted(request, limit_us + _HORIZON_US)
         if self.embargo is not None:
-            reply = self.embargo.passed(session, statement, group.name, reply)
+            reply = self.embargo.check_reply(session, statement, group.name, reply)
         if reply.code is not None:
             self._tell_not_served(request, reply, self.clock.now() - started)
         return reply
--- a/src/petrelhaven/runtime/wall_clock.py
+++ b/src/petrelhaven/runtime/wall_clock.py
@@ -2,12 +2,20 @@
 
 import time
 from collections.abc import Sequence
+from typing import NamedTuple
 
-__all__ = ["WallClock", "agreed"]
+__all__ = ["TimeInterval", "WallClock", "agreed"]
 
 _OPENS, _CLOSES = -1, 1
 
 
+class TimeInterval(NamedTuple):
+    """All moments from `lowest` to `highest`, both in microseconds of UTC since 1970."""
+
+    lowest: int
+    highest: int
+
+
 class WallClock:
     """This node's wall clock, which may be wrong and may step.
 
@@ -21,7 +29,7 @@
         return time.clock_gettime_ns(time.CLOCK_REALTIME) // 1000
 
 
-def agreed(intervals: Sequence[tuple[int, int]], least: int) -> tuple[int, int] | None:
+def agreed(intervals: Sequence[tuple[int, int]], least: int) -> TimeInterval | None:
     """The interval of all moments that at least `least` of the (low, high) intervals hold, or None.
 
     This is Marzullo's algorithm: if `least` of them hold true time, the outcome does too.
@@ -44,4 +52,4 @@
             holding -= 1
     if low is None or high is None:
         return None
-    return low, high
+    return TimeInterval(low, high)
--- a/src/petrelhaven/simulator/connection_sessions/embargo.py
+++ b/src/petrelhaven/simulator/connection_sessions/embargo.py
@@ -122,14 +122,14 @@
 
     async def embargo(self, do, thing, until=None):
         """Places, moves or lifts one embargo; whether that was acknowledged."""
-        from petrelhaven.control.embargo.instant import spoken
+        from petrelhaven.runtime.instant import format_instant
 
         acknowledged = self.records[thing].said(self.true(), until)
         d = {"do": do, "name": "x-" + thing, "by": "drill"}
         if do == "add":
             d |= {"group": sorted(self.groups)[0], "thing": thing}
         if until is not None:
-            d["until"] = spoken(until)
+            d["until"] = format_instant(until)
         for i in range(200):
             c = self.cores[i % 3]
 
--- a/src/petrelhaven/simulator/embargo_cost.py
+++ b/src/petrelhaven/simulator/embargo_cost.py
@@ -24,31 +24,33 @@
 
 
 def _rules(n, group):
+    from petrelhaven.control.embargo.records import Rule, RuleKey
+
     r = random.Random(n)
     for i in range(n):
         k = f"{r.getrandbits(40):010x}"
         half = i % 2
-        yield (
-            ("placed", f"x{i}"),
-            {
-                "group": group,
-                "thing": "" if half else k,
-                "prefix": k if half else "",
-                "until": (1 << 53) - 1,
-                "early": [],
-            },
+        rule = Rule(
+            group=group,
+            thing="" if half else k,
+            prefix=k if half else "",
+            until_us=(1 << 53) - 1,
+            written="",
+            zone="",
+            early=(),
         )
+        yield RuleKey("placed", f"x{i}"), rule
 
 
 async def _cost(f, n):
     """Seconds of processor time of reads at one edge, and of the two looks alone, with `n` rules (None: off)."""
-    from petrelhaven.control.embargo.rules import Table
+    from petrelhaven.control.embargo.table import RuleTable
 
     await _fleet(f, n is None)
     g, size = f.edges[0].node, 0
     if n is not None:
         tracemalloc.start()
-        g.embargo.table = Table(_rules(n, "g1"))
+        g.embargo.table = RuleTable(_rules(n, "g1"))
         size = tracemalloc.get_traced_memory()[0]
         tracemalloc.stop()
     v, r = g.open("g1", "u"), random.Random(5)
--- a/tests/embargo_world.py
+++ b/tests/embargo_world.py
@@ -4,13 +4,13 @@
 import json
 import random
 
-from petrelhaven.control.embargo.instant import spoken
 from petrelhaven.control.node import ControlNode
 from petrelhaven.proxy.core_connection import CoreConnection
 from petrelhaven.proxy.node import ProxyNode
 from petrelhaven.proxy.pool.member_connection import MemberConnection
 from petrelhaven.proxy.session.statement import Ask, Reply
 from petrelhaven.runtime.errors import DeadlineExceeded, Duplicate, Fault, NotSent, Unreachable
+from petrelhaven.runtime.instant import format_instant
 from petrelhaven.simulator.net import Net, SimulatedMachine
 from petrelhaven.simulator.virtual_time import WarpLoop, end_all
 
@@ -451,7 +451,7 @@
         if do == "add":
             d |= {"group": "g", **({} if "prefix" in kw else {"thing": thing})}
         if until is not None:
-            d["until"] = spoken(until)
+            d["until"] = format_instant(until)
         await self.call(lambda s: s.embargoes.change(d))
         acked(self.true())
 
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -7,7 +7,7 @@
 from hypothesis import HealthCheck, Phase, given, settings
 from hypothesis import strategies as st
 
-from petrelhaven.control.configuration.document import read
+from petrelhaven.control.configuration.parsing import parse_configuration
 from petrelhaven.proxy.resumable.member_protocol import Wire
 from petrelhaven.runtime.clock import BackgroundTasks, Clock
 from petrelhaven.runtime.errors import Fault, Invalid, Malformed, Unreachable
@@ -146,7 +146,7 @@
 def test_a_wrong_configuration_names_its_faults(doc, text):
     for x in (json.dumps(doc), text):
         with pytest.raises(Invalid) as e:
-            read(x)
+            parse_configuration(x)
         assert e.value.more["faults"] and all(at and why for at, why in e.value.more["faults"])
 
 
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from petrelhaven.control.configuration.document import read
+from petrelhaven.control.configuration.parsing import parse_configuration
 from petrelhaven.control.resumable.control_state import ResumableControlState
 from petrelhaven.runtime.errors import Duplicate, Fault, Invalid, Stale
 from petrelhaven.simulator.resumable.world import configuration
@@ -45,7 +45,7 @@
     got = {}
     for n, text in BAD.items():
         with pytest.raises(Invalid) as e:
-            read(text)
+            parse_configuration(text)
         got[n] = (
             e.value.more["faults"]
             if n not in ("not-json", "deep", "field-twice")
--- a/tests/test_control_interface.py
+++ b/tests/test_control_interface.py
@@ -17,7 +17,12 @@
 from stand_in.until import until
 
 from petrelhaven.commands import ctl
-from petrelhaven.control.configuration.defaults import BOUNDS, GROUP, ROUTE, fill
+from petrelhaven.control.configuration.defaults import (
+    BOUNDS_DEFAULTS,
+    GROUP_DEFAULTS,
+    ROUTE_DEFAULTS,
+    with_defaults,
+)
 from petrelhaven.control.configuration.document import Bounds, Group, Route
 from petrelhaven.control.interface.control_interface import ControlInterface
 from petrelhaven.control.interface.documents import why_of
@@ -414,15 +419,19 @@
 
 
 def test_blanks_are_the_configurations_own_defaults():
-    for blanks, tp in ((GROUP, Group), (ROUTE, Route), (BOUNDS, Bounds)):
+    for blanks, tp in (
+        (GROUP_DEFAULTS, Group),
+        (ROUTE_DEFAULTS, Route),
+        (BOUNDS_DEFAULTS, Bounds),
+    ):
         std = {
             f.name: f.default
             for f in dataclasses.fields(tp)
             if f.default is not dataclasses.MISSING
         }
         assert {k: std[k] for k in blanks} == blanks
-    assert set(GROUP) | {"name"} == {f.name for f in dataclasses.fields(Group)}
-    assert set(ROUTE) | {"name", "group"} == {f.name for f in dataclasses.fields(Route)}
+    assert set(GROUP_DEFAULTS) | {"name"} == {f.name for f in dataclasses.fields(Group)}
+    assert set(ROUTE_DEFAULTS) | {"name", "group"} == {f.name for f in dataclasses.fields(Route)}
 
 
 def test_leaderships_from_before_the_past_was_kept_are_told():
@@ -463,7 +472,7 @@
         led = ControlState()
         led.apply(1, {"t": "manifest", "version": 1, "text": json.dumps(d)})
         assert _read_configuration(json.dumps(d))["groups"][-1]["name"] == "x-h1"
-        assert fill(led.configuration)["groups"][-1]["sync"] == 0
+        assert with_defaults(led.configuration)["groups"][-1]["sync"] == 0
         if not origin:
             with pytest.raises(NoRoute):
                 origin_of(json.dumps(d))
--- a/tests/test_embargo_system.py
+++ b/tests/test_embargo_system.py
@@ -15,7 +15,7 @@
 from stand_in.statement import Statement
 from test_stand_in_system import BOUNDS, built, led_by_another  # noqa: F401
 
-from petrelhaven.control.embargo.instant import spoken
+from petrelhaven.runtime.instant import format_instant
 
 pytestmark = pytest.mark.xdist_group("estate")
 
@@ -144,7 +144,7 @@
             "--thing",
             "opening",
             "--until",
-            spoken(until),
+            format_instant(until),
         )
         rc, out = await petrelhavenctl(s, *add)
         assert rc == 0 and "in force" in out, out
@@ -202,7 +202,7 @@
 def test_the_records_are_told_as_cloud_events(scene):
     async def go(s):
         assert (await s.configure(Embargo={"Services": ["svc1"]})).acked_at
-        soon = spoken(now() + S)
+        soon = format_instant(now() + S)
         rc, out = await petrelhavenctl(
             s, "embargo", "add", "e", "--group", "svc1", "--prefix", "a", "--until", soon
         )
--- a/tests/test_embargo_world.py
+++ b/tests/test_embargo_world.py
@@ -170,19 +170,19 @@
 def no_lease(mp):
     from petrelhaven.proxy import embargo
 
-    real = embargo.EmbargoFilter.turn
+    real = embargo.EmbargoFilter.apply_records
 
-    def turn(self, control_state, recs, fresh):
+    def apply_records(self, control_state, recs, fresh):
         real(self, control_state, recs, fresh)
         self.scope = frozenset()
 
-    mp.setattr(embargo.EmbargoFilter, "turn", turn)
+    mp.setattr(embargo.EmbargoFilter, "apply_records", apply_records)
 
 
 def no_second_look(mp):
     from petrelhaven.proxy import embargo
 
-    mp.setattr(embargo.EmbargoFilter, "passed", lambda self, v, a, group, reply: reply)
+    mp.setattr(embargo.EmbargoFilter, "check_reply", lambda self, v, a, group, reply: reply)
 
 
 def acknowledged_at_once(mp):
@@ -199,7 +199,7 @@
 
     def interval(self):
         w = self.wall_clock.now()
-        return w - self._bounds()["skew_us"], w + self._bounds()["skew_us"]
+        return w - self._limits().skew_us, w + self._limits().skew_us
 
     mp.setattr(truetime.AgreedTime, "interval", interval)
 
@@ -211,7 +211,7 @@
         got = self.interval()
         return got[1] if got else 0
 
-    mp.setattr(embargo.EdgeTime, "lowest", lowest)
+    mp.setattr(embargo.ProxyTime, "lowest", lowest)
 
 
 def middle_time(mp):
@@ -221,7 +221,7 @@
         got = self.interval()
         return sum(got) // 2 if got else 0
 
-    mp.setattr(embargo.EdgeTime, "lowest", lowest)
+    mp.setattr(embargo.ProxyTime, "lowest", lowest)
 
 
 def executes_unseen(mp):
@@ -242,10 +242,10 @@
 def rules_at_the_start_only(mp):
     from petrelhaven.proxy import embargo
 
-    real = embargo.EmbargoFilter.turn
+    real = embargo.EmbargoFilter.apply_records
     mp.setattr(
         embargo.EmbargoFilter,
-        "turn",
+        "apply_records",
         lambda self, control_state, recs, fresh: real(self, control_state, [], fresh),
     )
 
--- a/tests/test_embargoes.py
+++ b/tests/test_embargoes.py
@@ -18,12 +18,15 @@
 
 from forms import configuration_of, label  # noqa: E402
 from petrelhaven.control.base_node import BaseControlNode  # noqa: E402
-from petrelhaven.control.configuration.document import read  # noqa: E402
-from petrelhaven.control.embargo.instant import instant, spoken  # noqa: E402
-from petrelhaven.control.embargo.rules import Table, of_configuration, placed, rules_of, told  # noqa: E402
+from petrelhaven.control.configuration.parsing import parse_configuration  # noqa: E402
+from petrelhaven.control.embargo.calls import parse_call  # noqa: E402
+from petrelhaven.control.embargo.records import Rule, configuration_fields, rules_of  # noqa: E402
+from petrelhaven.control.embargo.rules import report  # noqa: E402
+from petrelhaven.control.embargo.table import RuleTable  # noqa: E402
 from petrelhaven.control.state.control_state import ControlState  # noqa: E402
 from petrelhaven.proxy.session.statement import Ask  # noqa: E402
 from petrelhaven.runtime.errors import Conflict, Duplicate, Invalid, Stale, TooLarge  # noqa: E402
+from petrelhaven.runtime.instant import format_instant, parse_instant  # noqa: E402
 from petrelhaven.runtime.wall_clock import agreed  # noqa: E402
 from petrelhaven.simulator.resumable.world import configuration  # noqa: E402
 
@@ -58,8 +61,8 @@
     ],
 )
 def test_a_release_time_is_one_moment(text, zone, want):
-    assert instant(text, zone) == want
-    assert instant(spoken(want)) == want
+    assert parse_instant(text, zone) == want
+    assert parse_instant(format_instant(want)) == want
 
 
 @pytest.mark.parametrize(
@@ -89,7 +92,7 @@
 )
 def test_what_is_no_moment_or_two_is_declined(text, zone, why):
     with pytest.raises(ValueError, match=why):
-        instant(text, zone)
+        parse_instant(text, zone)
 
 
 @DRAWN
@@ -115,7 +118,7 @@
         if m.astimezone(z).replace(tzinfo=None, fold=0) == at
     }
     try:
-        got = instant(at.isoformat(), zone)
+        got = parse_instant(at.isoformat(), zone)
     except ValueError:
         assert len(shows) != 1
     else:
@@ -128,7 +131,7 @@
 
 def faults_of(**kw):
     with pytest.raises(Invalid) as e:
-        read(json.dumps({**json.loads(configuration("small")), **kw}))
+        parse_configuration(json.dumps({**json.loads(configuration("small")), **kw}))
     return {p for p, _ in e.value.more["faults"]}
 
 
@@ -170,10 +173,10 @@
 
 
 def test_a_configuration_without_embargoes_carries_nothing_and_one_with_them_the_moments():
-    assert of_configuration(read(configuration("small"))) == {}
+    assert configuration_fields(parse_configuration(configuration("small"))) == {}
     one = rule(until="2026-03-01T09:00:00", zone="Asia/Tokyo")
-    m = read(json.dumps({**json.loads(configuration("small")), "embargoes": [one]}))
-    got = of_configuration(m)["embargo"]
+    m = parse_configuration(json.dumps({**json.loads(configuration("small")), "embargoes": [one]}))
+    got = configuration_fields(m)["embargo"]
     assert got["scope"] == ["g1"] and got["rules"]["n"]["until"] == us(2026, 3, 1, 0)
 
 
@@ -191,24 +194,26 @@
 
     def configuration(self, **kw):
         self.version += 1
-        m = read(json.dumps({**json.loads(configuration("small", self.version)), **kw}))
+        m = parse_configuration(
+            json.dumps({**json.loads(configuration("small", self.version)), **kw})
+        )
         self.put(
             {
                 "t": "manifest",
                 "text": "{}" + " " * self.version,
                 "version": self.version,
-                **of_configuration(m),
+                **configuration_fields(m),
             }
         )
 
     def say(self, do, name="n", **kw):
-        self.put(placed({"do": do, "name": name, **kw}))
+        self.put(parse_call({"do": do, "name": name, **kw}).record.to_document())
 
     def add(self, name="n", **kw):
         self.say("add", **rule(name, **kw), by="me")
 
     def rules(self):
-        return {n: r["until"] for (_, n), r in rules_of(self.led.doc)}
+        return {n: r.until_us for (_, n), r in rules_of(self.led.doc)}
 
 
 def test_a_record_is_added_moved_earlier_and_later_and_lifted():
@@ -234,7 +239,7 @@
         c.say("lift")
     with pytest.raises(Stale):
         c.say("move", until="2026-05-01T06:00:00Z")
-    t = told(c.led.doc)
+    t = report(c.led.doc)
     assert [(p["do"], p["by"]) for p in t["past"]] == [
         ("add", "me"),
         ("move", "her"),
@@ -263,7 +268,7 @@
 )
 def test_a_call_that_is_wrong_is_declined_by_field(d, at):
     with pytest.raises(Invalid) as e:
-        placed(d)
+        parse_call(d)
     assert at in {p for p, _ in e.value.more["faults"]}
 
 
@@ -298,8 +303,10 @@
     c.add("a")
     other = ControlState(json.loads(json.dumps(c.led.frame())))
     for r in (
-        placed({"do": "move", "name": "a", "until": "2026-03-01T10:00:00Z"}),
-        placed({"do": "add", **rule("b")}),
+        parse_call(
+            {"do": "move", "name": "a", "until": "2026-03-01T10:00:00Z"}
+        ).record.to_document(),
+        parse_call({"do": "add", **rule("b")}).record.to_document(),
     ):
         c.put(r)
         other.apply(other.seq + 1, json.loads(json.dumps(r)))
@@ -320,19 +327,19 @@
 
 
 def as_rule(d):
-    return {
-        "group": d["group"],
-        "thing": "" if d["kind"] else d["at"],
-        "prefix": d["at"] if d["kind"] else "",
-        "until": d["until"],
-        "early": d["early"],
-    }
+    return Rule(
+        group=d["group"],
+        thing="" if d["kind"] else d["at"],
+        prefix=d["at"] if d["kind"] else "",
+        until_us=d["until"],
+        written="",
+        zone="",
+        early=tuple(d["early"]),
+    )
 
 
 def covers(r, group, thing):
-    return r["group"] == group and (
-        r["thing"] == thing if r["thing"] else thing.startswith(r["prefix"])
-    )
+    return r.group == group and (r.thing == thing if r.thing else thing.startswith(r.prefix))
 
 
 @DRAWN
@@ -343,7 +350,7 @@
     st.integers(0, 9),
 )
 def test_the_table_holds_back_what_a_walk_over_all_rules_holds_back(steps, things, client, now):
-    t, model = Table(), {}
+    t, model = RuleTable(), {}
     for k, d in steps:
         if d is None:
             t.drop(k)
@@ -358,14 +365,12 @@
                 k for k, r in model.items() if covers(r, g, x)
             )
         holds = [
-            r["until"]
+            r.until_us
             for r in model.values()
-            if r["until"] > now
-            and client not in r["early"]
-            and any(covers(r, g, x) for x in things)
+            if r.until_us > now and client not in r.early and any(covers(r, g, x) for x in things)
         ]
-        hit = t.held(g, things, client, now)
-        assert (hit[1]["until"] if hit else None) == max(holds, default=None)
+        hit = t.latest_release(g, things, client, now)
+        assert (hit[1].until_us if hit else None) == max(holds, default=None)
 
 
 def test_each_way_that_a_member_may_take_a_readers_words_is_looked_up():
@@ -443,15 +448,19 @@
         "SpreadMs": 0,
         "Rules": [ROW],
     }
-    m = read(configuration_of(json.dumps({**CONFIG, "Embargo": section}).encode(), ["a"]))
+    m = parse_configuration(
+        configuration_of(json.dumps({**CONFIG, "Embargo": section}).encode(), ["a"])
+    )
     assert (m.bounds.skew_us, m.bounds.wall_us, m.bounds.spread_us) == (50_000, 300_000, 0)
-    got = of_configuration(m)["embargo"]
+    got = configuration_fields(m)["embargo"]
     assert got["scope"] == sorted(["svc", label("Ärger")]) and got["rules"]["n"]["until"] == us(
         2026, 3, 1, 8
     )
     assert (
-        of_configuration(
-            read(configuration_of(json.dumps({**CONFIG, "Embargo": {}}).encode(), ["a"]))
+        configuration_fields(
+            parse_configuration(
+                configuration_of(json.dumps({**CONFIG, "Embargo": {}}).encode(), ["a"])
+            )
         )
         == {}
     )
--- a/tests/test_platform_forms.py
+++ b/tests/test_platform_forms.py
@@ -11,7 +11,7 @@
 sys.path.insert(0, str(Path(__file__).parent.parent / "platform"))
 
 from forms import announcement, configuration_of, label, origin_of, unlabel  # noqa: E402
-from petrelhaven.control.configuration.document import read  # noqa: E402
+from petrelhaven.control.configuration.parsing import parse_configuration  # noqa: E402
 from petrelhaven.control.state.control_state import ControlState  # noqa: E402
 from petrelhaven.runtime.errors import Fault, Invalid  # noqa: E402
 from petrelhaven.runtime.limits import NAME  # noqa: E402
@@ -67,7 +67,7 @@
 def mapped(d, zones=("a",)):
     """What an edge holds of a configuration, once the product's own check has taken it."""
     text = configuration_of(d if isinstance(d, bytes) else json.dumps(d).encode(), list(zones))
-    read(text)
+    parse_configuration(text)
     led = ControlState()
     led.apply(1, {"t": "manifest", "text": text, "version": json.loads(text)["version"]})
     return led.configuration
@@ -148,7 +148,7 @@
 def test_a_valid_configuration_is_taken_and_comes_back_byte_for_byte(d, indent, ascii_, zones):
     raw = json.dumps(d, indent=indent, ensure_ascii=ascii_).encode()
     text = configuration_of(raw, zones)
-    m = read(text)
+    m = parse_configuration(text)
     assert origin_of(text) == raw and m.version == d["Revision"] and m.bounds.keepers == 0
     held = mapped(raw, zones)
     assert [unlabel(g["name"]) for g in held["groups"]] == [s["Name"] for s in d["Services"]]
