--- a/src/petrelhaven/control/configuration/faults.py
+++ b/src/petrelhaven/control/configuration/faults.py
@@ -22,8 +22,8 @@
 
 
 def declined(note: str, faults: Iterable[ConfigurationFault]) -> Invalid:
-    """The error that declines a document; its `more` carries all `faults` as pairs."""
-    return Invalid(note, more={"faults": [[fault.path, fault.message] for fault in faults]})
+    """The error that declines a document; its `details` carries all `faults` as pairs."""
+    return Invalid(note, details={"faults": [[fault.path, fault.message] for fault in faults]})
 
 
 def join_path(path: str, key: str) -> str:
--- a/src/petrelhaven/control/configuration/parsing.py
+++ b/src/petrelhaven/control/configuration/parsing.py
@@ -22,7 +22,7 @@
         text: a JSON document.
 
     Raises:
-        Invalid: it is declined; `more` names every fault by its path. Types are checked first, and
+        Invalid: it is declined; `details` names every fault by its path. Types are checked first, and
             the meaning only where all types are right.
     """
     document = _parse_json(text)
--- a/src/petrelhaven/control/embargo/agreed_time.py
+++ b/src/petrelhaven/control/embargo/agreed_time.py
@@ -19,7 +19,8 @@
     import logbook
 
     from petrelhaven.control.embargo.records import Limits
-    from petrelhaven.runtime.clock import BackgroundTasks, Clock
+    from petrelhaven.runtime.clock import Clock
+    from petrelhaven.runtime.tasks import BackgroundTasks
     from petrelhaven.runtime.wall_clock import WallClock
 
 __all__ = ["AgreedTime", "widened"]
--- a/src/petrelhaven/control/embargo/calls.py
+++ b/src/petrelhaven/control/embargo/calls.py
@@ -46,7 +46,7 @@
     """Checks an operator's call and makes a record of it.
 
     Raises:
-        Invalid: it is declined; `more` names every fault by its field.
+        Invalid: it is declined; `details` names every fault by its field.
     """
     if not isinstance(document, dict):
         raise declined("embargo declined", [ConfigurationFault(ROOT, "must be an object")])
@@ -69,7 +69,7 @@
     """Checks an operator's question.
 
     Raises:
-        Invalid: it is declined; `more` names every fault by its field.
+        Invalid: it is declined; `details` names every fault by its field.
     """
     faults = [
         ConfigurationFault(field, "must be a string")
--- a/src/petrelhaven/control/embargo/rules.py
+++ b/src/petrelhaven/control/embargo/rules.py
@@ -58,10 +58,10 @@
         raise declined("embargo declined", [ConfigurationFault("group", message)])
     if before is not None:
         if Rule.to_document(before) == rule.to_document():
-            raise Duplicate(f"embargo {name} stands already", more={"n": before.change})
+            raise Duplicate(f"embargo {name} stands already", details={"n": before.change})
         raise Stale(
             f"embargo {name} stands with another content; move or lift it",
-            more={"n": before.change},
+            details={"n": before.change},
         )
     stored = sum(_size(rule_document) for rule_document in state.get("embargoes", {}).values())
     if stored + _size(document) > _STORED_BYTES:
@@ -75,9 +75,9 @@
             raise Duplicate(f"no embargo {name} stands")
         raise Stale(f"no embargo {name}")
     if record.next_change and record.next_change != before.change + 1:
-        raise Conflict(f"embargo {name} was changed meanwhile", more={"n": before.change})
+        raise Conflict(f"embargo {name} was changed meanwhile", details={"n": before.change})
     if record.release is not None and record.release.until_us == before.until_us:
-        raise Duplicate(f"embargo {name} is released then already", more={"n": before.change})
+        raise Duplicate(f"embargo {name} is released then already", details={"n": before.change})
 
 
 def check_configuration(state: Document, document: Document) -> None:
--- a/src/petrelhaven/control/embargo/service.py
+++ b/src/petrelhaven/control/embargo/service.py
@@ -28,7 +28,8 @@
     from petrelhaven.control.configuration.document import Configuration
     from petrelhaven.control.consensus.chain import Chain
     from petrelhaven.control.embargo.records import Document, Limits
-    from petrelhaven.runtime.clock import BackgroundTasks, Clock
+    from petrelhaven.runtime.clock import Clock
+    from petrelhaven.runtime.tasks import BackgroundTasks
 
 __all__ = ["EmbargoNode", "EmbargoService"]
 
@@ -130,7 +131,7 @@
                 "edges that may not know that embargoes are on: "
                 + ", ".join(unaware)[:_PROXIES_SHOWN]
                 + "; restart them, or name those that are gone for good",
-                more={"edges": unaware},
+                details={"edges": unaware},
             )
 
     async def _acknowledged(self, seq: int) -> dict[str, int]:
@@ -185,7 +186,7 @@
             answer = await self._node.enter(record.to_document(), True)
         except Duplicate as fault:
             self._log_change(record, again=True)
-            fault.more["in_force"] = True
+            fault.details["in_force"] = True
             raise
         written = "-" if record.release is None else record.release.written
         self._log_change(record, seq=answer["seq"], until=written)
--- a/src/petrelhaven/proxy/embargo.py
+++ b/src/petrelhaven/proxy/embargo.py
@@ -26,7 +26,7 @@
     from petrelhaven.control.state.control_state import ControlState
     from petrelhaven.proxy.node import ProxyNode
     from petrelhaven.proxy.session.client_session import ClientSession
-    from petrelhaven.proxy.session.statement import Ask
+    from petrelhaven.proxy.session.statement import Statement
     from petrelhaven.runtime.clock import Clock
     from petrelhaven.transport.channel import Channel
 
@@ -172,7 +172,7 @@
         key, rule = latest
         return Withholding("embargo", rule.until_us - now_us if now_us else 0, key.name)
 
-    def refusal(self, session: ClientSession, statement: Ask, group: str) -> Reply | None:
+    def refusal(self, session: ClientSession, statement: Statement, group: str) -> Reply | None:
         """The reply to a read that must not be served now, or None."""
         if statement.writes or statement.verb not in _FILTERED_VERBS:
             return None
@@ -196,7 +196,7 @@
         return min(int(wait_us) // 1000 + 1, _RETRY_MAX_MS)
 
     def check_reply(
-        self, session: ClientSession, statement: Ask, group: str, reply: Reply
+        self, session: ClientSession, statement: Statement, group: str, reply: Reply
     ) -> Reply:
         """The reply of a read, or a refusal if a rule came or the lease went since it was sent."""
         if reply.code in _PROXY_CODES:
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -9,8 +9,9 @@
 
 from petrelhaven.control.configuration.parsing import parse_configuration
 from petrelhaven.proxy.resumable.member_protocol import Wire
-from petrelhaven.runtime.clock import BackgroundTasks, Clock
+from petrelhaven.runtime.clock import Clock
 from petrelhaven.runtime.errors import Fault, Invalid, Malformed, Unreachable
+from petrelhaven.runtime.tasks import BackgroundTasks
 from petrelhaven.simulator.resumable.storm import inside
 from petrelhaven.transport.http_server import HttpServer, body_of
 from petrelhaven.transport.messages import KINDS, TELL, pack
@@ -147,7 +148,9 @@
     for x in (json.dumps(doc), text):
         with pytest.raises(Invalid) as e:
             parse_configuration(x)
-        assert e.value.more["faults"] and all(at and why for at, why in e.value.more["faults"])
+        assert e.value.details["faults"] and all(
+            at and why for at, why in e.value.details["faults"]
+        )
 
 
 def test_junk_inside_well_formed_messages_is_counted_and_no_node_stumbles():
--- a/tests/test_embargoes.py
+++ b/tests/test_embargoes.py
@@ -24,7 +24,7 @@
 from petrelhaven.control.embargo.rules import report  # noqa: E402
 from petrelhaven.control.embargo.table import RuleTable  # noqa: E402
 from petrelhaven.control.state.control_state import ControlState  # noqa: E402
-from petrelhaven.proxy.session.statement import Ask  # noqa: E402
+from petrelhaven.proxy.session.statement import Statement  # noqa: E402
 from petrelhaven.runtime.errors import Conflict, Duplicate, Invalid, Stale, TooLarge  # noqa: E402
 from petrelhaven.runtime.instant import format_instant, parse_instant  # noqa: E402
 from petrelhaven.runtime.wall_clock import agreed  # noqa: E402
@@ -132,7 +132,7 @@
 def faults_of(**kw):
     with pytest.raises(Invalid) as e:
         parse_configuration(json.dumps({**json.loads(configuration("small")), **kw}))
-    return {p for p, _ in e.value.more["faults"]}
+    return {p for p, _ in e.value.details["faults"]}
 
 
 def test_a_configurations_embargoes_are_checked_by_path():
@@ -269,7 +269,7 @@
 def test_a_call_that_is_wrong_is_declined_by_field(d, at):
     with pytest.raises(Invalid) as e:
         parse_call(d)
-    assert at in {p for p, _ in e.value.more["faults"]}
+    assert at in {p for p, _ in e.value.details["faults"]}
 
 
 def test_a_group_is_embargoed_before_a_record_is_placed_and_as_long_as_one_stands():
@@ -374,9 +374,13 @@
 
 
 def test_each_way_that_a_member_may_take_a_readers_words_is_looked_up():
-    assert Ask("1", "read", "FETCH a").things == {"a"}
-    assert Ask("1", "read", "FETCH a  b ").things == {"a  b ", "a", "b"}
-    assert Ask("1", "execute", "EXECUTE q a b", name="q", data="a b").things == {"a b", "a", "b"}
+    assert Statement("1", "read", "FETCH a").things == {"a"}
+    assert Statement("1", "read", "FETCH a  b ").things == {"a  b ", "a", "b"}
+    assert Statement("1", "execute", "EXECUTE q a b", name="q", data="a b").things == {
+        "a b",
+        "a",
+        "b",
+    }
 
 
 @DRAWN
@@ -422,7 +426,7 @@
     m = {**json.loads(configuration("small")), "embargoing": ["g1"]}
     with pytest.raises(Invalid) as e:
         asyncio.run(BaseControlNode.apply(None, json.dumps(m)))
-    assert [p for p, _ in e.value.more["faults"]] == ["embargoing"]
+    assert [p for p, _ in e.value.details["faults"]] == ["embargoing"]
 
 
 CONFIG = {
@@ -483,4 +487,4 @@
 def test_a_platforms_configuration_is_declined_by_field(section, at):
     with pytest.raises(Invalid) as e:
         configuration_of(json.dumps({**CONFIG, "Embargo": section}).encode(), ["a"])
-    assert [p for p, _ in e.value.more["faults"]] == [at]
+    assert [p for p, _ in e.value.details["faults"]] == [at]
