--- a/tests/test_embargo_world.py
+++ b/tests/test_embargo_world.py
@@ -199,13 +199,14 @@
 
 
 def own_clock(mp):
-    from petrelhaven.control.embargo import agreed_time as truetime
+    from petrelhaven.control.embargo import agreed_time
+    from petrelhaven.runtime.wall_clock import TimeInterval
 
     def interval(self):
         w = self.wall_clock.now()
-        return w - self._limits().skew_us, w + self._limits().skew_us
+        return TimeInterval(w - self._limits().skew_us, w + self._limits().skew_us)
 
-    mp.setattr(truetime.AgreedTime, "interval", interval)
+    mp.setattr(agreed_time.AgreedTime, "interval", interval)
 
 
 def highest_time(mp):
