--- a/src/petrelhaven/control/embargo/agreed_time.py
+++ b/src/petrelhaven/control/embargo/agreed_time.py
@@ -12,7 +12,7 @@
 
 from petrelhaven.control.consensus.chain import DRIFT
 from petrelhaven.runtime.errors import Fault
-from petrelhaven.runtime.events import emit
+from petrelhaven.runtime.events import Events, emit
 from petrelhaven.runtime.wall_clock import TimeInterval, agreed
 
 if TYPE_CHECKING:
@@ -152,7 +152,7 @@
             possible = widened(previous, now_us - then_us)
             if interval.highest < possible.lowest or interval.lowest > possible.highest:
                 self._suspected_until_us = now_us + _SUSPICION_US
-                emit(self._log, 334, us=interval.lowest - possible.lowest)
+                emit(self._log, Events.AGREED_TIME_JUMPED, us=interval.lowest - possible.lowest)
         self._previous = (now_us, interval)
 
     def _log_changes(self) -> None:
@@ -160,7 +160,7 @@
         is_agreed = interval is not None
         if is_agreed != self._was_agreed:
             self._was_agreed = is_agreed
-            emit(self._log, 333 if is_agreed else 332)
+            emit(self._log, Events.TIME_AGREED_AGAIN if is_agreed else Events.NO_AGREED_TIME)
         if interval is not None:
             self._log_own_clock(interval)
 
@@ -171,7 +171,12 @@
         own = reading.interval(self._clock.now(), limits.skew_us)
         is_good = own.lowest <= interval.highest and own.highest >= interval.lowest
         if self._own_clock_was_good and not is_good:
-            emit(self._log, 331, core=self._name, us=own.lowest - interval.lowest)
+            emit(
+                self._log,
+                Events.WALL_CLOCK_WRONG,
+                core=self._name,
+                us=own.lowest - interval.lowest,
+            )
         self._own_clock_was_good = is_good
 
     def status(self) -> dict[str, Any]:
--- a/src/petrelhaven/control/embargo/records.py
+++ b/src/petrelhaven/control/embargo/records.py
@@ -8,8 +8,9 @@
 import dataclasses
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, Any, Literal, NamedTuple, cast
+from typing import TYPE_CHECKING, Any, ClassVar, Literal, NamedTuple, cast
 
+from petrelhaven.control.state.record import KIND, Document
 from petrelhaven.runtime.instant import parse_instant
 
 if TYPE_CHECKING:
@@ -34,7 +35,6 @@
 
 Action = Literal["add", "move", "lift"]
 ACTIONS: tuple[Action, ...] = ("add", "move", "lift")
-Document = dict[str, Any]
 
 
 class RuleKey(NamedTuple):
@@ -184,6 +184,7 @@
         by: who asked for it.
     """
 
+    kind: ClassVar[str] = "embargo"
     action: Action
     name: str
     rule: Rule | None
@@ -219,7 +220,7 @@
         elif self.release is not None:
             fields = self.release.to_document()
         return {
-            "t": "embargo",
+            KIND: self.kind,
             "do": self.action,
             "name": self.name,
             **fields,
--- a/src/petrelhaven/control/embargo/rules.py
+++ b/src/petrelhaven/control/embargo/rules.py
@@ -18,7 +18,9 @@
 from petrelhaven.runtime.instant import format_instant
 
 if TYPE_CHECKING:
-    from petrelhaven.control.embargo.records import Document
+    from collections.abc import Mapping
+
+    from petrelhaven.control.state.record import Document
 
 __all__ = ["apply", "apply_configuration", "check", "check_configuration", "report"]
 
@@ -27,12 +29,12 @@
 _PAST_CHANGES = 64
 
 
-def check(state: Document, document: Document) -> None:
+def check(state: Document, record: EmbargoRecord) -> None:
     """Checks whether an embargo record may be applied now.
 
     Args:
         state: the control state's document.
-        document: the record as the chain carries it.
+        record: the record.
 
     Raises:
         Invalid: its group is not one in which records may be embargoed.
@@ -41,18 +43,18 @@
         Conflict: the rule was changed in between.
         TooLarge: there are too many rules.
     """
-    record = EmbargoRecord.from_document(document)
     stored = state.get("embargoes", {}).get(record.name)
     before = None if stored is None else PlacedRule.from_document(stored)
     if record.rule is not None:
-        _check_added(state, document, record.name, record.rule, before)
+        _check_added(state, record, record.rule, before)
     else:
         _check_changed(record, before)
 
 
 def _check_added(
-    state: Document, document: Document, name: str, rule: Rule, before: PlacedRule | None
+    state: Document, record: EmbargoRecord, rule: Rule, before: PlacedRule | None
 ) -> None:
+    name = record.name
     if rule.group not in scope_of(state):
         message = f"group {rule.group} is not named in the manifest's embargoing"
         raise declined("embargo declined", [ConfigurationFault("group", message)])
@@ -64,7 +66,7 @@
             details={"n": before.change},
         )
     stored = sum(_size(rule_document) for rule_document in state.get("embargoes", {}).values())
-    if stored + _size(document) > _STORED_BYTES:
+    if stored + _size(record.to_document()) > _STORED_BYTES:
         raise TooLarge("no room for one more embargo; lift old ones, or place one on a prefix")
 
 
@@ -80,13 +82,13 @@
         raise Duplicate(f"embargo {name} is released then already", details={"n": before.change})
 
 
-def check_configuration(state: Document, document: Document) -> None:
-    """Checks a configuration's record against the rules that are placed.
+def check_configuration(state: Document, section: Mapping[str, Any] | None) -> None:
+    """Checks what a configuration's record says of embargoes against the rules that are placed.
 
     Raises:
         Invalid: it no longer names a group for which a rule is placed.
     """
-    scope = document.get("embargo", {}).get("scope", ())
+    scope = section["scope"] if section is not None else ()
     groups = {rule["group"] for rule in state.get("embargoes", {}).values()}
     missing = sorted(groups - set(scope))
     if missing:
@@ -101,9 +103,8 @@
         )
 
 
-def apply(state: Document, document: Document, seq: int) -> None:
+def apply(state: Document, record: EmbargoRecord, seq: int) -> None:
     """Applies an embargo record, number `seq`, which has been checked."""
-    record = EmbargoRecord.from_document(document)
     rules = state.setdefault("embargoes", {})
     past = state.setdefault("embargo_past", [])
     stored = rules.get(record.name)
@@ -127,10 +128,16 @@
     del past[:-_PAST_CHANGES]
 
 
-def apply_configuration(state: Document, document: Document, seq: int) -> None:
-    """Notes for each group since which record its records may be embargoed."""
+def apply_configuration(state: Document, section: Mapping[str, Any] | None, seq: int) -> None:
+    """Notes for each group since which record its records may be embargoed.
+
+    Args:
+        state: the control state's document.
+        section: what the configuration's record says of embargoes; None while they are off.
+        seq: the number of that record.
+    """
     before = state.get("embargo_since", {})
-    scope = document.get("embargo", {}).get("scope", ())
+    scope = section["scope"] if section is not None else ()
     now = {group: before.get(group, seq) for group in scope}
     if before or now:
         state["embargo_since"] = now
--- a/src/petrelhaven/control/embargo/service.py
+++ b/src/petrelhaven/control/embargo/service.py
@@ -19,7 +19,7 @@
 from petrelhaven.control.embargo.rules import report
 from petrelhaven.control.embargo.table import RuleTable
 from petrelhaven.runtime.errors import Duplicate, Fault, NotReady
-from petrelhaven.runtime.events import emit
+from petrelhaven.runtime.events import Events, emit
 from petrelhaven.runtime.wall_clock import WallClock
 
 if TYPE_CHECKING:
@@ -27,7 +27,8 @@
 
     from petrelhaven.control.configuration.document import Configuration
     from petrelhaven.control.consensus.chain import Chain
-    from petrelhaven.control.embargo.records import Document, Limits
+    from petrelhaven.control.embargo.records import Limits
+    from petrelhaven.control.state.record import Document
     from petrelhaven.runtime.clock import Clock
     from petrelhaven.runtime.tasks import BackgroundTasks
 
@@ -200,7 +201,14 @@
 
     def _log_change(self, record: EmbargoRecord, **fields: object) -> None:
         by = record.by or "-"
-        emit(self._node.log, 330, do=record.action, embargo=record.name, by=by, **fields)
+        emit(
+            self._node.log,
+            Events.EMBARGO_IN_FORCE,
+            do=record.action,
+            embargo=record.name,
+            by=by,
+            **fields,
+        )
 
     async def list(self) -> dict[str, Any]:
         """All rules, the groups, the newest changes and the time, as the tail answers them."""
--- a/src/petrelhaven/proxy/embargo.py
+++ b/src/petrelhaven/proxy/embargo.py
@@ -17,7 +17,7 @@
 from petrelhaven.control.embargo.table import RuleTable
 from petrelhaven.proxy.session.statement import Reply
 from petrelhaven.runtime.errors import Fault
-from petrelhaven.runtime.events import emit
+from petrelhaven.runtime.events import Events, emit
 from petrelhaven.runtime.wall_clock import TimeInterval
 
 if TYPE_CHECKING:
@@ -212,14 +212,14 @@
         has_lease = self._proxy.core_connection.holds
         if group in self.scope and has_lease != self._had_lease:
             self._had_lease = has_lease
-            emit(self._proxy.log, 433 if has_lease else 432)
+            emit(self._proxy.log, Events.LEASE_REGAINED if has_lease else Events.NO_LEASE)
 
     def _log_withheld(self, group: str, client: str, withheld: Withholding) -> None:
         """Logs a refusal; of many in one second, only how many more there were."""
         second = self._proxy.clock.now() // 1_000_000
         if second != self._log_second:
             if self._not_logged:
-                emit(self._proxy.log, 431, count=self._not_logged)
+                emit(self._proxy.log, Events.FURTHER_READS_WITHHELD, count=self._not_logged)
             self._log_second, self._logged, self._not_logged = second, 0, 0
         if self._logged >= _LOGGED_PER_SECOND:
             self._not_logged += 1
@@ -227,7 +227,7 @@
         self._logged += 1
         emit(
             self._proxy.log,
-            430,
+            Events.READ_WITHHELD,
             group=group,
             why=withheld.reason,
             embargo=withheld.rule or "-",
