--- a/src/petrelhaven/control/embargo/agreed_time.py
+++ b/src/petrelhaven/control/embargo/agreed_time.py
@@ -14,6 +14,7 @@
 from petrelhaven.runtime.errors import Fault
 from petrelhaven.runtime.events import Events, emit
 from petrelhaven.runtime.wall_clock import TimeInterval, agreed
+from petrelhaven.transport.message_kinds import MessageKind
 
 if TYPE_CHECKING:
     import logbook
@@ -112,7 +113,9 @@
             wall_us = self.wall_clock.now()
         else:
             try:
-                answer = await self._call(name, "wall.read", {"name": self._name}, _CALL_US)
+                answer = await self._call(
+                    name, MessageKind.WALL_CLOCK_READ, {"name": self._name}, _CALL_US
+                )
             except Fault:
                 return
             wall_us = answer["wall"]
--- a/src/petrelhaven/control/embargo/service.py
+++ b/src/petrelhaven/control/embargo/service.py
@@ -21,6 +21,7 @@
 from petrelhaven.runtime.errors import Duplicate, Fault, NotReady
 from petrelhaven.runtime.events import Events, emit
 from petrelhaven.runtime.wall_clock import WallClock
+from petrelhaven.transport.message_kinds import MessageKind
 
 if TYPE_CHECKING:
     import logbook
@@ -154,7 +155,7 @@
     async def _proxies_heard(self, name: str, seq: int) -> _ProxiesHeard | None:
         try:
             return _ProxiesHeard.from_body(
-                await self._node.call(name, "chain.force", {"seq": seq}, _CALL_US)
+                await self._node.call(name, MessageKind.CHAIN_IN_FORCE, {"seq": seq}, _CALL_US)
             )
         except Fault:
             return None
--- a/src/petrelhaven/proxy/embargo.py
+++ b/src/petrelhaven/proxy/embargo.py
@@ -19,6 +19,7 @@
 from petrelhaven.runtime.errors import Fault
 from petrelhaven.runtime.events import Events, emit
 from petrelhaven.runtime.wall_clock import TimeInterval
+from petrelhaven.transport.message_kinds import MessageKind
 
 if TYPE_CHECKING:
     from collections.abc import Collection, Sequence
@@ -64,7 +65,9 @@
         """Takes the interval of the control node behind `channel`."""
         asked_us = self._clock.now()
         try:
-            answer = await channel.call("tie.wall", {"name": self._name}, _CALL_US)
+            answer = await channel.call(
+                MessageKind.AGREED_TIME_READ, {"name": self._name}, _CALL_US
+            )
         except Fault:
             return
         if asked_us < self._asked_us:
