--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -196,7 +196,7 @@
                             str(f["type"]), []
                         )
                     )
-                    for f in KINDS[kind].ask.schema["fields"]
+                    for f in KINDS[kind].request.schema["fields"]
                 }
                 if isinstance(ask.get("acked"), list):
                     ask["acked"] = 1
