--- a/src/petrelhaven/control/resumable/control_state.py
+++ b/src/petrelhaven/control/resumable/control_state.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from petrelhaven.control.configuration.document import Configuration, read
+from petrelhaven.control.configuration.document import Configuration
+from petrelhaven.control.configuration.parsing import parse_configuration
 from petrelhaven.control.resumable.records import (
     EpochInForceRecord,
     EpochRecord,
@@ -73,8 +74,7 @@
 
     def read_configuration(self, text: str) -> Configuration:
         """The configuration, checked."""
-        configuration: Configuration = read(text)
-        return configuration
+        return parse_configuration(text)
 
     def _read_record(self, document: Document) -> ResumableRecord:
         return from_document(document)
--- a/src/petrelhaven/control/state/control_state.py
+++ b/src/petrelhaven/control/state/control_state.py
@@ -30,7 +30,7 @@
 from petrelhaven.runtime.errors import Conflict, Duplicate, NoRoute, Stale, VersionTaken
 
 if TYPE_CHECKING:
-    from petrelhaven.control.embargo.record import EmbargoRecord
+    from petrelhaven.control.embargo.records import EmbargoRecord
 
 __all__ = ["ControlState"]
 
@@ -159,7 +159,7 @@
         if "embargoes" in self.doc:
             from petrelhaven.control.embargo.rules import check_configuration
 
-            check_configuration(self.doc, record.to_document())
+            check_configuration(self.doc, record.embargo)
         digest = self._accepted_digest(record.version)
         if digest is not None and digest == digest_of(record.text):
             state = "in force" if record.version == accepted.version else "accepted"
@@ -206,7 +206,7 @@
         if record.embargo is not None or "embargo_since" in self.doc:
             from petrelhaven.control.embargo.rules import apply_configuration
 
-            apply_configuration(self.doc, record.to_document(), self.seq + 1)
+            apply_configuration(self.doc, record.embargo, self.seq + 1)
         self._configuration = None
 
     def _check_member(self, record: MemberRecord) -> None:
@@ -353,12 +353,12 @@
     def _check_embargo(self, record: EmbargoRecord) -> None:
         from petrelhaven.control.embargo.rules import check
 
-        check(self.doc, record.to_document())
+        check(self.doc, record)
 
     def _apply_embargo(self, record: EmbargoRecord) -> None:
         from petrelhaven.control.embargo.rules import apply
 
-        apply(self.doc, record.to_document(), self.seq + 1)
+        apply(self.doc, record, self.seq + 1)
 
     def _belief_of_groups(self) -> Document:
         """What differs between the kinds of sessions in what `petrelhaven-diff` compares."""
