--- a/src/petrelhaven/control/state/records.py
+++ b/src/petrelhaven/control/state/records.py
@@ -26,7 +26,7 @@
 )
 
 if TYPE_CHECKING:
-    from petrelhaven.control.embargo.record import EmbargoRecord
+    from petrelhaven.control.embargo.records import EmbargoRecord
 
 __all__ = [
     "ConfigurationRecord",
@@ -271,7 +271,7 @@
 
 def _embargo_from_document(document: Document) -> EmbargoRecord:
     """Loads what belongs to embargoes only once there is one."""
-    from petrelhaven.control.embargo.record import EmbargoRecord
+    from petrelhaven.control.embargo.records import EmbargoRecord
 
     return EmbargoRecord.from_document(document)
 
--- a/src/petrelhaven/proxy/node.py
+++ b/src/petrelhaven/proxy/node.py
@@ -10,7 +10,7 @@
 
 from transitions import Machine
 
-from petrelhaven.control.configuration.defaults import fill
+from petrelhaven.control.configuration.defaults import with_defaults
 from petrelhaven.proxy.bounds import ProxyBounds
 from petrelhaven.proxy.reads.read_clock import Order
 from petrelhaven.proxy.routing.group import MemberGroup
@@ -171,13 +171,14 @@
             from petrelhaven.proxy.embargo import EmbargoFilter
 
             self.embargo, fresh = EmbargoFilter(self), True
-        self.embargo.turn(control_state, records, fresh)
+        self.embargo.apply_records(control_state, records, fresh)
         if not self.embargo.on:
             self.embargo = None
-        self.core_connection.true_time = self.embargo and self.embargo.time
+        time = self.embargo.time if self.embargo is not None else None
+        self.core_connection.true_time = time
 
     def _configure(self, configuration: dict[str, Any]) -> None:
-        configuration = fill(configuration)
+        configuration = with_defaults(configuration)
         self.routes = {
             row["host"]: Route.from_configuration(row) for row in reversed(configuration["routes"])
         }
@@ -205,7 +206,7 @@
         """
         route = self.routes.get(host)
         group = self.groups.get(route.group) if route is not None else None
-        if group is None:
+        if route is None or group is None:
             raise NoRoute(f"no database {host[:60]}")
         return route, group
 
@@ -258,7 +259,7 @@
         transaction = session.transaction
         route = transaction.route if transaction is not None else self.routes.get(session.host)
         group = self.groups.get(route.group) if route is not None else None
-        if group is None:
+        if route is None or group is None:
             return Reply(code="unknown", text="no such database any more", state=session.mark)
         if self.embargo is not None:
             refusal = self.embargo.refusal(session, statement, group.name)
@@ -271,7 +272,7 @@
         request = Request(session, statement, route, group, started + limit_us)
         reply = await self._run_slotted(request, limit_us + _HORIZON_US)
         if self.embargo is not None:
-            reply = self.embargo.passed(session, statement, group.name, reply)
+            reply = self.embargo.check_reply(session, statement, group.name, reply)
         if reply.code is not None:
             self._log_not_served(request, reply, self.clock.now() - started)
         return reply
@@ -282,7 +283,8 @@
         try:
             return await self.request_slots.enter(self._path.run(request), horizon_us)
         except Busy as fault:
-            code, text = "busy", self.retry_after(fault.retry_after_us)
+            delay_us: int = fault.retry_after_us  # type: ignore[assignment]  # Busy has one
+            code, text = "busy", self.retry_after(delay_us)
         except DeadlineExceeded:
             code, text = "timeout", "the statement ran out of time"
         if inside:
--- a/src/petrelhaven/proxy/proxy_interface.py
+++ b/src/petrelhaven/proxy/proxy_interface.py
@@ -71,7 +71,9 @@
         return self._proxy.core_connection.control_state.doc
 
     async def _show_leadership(self, request: HttpRequest) -> dict[str, Any]:
-        return why_of(self._proxy.core_connection.control_state.doc, request.query)
+        document = self._proxy.core_connection.control_state.doc
+        answer: dict[str, Any] = why_of(document, request.query)
+        return answer
 
     async def _show_configuration(self, request: HttpRequest) -> tuple[int, bytes, Any]:
         if request.query.get("unconfirmed") != "true":
@@ -82,4 +84,5 @@
         version = str(stored["version"])
         if request.query.get("version", version) != version:
             raise NoRoute("no such manifest")
-        return configuration_of(stored["text"], False)
+        answer: tuple[int, bytes, Any] = configuration_of(stored["text"], False)
+        return answer
--- a/src/petrelhaven/proxy/reads/read_clock.py
+++ b/src/petrelhaven/proxy/reads/read_clock.py
@@ -1,4 +1,7 @@
-"""The read clock: which log position a strongly consistent read must find, asked as seldom as can be.
+"""The read clock: which log position a strongly consistent read must find.
+
+The position is asked of the primary as seldom as can be.
+
 
 The linear Lamport timestamp of *PolarDB-SCC: A Cloud-Native Database Ensuring Low Latency for
 Strongly Consistent Reads*, section 4.1; section 4.4 (read your writes) needs nothing of its own.
@@ -277,11 +280,11 @@
 
     async def _run(self, fetch: Fetch) -> None:
         """Asks the primary; a failure is tried again after a pause that doubles."""
-        position = None
+        position: LogPosition | None
         try:
             position = await self._fetch_position(fetch.leading)
         except Fault:
-            pass
+            position = None
         fetch.timer.cancel()
         if fetch not in self._fetches:
             return
--- a/src/petrelhaven/proxy/routing/base.py
+++ b/src/petrelhaven/proxy/routing/base.py
@@ -40,6 +40,7 @@
     """A proxy as its groups and statements use it; `proxy/node.ProxyNode` is the one there is.
 
     Attributes:
+        name: The proxy's name.
         clock: Monotonic time, in microseconds.
         tasks: The proxy's background tasks, which end with it.
         rng: Spreads the times at which clients come back.
@@ -54,6 +55,7 @@
         empty_us: The same for a primary whose zone is evacuated.
     """
 
+    name: str
     clock: Clock
     tasks: BackgroundTasks
     rng: random.Random
