--- a/src/petrelhaven/emulator/member.py
+++ b/src/petrelhaven/emulator/member.py
@@ -86,7 +86,7 @@
 
     async def run(self):
         """Serves for good."""
-        f = HttpServer(*self._place(), most=4 << 20)
+        f = HttpServer(*self._place(), max_body_bytes=4 << 20)
         for v, p, h in (
             ("POST", "/open", self._open),
             ("POST", "/run", self._run),
--- a/src/petrelhaven/runtime/errors.py
+++ b/src/petrelhaven/runtime/errors.py
@@ -5,10 +5,13 @@
 `Fault.doc` makes and `rebuild` reads.
 """
 
+from collections.abc import Mapping
 from typing import Any
 
 __all__ = ["Fault", "REGISTRY", "rebuild"]
 
+_SECOND_US = 1_000_000
+
 REGISTRY: dict[str, "type[Fault]"] = {}
 """Every class of error by its code."""
 
@@ -61,6 +64,12 @@
             cls.retry_after_us = retry_after_us
         REGISTRY[cls.code] = cls
 
+    def retry_after_seconds(self) -> int | None:
+        """The value of HTTP's header Retry-After: whole seconds, rounded up; None without one."""
+        if self.retry_after_us is None:
+            return None
+        return -(-self.retry_after_us // _SECOND_US)
+
     def doc(self) -> dict[str, Any]:
         """The error as a plain document, for an interface or a link."""
         document: dict[str, Any] = {"fault": self.code, "note": self.note}
@@ -71,7 +80,7 @@
         return document
 
 
-def rebuild(doc: dict[str, Any]) -> Fault:
+def rebuild(doc: Mapping[str, Any]) -> Fault:
     """The typed error that `doc` describes; an unknown code becomes a plain Fault."""
     kind = REGISTRY.get(doc.get("fault", ""), Fault)
     return kind(doc.get("note", ""), doc.get("retry_after_us"), doc.get("more"))
--- a/src/petrelhaven/transport/channel.py
+++ b/src/petrelhaven/transport/channel.py
@@ -47,7 +47,7 @@
     """A call that waits for its answer."""
 
     kind: str
-    answer: asyncio.Future
+    answer: asyncio.Future[dict[str, Any]]
 
 
 def _answered_fault(kind: str, doc: Mapping[str, Any]) -> Fault:
--- a/src/petrelhaven/transport/light_http.py
+++ b/src/petrelhaven/transport/light_http.py
@@ -1,308 +1,300 @@
-"""A light HTTP/1.1 face and call over h11, for machines where each megabyte is paid for."""
+"""A light HTTP/1.1 server over h11, for machines where each megabyte counts."""
+
+from __future__ import annotations
 
 import asyncio
 import json
-from collections.abc import Sequence
-from typing import Any
+from collections.abc import Awaitable, Callable, Sequence
+from typing import TYPE_CHECKING, Any, cast
 
 import h11
 
-from petrelhaven.runtime.clock import Clock
-from petrelhaven.runtime.errors import (
-    DeadlineExceeded,
-    Fault,
-    Malformed,
-    NotSent,
-    TooLarge,
-    Unreachable,
-)
+from petrelhaven.runtime.errors import Fault, Malformed, TooLarge
 from petrelhaven.runtime.events import Events, emit
-from petrelhaven.transport.sockets import reset, tune
 
-__all__ = ["LightHttpServer", "light_call"]
+if TYPE_CHECKING:
+    import logbook
+
+__all__ = ["LightHttpServer", "Request"]
 
 _IDLE_S = 60
-_CONNECT_US = 1_000_000
-_READ_BYTES = 65_536
+_BACKLOG = 512
+_MAX_BODY_BYTES = 512 << 10
+_LOGGED_PATH = 60
+_NOT_FOUND = b'{"fault":"http","note":"Not Found"}'
+
+Headers = Sequence[tuple[str, str]]
+Response = tuple[int, bytes, Headers]
+Handler = Callable[..., Awaitable[Any]]
+
 
+class Request:
+    """One request: its verb, its path with the query, and the bytes of its body."""
 
-class _Request:
     __slots__ = ("verb", "path", "body")
 
-    def __init__(self, verb, path, body):
+    def __init__(self, verb: str, path: str, body: bytes) -> None:
+        """Takes the parts as they were received."""
         self.verb, self.path, self.body = verb, path, body
 
     @property
-    def query(self):
-        """What the path says after its `?`, by name; of a name said twice, the last."""
+    def query(self) -> dict[str, str]:
+        """The parameters after the path's `?`, by name; of a name given twice, the last."""
         from urllib.parse import parse_qsl
 
         return dict(parse_qsl(self.path.partition("?")[2], keep_blank_values=True))
 
-    def text(self):
-        """The body as text."""
+    def text(self) -> str:
+        """The body as text.
+
+        Raises:
+            Malformed: it is not UTF-8.
+        """
         try:
             return self.body.decode()
         except UnicodeDecodeError:
             raise Malformed("the body is not UTF-8") from None
 
-    def doc(self):
-        """The body's JSON document."""
+    def doc(self) -> Any:  # noqa: ANN401 (any JSON document)
+        """The body's JSON document.
+
+        Raises:
+            Malformed: it is not JSON.
+        """
         try:
             return json.loads(self.body)
         except (ValueError, RecursionError):
             raise Malformed("the body is not JSON") from None
 
 
-class _Talk(asyncio.Protocol):
-    def __init__(self, http_server):
-        self._http_server = http_server
-        self._h = h11.Connection(h11.SERVER)
-        self._tr = self._task = self._tick = None
-        self._req, self._body, self._size = None, [], 0
-
-    def connection_made(self, tr):
-        self._tr = tr
-        self._http_server.talks.add(self)
-        self._wind()
-
-    def connection_lost(self, e):
-        self._http_server.talks.discard(self)
-        self._tick.cancel()
-
-    def _wind(self):
-        if self._tick:
-            self._tick.cancel()
-        self._tick = asyncio.get_running_loop().call_later(_IDLE_S, self._tr.close)
-
-    def data_received(self, data):
-        self._h.receive_data(data)
-        self._wind()
-        self._turn()
-
-    def eof_received(self):
-        self._h.receive_data(b"")
-        self._turn()
+class _Connection(asyncio.Protocol):
+    """One client's connection, which serves one request after the other."""
+
+    def __init__(self, server: LightHttpServer) -> None:
+        self._server = server
+        self._protocol = h11.Connection(h11.SERVER)
+        self._transport: asyncio.Transport
+        self._task: asyncio.Task[None] | None = None
+        self._idle: asyncio.TimerHandle | None = None
+        self._request: h11.Request | None = None
+        self._body: list[bytes] = []
+        self._body_size = 0
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Starts to wait for a request."""
+        self._transport = cast(asyncio.Transport, transport)
+        self._server.connections.add(self)
+        self._restart_idle_timer()
+
+    def connection_lost(self, error: Exception | None) -> None:
+        """Forgets the connection."""
+        self._server.connections.discard(self)
+        if self._idle is not None:
+            self._idle.cancel()
+
+    def _restart_idle_timer(self) -> None:
+        if self._idle is not None:
+            self._idle.cancel()
+        self._idle = asyncio.get_running_loop().call_later(_IDLE_S, self._transport.close)
+
+    def data_received(self, data: bytes) -> None:
+        """Takes bytes that arrived."""
+        self._protocol.receive_data(data)
+        self._restart_idle_timer()
+        self._read_events()
+
+    def eof_received(self) -> bool:
+        """The client sends no more; the connection stays open while a request is served."""
+        self._protocol.receive_data(b"")
+        self._read_events()
         return self._task is not None
 
-    def _turn(self):
+    def _read_events(self) -> None:
+        """Handles what has arrived, up to the end of one request."""
         while True:
             try:
-                e = self._h.next_event()
+                event = self._protocol.next_event()
             except h11.RemoteProtocolError:
-                if self._h.our_state in (h11.IDLE, h11.SEND_RESPONSE):
-                    self._say(400, b"{}", close=True)
-                self._tr.close()
+                self._reject()
                 return
-            if e is h11.NEED_DATA or e is h11.PAUSED:
-                return
-            t = type(e)
-            if t is h11.Request:
-                self._req, self._body, self._size = e, [], 0
-            elif t is h11.Data:
-                self._size += len(e.data)
-                if self._size > self._http_server.most:
-                    self._say(
-                        413,
-                        json.dumps(TooLarge("the request is too large").doc()).encode(),
-                        close=True,
-                    )
-                    self._tr.close()
-                    return
-                self._body.append(bytes(e.data))
-            elif t is h11.EndOfMessage:
-                q = _Request(
-                    self._req.method.decode(),
-                    self._req.target.decode("latin-1"),
-                    b"".join(self._body),
-                )
-                self._task = asyncio.ensure_future(self._serve(q))
-                return
-            else:
-                if self._task is None:
-                    self._tr.close()
+            if event is h11.NEED_DATA or event is h11.PAUSED or not self._handle(event):
                 return
 
-    async def _serve(self, q):
-        st, body, head = await self._http_server.answer(q)
-        if self._tr.is_closing():
+    def _handle(self, event: object) -> bool:
+        """Handles one event; returns whether to read another."""
+        if isinstance(event, h11.Request):
+            self._request, self._body, self._body_size = event, [], 0
+            return True
+        if isinstance(event, h11.Data):
+            return self._take_data(event)
+        if isinstance(event, h11.EndOfMessage):
+            self._start_serving()
+        elif self._task is None:
+            self._transport.close()
+        return False
+
+    def _take_data(self, event: h11.Data) -> bool:
+        self._body_size += len(event.data)
+        if self._body_size > self._server.max_body_bytes:
+            document = TooLarge("the request is too large").doc()
+            self._respond(TooLarge.status, json.dumps(document).encode(), close=True)
+            self._transport.close()
+            return False
+        self._body.append(bytes(event.data))
+        return True
+
+    def _reject(self) -> None:
+        """Answers bytes that are not HTTP, if an answer can still be sent, and closes."""
+        if self._protocol.our_state in (h11.IDLE, h11.SEND_RESPONSE):
+            self._respond(Malformed.status, b"{}", close=True)
+        self._transport.close()
+
+    def _start_serving(self) -> None:
+        assert self._request is not None
+        request = Request(
+            self._request.method.decode(),
+            self._request.target.decode("latin-1"),
+            b"".join(self._body),
+        )
+        self._task = asyncio.ensure_future(self._serve(request))
+
+    async def _serve(self, request: Request) -> None:
+        status, body, headers = await self._server.answer(request)
+        if self._transport.is_closing():
             return
-        self._say(st, body, head)
-        if self._h.our_state is h11.MUST_CLOSE:
-            self._tr.close()
+        self._respond(status, body, headers)
+        if self._protocol.our_state is h11.MUST_CLOSE:
+            self._transport.close()
             return
-        self._req = self._task = None
+        self._request = self._task = None
         try:
-            self._h.start_next_cycle()
+            self._protocol.start_next_cycle()
         except h11.LocalProtocolError:
-            self._tr.close()
+            self._transport.close()
             return
-        self._turn()
-
-    def _say(self, st, body, head=(), close=False):
-        hs = [("Content-Length", str(len(body))), *head]
-        if not any(k == "Content-Type" for k, _ in head):
-            hs.append(("Content-Type", "application/json"))
+        self._read_events()
+
+    def _respond(
+        self, status: int, body: bytes, headers: Headers = (), close: bool = False
+    ) -> None:
+        """Writes one response; with `close`, it announces the connection's end."""
+        sent = [("Content-Length", str(len(body))), *headers]
+        if not any(name == "Content-Type" for name, _ in headers):
+            sent.append(("Content-Type", "application/json"))
         if close:
-            hs.append(("Connection", "close"))
-        out = self._h.send(h11.Response(status_code=st, headers=hs))
-        if self._req is None or self._req.method != b"HEAD":
-            out += self._h.send(h11.Data(data=body))
-        self._tr.write(out + self._h.send(h11.EndOfMessage()))
+            sent.append(("Connection", "close"))
+        out = self._protocol.send(h11.Response(status_code=status, headers=sent)) or b""
+        if self._request is None or self._request.method != b"HEAD":
+            out += self._protocol.send(h11.Data(data=body)) or b""
+        self._transport.write(out + (self._protocol.send(h11.EndOfMessage()) or b""))
 
-    def close(self):
+    def close(self) -> None:
         """Ends the connection."""
-        self._tr.close()
+        self._transport.close()
 
 
 class LightHttpServer:
-    """Serves handlers by verb and path; one that ends in `/` takes the rest of the path as its argument, and one with
-    `{}` for its last segment but one takes that."""
-
-    def __init__(self, host, port, most=512 << 10, log=None):
-        self._host, self._port, self.most, self._log = host, port, most, log
-        self._on, self._under, self._amid = {}, {}, {}
-        self._srv = None
-        self.talks = set()
-        self.addr = None
-
-    def on(self, verb, path, fn):
-        """Serves `verb path` with `fn(request)`, or with `fn(request, part)` where the path leaves a part open."""
-        (self._under if path.endswith("/") else self._amid if "/{}/" in path else self._on)[
-            verb, path
-        ] = fn
-
-    async def answer(self, q):
-        """(status, body, headers) of one request."""
+    """Serves handlers by verb and path.
+
+    Attributes:
+        max_body_bytes: the largest body of a request that is taken.
+        connections: the clients' open connections.
+        addr: where it listens, once it does.
+    """
+
+    def __init__(
+        self,
+        host: str,
+        port: int,
+        max_body_bytes: int = _MAX_BODY_BYTES,
+        log: logbook.Logger | None = None,
+    ) -> None:
+        """Will listen at `host` and `port` (0 picks one); handlers' errors go to `log`."""
+        self._host, self._port, self._log = host, port, log
+        self.max_body_bytes = max_body_bytes
+        self._exact: dict[tuple[str, str], Handler] = {}
+        self._by_last_segment: dict[tuple[str, str], Handler] = {}
+        self._by_inner_segment: dict[tuple[str, str], Handler] = {}
+        self._listener: asyncio.Server | None = None
+        self.connections: set[_Connection] = set()
+        self.addr: str | None = None
+
+    def on(self, verb: str, path: str, handler: Handler) -> None:
+        """Serves `verb path` with `handler(request)`.
+
+        A path that ends in `/` leaves its last segment open, one with `/{}/` its last but one; the
+        handler is then called with that segment as a second argument. It returns a JSON document,
+        the bytes of one, or a `Response`, and may raise any Fault.
+        """
+        if path.endswith("/"):
+            routes = self._by_last_segment
+        elif "/{}/" in path:
+            routes = self._by_inner_segment
+        else:
+            routes = self._exact
+        routes[verb, path] = handler
+
+    def _route(self, request: Request) -> tuple[Handler, tuple[str, ...]] | None:
+        """The handler of a request and the segment of its path that was left open, if any."""
+        path = request.path.split("?", 1)[0]
+        handler = self._exact.get((request.verb, path))
+        if handler is not None:
+            return handler, ()
+        parent, _, last = path.rpartition("/")
+        segment = last
+        handler = self._by_last_segment.get((request.verb, parent + "/"))
+        if handler is None:
+            base, _, segment = parent.rpartition("/")
+            handler = self._by_inner_segment.get((request.verb, f"{base}/{{}}/{last}"))
+        if handler is None or not segment:
+            return None
+        return handler, (segment,)
+
+    async def answer(self, request: Request) -> Response:
+        """The response to one request: status, body, headers."""
         try:
-            path = q.path.split("?", 1)[0]
-            fn = self._on.get((q.verb, path))
-            if fn is not None:
-                r = await fn(q)
-            else:
-                at, _, rest = path.rpartition("/")
-                fn = self._under.get((q.verb, at + "/"))
-                if fn is None:
-                    up, _, mid = at.rpartition("/")
-                    fn, rest = self._amid.get((q.verb, f"{up}/{{}}/{rest}")), mid
-                if fn is None or not rest:
-                    return 404, b'{"fault":"http","note":"Not Found"}', ()
-                r = await fn(q, rest)
-            if isinstance(r, tuple):
-                return r
-            return (
-                200,
-                r if isinstance(r, bytes) else json.dumps(r, separators=(",", ":")).encode(),
-                (),
+            route = self._route(request)
+            if route is None:
+                return 404, _NOT_FOUND, ()
+            handler, segments = route
+            result = await handler(request, *segments)
+            if isinstance(result, tuple):
+                return result
+            if not isinstance(result, bytes):
+                result = json.dumps(result, separators=(",", ":")).encode()
+            return 200, result, ()
+        except Fault as fault:
+            return fault.status, json.dumps(fault.doc()).encode(), _retry_after(fault)
+        except Exception as error:
+            emit(
+                self._log,
+                Events.HANDLER_FAILED,
+                path=request.path[:_LOGGED_PATH],
+                what=repr(error),
             )
-        except Fault as e:
-            back = (("Retry-After", str(-(-e.retry_after_us // 1_000_000))),) if e.retry_after_us is not None else ()
-            return e.status, json.dumps(e.doc()).encode(), back
-        except Exception as e:
-            emit(self._log, Events.HANDLER_FAILED, path=q.path[:60], what=repr(e))
-            return 500, json.dumps(Fault(type(e).__name__).doc()).encode(), ()
-
-    async def start(self):
-        """Listens; returns the address."""
+            return 500, json.dumps(Fault(type(error).__name__).doc()).encode(), ()
+
+    async def start(self) -> str:
+        """Listens; returns the address.
+
+        Raises:
+            OSError: the address can't be listened at.
+        """
         loop = asyncio.get_running_loop()
-        self._srv = await loop.create_server(
-            lambda: _Talk(self), self._host, self._port, backlog=512
+        self._listener = await loop.create_server(
+            lambda: _Connection(self), self._host, self._port, backlog=_BACKLOG
         )
-        self.addr = "%s:%d" % self._srv.sockets[0].getsockname()[:2]
+        self.addr = "{}:{}".format(*self._listener.sockets[0].getsockname()[:2])
         return self.addr
 
-    async def close(self):
-        """Stops serving."""
-        if self._srv:
-            self._srv.close()
-        for t in list(self.talks):
-            t.close()
-
-
-async def light_call(
-    clock: Clock,
-    addr: str,
-    verb: str,
-    path: str,
-    doc: Any = None,
-    heads: Sequence[tuple[str, str]] = (),
-    us: int = 2_000_000,
-) -> tuple[int, Any]:
-    """(status, document) of one HTTP exchange over a connection of its own.
-
-    Unsent if nothing left, Late or Unreached if its outcome is unknown. What is given up is taken back from the wire,
-    as far as the other machine has not received it: the connection is reset.
-    """
-    host, port = addr.rsplit(":", 1)
-    try:
-        reader, writer = await clock.limit(
-            asyncio.open_connection(host, int(port)), min(us, _CONNECT_US)
-        )
-    except (OSError, DeadlineExceeded):
-        raise NotSent(addr) from None
-    tune(writer.transport)
-    answered = False
-    try:
-        answer = await clock.limit(_exchange(reader, writer, addr, verb, path, doc, heads), us)
-        answered = True
-        return answer
-    except (OSError, h11.RemoteProtocolError, ValueError):
-        raise Unreachable(addr) from None
-    finally:
-        if answered:
-            writer.close()
-        else:
-            reset(writer.transport)
-
-
-def _request(
-    connection: h11.Connection,
-    addr: str,
-    verb: str,
-    path: str,
-    doc: Any,
-    heads: Sequence[tuple[str, str]],
-) -> bytes:
-    """The bytes of one request."""
-    body = json.dumps(doc).encode() if doc is not None else b""
-    headers = [
-        ("Host", addr),
-        ("Content-Length", str(len(body))),
-        ("Content-Type", "application/json"),
-        ("Connection", "close"),
-        *heads,
-    ]
-    out = connection.send(h11.Request(method=verb, target=path, headers=headers))
-    if body:
-        out += connection.send(h11.Data(data=body))
-    return out + connection.send(h11.EndOfMessage())
-
-
-async def _exchange(
-    reader: asyncio.StreamReader,
-    writer: asyncio.StreamWriter,
-    addr: str,
-    verb: str,
-    path: str,
-    doc: Any,
-    heads: Sequence[tuple[str, str]],
-) -> tuple[int, Any]:
-    connection = h11.Connection(h11.CLIENT)
-    writer.write(_request(connection, addr, verb, path, doc, heads))
-    parts, status = [], 0
-    while True:
-        event = connection.next_event()
-        if event is h11.NEED_DATA:
-            connection.receive_data(await reader.read(_READ_BYTES))
-        elif type(event) is h11.Response:
-            status = event.status_code
-        elif type(event) is h11.Data:
-            parts.append(bytes(event.data))
-        elif type(event) is h11.EndOfMessage:
-            raw = b"".join(parts)
-            try:
-                return status, json.loads(raw) if raw else None
-            except (ValueError, RecursionError):
-                return status, None
-        elif type(event) is h11.ConnectionClosed:
-            raise Unreachable(addr)
+    async def close(self) -> None:
+        """Stops listening and ends every connection."""
+        if self._listener is not None:
+            self._listener.close()
+        for connection in list(self.connections):
+            connection.close()
+
+
+def _retry_after(fault: Fault) -> Headers:
+    seconds = fault.retry_after_seconds()
+    return () if seconds is None else (("Retry-After", str(seconds)),)
--- a/src/petrelhaven/transport/messages.py
+++ b/src/petrelhaven/transport/messages.py
@@ -5,7 +5,7 @@
 import zlib
 from collections.abc import Mapping
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, cast
 
 import fastavro
 
@@ -39,7 +39,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """One message: its kind, whether it asks or answers, its number on its connection, its body."""
+    """One message.
+
+    Attributes:
+        kind: its kind, one of `MessageKind`.
+        flow: CALL, RESULT, FAULT, or TELL for a datagram that nobody answers.
+        number: the call's number on its connection, which its answer repeats.
+        body: its fields.
+    """
 
     kind: str
     flow: int
@@ -57,14 +64,24 @@
 
 
 def pack(kind: str, flow: int, number: int, body: Mapping[str, Any]) -> bytes:
-    """The bytes of one message."""
-    form = _shape_of(kind, flow)
-    if form.documents:
+    """The bytes of one message.
+
+    Args:
+        kind: one of `MessageKind`.
+        flow: CALL, RESULT, FAULT or TELL.
+        number: the call's number on its connection; 0 for a datagram.
+        body: the fields that the contract of `kind` names.
+
+    Raises:
+        UnknownKind: no contract has this kind.
+    """
+    shape = _shape_of(kind, flow)
+    if shape.documents:
         body = dict(body)
-        for field in form.documents:
+        for field in shape.documents:
             body[field] = json.dumps(body[field], separators=(",", ":"))
     written = io.BytesIO()
-    fastavro.schemaless_writer(written, form.schema, body)
+    fastavro.schemaless_writer(written, shape.schema, body)
     raw = written.getvalue()
     compressed = len(raw) > _COMPRESS_ABOVE
     if compressed:
@@ -92,7 +109,7 @@
 
 def _read_head(raw: bytes) -> dict[str, Any]:
     try:
-        head = fastavro.schemaless_reader(io.BytesIO(raw), _HEAD)
+        head = cast(dict[str, Any], fastavro.schemaless_reader(io.BytesIO(raw), _HEAD))
     except Exception as error:
         raise Malformed(f"head: {type(error).__name__}") from None
     if head["v"] != VERSION:
@@ -102,13 +119,20 @@
 
 
 def unpack(raw: bytes) -> Message:
-    """The message that `raw` holds; Malformed, Unversed or Unspoken by type."""
+    """The message that `raw` holds.
+
+    Raises:
+        VersionMismatch: it is of another version of this protocol.
+        UnknownKind: this version has no such kind of message.
+        Malformed: it is not a message, or its body is not as its contract says.
+    """
     head = _read_head(raw)
-    form = _shape_of(head["kind"], head["flow"])
+    shape = _shape_of(head["kind"], head["flow"])
     try:
         written = _decompress(head["body"]) if head["thin"] else head["body"]
-        body = fastavro.schemaless_reader(io.BytesIO(written), form.schema)
-        for field in form.documents:
+        record = fastavro.schemaless_reader(io.BytesIO(written), shape.schema)
+        body = cast(dict[str, Any], record)
+        for field in shape.documents:
             body[field] = json.loads(body[field])
     except Exception as error:
         raise Malformed(f"{head['kind']}: {type(error).__name__}") from None
--- a/src/petrelhaven/transport/own_interface.py
+++ b/src/petrelhaven/transport/own_interface.py
@@ -1,19 +1,37 @@
-"""The product's own face beside another one of the machine's: served if it can be, and stopping nothing if it can't."""
+"""The product's own operator interface, beside another interface of the same machine."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING
 
 from petrelhaven.runtime.events import Events, emit
 from petrelhaven.transport.light_http import LightHttpServer
 
+if TYPE_CHECKING:
+    import logbook
+
 __all__ = ["serve_operator_interface"]
 
+_ANY_ADDRESS = "127.0.0.1:0"
+
+
+async def serve_operator_interface(
+    addr: str | None,
+    routes: Callable[[LightHttpServer], object],
+    log: logbook.Logger | None = None,
+) -> LightHttpServer:
+    """Serves `routes(server)` at `addr`, if that is given and free.
 
-async def serve_operator_interface(addr, routes, log=None):
-    """A face with `routes(face)` on it, listening at `addr` unless that is None or taken."""
-    host, port = (addr or "127.0.0.1:0").rsplit(":", 1)
-    http_server = LightHttpServer(host, int(port), log=log)
-    routes(http_server)
+    An address that is taken stops nothing: the event is written to `log`, and the server that is
+    returned does not listen.
+    """
+    host, port = (addr or _ANY_ADDRESS).rsplit(":", 1)
+    server = LightHttpServer(host, int(port), log=log)
+    routes(server)
     if addr:
         try:
-            await http_server.start()
-        except OSError as e:
-            emit(log, Events.OPERATOR_INTERFACE_UNAVAILABLE, addr=addr, note=e.strerror)
-    return http_server
+            await server.start()
+        except OSError as error:
+            emit(log, Events.OPERATOR_INTERFACE_UNAVAILABLE, addr=addr, note=error.strerror)
+    return server
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -21,7 +21,7 @@
 from petrelhaven.transport import channel as channel_module
 from petrelhaven.transport import reach as reach_module
 from petrelhaven.transport.contracts import KINDS, Contract, Repeat, repeat_of
-from petrelhaven.transport.light_http import light_call
+from petrelhaven.transport.light_client import light_call
 from petrelhaven.transport.link import Link
 from petrelhaven.transport.message_kinds import MessageKind
 from petrelhaven.transport.messages import CALL, FAULT, pack
--- a/tests/test_control_interface.py
+++ b/tests/test_control_interface.py
@@ -45,7 +45,7 @@
 from petrelhaven.simulator.fleet import until as soon
 from petrelhaven.simulator.resumable.world import configuration
 from petrelhaven.transport.http import fetch
-from petrelhaven.transport.light_http import LightHttpServer, _Request
+from petrelhaven.transport.light_http import LightHttpServer, Request
 from petrelhaven.transport.link import Link
 
 pytestmark = pytest.mark.xdist_group("faces")
@@ -116,7 +116,7 @@
 async def ask(http_server, verb, path, body=b""):
     """(status, document, headers) of one request."""
     raw = body if isinstance(body, bytes) else json.dumps(body).encode()
-    st_, b, heads = await http_server.answer(_Request(verb, path, raw))
+    st_, b, heads = await http_server.answer(Request(verb, path, raw))
     return st_, json.loads(b), dict(heads)
 
 
@@ -173,7 +173,7 @@
             ("?unconfirmed=true", two),
             ("?unconfirmed=true&version=1", one),
         ):
-            s, b, heads = await http_server.answer(_Request("GET", "/manifest" + path, b""))
+            s, b, heads = await http_server.answer(Request("GET", "/manifest" + path, b""))
             assert (s, b.decode()) == (200, text), path
             assert dict(heads) == {"Confirmed-By-Majority": "no" if "unconf" in path else "yes"}
         assert (await ask(http_server, "GET", "/manifest?version=9"))[0] == 404
@@ -240,7 +240,7 @@
         assert "g1: office 1 serve, primary m1 in term 0" in out and "halls: a emptied" in out
         assert "m1: primary of g1, ready, heard here 0" in out and "edges tied here: -" in out
         assert "hall a is open" in await told(http_server, "restore", "a")
-        st_, b, heads = await http_server.answer(_Request("GET", "/events?after=1", b""))
+        st_, b, heads = await http_server.answer(Request("GET", "/events?after=1", b""))
         evs = json.loads(b)
         assert st_ == 200 and dict(heads)["Content-Type"] == "application/cloudevents-batch+json"
         assert [(e["id"], e["type"], e["subject"]) for e in evs] == [
@@ -405,7 +405,7 @@
         @DRAWN
         @given(st.sampled_from(["GET", "POST", "PUT", "DELETE"]), PATHS, QUERY, BODY)
         def draw(verb, path, query, body):
-            reqs.append(_Request(verb, path + "?" + query, body))
+            reqs.append(Request(verb, path + "?" + query, body))
 
         await loop.run_in_executor(None, draw)
         assert len(reqs) > 100
@@ -700,10 +700,10 @@
 
     async def go():
         f.on("POST", "/x/{}/do", take)
-        assert (await f.answer(_Request("POST", "/x/a%20b/do?k=1&k=2&e=&p=a%2Bb+c", b"")))[0] == 200
-        assert (await f.answer(_Request("POST", "/x/bad/do", b"")))[0] == 422
+        assert (await f.answer(Request("POST", "/x/a%20b/do?k=1&k=2&e=&p=a%2Bb+c", b"")))[0] == 200
+        assert (await f.answer(Request("POST", "/x/bad/do", b"")))[0] == 422
         for p in ("/x/do", "/x//do", "/x/a/b/do", "/x/a/undo", "/x/a/do/", "/do"):
-            assert (await f.answer(_Request("POST", p, b"")))[0] == 404, p
+            assert (await f.answer(Request("POST", p, b"")))[0] == 404, p
 
     asyncio.run(go())
     assert got == [("a%20b", {"k": "2", "e": "", "p": "a+b c"}), ("bad", {})]
--- a/tests/test_interface_compatibility.py
+++ b/tests/test_interface_compatibility.py
@@ -12,7 +12,7 @@
 from petrelhaven.simulator.connection_sessions.embargo import EmbargoedFleet
 from petrelhaven.simulator.connection_sessions.fleet import SimulatedFleet
 from petrelhaven.simulator.resumable.world import World
-from petrelhaven.transport.light_http import LightHttpServer, _Request
+from petrelhaven.transport.light_http import LightHttpServer, Request
 
 FIXTURE = Path(__file__).parent / "fixtures" / "interface_2026_12.json"
 
@@ -63,7 +63,7 @@
 
 
 async def _answer(http_server, path):
-    status, body, _ = await http_server.answer(_Request("GET", path, b""))
+    status, body, _ = await http_server.answer(Request("GET", path, b""))
     assert status == 200, (path, status, body)
     return json.loads(body)
 
--- a/tests/test_light_http.py
+++ b/tests/test_light_http.py
@@ -19,7 +19,8 @@
     Unreachable,
 )
 from petrelhaven.simulator.virtual_time import WarpLoop, end_all
-from petrelhaven.transport.light_http import LightHttpServer, light_call
+from petrelhaven.transport.light_client import light_call
+from petrelhaven.transport.light_http import LightHttpServer
 
 DRAWN = settings(
     max_examples=120, phases=[Phase.generate], deadline=None, derandomize=True, database=None
@@ -32,7 +33,7 @@
 
     def __init__(self):
         self.calls, self.held = [], None
-        self.http_server = LightHttpServer("127.0.0.1", 0, most=MOST)
+        self.http_server = LightHttpServer("127.0.0.1", 0, max_body_bytes=MOST)
 
         async def echo(q):
             self.calls.append(("echo", q.body))
@@ -344,7 +345,7 @@
         assert tr.out == b"" and not tr.closed
         c.held.set_result(None)
         await asyncio.sleep(1)
-        assert [x[0] for x in answers(tr.out)] == [200] and tr.closed and not c.http_server.talks
+        assert [x[0] for x in answers(tr.out)] == [200] and tr.closed and not c.http_server.connections
 
     talk(go)
 
@@ -383,7 +384,7 @@
         tr.close()
         c.held.set_result(None)
         await asyncio.sleep(1)
-        assert tr.out == tr.late == b"" and not c.http_server.talks
+        assert tr.out == tr.late == b"" and not c.http_server.connections
 
     talk(go)
 
--- a/tests/test_platform_orders.py
+++ b/tests/test_platform_orders.py
@@ -20,7 +20,7 @@
     Stale,
     VersionTaken,
 )
-from petrelhaven.transport.light_http import LightHttpServer, _Request  # noqa: E402
+from petrelhaven.transport.light_http import LightHttpServer, Request  # noqa: E402
 
 CONFIGURATION = json.dumps(
     {
@@ -59,12 +59,12 @@
     async def go():
         node, http_server = ControlNode(fault), LightHttpServer("127.0.0.1", 0)
         Control(node, SimpleNamespace(zones=["a", "b"], zone="a", control="h:1"), None, http_server)
-        replace = await http_server.answer(_Request("POST", "/v1/Config.Replace", CONFIGURATION))
-        begin = await http_server.answer(_Request("POST", "/v1/Evacuations.Begin/a", b""))
-        finish = await http_server.answer(_Request("POST", "/v1/Evacuations.Finish/a", b""))
+        replace = await http_server.answer(Request("POST", "/v1/Config.Replace", CONFIGURATION))
+        begin = await http_server.answer(Request("POST", "/v1/Evacuations.Begin/a", b""))
+        finish = await http_server.answer(Request("POST", "/v1/Evacuations.Finish/a", b""))
         assert node.within == [ANSWER_US] * 3 and ANSWER_US < 1_000_000
         if fault:
-            fetch = await http_server.answer(_Request("GET", "/v1/Config.Fetch", b""))
+            fetch = await http_server.answer(Request("GET", "/v1/Config.Fetch", b""))
             assert node.within[3] == ANSWER_US and (fetch[0], fetch[2]) == (begin[0], begin[2])
         return [
             (status, dict(heads).get("Retry-After"))
@@ -96,7 +96,7 @@
             None,
             http_server,
         )
-        return (await http_server.answer(_Request("POST", "/v1/Config.Replace", CONFIGURATION)))[0]
+        return (await http_server.answer(Request("POST", "/v1/Config.Replace", CONFIGURATION)))[0]
 
     assert asyncio.run(go()) == replace
 
--- a/tests/test_proxy_interface.py
+++ b/tests/test_proxy_interface.py
@@ -16,7 +16,7 @@
 from petrelhaven.proxy.proxy_interface import ProxyInterface
 from petrelhaven.runtime.clock import Clock
 from petrelhaven.runtime.tasks import BackgroundTasks
-from petrelhaven.transport.light_http import LightHttpServer, _Request
+from petrelhaven.transport.light_http import LightHttpServer, Request
 from petrelhaven.transport.link import Link
 
 DRAWN = settings(
@@ -112,7 +112,7 @@
 
 
 async def ask(http_server, path, verb="GET"):
-    s, b, heads = await http_server.answer(_Request(verb, path, b""))
+    s, b, heads = await http_server.answer(Request(verb, path, b""))
     return s, json.loads(b), dict(heads)
 
 
@@ -153,7 +153,7 @@
         assert (s, d["fault"]) == (400, "malformed")
         for q in ("", "&version=3"):
             s, b, heads = await http_server.answer(
-                _Request("GET", "/manifest?unconfirmed=true" + q, b"")
+                Request("GET", "/manifest?unconfirmed=true" + q, b"")
             )
             assert (s, b.decode(), dict(heads)) == (200, TEXT, {"Confirmed-By-Majority": "no"})
         assert (await ask(http_server, "/manifest?unconfirmed=true&version=2"))[0] == 404
@@ -241,7 +241,7 @@
         st.binary(max_size=30),
     )
     def draw(verb, path, query, body):
-        reqs.append(_Request(verb, f"{path}?{query}", body))
+        reqs.append(Request(verb, f"{path}?{query}", body))
 
     draw()
 
