--- a/src/petrelhaven/control/node.py
+++ b/src/petrelhaven/control/node.py
@@ -156,7 +156,7 @@
     def _peer_turned(self, peer, _was):
         """A peer is new here, or another than it was: the cores are looked at again at once."""
         if peer.state == "alive":
-            self.link.dial_anew(peer.addr)
+            self.link.cancel_opening(peer.addr)
         self._news.set()
 
     def wake(self):
--- a/src/petrelhaven/membership/prober.py
+++ b/src/petrelhaven/membership/prober.py
@@ -86,7 +86,7 @@
         for name in self.roster.living()[:most]:
             address = self.roster.addr_of(name)
             if address is not None:
-                self.link.tell(address, MessageKind.PEER_ACKNOWLEDGE, body)
+                self.link.send_datagram(address, MessageKind.PEER_ACKNOWLEDGE, body)
 
     async def _join(self) -> None:
         while True:
@@ -111,7 +111,7 @@
         while not self.roster.peers:
             for address in self.seeds:
                 if address != self.link.addr:
-                    self.link.tell(address, MessageKind.PEER_PROBE, self._introduction())
+                    self.link.send_datagram(address, MessageKind.PEER_PROBE, self._introduction())
             await self.clock.sleep(_KNOCK_US)
 
     def _next(self) -> Peer | None:
@@ -154,7 +154,7 @@
         self._nonce += 1
         nonce = self._nonce
         answered = self._waiting[nonce] = asyncio.get_running_loop().create_future()
-        self.link.tell(address, kind, {**self._body(nonce), **(more or {})})
+        self.link.send_datagram(address, kind, {**self._body(nonce), **(more or {})})
         try:
             await self.clock.limit(answered, self.wait_us * times)
         except Fault:
@@ -175,9 +175,13 @@
     def _body(self, nonce: int) -> dict[str, Any]:
         return {"nonce": nonce, "src": self.link.addr, "news": self.roster.news()}
 
+    def _acknowledge(self, body: dict[str, Any]) -> None:
+        answer = self._body(body["nonce"])
+        self.link.send_datagram(body["src"], MessageKind.PEER_ACKNOWLEDGE, answer)
+
     def _probed(self, body: dict[str, Any]) -> None:
         self._spoke(body)
-        self.link.tell(body["src"], MessageKind.PEER_ACKNOWLEDGE, self._body(body["nonce"]))
+        self._acknowledge(body)
 
     def _spoke(self, body: dict[str, Any]) -> None:
         self.roster.heard(body["src"])
@@ -196,7 +200,7 @@
     async def _second_opinion(self, body: dict[str, Any]) -> None:
         """Probes a peer for another node, which learns only if it answers."""
         if await self._ping(body["to"], MessageKind.PEER_PROBE):
-            self.link.tell(body["src"], MessageKind.PEER_ACKNOWLEDGE, self._body(body["nonce"]))
+            self._acknowledge(body)
 
     async def _joined(self, channel: Channel, body: dict[str, Any]) -> dict[str, Any]:
         self.roster.merge(body["news"])
--- a/src/petrelhaven/runtime/daemon.py
+++ b/src/petrelhaven/runtime/daemon.py
@@ -1,4 +1,4 @@
-"""What the daemons share: listening, signals, readiness lines, exit codes."""
+"""What all daemons share: listening, signals, readiness lines, exit codes."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def say(line: str) -> None:
-    """One line of signal on standard output."""
+    """Writes one line to standard output, for whoever started the program."""
     print(line, flush=True)
 
 
@@ -41,12 +41,20 @@
         make: Callable[[Daemon], Any],
         leave: Callable[[Any], Awaitable[None]],
     ) -> None:
-        """Runs, as program `prog`, the node that `make(daemon)` builds and `leave(node)` ends."""
+        """Describes a program.
+
+        Args:
+            prog: its name.
+            doc: what it is, for `--help`.
+            core: whether it takes the settings of a control node.
+            make: builds the node from this daemon's settings, link and HTTP server.
+            leave: has the node leave the fleet, before the program ends.
+        """
         self.prog, self.doc, self.core = prog, doc, core
         self._make, self._leave = make, leave
 
     def main(self, argv: Sequence[str] | None = None) -> int:
-        """The program; returns the exit code."""
+        """Runs the program; returns its exit code."""
         faults: Sequence[Exception] = ()
         try:
             self.set = load(self.prog, self.doc, self.core, argv)
@@ -59,59 +67,75 @@
         self._argv = argv
         self.log = logger(self.set.name, self.set.level)
         try:
-            if self.set.check:
-                self.check()
-                say(f"settings of {self.set.name} are good")
-                return 0
-            return asyncio.run(self._run())
+            return self._check_or_run()
         except SettingsFault as fault:
-            emit(self.log, Events.SETTINGS_DECLINED, note=str(fault))
-            return _SETTINGS_DECLINED
+            return self._decline(_SETTINGS_DECLINED, str(fault))
         except WrongNode as fault:
-            emit(self.log, Events.SETTINGS_DECLINED, note=fault.note)
-            return _DATA_OF_ANOTHER_NODE
+            return self._decline(_DATA_OF_ANOTHER_NODE, fault.note)
         except OSError as fault:
-            emit(self.log, Events.SETTINGS_DECLINED, note=f"link or http: {fault}")
-            return _SETTINGS_DECLINED
+            return self._decline(_SETTINGS_DECLINED, f"link or http: {fault}")
+
+    def _decline(self, exit_code: int, note: str) -> int:
+        emit(self.log, Events.SETTINGS_DECLINED, note=note)
+        return exit_code
+
+    def _check_or_run(self) -> int:
+        if self.set.check:
+            self.check()
+            say(f"settings of {self.set.name} are good")
+            return 0
+        return asyncio.run(self._run())
 
     async def _run(self) -> int:
         stop = asyncio.Event()
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, stop.set)
-        self.clock, self.tasks = Clock(), BackgroundTasks(self.log)
-        host, port = self.set.link.rsplit(":", 1)
-        self.link = Link(self.clock, self.tasks, self.log, host, int(port))
-        host, port = self.set.http.rsplit(":", 1)
-        self.http_server = self.make_http_server(host, int(port))
+        self._create_servers()
         self.prepare()
         await self.link.start()
-        node = None
         try:
-            if self.set.seeds == "-":
-                say(f"listening name={self.set.name} link={self.link.addr}")
-                self.seeds = await loop.run_in_executor(None, seeds_from_stdin)
-            else:
-                self.seeds = self.set.seeds
-            node = self._make(self)
-            await self.http_server.start()
-            node.http = self.http_server.addr
-            self._node = node
-            node.start()
-            self._mind(node)
-            say(f"started name={self.set.name} link={self.link.addr} http={self.http_server.addr}")
-            tell = self.tasks.spawn(self._tell(node))
-            await stop.wait()
-            tell.cancel()
-            await self._leave(node)
+            await self._read_seeds()
+            await self._serve(stop)
         finally:
             await self.http_server.close()
             await self.link.close()
             await self.tasks.close()
         return 0
 
+    def _create_servers(self) -> None:
+        self.clock, self.tasks = Clock(), BackgroundTasks(self.log)
+        host, port = self.set.link.rsplit(":", 1)
+        self.link = Link(self.clock, self.tasks, self.log, host, int(port))
+        host, port = self.set.http.rsplit(":", 1)
+        self.http_server = self.make_http_server(host, int(port))
+
+    async def _read_seeds(self) -> None:
+        """Takes the seed addresses from the settings or, once listening, from standard input."""
+        seeds = self.set.seeds
+        if isinstance(seeds, str):
+            say(f"listening name={self.set.name} link={self.link.addr}")
+            loop = asyncio.get_running_loop()
+            seeds = await loop.run_in_executor(None, seeds_from_stdin)
+        self.seeds = seeds
+
+    async def _serve(self, stop: asyncio.Event) -> None:
+        """Runs the node until `stop` is set, and has it leave."""
+        node = self._make(self)
+        await self.http_server.start()
+        node.http = self.http_server.addr
+        self._node = node
+        node.start()
+        self._follow_settings(node)
+        say(f"started name={self.set.name} link={self.link.addr} http={self.http_server.addr}")
+        readiness = self.tasks.spawn(self._report_readiness(node))
+        await stop.wait()
+        if readiness is not None:
+            readiness.cancel()
+        await self._leave(node)
+
     def make_http_server(self, host: str, port: int) -> HttpServer:
-        """The face that the node's routes are put on."""
+        """The server of the node's interface."""
         return HttpServer(host, port, log=self.log)
 
     def prepare(self) -> None:
@@ -120,17 +144,17 @@
     def check(self) -> None:
         """Checks, for `--check`, what `prepare` would; changes nothing."""
 
-    def _mind(self, node: Any) -> None:  # noqa: ANN401 (any kind of node)
+    def _follow_settings(self, node: Any) -> None:  # noqa: ANN401 (any kind of node)
         """Follows the settings file, if there is one."""
         if not self.set.file:
             return
         again = functools.partial(load, self.prog, self.doc, self.core, self._argv)
-        watch = Watch(self.clock, again, self.set, self._turned, self.log)
+        watch = Watch(self.clock, again, self.set, self._apply, self.log)
         node.settings = watch.status
         self.tasks.spawn(watch.run())
 
-    def _turned(self, field: str, value: Any) -> None:  # noqa: ANN401 (each field has its type)
-        """Takes a setting that changed while the node runs."""
+    def _apply(self, field: str, value: Any) -> None:  # noqa: ANN401 (each field has its type)
+        """Applies a setting that changed while the node runs."""
         if field == "level":
             turn_level(self.log, value)
         elif field == "seeds" and value != "-":
@@ -138,11 +162,11 @@
         elif field == "platform":
             self._node.duty.platform.turn(value)
 
-    async def _tell(self, node: Any) -> None:  # noqa: ANN401 (any kind of node)
-        """Tells readiness on standard output whenever it changes."""
-        was = False
+    async def _report_readiness(self, node: Any) -> None:  # noqa: ANN401 (any kind of node)
+        """Writes a line to standard output whenever the node becomes ready or stops to be."""
+        ready = False
         while True:
-            if node.ready != was:
-                was = node.ready
-                say(f"{'ready' if was else 'unready'} name={self.set.name}")
+            if node.ready != ready:
+                ready = node.ready
+                say(f"{'ready' if ready else 'unready'} name={self.set.name}")
             await self.clock.sleep(_READINESS_PERIOD_US)
--- a/src/petrelhaven/simulator/hollow_nodes.py
+++ b/src/petrelhaven/simulator/hollow_nodes.py
@@ -49,10 +49,10 @@
         c._send = sent
         return c
 
-    def tell(self, addr, kind, body):
+    def send_datagram(self, addr, kind, body):
         self._count.n += 1
-        self._count.size += len(linking.pack(kind, linking.TELL, 0, body))
-        super().tell(addr, kind, body)
+        self._count.size += len(linking.pack(kind, linking.DATAGRAM, 0, body))
+        super().send_datagram(addr, kind, body)
 
 
 def _configuration(version, routes):
--- a/src/petrelhaven/simulator/net.py
+++ b/src/petrelhaven/simulator/net.py
@@ -10,7 +10,7 @@
 from petrelhaven.runtime.events import Events
 from petrelhaven.runtime.tasks import BackgroundTasks
 from petrelhaven.transport.link import Channel, Link, SharedConnections
-from petrelhaven.transport.messages import TELL, pack
+from petrelhaven.transport.messages import DATAGRAM, pack
 
 __all__ = ["SimulatedMachine", "Net", "SimDisk", "SimLink"]
 
@@ -299,11 +299,11 @@
     def _machine_of(self, addr):
         return self._machine.net.machines[addr.split(":")[1]]
 
-    def tell(self, addr, kind, body):
+    def send_datagram(self, addr, kind, body):
         """One datagram: it may be lost, late or doubled."""
         if self._machine.up:
             net, to = self._machine.net, self._machine_of(addr)
-            raw = pack(kind, TELL, 0, body)
+            raw = pack(kind, DATAGRAM, 0, body)
             for _ in range(2 if net.rng.random() < net.double else 1):
                 if net.rng.random() >= net.loss:
                     life = to.life
@@ -311,9 +311,9 @@
 
     def _land(self, to, life, raw):
         if not self._machine.net.is_cut(self._machine.name, to.name):
-            to.do(life, lambda: to.link.heard(raw))
+            to.do(life, lambda: to.link.receive_datagram(raw))
 
-    heard = Link.heard
+    receive_datagram = Link.receive_datagram
 
     async def open(self, addr):
         """A connection, unless the other machine is off or the way is cut."""
--- a/src/petrelhaven/simulator/resumable/partition.py
+++ b/src/petrelhaven/simulator/resumable/partition.py
@@ -77,11 +77,11 @@
         c._send, c.feed = self._way(addr, c._send), self._way(addr, c.feed)
         return c
 
-    def tell(self, addr, kind, body):
+    def send_datagram(self, addr, kind, body):
         """One telling, swallowed while the way is cut."""
         if addr not in _CUT:
             self.clock.later(
-                _FAR.get(addr, 0), lambda: super(_CutLink, self).tell(addr, kind, body)
+                _FAR.get(addr, 0), lambda: super(_CutLink, self).send_datagram(addr, kind, body)
             )
 
 
--- a/src/petrelhaven/transport/channel.py
+++ b/src/petrelhaven/transport/channel.py
@@ -90,7 +90,7 @@
         self._given_up: dict[int, str] = {}
         self._last_sent = self._last_answered = self._last_heard = 0
         self.gone = asyncio.get_running_loop().create_future()
-        self.mute = 0
+        self.unanswered = 0
 
     async def call(self, kind: str, body: Mapping[str, Any], us: int) -> dict[str, Any]:
         """Asks the other side and returns its result.
--- a/src/petrelhaven/transport/link.py
+++ b/src/petrelhaven/transport/link.py
@@ -1,11 +1,11 @@
-"""Links between the system's own processes: calls over held TCP connections, tellings over UDP."""
+"""Links between the system's own processes: calls over TCP connections, datagrams over UDP."""
+
+from __future__ import annotations
 
 import asyncio
 import struct
 from collections.abc import Mapping
-from typing import Any
-
-import logbook
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 from petrelhaven.runtime.clock import Clock
 from petrelhaven.runtime.errors import (
@@ -20,9 +20,12 @@
 from petrelhaven.runtime.tasks import BackgroundTasks
 from petrelhaven.transport.channel import Channel, Handler
 from petrelhaven.transport.contracts import Repeat, repeat_of
-from petrelhaven.transport.messages import CALL, FAULT, TELL, pack, unpack
+from petrelhaven.transport.messages import CALL, DATAGRAM, FAULT, pack, unpack
 from petrelhaven.transport.sockets import is_closed, reset, tune
 
+if TYPE_CHECKING:
+    import logbook
+
 __all__ = ["Channel", "SharedConnections", "Link"]
 
 _MAGIC = 0x7E7A
@@ -30,7 +33,7 @@
 _LARGEST_MESSAGE = 4 << 20
 _OPEN_US = 1_000_000
 _ATTEMPT_US = 250_000
-_MUTE_CALLS = 2
+_MAX_UNANSWERED = 2
 _PORT_TRIES = 20
 _BAD_BODY = (TypeError, LookupError, ValueError, AttributeError)
 
@@ -47,31 +50,38 @@
 async def _shared_call(
     channel: Channel, kind: str, body: Mapping[str, Any], us: int
 ) -> dict[str, Any]:
-    """A call over a shared connection; one that stays mute twice is closed and opened anew."""
+    """A call over a shared connection, which is closed after two calls without an answer."""
     try:
         result = await channel.call(kind, body, us)
     except DeadlineExceeded as late:
-        channel.mute = 0 if late.answered else channel.mute + 1
-        if channel.mute >= _MUTE_CALLS:
+        channel.unanswered = 0 if late.answered else channel.unanswered + 1
+        if channel.unanswered >= _MAX_UNANSWERED:
             channel.close()
         raise
     except Fault as fault:
         if fault.answered:
-            channel.mute = 0
+            channel.unanswered = 0
         raise
-    channel.mute = 0
+    channel.unanswered = 0
     return result
 
 
 class _Datagrams(asyncio.DatagramProtocol):
-    """Hands arriving tellings to the link."""
+    """Hands arriving datagrams to the link."""
 
-    def __init__(self, link: "Link") -> None:
+    def __init__(self, link: Link) -> None:
         self._link = link
 
-    def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """One telling."""
-        self._link.heard(data)
+    def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
+        """Takes one datagram."""
+        self._link.receive_datagram(data)
+
+
+class _Destination(NamedTuple):
+    """What a shared connection is for: an address, and calls that may or may not be repeated."""
+
+    address: str
+    sent_once: bool
 
 
 class SharedConnections:
@@ -82,58 +92,91 @@
     """
 
     tasks: BackgroundTasks
+    handlers: dict[str, Handler]
 
     def __init__(self) -> None:
         """No connections yet."""
-        self._held: dict[tuple[str, bool], Channel] = {}
-        self._opening: dict[tuple[str, bool], asyncio.Task] = {}
+        self._connections: dict[_Destination, Channel] = {}
+        self._opening: dict[_Destination, asyncio.Task[Channel]] = {}
+
+    def on(self, kind: str, handler: Handler) -> None:
+        """Answers calls (or takes datagrams) of `kind` with `handler`."""
+        self.handlers[kind] = handler
 
     async def open(self, address: str) -> Channel:
-        """A new held connection to `address`; Unsent if there is none."""
+        """A new connection to `address`.
+
+        Raises:
+            NotSent: there is none.
+        """
         raise NotImplementedError
 
     async def call(
         self, address: str, kind: str, body: Mapping[str, Any], us: int
     ) -> dict[str, Any]:
-        """Calls over the shared connection to `address` that fits the call."""
-        place = address, repeat_of(kind, body) is Repeat.NEVER
-        channel = self._held.get(place)
+        """Calls over the shared connection to `address` that fits the call.
+
+        Args:
+            address: host and port of the other node's link.
+            kind: one of `MessageKind`.
+            body: the fields of the request.
+            us: how long the answer may take once the connection is open, in microseconds.
+
+        Raises:
+            NotSent: nothing has left.
+            DeadlineExceeded: no answer came in time; what was asked may still happen.
+            Unreachable: the connection was lost; the outcome is unknown.
+            Fault: what the other side answered with; its `answered` is set.
+        """
+        destination = _Destination(address, repeat_of(kind, body) is Repeat.NEVER)
+        channel = self._connections.get(destination)
         if channel is None or channel.gone.done():
-            channel = await self._opened(place)
+            channel = await self._wait_for_opening(destination)
         return await _shared_call(channel, kind, body, us)
 
-    async def _opened(self, place: tuple[str, bool]) -> Channel:
-        """The connection that is being opened for `place`, maybe by another caller; else Unsent."""
-        task = self._opening.get(place)
-        if task is None:
-            task = self.tasks.spawn(self._open_shared(place))
-            if task is None:
-                raise NotSent(place[0])
-            self._opening[place] = task
-            task.add_done_callback(lambda _: self._forget_opening(place, task))
+    async def _wait_for_opening(self, destination: _Destination) -> Channel:
+        """The connection that is being opened, maybe by another caller; else NotSent."""
+        task = self._opening.get(destination) or self._start_opening(destination)
         try:
             return await asyncio.shield(task)
         except asyncio.CancelledError:
-            if task.cancelled() and not asyncio.current_task().cancelling():
-                raise NotSent(place[0]) from None
+            caller = asyncio.current_task()
+            if task.cancelled() and not (caller is not None and caller.cancelling()):
+                raise NotSent(destination.address) from None
             raise
 
-    def _forget_opening(self, place: tuple[str, bool], task: asyncio.Task[Channel]) -> None:
-        if self._opening.get(place) is task:
-            del self._opening[place]
+    def _start_opening(self, destination: _Destination) -> asyncio.Task[Channel]:
+        task = self.tasks.spawn(self._open_shared(destination))
+        if task is None:
+            raise NotSent(destination.address)
+        self._opening[destination] = task
+        task.add_done_callback(lambda ended: self._forget_opening(destination, ended))
+        return task
+
+    def _forget_opening(self, destination: _Destination, task: asyncio.Task[Channel]) -> None:
+        if self._opening.get(destination) is task:
+            del self._opening[destination]
 
-    def dial_anew(self, address: str) -> None:
-        """Gives up connections to `address` that are being opened: it has just been heard."""
-        for place in [place for place in self._opening if place[0] == address]:
-            self._opening.pop(place).cancel()
+    def cancel_opening(self, address: str) -> None:
+        """Gives up connections to `address` that are being opened.
 
-    async def _open_shared(self, place: tuple[str, bool]) -> Channel:
-        channel = self._held[place] = await self.open(place[0])
+        It has just been heard of, so that a new attempt succeeds sooner than one under way.
+        """
+        for destination in [place for place in self._opening if place.address == address]:
+            self._opening.pop(destination).cancel()
+
+    async def _open_shared(self, destination: _Destination) -> Channel:
+        channel = self._connections[destination] = await self.open(destination.address)
         return channel
 
 
 class Link(SharedConnections):
-    """All links of one node over real sockets."""
+    """All links of one node over real sockets.
+
+    Attributes:
+        addr: host and port that it listens at, once it does; the same for TCP and UDP.
+        garbage: how many messages arrived that could not be read.
+    """
 
     def __init__(
         self,
@@ -146,17 +189,13 @@
         """A link that is to listen at `host` and `port`; port 0 takes any."""
         super().__init__()
         self.clock, self.tasks, self.log = clock, tasks, log
-        self.handlers: dict[str, Handler] = {}
+        self.handlers = {}
         self.garbage = 0
         self._host, self._port = host, port
         self._server: asyncio.Server | None = None
         self._datagrams: asyncio.DatagramTransport | None = None
         self.addr: str | None = None
 
-    def on(self, kind: str, handler: Handler) -> None:
-        """Answers calls (or takes tellings) of `kind` with `handler`."""
-        self.handlers[kind] = handler
-
     async def start(self) -> str:
         """Listens on TCP and UDP at one port; returns the address."""
         loop = asyncio.get_running_loop()
@@ -175,20 +214,20 @@
         self.addr = f"{self._host}:{port}"
         return self.addr
 
-    def tell(self, address: str, kind: str, body: Mapping[str, Any]) -> None:
-        """Sends one telling over UDP; it may be lost."""
+    def send_datagram(self, address: str, kind: str, body: Mapping[str, Any]) -> None:
+        """Sends one message over UDP; it may be lost, or arrive twice."""
         if self._datagrams is None or self._datagrams.is_closing():
             return
-        self._datagrams.sendto(pack(kind, TELL, 0, body), _host_and_port(address))
+        self._datagrams.sendto(pack(kind, DATAGRAM, 0, body), _host_and_port(address))
 
-    def heard(self, raw: bytes) -> None:
-        """Takes one telling that arrived."""
+    def receive_datagram(self, raw: bytes) -> None:
+        """Takes one message that arrived over UDP; one that can't be read is counted and logged."""
         kind = ""
         try:
             message = unpack(raw)
             kind = message.kind
             handler = self.handlers.get(kind)
-            if handler is None or message.flow != TELL:
+            if handler is None or message.flow != DATAGRAM:
                 raise UnknownKind(kind)
             handler(message.body)
         except Fault as fault:
@@ -202,10 +241,13 @@
             emit(self.log, Events.MALFORMED_MESSAGE, fault=Malformed.code, note=note)
 
     async def open(self, address: str) -> Channel:
-        """A new held connection to `address`; Unsent if there is none.
+        """A new connection to `address`.
 
         An opening packet that was lost is sent again only after a second and more, so each attempt
         is short and begins anew.
+
+        Raises:
+            NotSent: there is none.
         """
         host, port = _host_and_port(address)
         end = self.clock.now() + _OPEN_US
@@ -272,5 +314,5 @@
             self._server.close()
         if self._datagrams:
             self._datagrams.close()
-        for channel in self._held.values():
+        for channel in self._connections.values():
             channel.close()
--- a/src/petrelhaven/transport/messages.py
+++ b/src/petrelhaven/transport/messages.py
@@ -12,10 +12,10 @@
 from petrelhaven.runtime.errors import Malformed, UnknownKind, VersionMismatch
 from petrelhaven.transport.contracts import KINDS, Shape
 
-__all__ = ["CALL", "FAULT", "KINDS", "RESULT", "TELL", "VERSION", "Message", "pack", "unpack"]
+__all__ = ["CALL", "FAULT", "KINDS", "RESULT", "DATAGRAM", "VERSION", "Message", "pack", "unpack"]
 
 VERSION = 3
-CALL, RESULT, FAULT, TELL = 0, 1, 2, 3
+CALL, RESULT, FAULT, DATAGRAM = 0, 1, 2, 3
 
 _COMPRESS_ABOVE = 1_024
 _LARGEST_BODY = 16 << 20
@@ -43,7 +43,7 @@
 
     Attributes:
         kind: its kind, one of `MessageKind`.
-        flow: CALL, RESULT, FAULT, or TELL for a datagram that nobody answers.
+        flow: CALL, RESULT, FAULT, or DATAGRAM for a datagram that nobody answers.
         number: the call's number on its connection, which its answer repeats.
         body: its fields.
     """
@@ -68,7 +68,7 @@
 
     Args:
         kind: one of `MessageKind`.
-        flow: CALL, RESULT, FAULT or TELL.
+        flow: CALL, RESULT, FAULT or DATAGRAM.
         number: the call's number on its connection; 0 for a datagram.
         body: the fields that the contract of `kind` names.
 
--- a/src/petrelhaven/transport/sockets.py
+++ b/src/petrelhaven/transport/sockets.py
@@ -10,12 +10,12 @@
 UNACKNOWLEDGED_MS = 3_000
 """How long bytes may stay unacknowledged by the other machine before the connection is lost."""
 
-_LINGER_NOT = struct.pack("ii", 1, 0)
-_CLOSED_STATE = 7
+_NO_LINGER = struct.pack("ii", 1, 0)
+_CLOSED_STATE = 7  # TCP_CLOSE in Linux's tcp_states.h
 
 
 def tune(transport: asyncio.BaseTransport) -> None:
-    """Has small messages leave at once, and ends the connection to a machine that is dark."""
+    """Sends small messages at once, and ends the connection to an unreachable machine."""
     sock = transport.get_extra_info("socket")
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     with contextlib.suppress(OSError):
@@ -27,7 +27,7 @@
     sock = transport.get_extra_info("socket")
     if sock is not None:
         with contextlib.suppress(OSError):
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_NOT)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _NO_LINGER)
     transport.abort()
 
 
@@ -37,6 +37,7 @@
         return True
     sock = transport.get_extra_info("socket")
     try:
-        return sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] == _CLOSED_STATE
+        info: bytes = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)
+        return info[0] == _CLOSED_STATE
     except (OSError, IndexError):
         return False
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -17,7 +17,7 @@
 from petrelhaven.simulator.net import SimLog
 from petrelhaven.simulator.resumable.storm import inside
 from petrelhaven.transport.http_server import HttpServer, body_of
-from petrelhaven.transport.messages import KINDS, TELL, pack
+from petrelhaven.transport.messages import DATAGRAM, KINDS, pack
 
 LEAF = (
     st.none()
@@ -174,10 +174,10 @@
             n = b.link.garbage
             for x in junk:
                 for kind in ("kith.probe", "kith.ack", "kith.ask"):
-                    b.link.heard(
+                    b.link.receive_datagram(
                         pack(
                             kind,
-                            TELL,
+                            DATAGRAM,
                             0,
                             {
                                 "nonce": 1,
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -98,11 +98,11 @@
 def test_every_call_site_names_a_declared_kind_and_none_says_how_often():
     named = set()
     for path, node in calls():
-        assert path == "control/embargo/duty.py" or "again" not in [k.arg for k in node.keywords], (
+        assert path == "control/embargo/service.py" or "again" not in [k.arg for k in node.keywords], (
             path
         )
         method = getattr(node.func, "attr", "")
-        if method in ("call", "_call", "tell", "on"):
+        if method in ("call", "_call", "send_datagram", "on"):
             for arg in node.args[:3]:
                 assert not (
                     isinstance(arg, ast.Constant)
@@ -253,12 +253,12 @@
 
 
 def unsent_after_all(mp):
-    real = Reach._round
+    real = Reach._call_through_relays
 
     async def round_(self, name, relayed, end, may_have_left):
         return await real(self, name, relayed, end, False)
 
-    mp.setattr(Reach, "_round", round_)
+    mp.setattr(Reach, "_call_through_relays", round_)
 
 
 def unsent_taken_from_anybody(mp):
--- a/tests/test_message_compatibility.py
+++ b/tests/test_message_compatibility.py
@@ -9,10 +9,10 @@
 import pytest
 
 from petrelhaven.transport.contracts import KINDS
-from petrelhaven.transport.messages import CALL, FAULT, RESULT, TELL, VERSION, pack, unpack
+from petrelhaven.transport.messages import CALL, DATAGRAM, FAULT, RESULT, VERSION, pack, unpack
 
 FIXTURE = json.loads((Path(__file__).parent / "fixtures" / "messages_2026_12.json").read_text())
-FLOWS = {"call": CALL, "result": RESULT, "fault": FAULT, "tell": TELL}
+FLOWS = {"call": CALL, "result": RESULT, "fault": FAULT, "tell": DATAGRAM}
 
 
 def repeats():
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -202,7 +202,7 @@
         head.kill()
         await asyncio.sleep(3)
         one, two = others(f, head)
-        one.node.reach._bad[two.name] = one.clock.now() + 1_500_000
+        one.node.reach._failed_until[two.name] = one.clock.now() + 1_500_000
         return await outcome(one.node.reach.call(two.name, "view.ask", {"name": one.name}, 400_000))
 
     assert inside(go, 1)[0] == "acknowledged"
