--- a/src/petrelhaven/proxy/reads/read_clock.py
+++ b/src/petrelhaven/proxy/reads/read_clock.py
@@ -2,7 +2,6 @@
 
 The position is asked of the primary as seldom as can be.
 
-
 The linear Lamport timestamp of *PolarDB-SCC: A Cloud-Native Database Ensuring Low Latency for
 Strongly Consistent Reads*, section 4.1; section 4.4 (read your writes) needs nothing of its own.
 docs/clock.md says what is changed and why.
