--- a/src/petrelhaven/control/leases.py
+++ b/src/petrelhaven/control/leases.py
@@ -23,6 +23,7 @@
 from petrelhaven.runtime.errors import DeadlineExceeded, Fault, NotReady
 from petrelhaven.runtime.events import Events, emit
 from petrelhaven.transport.lease_messages import AcknowledgementReport, NumberedRecord
+from petrelhaven.transport.message_kinds import MessageKind
 
 if TYPE_CHECKING:
     import logbook
@@ -154,7 +155,7 @@
 
     async def _ask(self, name: str, seq: int) -> AcknowledgementReport | None:
         try:
-            answer = await self._call(name, "chain.force", {"seq": seq}, _REPORT_US)
+            answer = await self._call(name, MessageKind.CHAIN_IN_FORCE, {"seq": seq}, _REPORT_US)
         except Fault:
             return None
         return AcknowledgementReport.from_body(answer)
--- a/src/petrelhaven/control/state_push.py
+++ b/src/petrelhaven/control/state_push.py
@@ -14,6 +14,7 @@
     SubscriptionAnswer,
     push_body,
 )
+from petrelhaven.transport.message_kinds import MessageKind
 
 if TYPE_CHECKING:
     from petrelhaven.control.consensus.chain import Chain
@@ -102,7 +103,7 @@
                 await self._clock.sleep(_UNCOMMITTED_PAUSE_US)
                 continue
             try:
-                answer = await channel.call("edge.push", body, _PUSH_US)
+                answer = await channel.call(MessageKind.PROXY_PUSH, body, _PUSH_US)
             except Fault:
                 channel.close()
                 return
--- a/tests/test_member_model.py
+++ b/tests/test_member_model.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 from test_platform_lines import virtual
 
-from lines import LineMemberConnection  # isort: skip
+from member_connections import LineMemberConnection  # isort: skip
 from petrelhaven.proxy.pool.connection_pool import ConnectionPool
 from petrelhaven.proxy.routing.member_calls import MemberCalls
 from petrelhaven.proxy.routing.transaction_path import TransactionPath
@@ -309,18 +309,18 @@
     real = LineMemberConnection._end
 
     def end(self, r):
-        while len(self._wait) > 1 and self._wait[0][0].done():
-            self._wait.popleft()
+        while len(self._awaited) > 1 and self._awaited[0].future.done():
+            self._awaited.popleft()
         real(self, r)
 
     mp.setattr(LineMemberConnection, "_end", end)
     mp.setattr(LineMemberConnection, "due", 0)
-    mp.setattr(ConnectionPool, "drop", lambda self, c: self.give(c))
+    mp.setattr(ConnectionPool, "discard", lambda self, c: self.release(c))
 
 
 def given_back_with_replies_due(mp):
     mp.setattr(LineMemberConnection, "due", 0)
-    mp.setattr(ConnectionPool, "drop", lambda self, c: self.give(c))
+    mp.setattr(ConnectionPool, "discard", lambda self, c: self.release(c))
 
 
 def sent_again_after_silence(mp):
@@ -408,8 +408,8 @@
             return Conn()
 
         connection_pool = ConnectionPool(door.clock, door.tasks, opened, 2, lambda: 2)
-        c = await connection_pool.take(None)
-        connection_pool.give(c)
+        c = await connection_pool.acquire(None)
+        connection_pool.release(c)
         assert c.lost and not connection_pool.idle
 
     virtual(go)
