--- a/src/petrelhaven/control/configuration/parsing.py
+++ b/src/petrelhaven/control/configuration/parsing.py
@@ -22,8 +22,8 @@
         text: a JSON document.
 
     Raises:
-        Invalid: it is declined; `details` names every fault by its path. Types are checked first, and
-            the meaning only where all types are right.
+        Invalid: it is declined; `details` names every fault by its path. Types are checked first,
+            and the meaning only where all types are right.
     """
     document = _parse_json(text)
     faults = list(type_faults(Configuration, document))
--- a/src/petrelhaven/control/embargo/interface.py
+++ b/src/petrelhaven/control/embargo/interface.py
@@ -5,26 +5,17 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any, Protocol
+from typing import TYPE_CHECKING, Any
 
 from petrelhaven.runtime.errors import Malformed
 
 if TYPE_CHECKING:
-    from petrelhaven.control.embargo.service import EmbargoService
-    from petrelhaven.control.interface.contracts import HttpRoutes, Request
+    from petrelhaven.control.interface.contracts import HttpRoutes, NodeInterface, Request
 
-__all__ = ["NodeWithEmbargoes", "add_routes"]
+__all__ = ["add_routes"]
 
 
-class NodeWithEmbargoes(Protocol):
-    """A control node, which makes its service when it is first asked for."""
-
-    @property
-    def embargoes(self) -> EmbargoService:
-        """What it does about embargoes."""
-
-
-def add_routes(http_server: HttpRoutes, node: NodeWithEmbargoes) -> None:
+def add_routes(http_server: HttpRoutes, node: NodeInterface) -> None:
     """Adds the routes to a control node's server."""
 
     async def change(request: Request) -> dict[str, Any]:
--- a/src/petrelhaven/control/embargo/service.py
+++ b/src/petrelhaven/control/embargo/service.py
@@ -216,7 +216,7 @@
         return {**report(await self._node.control_state()), "time": self.time.status()}
 
     async def why(self, document: dict[str, Any]) -> dict[str, Any]:
-        """Which rules cover a thing, and whether a proxy with a lease withholds it from a client now."""
+        """Which rules cover a thing, and whether a proxy with a lease withholds it from a client."""
         question = parse_question(document)
         state = await self._node.control_state()
         table = RuleTable(rules_of(state))
--- a/src/petrelhaven/control/interface/contracts.py
+++ b/src/petrelhaven/control/interface/contracts.py
@@ -1,14 +1,20 @@
-"""What the operators' interface needs of an HTTP server: requests and routes."""
+"""What the operators' interface needs: an HTTP server with its requests, and a control node."""
 
 from __future__ import annotations
 
-from collections.abc import Awaitable, Callable
-from typing import Any, Protocol, TypeAlias
+from collections.abc import Awaitable, Callable, Mapping
+from typing import TYPE_CHECKING, Any, Protocol, TypeAlias
 
-__all__ = ["Handler", "HttpRoutes", "RawAnswer", "Request"]
+if TYPE_CHECKING:
+    from petrelhaven.control.consensus.chain import Chain
+    from petrelhaven.control.embargo.service import EmbargoService
+    from petrelhaven.runtime.clock import Clock
 
+__all__ = ["Document", "Handler", "HttpRoutes", "NodeInterface", "RawAnswer", "Request"]
+
+Document: TypeAlias = dict[str, Any]
 Handler: TypeAlias = Callable[..., Awaitable[Any]]
-"""Takes a request and the parts of the path that are `{}`; answers a JSON document or a RawAnswer."""
+"""Takes a request and the part of the path that is `{}`; answers a Document or a RawAnswer."""
 RawAnswer: TypeAlias = tuple[int, bytes, tuple[tuple[str, str], ...]]
 """A status, a body and headers, sent as they are."""
 
@@ -32,3 +38,48 @@
 
     def on(self, verb: str, path: str, handler: Handler) -> None:
         """Has `handler` answer requests of `verb` for `path`, in which `{}` stands for any part."""
+
+
+class NodeInterface(Protocol):
+    """What operators and members can ask of a control node; `ControlNode` says what each means."""
+
+    clock: Clock
+    chain: Chain
+    lease_table: Any
+    duty: Any
+    heard: Mapping[str, tuple[int, int]]
+
+    @property
+    def embargoes(self) -> EmbargoService:
+        """What it does about embargoes."""
+
+    @property
+    def ready(self) -> bool:
+        """Whether it takes orders."""
+
+    async def apply(self, text: str, by: str = "", retire: bool = True) -> Document:
+        """Applies a configuration."""
+
+    async def set_zone_state(self, zone: str, state: str, by: str = "") -> Document:
+        """Evacuates or restores a zone."""
+
+    async def elect(self, group: str, member: str, leadership: int, by: str = "") -> Document:
+        """Orders the election of a member although acknowledged commits may be lost."""
+
+    async def reform(self, lost: list[str], by: str = "") -> Document:
+        """Forms the chain anew without lost control nodes."""
+
+    async def control_state(self) -> Document:
+        """The control state as the tail answers it."""
+
+    def unconfirmed(self) -> Document:
+        """The control state as this node has it."""
+
+    async def announce(self, doc: Document) -> None:
+        """Takes a member's announcement."""
+
+    def belief(self) -> Document:
+        """What this node believes."""
+
+    def status(self) -> Document:
+        """The belief and what the node waits for."""
--- a/src/petrelhaven/control/interface/control_interface.py
+++ b/src/petrelhaven/control/interface/control_interface.py
@@ -1,27 +1,70 @@
-"""The operators' interface of a seat: the calls of the kept interface, over HTTP that costs little memory."""
+"""The HTTP interface of a control node for operators, and for members that announce themselves.
+
+docs/http.md describes the routes.
+"""
+
+from __future__ import annotations
 
 import json
+from collections.abc import Callable
+from typing import TYPE_CHECKING, Any
 from urllib.parse import unquote
 
+from petrelhaven.control.configuration.faults import ConfigurationFault, declined
 from petrelhaven.control.embargo.interface import add_routes
-from petrelhaven.control.interface.documents import configuration_of, number, why_of
-from petrelhaven.runtime.errors import Invalid, Malformed, NoRoute, NotReady
+from petrelhaven.control.interface.documents import (
+    EVENTS_CONTENT_TYPE,
+    configuration_answer,
+    leadership_history,
+    lost_nodes,
+    query_number,
+    ready_answer,
+)
+from petrelhaven.control.state.base import EVACUATED, OPEN
+from petrelhaven.runtime.errors import Malformed, NoRoute
+
+if TYPE_CHECKING:
+    from petrelhaven.control.interface.contracts import (
+        Document,
+        HttpRoutes,
+        NodeInterface,
+        RawAnswer,
+        Request,
+    )
+    from petrelhaven.control.interface.event_feed import EventFeed
 
 __all__ = ["ControlInterface"]
 
-_BY = 120
+_CALLER_SHOWN = 120
+_ZONE_SHOWN = 60
+_MOST_CONNECTIONS = 10_000
 
 
 class ControlInterface:
-    """Routes of the operators' face; with `announced` members are heard here too."""
-
-    def __init__(self, node, http_server, settings=dict, announced=False):
-        self._c, self._settings = node, settings
-        self._event_feed = None
+    """Routes of the operators' interface, which a control node answers."""
+
+    def __init__(
+        self,
+        node: NodeInterface,
+        http_server: HttpRoutes,
+        settings: Callable[[], Document] = dict,
+        announced: bool = False,
+    ) -> None:
+        """Adds the routes to a server.
+
+        Args:
+            node: the control node.
+            http_server: where they are added.
+            settings: answers the node's settings, for the status.
+            announced: whether members announce themselves here.
+        """
+        self._node = node
+        self._settings = settings
+        self._event_feed: EventFeed | None = None
         add_routes(http_server, node)
-        for v, p, f in (
-            ("POST", "/manifest", self._apply),
-            ("GET", "/manifest", self._show),
+        for verb, path, handler in (
+            ("POST", "/manifest", self._apply_configuration),
+            ("GET", "/manifest", self._show_configuration),
             ("POST", "/halls/{}/evacuate", self._evacuate),
             ("POST", "/halls/{}/restore", self._restore),
             ("POST", "/groups/{}/elect", self._elect),
@@ -32,139 +75,142 @@
             ("GET", "/ready", self._ready),
             ("GET", "/realm", self._control_state),
             ("GET", "/events", self._events),
-            *([("POST", "/announce", self._announce)] if announced else []),
         ):
-            http_server.on(v, p, f)
-
-    @staticmethod
-    def _by(q):
-        return q.query.get("by", "")[:_BY]
-
-    async def _forced(self, r):
-        return {**r, "in_force_us": await self._c.lease_table.in_force(r["change"])}
-
-    async def _apply(self, q):
-        text = q.text()
-        return await self._forced(
-            await self._c.apply(text, by=self._by(q), retire=q.query.get("retire") == "true")
+            http_server.on(verb, path, handler)
+        if announced:
+            http_server.on("POST", "/announce", self._announce)
+
+    async def _apply_configuration(self, request: Request) -> Document:
+        text = request.text()
+        retire = request.query.get("retire") == "true"
+        return await self._in_force(
+            await self._node.apply(text, by=_caller(request), retire=retire)
         )
 
-    async def _show(self, q):
-        sure = q.query.get("unconfirmed") != "true"
-        d = await self._c.control_state() if sure else self._c.unconfirmed()
-        m = d["manifest"]
-        if "version" in q.query:
-            m = self._version(number(q.query, "version"), m, sure)
-        if m is None:
+    async def _in_force(self, answer: Document) -> Document:
+        """An order's answer, once what it entered is in force at every proxy."""
+        return {**answer, "in_force_us": await self._node.lease_table.in_force(answer["change"])}
+
+    async def _show_configuration(self, request: Request) -> RawAnswer:
+        is_confirmed = request.query.get("unconfirmed") != "true"
+        if is_confirmed:
+            state = await self._node.control_state()
+        else:
+            state = self._node.unconfirmed()
+        configuration = state["manifest"]
+        version = query_number(request.query, "version")
+        if version is not None:
+            configuration = self._version(version, configuration, is_confirmed)
+        if configuration is None:
             raise NoRoute("no such manifest")
-        return configuration_of(m["text"], sure)
-
-    def _version(self, n, now, sure):
-        """The manifest of version `n`: the one in force, or an older one while its record is kept here."""
-        if now and now["version"] == n:
-            return now
-        c = self._c.chain
-        return next(
-            (
-                r
-                for seq, _, r in reversed(c.mem.recs)
-                if r["t"] == "manifest" and r["version"] == n and (seq <= c.commit or not sure)
-            ),
-            None,
-        )
-
-    async def _zone(self, q, zone, state):
-        zone = unquote(zone)
-        m = self._c.chain.control_state.configuration
-        zones = m["halls"] if m else ()
+        return configuration_answer(configuration["text"], is_confirmed)
+
+    def _version(
+        self, version: int, in_force: Document | None, is_confirmed: bool
+    ) -> Document | None:
+        """The configuration of a version: the one in force, or one whose record is still stored."""
+        if in_force and in_force["version"] == version:
+            return in_force
+        chain = self._node.chain
+        for seq, _view, record in reversed(chain.mem.recs):
+            is_committed = seq <= chain.commit
+            if record["t"] != "manifest" or (is_confirmed and not is_committed):
+                continue
+            if record["version"] == version:
+                found: Document = record
+                return found
+        return None
+
+    async def _evacuate(self, request: Request, zone: str) -> Document:
+        return await self._set_zone_state(request, unquote(zone), EVACUATED)
+
+    async def _restore(self, request: Request, zone: str) -> Document:
+        return await self._set_zone_state(request, unquote(zone), OPEN)
+
+    async def _set_zone_state(self, request: Request, zone: str, state: str) -> Document:
+        control_state = self._node.chain.control_state
+        configuration = control_state.configuration
+        zones = configuration["halls"] if configuration else ()
         if zone not in zones:
-            raise Invalid(
-                f"no hall {zone[:60]}", details={"faults": [["hall", f"no hall {zone[:60]}"]]}
-            )
-        if state == "emptied" and not any(
-            h != zone and self._c.chain.control_state.zone(h) == "open" for h in zones
-        ):
-            raise Invalid(
-                "last open hall", details={"faults": [["hall", "the last open hall can't be emptied"]]}
-            )
-        return await self._forced(await self._c.set_zone_state(zone, state, self._by(q)))
-
-    async def _evacuate(self, q, zone):
-        return await self._zone(q, zone, "emptied")
-
-    async def _restore(self, q, zone):
-        return await self._zone(q, zone, "open")
-
-    async def _elect(self, q, group):
-        """Elects a member without proof; only where the caller accepts that commits may be lost."""
-        member, leadership = q.query.get("member", ""), number(q.query, "office")
+            message = f"no hall {zone[:_ZONE_SHOWN]}"
+            raise declined(message, [ConfigurationFault("hall", message)])
+        others_open = any(other != zone and control_state.zone(other) == OPEN for other in zones)
+        if state == EVACUATED and not others_open:
+            fault = ConfigurationFault("hall", "the last open hall can't be emptied")
+            raise declined("last open hall", [fault])
+        return await self._in_force(await self._node.set_zone_state(zone, state, _caller(request)))
+
+    async def _elect(self, request: Request, group: str) -> Document:
+        """Elects a member without proof, where the caller accepts that commits may be lost."""
+        member = request.query.get("member", "")
+        leadership = query_number(request.query, "office")
         if not member or leadership is None:
             raise Malformed("member and office must be said")
-        if q.query.get("accept_loss") != "true":
-            raise Invalid(
-                "acknowledged commits may be lost",
-                details={"faults": [["accept_loss", "must be true"]]},
-            )
-        return await self._c.elect(unquote(group), member, leadership, self._by(q))
-
-    async def _reform(self, q):
-        d = q.doc()
-        lost = d.get("lost") if isinstance(d, dict) else None
-        if not isinstance(lost, list) or not all(isinstance(x, str) for x in lost):
-            raise Malformed("lost must be a list of names of cores")
-        return await self._c.reform(lost, self._by(q))
-
-    async def _status(self, q):
-        c = self._c
-        now = c.clock.now()
+        if request.query.get("accept_loss") != "true":
+            fault = ConfigurationFault("accept_loss", "must be true")
+            raise declined("acknowledged commits may be lost", [fault])
+        return await self._node.elect(unquote(group), member, leadership, _caller(request))
+
+    async def _reform(self, request: Request) -> Document:
+        return await self._node.reform(lost_nodes(request.doc()), _caller(request))
+
+    async def _status(self, _request: Request) -> Document:
+        now_us = self._node.clock.now()
+        heard = sorted(self._node.heard.items())
         return {
-            **c.status(),
+            **self._node.status(),
             "settings": self._settings(),
-            "heard_us": {n: now - at for n, (at, _) in sorted(c.heard.items())},
+            "heard_us": {name: now_us - heard_us for name, (heard_us, _count) in heard},
         }
 
-    async def _why(self, q):
-        g = q.query.get("group", "")
-        control_state = await self._c.control_state()
-        answer = why_of(
-            control_state, q.query, self._c.duty.why.get(g) if self._c.chain.head else None
-        )
-        return {**answer, "evidence": control_state["evidence"].get(g)}
+    async def _why(self, request: Request) -> Document:
+        group = request.query.get("group", "")
+        state = await self._node.control_state()
+        wait_reason = self._node.duty.why.get(group) if self._node.chain.head else None
+        answer = leadership_history(state, request.query, wait_reason)
+        return {**answer, "evidence": state["evidence"].get(group)}
 
-    async def _belief(self, q):
-        return self._c.belief()
+    async def _belief(self, _request: Request) -> Document:
+        return self._node.belief()
 
-    async def _ready(self, q):
-        if not self._c.ready:
-            raise NotReady("not ruling yet")
-        return {"ready": True}
+    async def _ready(self, _request: Request) -> Document:
+        return ready_answer(self._node.ready)
 
-    async def _control_state(self, q):
-        return await self._c.control_state()
+    async def _control_state(self, _request: Request) -> Document:
+        return await self._node.control_state()
 
-    async def _events(self, q):
-        n = number(q.query, "after", 0)
+    async def _events(self, request: Request) -> RawAnswer:
+        after = query_number(request.query, "after", 0) or 0
         if self._event_feed is None:
+            # loaded at need: few control nodes are asked for events
             from petrelhaven.control.interface.event_feed import EventFeed
 
-            self._event_feed = EventFeed(self._c.chain)
-        body = json.dumps(self._event_feed.since(n)).encode()
-        return 200, body, (("Content-Type", "application/cloudevents-batch+json"),)
-
-    async def _announce(self, q):
-        d = q.doc()
-        if not isinstance(d, dict):
-            raise Malformed("announcement must be an object")
-        if type(d.get("draining")) is not bool:
-            raise Malformed("announcement field draining must be bool")
-        if type(d.get("cap")) is not int or not 1 <= d["cap"] <= 10_000:
-            raise Malformed("announcement field cap must be from 1 to 10000")
-        await self._c.announce(
-            {
-                **{k: d.get(k) for k in ("member", "group", "hall", "addr", "role")},
-                "slots": d["cap"],
-                "state": "draining" if d["draining"] else "ready",
-                "count": d.get("beat", 0),
-            }
-        )
+            self._event_feed = EventFeed(self._node.chain)
+        body = json.dumps(self._event_feed.since(after)).encode()
+        return 200, body, (("Content-Type", EVENTS_CONTENT_TYPE),)
+
+    async def _announce(self, request: Request) -> Document:
+        await self._node.announce(_announcement(request.doc()))
         return {"ok": True}
+
+
+def _caller(request: Request) -> str:
+    """Who asks, as they say themselves."""
+    return request.query.get("by", "")[:_CALLER_SHOWN]
+
+
+def _announcement(document: Any) -> Document:  # noqa: ANN401
+    """A member's announcement in the fields of a control node, which checks the other ones."""
+    if not isinstance(document, dict):
+        raise Malformed("announcement must be an object")
+    if type(document.get("draining")) is not bool:
+        raise Malformed("announcement field draining must be bool")
+    connections = document.get("cap")
+    if type(connections) is not int or not 1 <= connections <= _MOST_CONNECTIONS:
+        raise Malformed("announcement field cap must be from 1 to 10000")
+    return {
+        **{key: document.get(key) for key in ("member", "group", "hall", "addr", "role")},
+        "slots": connections,
+        "state": "draining" if document["draining"] else "ready",
+        "count": document.get("beat", 0),
+    }
--- a/src/petrelhaven/control/interface/documents.py
+++ b/src/petrelhaven/control/interface/documents.py
@@ -1,41 +1,110 @@
-"""What cores and edges of the held path answer alike: the ledger, told as the product's own interface tells it."""
+"""What operators' interfaces of control nodes and proxies have in common: queries and answers."""
+
+from __future__ import annotations
 
 import re
+from collections.abc import Mapping, Sequence
+from typing import TYPE_CHECKING
+
+from petrelhaven.runtime.errors import Malformed, NoRoute, NotReady
+
+if TYPE_CHECKING:
+    from petrelhaven.control.interface.contracts import Document, RawAnswer
 
-from petrelhaven.runtime.errors import Malformed, NoRoute
+__all__ = [
+    "EVENTS_CONTENT_TYPE",
+    "confirmation_headers",
+    "configuration_answer",
+    "leadership_answer",
+    "leadership_history",
+    "lost_nodes",
+    "query_number",
+    "ready_answer",
+]
 
-__all__ = ["configuration_of", "number", "why_of"]
+EVENTS_CONTENT_TYPE = "application/cloudevents-batch+json"
 
 _NUMBER = re.compile(r"[0-9]{1,18}")
+_GROUP_SHOWN = 60
 
 
-def number(query, name, std=None):
-    """A whole number of the query, or `std` where it is not said."""
-    v = query.get(name)
-    if v is None:
-        return std
-    if not _NUMBER.fullmatch(v):
+def query_number(query: Mapping[str, str], name: str, default: int | None = None) -> int | None:
+    """A whole number of a query, or `default` where it is not given.
+
+    Raises:
+        Malformed: it is no whole number.
+    """
+    text = query.get(name)
+    if text is None:
+        return default
+    if not _NUMBER.fullmatch(text):
         raise Malformed(f"{name} must be a whole number")
-    return int(v)
-
-
-def why_of(doc, query, waiting=None):
-    """An office of a group, the one it replaced, and the numbers still kept."""
-    g, n = query.get("group", ""), number(query, "n")
-    if g not in doc["offices"]:
-        raise NoRoute(f"no office of {g[:60]}")
-    past = doc["past"].get(g) or [doc["offices"][g]]
-    i = len(past) - 1 if n is None else next((i for i, o in enumerate(past) if o["n"] == n), None)
-    if i is None:
-        raise NoRoute(f"office {n} of {g[:60]} is not kept")
+    return int(text)
+
+
+def leadership_history(
+    state: Document, query: Mapping[str, str], wait_reason: str | None = None
+) -> Document:
+    """A leadership of a group, the one before it, and which are still stored.
+
+    Args:
+        state: the control state's document.
+        query: `group`, and `n` for the number of a leadership other than the last one.
+        wait_reason: what the failover coordinator waits for in this group, if it does.
+
+    Raises:
+        NoRoute: there is no such group, or its leadership of that number is not stored any more.
+    """
+    group, number = query.get("group", ""), query_number(query, "n")
+    if group not in state["offices"]:
+        raise NoRoute(f"no office of {group[:_GROUP_SHOWN]}")
+    past = state["past"].get(group) or [state["offices"][group]]
+    if number is None:
+        return leadership_answer(past, len(past) - 1, wait_reason)
+    for index, leadership in enumerate(past):
+        if leadership["n"] == number:
+            return leadership_answer(past, index, wait_reason)
+    raise NoRoute(f"office {number} of {group[:_GROUP_SHOWN]} is not kept")
+
+
+def leadership_answer(past: Sequence[Document], index: int, wait_reason: str | None) -> Document:
+    """The answer that shows the leadership at `index` of the `past` ones of a group."""
     return {
-        "epoch": past[i],
-        "replaced": past[i - 1] if i else None,
-        "waiting": waiting,
-        "kept": [o["n"] for o in past],
+        "epoch": past[index],
+        "replaced": past[index - 1] if index else None,
+        "waiting": wait_reason,
+        "kept": [leadership["n"] for leadership in past],
     }
 
 
-def configuration_of(text, sure):
-    """The answer that hands a manifest back, byte for byte."""
-    return 200, text.encode(), (("Confirmed-By-Majority", "yes" if sure else "no"),)
+def configuration_answer(text: str, is_confirmed: bool) -> RawAnswer:
+    """The answer that hands a configuration back byte for byte."""
+    return 200, text.encode(), tuple(confirmation_headers(is_confirmed).items())
+
+
+def confirmation_headers(is_confirmed: bool) -> dict[str, str]:
+    """The header that says whether a majority of the control nodes confirms an answer."""
+    return {"Confirmed-By-Majority": "yes" if is_confirmed else "no"}
+
+
+def lost_nodes(document: object) -> list[str]:
+    """The names in an order to form the chain anew.
+
+    Raises:
+        Malformed: there are none.
+    """
+    lost = document.get("lost") if isinstance(document, dict) else None
+    if not isinstance(lost, list) or not all(isinstance(name, str) for name in lost):
+        raise Malformed("lost must be a list of names of cores")
+    return lost
+
+
+def ready_answer(is_ready: bool) -> Document:
+    """The answer of a control node that is ready.
+
+    Raises:
+        NotReady: it is not.
+    """
+    if not is_ready:
+        raise NotReady("not ruling yet")
+    return {"ready": True}
--- a/src/petrelhaven/proxy/proxy_interface.py
+++ b/src/petrelhaven/proxy/proxy_interface.py
@@ -1,6 +1,6 @@
 """The operators' face of a gate: what this edge believes and counts. Clients come in by the wire that they speak."""
 
-from petrelhaven.control.interface.documents import configuration_of, why_of
+from petrelhaven.control.interface.documents import configuration_answer, leadership_history
 from petrelhaven.runtime.errors import Malformed, NoRoute, NotReady
 
 __all__ = ["ProxyInterface"]
@@ -57,7 +57,7 @@
         return self._g.core_connection.control_state.doc
 
     async def _why(self, q):
-        return why_of(self._g.core_connection.control_state.doc, q.query)
+        return leadership_history(self._g.core_connection.control_state.doc, q.query)
 
     async def _show(self, q):
         if q.query.get("unconfirmed") != "true":
@@ -65,4 +65,4 @@
         m = self._g.core_connection.control_state.doc["manifest"]
         if m is None or q.query.get("version", str(m["version"])) != str(m["version"]):
             raise NoRoute("no such manifest")
-        return configuration_of(m["text"], False)
+        return configuration_answer(m["text"], False)
--- a/tests/test_control_interface.py
+++ b/tests/test_control_interface.py
@@ -25,7 +25,7 @@
 )
 from petrelhaven.control.configuration.document import Bounds, Group, Route
 from petrelhaven.control.interface.control_interface import ControlInterface
-from petrelhaven.control.interface.documents import why_of
+from petrelhaven.control.interface.documents import leadership_history
 from petrelhaven.control.node import ControlNode
 from petrelhaven.control.resumable.member_protocol import MemberWire
 from petrelhaven.control.state.control_state import ControlState
@@ -438,7 +438,7 @@
 def test_leaderships_from_before_the_past_was_kept_are_told():
     o = {"n": 3, "phase": "serve", "primary": "m1", "term": 2, "cause": "x", "by": "c1"}
     led = ControlState({"seq": 9, "offices": {"g": o}})
-    d = why_of(led.doc, {"group": "g"})
+    d = leadership_history(led.doc, {"group": "g"})
     assert d == {"epoch": o, "replaced": None, "waiting": None, "kept": [3]}
     out = []
     ctl._why(d, out.append)
