--- a/src/petrelhaven/control/resumable/control_state.py
+++ b/src/petrelhaven/control/resumable/control_state.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from petrelhaven.control.configuration.document import Configuration
+from petrelhaven.control.configuration.faults import ConfigurationFault, declined
 from petrelhaven.control.configuration.parsing import parse_configuration
 from petrelhaven.control.resumable.records import (
     EpochInForceRecord,
@@ -12,7 +13,7 @@
     ResumableRecord,
     from_document,
 )
-from petrelhaven.control.state.base import EVACUATED, OPEN, BaseControlState, declined, digest_of
+from petrelhaven.control.state.base import EVACUATED, OPEN, BaseControlState, digest_of
 from petrelhaven.control.state.record import Document
 from petrelhaven.control.state.records import ConfigurationRecord, ZoneRecord
 from petrelhaven.control.state.rows import AcceptedConfiguration
@@ -135,7 +136,10 @@
         if served:
             raise declined(
                 "manifest declined",
-                *(("groups", f"group {g} is served; retire it with retire=true") for g in served),
+                [
+                    ConfigurationFault("groups", f"group {g} is served; retire it with retire=true")
+                    for g in served
+                ],
             )
 
     def _apply_configuration(self, record: ConfigurationRecord) -> None:
@@ -155,11 +159,16 @@
     def _check_zone(self, record: ZoneRecord) -> None:
         zones = self.configuration.zones if self.configuration else ()
         if record.zone not in zones:
-            raise declined(f"no hall {record.zone}", ("hall", f"no hall {record.zone}"))
+            raise declined(
+                f"no hall {record.zone}", [ConfigurationFault("hall", f"no hall {record.zone}")]
+            )
         super()._check_zone(record)
         others = [zone for zone in zones if zone != record.zone and self.zone(zone) == OPEN]
         if record.state == EVACUATED and not others:
-            raise declined("last open hall", ("hall", "the last open hall can't be emptied"))
+            raise declined(
+                "last open hall",
+                [ConfigurationFault("hall", "the last open hall can't be emptied")],
+            )
 
     def _check_proxy(self, record: ProxyRecord) -> None:
         row = self.doc["edges"].get(record.name)
--- a/src/petrelhaven/control/state/base.py
+++ b/src/petrelhaven/control/state/base.py
@@ -12,11 +12,12 @@
 from collections.abc import Mapping
 from typing import Any, Generic, TypeVar
 
+from petrelhaven.control.configuration.faults import ConfigurationFault, declined
 from petrelhaven.control.state.record import Document
 from petrelhaven.control.state.records import ZoneRecord
-from petrelhaven.runtime.errors import Duplicate, Invalid
+from petrelhaven.runtime.errors import Duplicate
 
-__all__ = ["EVACUATED", "OPEN", "BaseControlState", "declined", "digest_of"]
+__all__ = ["EVACUATED", "OPEN", "BaseControlState", "digest_of"]
 
 OPEN = "open"
 EVACUATED = "emptied"
@@ -30,11 +31,6 @@
     return hashlib.sha256(text.encode()).hexdigest()
 
 
-def declined(note: str, *faults: tuple[str, str]) -> Invalid:
-    """The error for a record that is not valid: `faults` are pairs of a field and what is wrong."""
-    return Invalid(note, details={"faults": [list(fault) for fault in faults]})
-
-
 class BaseControlState(Generic[ConfigurationT, RecordT]):
     """Checks and applies numbered records.
 
@@ -111,7 +107,7 @@
 
     def _check_zone(self, record: ZoneRecord) -> None:
         if record.state not in (OPEN, EVACUATED):
-            raise declined("hall state", ("state", "must be open or emptied"))
+            raise declined("hall state", [ConfigurationFault("state", "must be open or emptied")])
         if self.zone(record.zone) == record.state:
             raise Duplicate(f"hall {record.zone} is {record.state} already")
 
--- a/src/petrelhaven/control/state/control_state.py
+++ b/src/petrelhaven/control/state/control_state.py
@@ -6,8 +6,9 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING, Any
 
+from petrelhaven.control.configuration.faults import ConfigurationFault, declined
 from petrelhaven.control.failover.evidence import NO_POSITION, ElectionOrder, Evidence
-from petrelhaven.control.state.base import BaseControlState, declined, digest_of
+from petrelhaven.control.state.base import BaseControlState, digest_of
 from petrelhaven.control.state.evidence_records import (
     BoundedRecord,
     CountedOutRecord,
@@ -124,7 +125,10 @@
             ):
                 self._check_evidence(record)
             case SupersededConfiguration():
-                raise declined("nothing enters a placeholder", ("t", "must be another kind"))
+                raise declined(
+                    "nothing enters a placeholder",
+                    [ConfigurationFault("t", "must be another kind")],
+                )
             case _:
                 self._check_embargo(record)
 
@@ -186,7 +190,10 @@
         if served:
             raise declined(
                 "manifest declined",
-                *(("groups", f"group {g} is served; retire it with retire=true") for g in served),
+                [
+                    ConfigurationFault("groups", f"group {g} is served; retire it with retire=true")
+                    for g in served
+                ],
             )
 
     def _accepted_digest(self, version: int) -> str | None:
@@ -300,12 +307,12 @@
         group, member = record.group[:_NAME_LENGTH], record.member
         if leadership.phase != MOVING:
             served = f"group {group} is served by {leadership.primary}"
-            raise declined("no election is waited for", ("group", served))
+            raise declined("no election is waited for", [ConfigurationFault("group", served)])
         if record.number != leadership.number:
             raise Conflict(f"office {leadership.number} of {group} waits, not {record.number}")
         if member not in self.group(record.group):
             missing = f"no member {member[:_NAME_LENGTH]} in group {group}"
-            raise declined("no such member", ("member", missing))
+            raise declined("no such member", [ConfigurationFault("member", missing)])
         order = self.evidence(record.group).order
         if order is not None and order.member == member:
             raise Duplicate(f"{order.by} ordered {member} already")
