--- a/src/petrelhaven/control/base_node.py
+++ b/src/petrelhaven/control/base_node.py
@@ -14,7 +14,7 @@
 from petrelhaven.control.leases import LeaseTable
 from petrelhaven.control.storage.core_store import CoreStore
 from petrelhaven.membership.prober import Prober
-from petrelhaven.membership.roster import Roster
+from petrelhaven.membership.roster import NodeIdentity, Roster
 from petrelhaven.runtime.errors import Duplicate, Fault, Invalid, Malformed, NotReady
 from petrelhaven.runtime.events import Events, emit
 from petrelhaven.runtime.limits import NAME
@@ -57,7 +57,8 @@
         self.name, self.zone, self.seeds = name, zone, seeds
         self.clock, self.tasks, self.link, self.rng, self.log = clock, tasks, link, rng, log
         self.mem = CoreStore(disk, name, rng, log, state=self.state_of)
-        self.roster = Roster(clock, (name, "core", zone, link.addr, 0), log, self.suspect_us)
+        identity = NodeIdentity(name, "core", zone, link.addr, 0)
+        self.roster = Roster(clock, identity, log, self.suspect_us)
         self.reach = Reach(clock, link, self.roster, rng)
         self.prober = Prober(clock, link, tasks, rng, self.roster, seeds, self.probe_us)
         self.chain = Chain(clock, tasks, self.mem, self.call, log, self.confirm_us, self.ask_us)
@@ -473,7 +474,7 @@
             "state": self.state,
             "commit": self.chain.commit,
             "view": self.chain.view,
-            "kith": {row[0]: row[5] for row in self.roster.full()},
+            "kith": {row[0]: row[5] for row in self.roster.all_rows()},
         }
 
     async def _belief(self, ch, b):
--- a/src/petrelhaven/control/node.py
+++ b/src/petrelhaven/control/node.py
@@ -80,11 +80,11 @@
         self.founds = founds and link.addr in seeds
         self.orders = OrderRouter(clock, self.chain, self.reach, name, self.roster.state)
         self.chain.sparing = True
-        self.roster.quiet = 12
+        self.roster.spread_limit = 12
         self.prober.join_us = 6_000_000
         self.chain.connected_proxies = lambda: len(self.connected_proxies)
         self._news = asyncio.Event()
-        self.roster.on_turn.append(self._peer_turned)
+        self.roster.on_change.append(self._peer_turned)
         self.chain.on_view.append(self._news.set)
         self.chain.on_view.append(lambda: tasks.spawn(self._ask_who_moved()))
         self.chain.on_commit.append(self._committed)
--- a/src/petrelhaven/membership/peer.py
+++ b/src/petrelhaven/membership/peer.py
@@ -4,7 +4,7 @@
 
 from transitions import Machine
 
-from petrelhaven.membership.news import ALIVE, GONE, SUSPECT, PeerNews
+from petrelhaven.membership.update import ALIVE, GONE, SUSPECT, PeerUpdate
 
 __all__ = ["Peer"]
 
@@ -12,11 +12,13 @@
 
 
 class Peer:
-    """A peer with an explicit state; `turn` is the one function that changes it.
+    """A peer with an explicit state; `apply` is the one function that changes it.
 
-    `since` is when its state last changed and `heard` when it last spoke to this node itself (clock
-    microseconds); `spread` counts how often this news was passed on; `departed` tells that it said
-    itself that it leaves.
+    Attributes:
+        changed_at: when its state last changed, in clock microseconds.
+        last_contact: when it last sent a message to this node itself, in clock microseconds.
+        spread: how often its present state was passed on.
+        departed: whether it reported itself that it leaves.
     """
 
     __slots__ = (
@@ -26,52 +28,48 @@
         "addr",
         "incarnation",
         "state",
-        "since",
+        "changed_at",
         "spread",
-        "heard",
+        "last_contact",
         "departed",
         "__dict__",
     )
     state: str
-    hear: Callable[[], bool]
+    revive: Callable[[], bool]
     _machine = Machine(
         model=None,
         states=[ALIVE, SUSPECT, GONE],
         initial=ALIVE,
         auto_transitions=False,
         transitions=[
-            {"trigger": "hear", "source": [ALIVE, SUSPECT, GONE], "dest": ALIVE},
-            {"trigger": "doubt", "source": [ALIVE, SUSPECT], "dest": SUSPECT},
-            {"trigger": "lose", "source": [ALIVE, SUSPECT, GONE], "dest": GONE},
+            {"trigger": "revive", "source": [ALIVE, SUSPECT, GONE], "dest": ALIVE},
+            {"trigger": "suspect", "source": [ALIVE, SUSPECT], "dest": SUSPECT},
+            {"trigger": "remove", "source": [ALIVE, SUSPECT, GONE], "dest": GONE},
         ],
     )
-    _TRIGGER = {ALIVE: "hear", SUSPECT: "doubt", GONE: "lose"}
+    _TRIGGER = {ALIVE: "revive", SUSPECT: "suspect", GONE: "remove"}
 
-    def __init__(self, news: PeerNews, now: int) -> None:
-        """Takes a peer that is first heard of, as alive."""
-        self.name = news.name
-        self.role = news.role
-        self.zone = news.zone
-        self.addr = news.address
-        self.incarnation = news.incarnation
-        self.since = now
+    def __init__(self, update: PeerUpdate, now: int) -> None:
+        """Adds a peer that `update` is the first to name, as alive; `now` in clock microseconds."""
+        self.name = update.name
+        self.role = update.role
+        self.zone = update.zone
+        self.addr = update.address
+        self.incarnation = update.incarnation
+        self.changed_at = now
         self.spread = 0
-        self.heard = _NEVER_US
+        self.last_contact = _NEVER_US
         self.departed = False
         self._machine.add_model(self)
 
-    def turn(self, state: str, incarnation: int, now: int) -> None:
-        """Moves to `state` at `incarnation`."""
+    def apply(self, state: str, incarnation: int, now: int) -> None:
+        """Changes to `state` at `incarnation`; `now` in clock microseconds."""
         if state == SUSPECT and self.state == GONE:
-            self.hear()
+            self.revive()
         getattr(self, self._TRIGGER[state])()
-        self.incarnation, self.since, self.spread = incarnation, now, 0
+        self.incarnation, self.changed_at, self.spread = incarnation, now, 0
         self.departed = self.departed and state == GONE
 
-    def news(self) -> PeerNews:
-        """What this node says of the peer."""
-        return PeerNews(self.name, self.role, self.zone, self.addr, self.incarnation, self.state)
-
-    def forget(self) -> None:
-        """Detaches the peer from its machine."""
-        self._machine.remove_model(self)
+    def update(self) -> PeerUpdate:
+        """What this node reports of the peer."""
+        return PeerUpdate(self.name, self.role, self.zone, self.addr, self.incarnation, self.state)
--- a/src/petrelhaven/membership/prober.py
+++ b/src/petrelhaven/membership/prober.py
@@ -1,4 +1,4 @@
-"""Probes in turn, second opinions through third parties, suspicion before removal."""
+"""Failure detection: probes in turn, second opinions of other nodes, suspicion before removal."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from collections.abc import Sequence
 from typing import TYPE_CHECKING, Any
 
-from petrelhaven.membership.news import ALIVE, GONE
+from petrelhaven.membership.update import ALIVE, GONE
 from petrelhaven.runtime.errors import Fault
 from petrelhaven.transport.message_kinds import MessageKind
 
@@ -28,14 +28,14 @@
 _FIRST_JOIN_PERIOD_US = 200_000
 _JOIN_ANSWER_US = 800_000
 _ALONE_US = 1_000_000
-_KNOCK_US = 100_000
+_SEED_PROBE_US = 100_000
 _GONE_PROBED_SHARE = 0.2
 _SECOND_OPINION_TIMES = 3
 _NOBODY_WAITS = 0
 
 
 class Prober:
-    """Keeps a roster true by probing one peer a period.
+    """Keeps a roster up to date by probing one peer a period.
 
     `join_us` is how often the seeds are asked for the whole roster once a peer is known.
     """
@@ -49,41 +49,41 @@
         roster: Roster,
         seeds: Sequence[str],
         period_us: int = _PERIOD_US,
-        wait_us: int = _ANSWER_US,
-        aides: int = _SECOND_OPINIONS,
+        answer_us: int = _ANSWER_US,
+        second_opinions: int = _SECOND_OPINIONS,
     ) -> None:
         """Answers others' probes from now on; `run` starts this node's own.
 
-        A peer has `wait_us` to answer; else `aides` others are asked to probe it.
+        A peer has `answer_us` to answer; else `second_opinions` others are asked to probe it.
         """
         self.clock, self.link, self.tasks, self.rng = clock, link, tasks, rng
         self.roster, self.seeds = roster, seeds
-        self.period_us, self.wait_us, self.aides = period_us, wait_us, aides
+        self.period_us, self.answer_us, self.second_opinions = period_us, answer_us, second_opinions
         self.join_us = _JOIN_PERIOD_US
         self._waiting: dict[int, asyncio.Future[None]] = {}
         self._round: list[str] = []
         self._nonce = _NOBODY_WAITS
-        link.on(MessageKind.PEER_PROBE, self._probed)
-        link.on(MessageKind.PEER_ACKNOWLEDGE, self._acked)
-        link.on(MessageKind.PEER_PROBE_FOR, self._asked)
-        link.on(MessageKind.PEER_JOIN, self._joined)
+        link.on(MessageKind.PEER_PROBE, self._on_probe)
+        link.on(MessageKind.PEER_ACKNOWLEDGE, self._on_acknowledge)
+        link.on(MessageKind.PEER_PROBE_FOR, self._on_probe_for)
+        link.on(MessageKind.PEER_JOIN, self._on_join)
 
     async def run(self) -> None:
         """Joins through the seeds, then probes for good."""
         self.tasks.spawn(self._join())
-        self.tasks.spawn(self._knock())
+        self.tasks.spawn(self._probe_seeds())
         while True:
             await self.clock.sleep(self.period_us)
-            self.roster.ripen()
+            self.roster.expire_suspicions()
             peer = self._next()
             if peer is not None:
                 self.tasks.spawn(self._check(peer))
 
-    def leave(self, most: int | None = None) -> None:
-        """Says to living peers, `most` of them, that this node is leaving."""
-        self.roster.left = True
+    def leave(self, limit: int | None = None) -> None:
+        """Notifies living peers, at limit `limit` of them, that this node is leaving."""
+        self.roster.leaving = True
         body = self._introduction()
-        for name in self.roster.living()[:most]:
+        for name in self.roster.living()[:limit]:
             address = self.roster.addr_of(name)
             if address is not None:
                 self.link.send_datagram(address, MessageKind.PEER_ACKNOWLEDGE, body)
@@ -93,7 +93,7 @@
             for address in self.seeds:
                 if address == self.link.addr:
                     continue
-                body = {"src": self.link.addr, "news": self.roster.full()}
+                body = {"src": self.link.addr, "news": self.roster.all_rows()}
                 with contextlib.suppress(Fault):
                     reply = await self.link.call(
                         address, MessageKind.PEER_JOIN, body, _JOIN_ANSWER_US
@@ -102,17 +102,17 @@
             pause_us = self.join_us if self.roster.peers else _FIRST_JOIN_PERIOD_US
             await self.clock.sleep(pause_us)
 
-    async def _knock(self) -> None:
+    async def _probe_seeds(self) -> None:
         """Until a peer is known, probes the seeds often, without connections that hang.
 
-        A node that starts inside a cut is known outside within a moment of the cut's end.
+        A node that starts inside a partition is known outside within a moment of its end.
         """
         await self.clock.sleep(_ALONE_US)
         while not self.roster.peers:
             for address in self.seeds:
                 if address != self.link.addr:
                     self.link.send_datagram(address, MessageKind.PEER_PROBE, self._introduction())
-            await self.clock.sleep(_KNOCK_US)
+            await self.clock.sleep(_SEED_PROBE_US)
 
     def _next(self) -> Peer | None:
         """The next peer of a shuffled round; of those gone, only some."""
@@ -141,22 +141,22 @@
                 self._ping(
                     other.addr, MessageKind.PEER_PROBE_FOR, {"to": peer.addr}, _SECOND_OPINION_TIMES
                 )
-                for other in others[: self.aides]
+                for other in others[: self.second_opinions]
             ]
         )
         if not any(reached):
             self.roster.suspect(peer.name)
 
     async def _ping(
-        self, address: str, kind: str, more: dict[str, Any] | None = None, times: int = 1
+        self, address: str, kind: str, fields: dict[str, Any] | None = None, times: int = 1
     ) -> bool:
         """Whether `address` acknowledges a message of `kind` in `times` the usual wait."""
         self._nonce += 1
         nonce = self._nonce
         answered = self._waiting[nonce] = asyncio.get_running_loop().create_future()
-        self.link.send_datagram(address, kind, {**self._body(nonce), **(more or {})})
+        self.link.send_datagram(address, kind, {**self._body(nonce), **(fields or {})})
         try:
-            await self.clock.limit(answered, self.wait_us * times)
+            await self.clock.limit(answered, self.answer_us * times)
         except Fault:
             return False
         else:
@@ -165,36 +165,36 @@
             self._waiting.pop(nonce, None)
 
     def _introduction(self) -> dict[str, Any]:
-        """News of this node alone, which nobody has to acknowledge."""
+        """An update about this node alone, which nobody has to acknowledge."""
         return {
             "nonce": _NOBODY_WAITS,
             "src": self.link.addr,
-            "news": [self.roster.me().to_wire()],
+            "news": [self.roster.own_update().to_wire()],
         }
 
     def _body(self, nonce: int) -> dict[str, Any]:
-        return {"nonce": nonce, "src": self.link.addr, "news": self.roster.news()}
+        return {"nonce": nonce, "src": self.link.addr, "news": self.roster.rows()}
 
     def _acknowledge(self, body: dict[str, Any]) -> None:
         answer = self._body(body["nonce"])
         self.link.send_datagram(body["src"], MessageKind.PEER_ACKNOWLEDGE, answer)
 
-    def _probed(self, body: dict[str, Any]) -> None:
-        self._spoke(body)
+    def _on_probe(self, body: dict[str, Any]) -> None:
+        self._merge_sender(body)
         self._acknowledge(body)
 
-    def _spoke(self, body: dict[str, Any]) -> None:
-        self.roster.heard(body["src"])
+    def _merge_sender(self, body: dict[str, Any]) -> None:
+        self.roster.record_contact(body["src"])
         self.roster.merge(body["news"], body["src"])
 
-    def _acked(self, body: dict[str, Any]) -> None:
-        self._spoke(body)
+    def _on_acknowledge(self, body: dict[str, Any]) -> None:
+        self._merge_sender(body)
         answered = self._waiting.get(body["nonce"])
         if answered is not None and not answered.done():
             answered.set_result(None)
 
-    def _asked(self, body: dict[str, Any]) -> None:
-        self._spoke(body)
+    def _on_probe_for(self, body: dict[str, Any]) -> None:
+        self._merge_sender(body)
         self.tasks.spawn(self._second_opinion(body))
 
     async def _second_opinion(self, body: dict[str, Any]) -> None:
@@ -202,6 +202,6 @@
         if await self._ping(body["to"], MessageKind.PEER_PROBE):
             self._acknowledge(body)
 
-    async def _joined(self, channel: Channel, body: dict[str, Any]) -> dict[str, Any]:
+    async def _on_join(self, channel: Channel, body: dict[str, Any]) -> dict[str, Any]:
         self.roster.merge(body["news"])
-        return {"news": self.roster.full()}
+        return {"news": self.roster.all_rows()}
--- a/src/petrelhaven/membership/roster.py
+++ b/src/petrelhaven/membership/roster.py
@@ -1,12 +1,12 @@
-"""The roster of peers that one node keeps, merged from news."""
+"""The roster of peers that one node keeps, merged from updates."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Sequence
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, NamedTuple
 
-from petrelhaven.membership.news import ALIVE, GONE, SUSPECT, PeerNews
 from petrelhaven.membership.peer import Peer
+from petrelhaven.membership.update import ALIVE, GONE, SUSPECT, PeerUpdate
 from petrelhaven.runtime.events import Events, emit
 
 if TYPE_CHECKING:
@@ -14,7 +14,7 @@
 
     from petrelhaven.runtime.clock import Clock
 
-__all__ = ["Roster"]
+__all__ = ["NodeIdentity", "Roster"]
 
 _EVENTS = {
     ALIVE: Events.PEER_RETURNED,
@@ -27,162 +27,181 @@
 WireRow = list[str | int]
 
 
-class Roster:
-    """Merges news; tells of changes through `on_turn(peer, old_state)`.
+class NodeIdentity(NamedTuple):
+    """Who and where a node is."""
+
+    name: str
+    role: str
+    zone: str
+    address: str
+    incarnation: int
+
 
-    `quiet`, unless 0, is how often news is passed on before it counts as well known. `left` tells
-    that this node is leaving.
+class Roster:
+    """What one node knows of its peers.
+
+    Attributes:
+        peers: every peer by its name.
+        on_change: called with a peer and its former state (None for a new one) at every change.
+        spread_limit: how often an update is passed on before it counts as well known; 0 for no
+            limit.
+        leaving: whether this node is leaving.
     """
 
     def __init__(
         self,
         clock: Clock,
-        me: tuple[str, str, str, str, int],
+        identity: NodeIdentity,
         log: logbook.Logger | None = None,
         suspect_us: int = _SUSPICION_US,
     ) -> None:
-        """Knows only this node, `me`: name, role, zone, link address, incarnation.
-
-        A peer that is suspected for `suspect_us` without denying it counts as gone.
+        """Knows only this node.
+
+        Args:
+            clock: measures how long peers are suspected.
+            identity: this node.
+            log: takes the events of peers that come and go.
+            suspect_us: after how many microseconds of suspicion, which the peer did not refute, it
+                counts as gone.
         """
         self.clock, self.log = clock, log
-        self.name, self.role, self.zone, self.addr, self.incarnation = me
+        self.name, self.role, self.zone, self.addr, self.incarnation = identity
         self.peers: dict[str, Peer] = {}
-        self.on_turn: list[Callable[[Peer, str | None], object]] = []
+        self.on_change: list[Callable[[Peer, str | None], object]] = []
         self.suspect_us = suspect_us
-        self.left = False
-        self.quiet = 0
-        self._told_of_me = 0
+        self.leaving = False
+        self.spread_limit = 0
+        self._own_spread = 0
 
-    def me(self) -> PeerNews:
-        """What this node says of itself."""
-        state = GONE if self.left else ALIVE
-        return PeerNews(self.name, self.role, self.zone, self.addr, self.incarnation, state)
+    def own_update(self) -> PeerUpdate:
+        """What this node reports of itself."""
+        state = GONE if self.leaving else ALIVE
+        return PeerUpdate(self.name, self.role, self.zone, self.addr, self.incarnation, state)
 
-    def heard(self, address: str) -> None:
-        """A peer spoke to this node itself."""
+    def record_contact(self, address: str) -> None:
+        """Notes that the peer at `address` sent a message to this node itself."""
         for peer in self.peers.values():
             if peer.addr == address:
-                peer.heard = self.clock.now()
+                peer.last_contact = self.clock.now()
 
     def merge(self, rows: Any, source: str | None = None) -> None:  # noqa: ANN401 (from the wire)
-        """Takes rows of news that the node at the address `source` sent.
+        """Merges rows of updates that the node at the address `source` sent.
 
-        That a peer is gone is only suspected while it speaks to this node itself.
+        A peer that others report as gone is only suspected while it sends to this node itself.
 
         Raises:
-            Malformed: a row is not news.
+            Malformed: a row is not an update.
         """
-        for news in PeerNews.read_all(rows):
-            if news.name == self.name:
-                self._merge_me(news)
+        for update in PeerUpdate.parse_rows(rows):
+            if update.name == self.name:
+                self._refute(update)
                 continue
-            peer = self.peers.get(news.name)
+            peer = self.peers.get(update.name)
             if peer is None:
-                self._add(news)
-            elif news.supersedes(peer.state, peer.incarnation):
-                self._update(peer, news, source)
+                self._add(update)
+            elif update.supersedes(peer.state, peer.incarnation):
+                self._update(peer, update, source)
 
-    def _merge_me(self, news: PeerNews) -> None:
-        """Denies that this node is suspect or gone, and passes what a former run of it said."""
-        if self.left:
+    def _refute(self, update: PeerUpdate) -> None:
+        """Refutes that this node is suspect or gone; exceeds the incarnation of a former run."""
+        if self.leaving:
             return
-        denied = news.state != ALIVE and news.incarnation >= self.incarnation
+        denied = update.state != ALIVE and update.incarnation >= self.incarnation
         if denied:
-            self._told_of_me = 0
-        if denied or news.incarnation > self.incarnation:
-            self.incarnation = news.incarnation + 1
-
-    def _add(self, news: PeerNews) -> None:
-        peer = self.peers[news.name] = Peer(news, self.clock.now())
-        if news.state != ALIVE:
-            self._turn(peer, news.state, news.incarnation)
+            self._own_spread = 0
+        if denied or update.incarnation > self.incarnation:
+            self.incarnation = update.incarnation + 1
+
+    def _add(self, update: PeerUpdate) -> None:
+        peer = self.peers[update.name] = Peer(update, self.clock.now())
+        if update.state != ALIVE:
+            self._change_state(peer, update.state, update.incarnation)
             return
-        emit(self.log, Events.PEER_JOINED, peer=news.name, incarnation=news.incarnation)
-        for tell in self.on_turn:
-            tell(peer, None)
+        emit(self.log, Events.PEER_JOINED, peer=update.name, incarnation=update.incarnation)
+        for notify in self.on_change:
+            notify(peer, None)
 
-    def _update(self, peer: Peer, news: PeerNews, source: str | None) -> None:
-        if news.state == GONE and self._is_hearsay(peer, news, source):
+    def _update(self, peer: Peer, update: PeerUpdate, source: str | None) -> None:
+        if update.state == GONE and self._is_hearsay(peer, update, source):
             if peer.state == ALIVE:
-                self._turn(peer, SUSPECT, news.incarnation)
+                self._change_state(peer, SUSPECT, update.incarnation)
             return
-        peer.role, peer.zone, peer.addr = news.role, news.zone, news.address
-        self._turn(peer, news.state, news.incarnation)
-        peer.departed = news.state == GONE and news.address == source
+        peer.role, peer.zone, peer.addr = update.role, update.zone, update.address
+        self._change_state(peer, update.state, update.incarnation)
+        peer.departed = update.state == GONE and update.address == source
 
     def gone_for(self, name: str) -> int | None:
         """Microseconds since peer `name` counts as gone; None if it does not, or is not known."""
         peer = self.peers.get(name)
         if peer is None or peer.state != GONE:
             return None
-        return self.clock.now() - peer.since
+        return self.clock.now() - peer.changed_at
 
     def departed(self, name: str) -> bool:
-        """Whether peer `name` said to this node itself that it leaves, and has not come back."""
+        """Whether peer `name` told this node itself that it leaves, and has not come back."""
         peer = self.peers.get(name)
         return peer is not None and peer.departed
 
-    def _is_hearsay(self, peer: Peer, news: PeerNews, source: str | None) -> bool:
-        """Whether others say what the peer's own words to this node contradict."""
-        if news.address == source or news.incarnation != peer.incarnation:
+    def _is_hearsay(self, peer: Peer, update: PeerUpdate, source: str | None) -> bool:
+        """Whether a report of others contradicts the peer's own messages to this node."""
+        if update.address == source or update.incarnation != peer.incarnation:
             return False
-        return self.clock.now() - peer.heard < self.suspect_us
+        return self.clock.now() - peer.last_contact < self.suspect_us
 
-    def _turn(self, peer: Peer, state: str, incarnation: int) -> None:
+    def _change_state(self, peer: Peer, state: str, incarnation: int) -> None:
         old = peer.state
-        peer.turn(state, incarnation, self.clock.now())
+        peer.apply(state, incarnation, self.clock.now())
         if old == state:
             return
         emit(self.log, _EVENTS[state], peer=peer.name, incarnation=incarnation)
-        for tell in self.on_turn:
-            tell(peer, old)
+        for notify in self.on_change:
+            notify(peer, old)
 
     def suspect(self, name: str) -> None:
         """Suspects a peer that did not answer."""
         peer = self.peers.get(name)
         if peer is not None and peer.state == ALIVE:
-            self._turn(peer, SUSPECT, peer.incarnation)
+            self._change_state(peer, SUSPECT, peer.incarnation)
 
-    def ripen(self) -> None:
-        """Turns suspicion that nobody denied into gone."""
+    def expire_suspicions(self) -> None:
+        """Counts peers as gone whose suspicion nobody refuted in time."""
         now = self.clock.now()
         for peer in list(self.peers.values()):
-            if peer.state == SUSPECT and now - peer.since >= self.suspect_us:
-                self._turn(peer, GONE, peer.incarnation)
+            if peer.state == SUSPECT and now - peer.changed_at >= self.suspect_us:
+                self._change_state(peer, GONE, peer.incarnation)
 
-    def news(self, most: int = _ROWS_A_PROBE) -> list[WireRow]:
-        """Rows for a probe: this node first, then the least spread.
+    def rows(self, most: int = _ROWS_A_PROBE) -> list[WireRow]:
+        """At most `most` rows for a probe: this node first, then the least spread.
 
-        With `quiet`, only what is not well known yet.
+        With `spread_limit`, only what is not well known yet.
         """
-        if self.quiet:
-            return self._quiet_news(most)
+        if self.spread_limit:
+            return self._little_known_rows(most)
         peers = sorted(self.peers.values(), key=lambda peer: (peer.spread, peer.name))
-        return [self.me().to_wire(), *self._pass_on(peers[:most])]
+        return [self.own_update().to_wire(), *self._pass_on(peers[:most])]
 
-    def _quiet_news(self, most: int) -> list[WireRow]:
-        self._told_of_me += 1
+    def _little_known_rows(self, most: int) -> list[WireRow]:
+        self._own_spread += 1
         peers = [
             peer
             for _, peer in sorted(self.peers.items())
-            if peer.spread < self.quiet or peer.state == SUSPECT
+            if peer.spread < self.spread_limit or peer.state == SUSPECT
         ]
         rows = self._pass_on(peers[:most])
-        if self._told_of_me < self.quiet or self.left:
-            rows.insert(0, self.me().to_wire())
+        if self._own_spread < self.spread_limit or self.leaving:
+            rows.insert(0, self.own_update().to_wire())
         return rows
 
     @staticmethod
     def _pass_on(peers: Sequence[Peer]) -> list[WireRow]:
         for peer in peers:
             peer.spread += 1
-        return [peer.news().to_wire() for peer in peers]
+        return [peer.update().to_wire() for peer in peers]
 
-    def full(self) -> list[WireRow]:
+    def all_rows(self) -> list[WireRow]:
         """Every row."""
         peers = [peer for _, peer in sorted(self.peers.items())]
-        return [self.me().to_wire(), *(peer.news().to_wire() for peer in peers)]
+        return [self.own_update().to_wire(), *(peer.update().to_wire() for peer in peers)]
 
     def living(self, role: str | None = None) -> list[str]:
         """Names of peers not gone, by role."""
@@ -193,7 +212,7 @@
         ]
 
     def state(self, name: str) -> str | None:
-        """Alive, suspect, gone, or None for a stranger."""
+        """ALIVE, SUSPECT or GONE; None for a node that is not known."""
         if name == self.name:
             return ALIVE
         peer = self.peers.get(name)
--- a/src/petrelhaven/membership/news.py
+++ b/src/petrelhaven/membership/update.py
@@ -1,22 +1,31 @@
-"""News about peers: one row a peer, as it travels on every probe."""
+"""Updates about peers: one row a peer, as it travels on every probe."""
 
 from dataclasses import dataclass
 from typing import Any
 
 from petrelhaven.runtime.errors import Malformed
 
-__all__ = ["ALIVE", "GONE", "SUSPECT", "PeerNews"]
+__all__ = ["ALIVE", "GONE", "SUSPECT", "PeerUpdate"]
 
 ALIVE, SUSPECT, GONE = "alive", "suspect", "gone"
 
-_GRAVITY = {ALIVE: 0, SUSPECT: 1, GONE: 2}
+_SEVERITY = {ALIVE: 0, SUSPECT: 1, GONE: 2}
 _TEXT_FIELDS = 4
 _FIELDS = 6
 
 
 @dataclass(frozen=True, slots=True)
-class PeerNews:
-    """What a node says of a peer: who and where it is, at which incarnation, in which state."""
+class PeerUpdate:
+    """What a node reports of a peer.
+
+    Attributes:
+        name: the peer's name.
+        role: what kind of node it is.
+        zone: the zone that it stands in.
+        address: host and port of its link.
+        incarnation: which of its runs the report is of; the peer raises it to refute a report.
+        state: ALIVE, SUSPECT or GONE.
+    """
 
     name: str
     role: str
@@ -26,18 +35,18 @@
     state: str
 
     def supersedes(self, state: str, incarnation: int) -> bool:
-        """Whether this is newer: a higher incarnation wins, then the graver state."""
+        """Whether this is newer: a higher incarnation wins, then the more severe state."""
         if self.incarnation != incarnation:
             return self.incarnation > incarnation
-        return _GRAVITY[self.state] > _GRAVITY[state]
+        return _SEVERITY[self.state] > _SEVERITY[state]
 
     def to_wire(self) -> list[str | int]:
-        """The row that is sent."""
+        """The row that is sent: its fields in their order."""
         return [self.name, self.role, self.zone, self.address, self.incarnation, self.state]
 
     @classmethod
-    def read_all(cls, rows: Any) -> "list[PeerNews]":  # noqa: ANN401 (unchecked, from the wire)
-        """The news in rows as they came in.
+    def parse_rows(cls, rows: Any) -> "list[PeerUpdate]":  # noqa: ANN401 (unchecked, from the wire)
+        """The updates in rows as they came in.
 
         Raises:
             Malformed: a row is not a list of name, role, zone, address, incarnation and state.
@@ -57,4 +66,4 @@
     incarnation, state = row[_TEXT_FIELDS:]
     if type(incarnation) is not int or incarnation < 0:
         return False
-    return isinstance(state, str) and state in _GRAVITY
+    return isinstance(state, str) and state in _SEVERITY
--- a/src/petrelhaven/proxy/resumable/node.py
+++ b/src/petrelhaven/proxy/resumable/node.py
@@ -7,7 +7,7 @@
 
 from petrelhaven.control.configuration.document import Bounds
 from petrelhaven.membership.prober import Prober
-from petrelhaven.membership.roster import Roster
+from petrelhaven.membership.roster import NodeIdentity, Roster
 from petrelhaven.proxy.reads.read_clock import Order
 from petrelhaven.proxy.resumable.control_client import Control
 from petrelhaven.proxy.resumable.delivery import Delivery
@@ -52,7 +52,8 @@
             log,
         )
         self.http, self.vary = http, vary
-        self.roster = Roster(clock, (name, "edge", zone, link.addr, 0), log)
+        identity = NodeIdentity(name, "edge", zone, link.addr, 0)
+        self.roster = Roster(clock, identity, log)
         self.reach = Reach(clock, link, self.roster, rng)
         self.prober = Prober(clock, link, tasks, rng, self.roster, seeds)
         self.control = Control(
@@ -252,7 +253,7 @@
             "state": self.state,
             "commit": r.seq,
             "view": None,
-            "kith": {row[0]: row[5] for row in self.roster.full()},
+            "kith": {row[0]: row[5] for row in self.roster.all_rows()},
         }
 
     async def _belief(self, ch, b):
--- a/src/petrelhaven/simulator/measure.py
+++ b/src/petrelhaven/simulator/measure.py
@@ -257,12 +257,13 @@
 
 async def _detect(w, us, loss):
     from petrelhaven.membership.prober import Prober
-    from petrelhaven.membership.roster import Roster
+    from petrelhaven.membership.roster import NodeIdentity, Roster
 
     machines = [SimulatedMachine(w.net, f"n{i}", w.z["halls"][i % 3]) for i in range(9)]
     for i, b in enumerate(machines):
         b.boot()
-        b.node = Roster(b.clock, (b.name, "edge", b.zone, b.link.addr, 1), b.log, suspect_us=us)
+        identity = NodeIdentity(b.name, "edge", b.zone, b.link.addr, 1)
+        b.node = Roster(b.clock, identity, b.log, suspect_us=us)
         b.tasks.spawn(
             Prober(
                 b.clock, b.link, b.tasks, random.Random(i), b.node, [f"sim:n{j}" for j in range(3)]
--- a/src/petrelhaven/transport/reach.py
+++ b/src/petrelhaven/transport/reach.py
@@ -4,8 +4,8 @@
 from collections.abc import Mapping
 from typing import Any, cast
 
-from petrelhaven.membership.news import ALIVE
 from petrelhaven.membership.roster import Roster
+from petrelhaven.membership.update import ALIVE
 from petrelhaven.runtime.clock import Clock
 from petrelhaven.runtime.errors import DeadlineExceeded, NotRelayed, NotSent, Unreachable
 from petrelhaven.transport.channel import Channel
--- a/tests/test_peer_news.py
+++ b/tests/test_peer_news.py
@@ -2,14 +2,14 @@
 
 import pytest
 
-from petrelhaven.membership.news import PeerNews
+from petrelhaven.membership.update import PeerUpdate
 from petrelhaven.runtime.errors import Malformed
 
 ROW = ["e1", "edge", "north", "10.0.0.1:7000", 3, "alive"]
 
 
 def test_a_row_read_and_written_again_is_the_same():
-    assert [news.to_wire() for news in PeerNews.read_all([ROW])] == [ROW]
+    assert [news.to_wire() for news in PeerUpdate.parse_rows([ROW])] == [ROW]
 
 
 @pytest.mark.parametrize(
@@ -34,7 +34,7 @@
 )
 def test_rows_that_are_no_news_are_declined(rows):
     with pytest.raises(Malformed):
-        PeerNews.read_all(rows)
+        PeerUpdate.parse_rows(rows)
 
 
 @pytest.mark.parametrize(
@@ -48,5 +48,5 @@
     ],
 )
 def test_a_higher_incarnation_wins_then_the_graver_state(state, incarnation, newer):
-    news = PeerNews("e1", "edge", "north", "10.0.0.1:7000", incarnation, state)
+    news = PeerUpdate("e1", "edge", "north", "10.0.0.1:7000", incarnation, state)
     assert news.supersedes("alive", 3) == newer
