--- a/src/petrelhaven/simulator/hollow_nodes.py
+++ b/src/petrelhaven/simulator/hollow_nodes.py
@@ -49,10 +49,10 @@
         c._send = sent
         return c
 
-    def tell(self, addr, kind, body):
+    def send_datagram(self, addr, kind, body):
         self._count.n += 1
-        self._count.size += len(linking.pack(kind, linking.TELL, 0, body))
-        super().tell(addr, kind, body)
+        self._count.size += len(linking.pack(kind, linking.DATAGRAM, 0, body))
+        super().send_datagram(addr, kind, body)
 
 
 def _configuration(version, routes):
@@ -126,7 +126,7 @@
             )
             held.append(t)
             t.start()
-        await _until(lambda: all(t.holds for t in held))
+        await _until(lambda: all(t.holds_lease for t in held))
         await asyncio.sleep(2)
         a = (
             time.process_time(),
