--- a/src/petrelhaven/commands/control.py
+++ b/src/petrelhaven/commands/control.py
@@ -28,7 +28,7 @@
     s = d.set
     node = ControlNode(
         s.name,
-        s.hall,
+        s.zone,
         d.seeds,
         d.clock,
         d.tasks,
@@ -50,7 +50,7 @@
         return _make_held(d)
     core = BaseControlNode(
         s.name,
-        s.hall,
+        s.zone,
         d.seeds,
         d.clock,
         d.tasks,
--- a/src/petrelhaven/commands/proxy.py
+++ b/src/petrelhaven/commands/proxy.py
@@ -16,7 +16,7 @@
     settings = daemon.set
     edge = ResumableProxy(
         settings.name,
-        settings.hall,
+        settings.zone,
         daemon.seeds,
         daemon.clock,
         daemon.tasks,
--- a/src/petrelhaven/runtime/daemon.py
+++ b/src/petrelhaven/runtime/daemon.py
@@ -11,7 +11,7 @@
 
 from petrelhaven.runtime.clock import Clock
 from petrelhaven.runtime.errors import WrongNode
-from petrelhaven.runtime.events import Events, emit, logger, turn_level
+from petrelhaven.runtime.events import Events, emit, logger, set_level
 from petrelhaven.runtime.file_watch import Watch
 from petrelhaven.runtime.settings import SettingsFault, load, seeds_from_stdin
 from petrelhaven.runtime.tasks import BackgroundTasks
@@ -156,7 +156,7 @@
     def _apply(self, field: str, value: Any) -> None:  # noqa: ANN401 (each field has its type)
         """Applies a setting that changed while the node runs."""
         if field == "level":
-            turn_level(self.log, value)
+            set_level(self.log, value)
         elif field == "seeds" and value != "-":
             self.seeds[:] = value
         elif field == "platform":
--- a/src/petrelhaven/runtime/events.py
+++ b/src/petrelhaven/runtime/events.py
@@ -11,7 +11,7 @@
 
 import logbook
 
-__all__ = ["EVENTS", "Event", "Events", "emit", "logger", "turn_level"]
+__all__ = ["EVENTS", "Event", "Events", "emit", "logger", "set_level"]
 
 _INFO, _WARNING, _ERROR = "info", "warning", "error"
 
@@ -297,7 +297,7 @@
     return logbook.Logger(name, logbook.lookup_level(level.upper()))
 
 
-def turn_level(log: logbook.Logger, level: str) -> None:
+def set_level(log: logbook.Logger, level: str) -> None:
     """Sets the least level of a running log."""
     log.level = logbook.lookup_level(level.upper())
 
--- a/src/petrelhaven/runtime/file_watch.py
+++ b/src/petrelhaven/runtime/file_watch.py
@@ -1,4 +1,7 @@
-"""Watches a settings file: a change is checked whole and taken live as far as it can be."""
+"""Watches a settings file and applies its changes to the running program, as far as it can.
+
+A changed file is checked as a whole first; with anything wrong in it, the running settings stay.
+"""
 
 from __future__ import annotations
 
@@ -21,34 +24,41 @@
 
 
 class Watch:
-    """Looks at the file again and again.
+    """Reads the settings file periodically and applies what changed.
 
-    Running settings are replaced only by settings that are right as a whole. `waiting` names fields
-    whose change waits for a restart, `declined` what is wrong with the newest file.
+    Attributes:
+        waiting: the fields whose change waits for a restart.
+        declined: what is wrong with the newest file.
     """
 
     def __init__(  # noqa: PLR0913, PLR0917 (whoever runs it gives each)
         self,
         clock: Clock,
-        again: Callable[[], Settings],
-        now: Settings,
-        turn: Callable[[str, Any], object],
+        load: Callable[[], Settings],
+        running: Settings,
+        apply: Callable[[str, Any], object],
         log: logbook.Logger | None = None,
-        gap_us: int = _PERIOD_US,
+        period_us: int = _PERIOD_US,
     ) -> None:
-        """Follows the file of the running settings `now`.
-
-        `again` loads the settings anew, and `turn(field, value)` is told of each that changed live.
+        """Follows the file of the settings `running`.
+
+        Args:
+            clock: waits between two reads.
+            load: loads the settings anew; raises a group of SettingsFault if any is wrong.
+            running: the settings that the program runs with; they are changed in place.
+            apply: called with a field and its value for each field that changed live.
+            log: takes the events of changes.
+            period_us: how long to wait between two reads, in microseconds.
         """
-        self.clock, self.log, self.gap_us = clock, log, gap_us
-        self.path = now.file or ""
-        self._again, self._now, self._turn = again, now, turn
-        self._mark = self._read()
+        self.clock, self.log, self.period_us = clock, log, period_us
+        self.path = running.file or ""
+        self._load, self._running, self._apply = load, running, apply
+        self._digest = self._read()
         self.waiting: list[str] = []
         self.declined: list[str] = []
 
     def _read(self) -> str:
-        """What tells one content of the file from another."""
+        """A digest of the file's content, or why it can't be read."""
         try:
             with open(self.path, "rb") as file:
                 return hashlib.sha256(file.read()).hexdigest()
@@ -56,24 +66,24 @@
             return f"unreadable: {fault.strerror}"
 
     async def run(self) -> None:
-        """Looks for good."""
+        """Watches until it is cancelled."""
         while True:
-            await self.clock.sleep(self.gap_us)
-            mark = self._read()
-            if mark != self._mark:
-                self._mark = mark
-                self._take()
+            await self.clock.sleep(self.period_us)
+            digest = self._read()
+            if digest != self._digest:
+                self._digest = digest
+                self._reload()
 
-    def _take(self) -> None:
+    def _reload(self) -> None:
         self.declined = []
         try:
-            new = self._again()
+            new = self._load()
         except* SettingsFault as faults:
             self.declined = [str(fault) for fault in faults.exceptions]
         if self.declined:
             emit(self.log, Events.SETTINGS_CHANGE_DECLINED, note="; ".join(self.declined))
             return
-        running = self._now
+        running = self._running
         changed = [
             field for field in _FIELDS if getattr(new, field, None) != getattr(running, field, None)
         ]
@@ -83,7 +93,7 @@
         for field in live:
             value = getattr(new, field)
             setattr(running, field, value)
-            self._turn(field, value)
+            self._apply(field, value)
         self.waiting = [field for field in changed if field not in LIVE]
         if self.waiting:
             emit(self.log, Events.SETTINGS_WAIT_FOR_RESTART, fields=",".join(self.waiting))
--- a/src/petrelhaven/runtime/limits.py
+++ b/src/petrelhaven/runtime/limits.py
@@ -1,4 +1,4 @@
-"""Descriptors for checked fields."""
+"""Descriptors for fields whose values are checked when they are set."""
 
 from __future__ import annotations
 
@@ -11,7 +11,10 @@
 
 
 class _Checked:
-    """A field whose values are checked when they are set; kept under `_` and its name."""
+    """A field whose values are checked when they are set, and stored under `_` and its name.
+
+    Setting a wrong value raises ValueError.
+    """
 
     __slots__ = ("_name", "_attribute")
 
@@ -35,32 +38,32 @@
 class IntegerRange(_Checked):
     """A whole number within bounds."""
 
-    __slots__ = ("lo", "hi", "std")
+    __slots__ = ("lowest", "highest")
 
-    def __init__(self, lo: int, hi: int, std: int | None = None) -> None:
-        """Takes numbers from `lo` to `hi`; `std` is the default."""
-        self.lo, self.hi, self.std = lo, hi, std
+    def __init__(self, lowest: int, highest: int) -> None:
+        """Takes numbers from `lowest` to `highest`, both included."""
+        self.lowest, self.highest = lowest, highest
 
     def fault(self, value: object) -> str | None:
         """What is wrong with `value`, or None."""
         if type(value) is not int:
             return "must be a whole number"
-        if not self.lo <= value <= self.hi:
-            return f"must be from {self.lo} to {self.hi}"
+        if not self.lowest <= value <= self.highest:
+            return f"must be from {self.lowest} to {self.highest}"
         return None
 
 
 class TextPattern(_Checked):
-    """A word that matches a pattern."""
+    """A text that matches a pattern."""
 
-    __slots__ = ("rx", "what", "std")
+    __slots__ = ("pattern", "description")
 
-    def __init__(self, rx: re.Pattern[str], what: str, std: str | None = None) -> None:
-        """Takes words that `rx` matches whole, which `what` describes; `std` is the default."""
-        self.rx, self.what, self.std = rx, what, std
+    def __init__(self, pattern: re.Pattern[str], description: str) -> None:
+        """Takes texts that `pattern` matches as a whole; faults call them `description`."""
+        self.pattern, self.description = pattern, description
 
     def fault(self, value: object) -> str | None:
         """What is wrong with `value`, or None."""
-        if not isinstance(value, str) or not self.rx.fullmatch(value):
-            return f"must be {self.what}"
+        if not isinstance(value, str) or not self.pattern.fullmatch(value):
+            return f"must be {self.description}"
         return None
--- a/src/petrelhaven/runtime/settings.py
+++ b/src/petrelhaven/runtime/settings.py
@@ -1,6 +1,6 @@
 """Checked settings of a daemon, from a file and from flags, which override it.
 
-Wrong ones stop the program before it listens.
+Wrong settings stop the program before it listens.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 __all__ = ["LIVE", "Settings", "SettingsFault", "load"]
 
 _ADDRESS = re.compile(r"(\d{1,3}\.){3}\d{1,3}:\d{1,5}")
-_PORT_MOST = 65535
-_BYTE_MOST = 255
-_SEEDS_MOST = 7
+_HIGHEST_PORT = 65535
+_HIGHEST_BYTE = 255
+_MAX_SEEDS = 7
 _FROM_STDIN = "-"
 _SEEDS_FAULT = "seeds: must be a list of different addresses, three as a rule"
 
@@ -29,7 +29,21 @@
 
 
 class Settings:
-    """A daemon's place: its addresses, its hall, three seed addresses."""
+    """The settings of one daemon; each field is checked when it is set.
+
+    Attributes:
+        name: the node's name.
+        hall: the zone that it stands in, as the setting is called.
+        link: the address for the system's own processes.
+        http: the address for clients, members and operators.
+        seeds: the seed addresses.
+        data: the data folder of a control node.
+        platform: the address of the platform, of a control node.
+        level: the least level of log events.
+        path: the kind of sessions that a control node rules: held or kept.
+        file: the settings file that they came from, if any.
+        check: whether only to check the settings.
+    """
 
     __slots__ = (
         "_name",
@@ -46,6 +60,7 @@
     )
     file: str | None
     check: bool
+    _hall: str
     _seeds: list[str] | str
     name = TextPattern(NAME, "a name of lower-case letters, digits and hyphens")
     hall = TextPattern(NAME, "a name of lower-case letters, digits and hyphens")
@@ -56,6 +71,11 @@
     data = TextPattern(re.compile(r"[^\0]+"), "a folder")
     path = TextPattern(re.compile("held|kept"), "held or kept")
 
+    @property
+    def zone(self) -> str:
+        """The zone that the node stands in: the setting `hall`."""
+        return self._hall
+
     @property
     def seeds(self) -> list[str] | str:
         """The three seed addresses, or `-` to read them from standard input once listening."""
@@ -66,71 +86,73 @@
         if value in (_FROM_STDIN, [_FROM_STDIN]):
             self._seeds = _FROM_STDIN
             return
-        if not isinstance(value, list) or not 1 <= len(value) <= _SEEDS_MOST:
+        if not isinstance(value, list) or not 1 <= len(value) <= _MAX_SEEDS:
             raise ValueError(_SEEDS_FAULT)
         if len(set(map(str, value))) != len(value):
             raise ValueError(_SEEDS_FAULT)
-        for i, seed in enumerate(value):
+        for index, seed in enumerate(value):
             if not isinstance(seed, str) or not _ADDRESS.fullmatch(seed):
-                raise ValueError(f"seeds[{i}]: must be an address like 127.0.0.1:7000")
+                raise ValueError(f"seeds[{index}]: must be an address like 127.0.0.1:7000")
         self._seeds = value
 
 
 LIVE = ("level", "platform", "seeds")
 _DEFAULTS = {"link": "127.0.0.1:0", "http": "127.0.0.1:0", "level": "info"}
-_NEEDED = ("name", "hall", "link", "http", "seeds", "level")
-_NEEDED_OF_CORE = ("data", "platform", "path")
+_REQUIRED = ("name", "hall", "link", "http", "seeds", "level")
+_REQUIRED_OF_CORE = ("data", "platform", "path")
 _ADDRESSES = ("link", "http", "platform")
 
 
 def parser(prog: str, doc: str, core: bool) -> argparse.ArgumentParser:
-    """The flags of a daemon."""
-    p = argparse.ArgumentParser(
+    """The flags of a daemon; `core` adds those of a control node."""
+    flags = argparse.ArgumentParser(
         prog=prog,
         description=doc,
         epilog="Exit codes: 0 left in order, 2 settings declined, "
         "3 the data folder belongs to another node.",
     )
-    p.add_argument(
+    flags.add_argument(
         "--settings",
         metavar="FILE",
         help="settings file (TOML); flags override it; "
         "changes of level, platform and seeds are taken live",
     )
-    p.add_argument(
+    flags.add_argument(
         "--check",
         action="store_true",
         help="check the settings and the data folder, change nothing, start nothing",
     )
-    p.add_argument("--name", help="this node's name")
-    p.add_argument("--hall", help="the hall it stands in")
-    p.add_argument(
+    flags.add_argument("--name", help="this node's name")
+    flags.add_argument("--hall", help="the zone (hall) it stands in")
+    flags.add_argument(
         "--link",
         metavar="IP:PORT",
         help="address for the system's own processes (port 0 picks one)",
     )
-    p.add_argument("--http", metavar="IP:PORT", help="address for visitors, members and operators")
-    p.add_argument(
+    flags.add_argument(
+        "--http", metavar="IP:PORT", help="address for clients, members and operators"
+    )
+    flags.add_argument(
         "--seeds",
         metavar="IP:PORT,...",
         help="three seed addresses, the same on every node; "
         "- reads them from standard input once listening",
     )
-    p.add_argument("--level", help="least level of log events (info)")
+    flags.add_argument("--level", help="least level of log events (info)")
     if core:
-        p.add_argument("--data", metavar="DIR", help="data folder")
-        p.add_argument("--platform", metavar="IP:PORT", help="address of the platform")
-        p.add_argument(
+        flags.add_argument("--data", metavar="DIR", help="data folder")
+        flags.add_argument("--platform", metavar="IP:PORT", help="address of the platform")
+        flags.add_argument(
             "--path",
             metavar="held|kept",
             help="held: sessions live with their connection; "
-            "kept: edges keep them for each other (kept)",
+            "kept: proxies keep them for each other (kept)",
         )
-    return p
+    return flags
 
 
 def load(prog: str, doc: str, core: bool, argv: Sequence[str] | None = None) -> Settings:
-    """The checked settings of a program, from its file and its flags.
+    """The checked settings of the program `prog`, from its file and its flags.
 
     Raises:
         ExceptionGroup: of one SettingsFault for each field that is wrong.
@@ -147,9 +169,9 @@
         values.setdefault("path", "kept")
     settings = Settings()
     settings.file, settings.check = file, check
-    needed = [*_NEEDED, *(_NEEDED_OF_CORE if core else ())]
-    faults = [f"{name}: unknown field" for name in values if name not in needed]
-    for name in needed:
+    required = [*_REQUIRED, *(_REQUIRED_OF_CORE if core else ())]
+    faults = [f"{name}: unknown field" for name in values if name not in required]
+    for name in required:
         if name not in values:
             faults.append(f"{name}: missing")
             continue
@@ -172,12 +194,12 @@
 
 
 def _set(settings: Settings, name: str, value: Any) -> None:  # noqa: ANN401 (checked here)
-    """Sets a field; ValueError if its value is wrong."""
+    """Sets a field; raises ValueError if its value is wrong."""
     setattr(settings, name, value)
     if name not in _ADDRESSES:
         return
     host, port = value.rsplit(":", 1)
-    if int(port) > _PORT_MOST or any(int(part) > _BYTE_MOST for part in host.split(".")):
+    if int(port) > _HIGHEST_PORT or any(int(part) > _HIGHEST_BYTE for part in host.split(".")):
         raise ValueError(f"{name}: no such address")
 
 
--- a/src/petrelhaven/transport/channel.py
+++ b/src/petrelhaven/transport/channel.py
@@ -1,4 +1,4 @@
-"""One held connection between two processes.
+"""One connection between two processes.
 
 Calls are numbered; an answer is matched by its connection, its number and its kind.
 """
@@ -29,7 +29,7 @@
 
 Handler = Callable[..., Any]
 
-_GIVEN_UP_MOST = 256
+_MAX_GIVEN_UP = 256
 _BAD_BODY = (TypeError, LookupError, ValueError, AttributeError)
 
 
@@ -53,7 +53,7 @@
 def _answered_fault(kind: str, doc: Mapping[str, Any]) -> Fault:
     """The fault that the other side answered with.
 
-    That nothing was sent is only a relay's to say.
+    Only a relay can report that nothing was sent; from any other node, the call has arrived.
     """
     fault = rebuild(doc)
     relayed = kind == MessageKind.RELAY and isinstance(fault, NotRelayed)
@@ -64,11 +64,11 @@
 
 
 class Channel:
-    """One held connection. Either side may call; `gone` is done once it is lost.
+    """One connection, over which either side may call.
 
-    `send` writes one message, `close` ends the connection after what was written, `reset` ends it
-    at once, with what the other machine has not received yet, and `broken` tells whether the other
-    side has reset it.
+    Attributes:
+        gone: done once the connection is lost.
+        unanswered: how many calls in a row had no answer, as far as the caller counts them.
     """
 
     def __init__(
@@ -79,7 +79,15 @@
         reset: Callable[[], None] | None = None,
         broken: Callable[[], bool] = lambda: False,
     ) -> None:
-        """A new connection of `link`, whose node serves what the other side calls."""
+        """A new connection.
+
+        Args:
+            link: the node that serves what the other side calls.
+            send: writes one message.
+            close: ends the connection after what was written.
+            reset: ends it at once, with what the other machine has not received yet.
+            broken: whether the other side has reset it.
+        """
         self._link = link
         self._send = send
         self._close = close
@@ -93,12 +101,21 @@
         self.unanswered = 0
 
     async def call(self, kind: str, body: Mapping[str, Any], us: int) -> dict[str, Any]:
-        """Asks the other side and returns its result.
+        """Calls the other side and returns its result.
+
+        A call that may not be repeated and is given up here is taken back from the wire, as far as
+        the other machine has not received it: the connection is reset.
+
+        Args:
+            kind: one of `MessageKind`.
+            body: the fields of the request.
+            us: how long the answer may take, in microseconds.
 
-        Unsent if nothing left; Late or Unreached if the outcome is not known; any fault that is
-        `answered` was said by the other side. A call that may not be repeated and is given up here
-        is taken back from the wire, as far as the other machine has not received it: the connection
-        is reset.
+        Raises:
+            NotSent: nothing has left.
+            DeadlineExceeded: no answer came in time; what was asked may still happen.
+            Unreachable: the connection was lost; the outcome is unknown.
+            Fault: what the other side answered with; its `answered` is set.
         """
         if self.gone.done():
             raise NotSent(kind)
@@ -118,7 +135,7 @@
     def _give_up(self, number: int, kind: str, repeat: Repeat) -> None:
         """Nobody waits for call `number` any more; an answer that comes must be of its kind."""
         self._given_up[number] = kind
-        if len(self._given_up) > _GIVEN_UP_MOST:
+        if len(self._given_up) > _MAX_GIVEN_UP:
             del self._given_up[next(iter(self._given_up))]
         if repeat is Repeat.NEVER:
             self._take_back(number)
@@ -130,7 +147,13 @@
             self.lose()
 
     def feed(self, raw: bytes) -> None:
-        """Takes one message that arrived; Malformed for one that this connection can't bring."""
+        """Takes one message that arrived.
+
+        Raises:
+            Malformed: it is not a message that can arrive here.
+            VersionMismatch: it is of another version.
+            UnknownKind: its kind is not known.
+        """
         message = unpack(raw)
         if message.flow == CALL:
             if message.number <= self._last_heard:
