--- a/src/petrelhaven/control/resumable/plan.py
+++ b/src/petrelhaven/control/resumable/plan.py
@@ -1,269 +1,330 @@
-"""From the manifest and the members' announcements to the plan of the next epoch. Pure: no clock, no links."""
-
-__all__ = ["GroupObservation", "after", "step"]
-
-
-class GroupObservation:
-    """All that a plan may look at for one group."""
-
-    __slots__ = (
-        "group",
-        "bounds",
-        "epoch",
-        "last",
-        "members",
-        "edges",
-        "zones",
-        "forced",
-        "marks",
-        "waited",
-        "target",
-    )
+"""From the configuration and the members' announcements to the next epoch of a group.
 
-    def __init__(
-        self, group, bounds, epoch, last, members, edges, zones, forced, marks, waited, target=None
-    ):
-        self.group, self.bounds, self.epoch, self.last = group, bounds, epoch, last
-        self.members, self.edges, self.zones = members, edges, zones
-        self.forced, self.marks, self.waited, self.target = forced, marks, waited, target
-
-    def live(self, n):
-        """Heard lately."""
-        m = self.members.get(n)
-        return bool(m) and m["age"] < self.bounds.lost_us
-
-    def leaving(self, n):
-        """Draining or in an emptied hall."""
-        m = self.members[n]
-        return m["draining"] or self.zones.get(m["hall"], "open") != "open"
-
-    def sound(self, n):
-        """A replica that may hold commits: live, staying, its log moving."""
-        m = self.members.get(n)
-        return self.live(n) and not self.leaving(n) and not m["stalled"] and m["role"] == "replica"
-
-
-def _shares(s):
-    out = {e: {} for e in s.edges}
-    if not s.edges:
-        return out
-    for n, m in sorted(s.members.items()):
-        cap = min(s.group.cap, m["cap"])
-        q, r = divmod(cap, len(s.edges))
-        for i, e in enumerate(sorted(s.edges)):
-            out[e][n] = q + (i < r)
-    return out
-
-
-def _row(s, names):
-    return {
-        n: {
-            k: s.members[n][k]
-            for k in ("role", "log", "hall", "draining", "stalled", "age", "boot")
-            if k in s.members[n]
-        }
-        | {"seen_by": s.members[n].get("by", [])}
-        for n in sorted(names)
-        if n in s.members
-    }
+Pure functions: no clock, no links. `next_step` decides what the group needs now; `epoch_after`
+plans the epoch that follows a promotion.
+"""
 
+from __future__ import annotations
 
-def _sync(s, hold, safe):
-    """(safe, open): writes are acknowledged only while enough of those waited for are safe to elect.
+from collections.abc import Iterable, Sequence
+from dataclasses import replace
+from typing import TYPE_CHECKING
 
-    While they are not, nothing new is acknowledged, so whoever was safe stays so.
-    """
-    stores = s.epoch["stores"] if s.epoch else {}
-    kept = [
-        n
-        for n in safe
-        if n in hold and s.members[n]["store"] == stores.get(n, s.members[n]["store"])
-    ]
-    if len(kept) >= s.group.least:
-        return kept, True
-    return list(safe), False
+from petrelhaven.control.resumable.group_observation import (
+    HALTED,
+    SERVING,
+    EnterEpoch,
+    Promote,
+    Step,
+    Wait,
+)
+from petrelhaven.control.resumable.records import EpochRecord
 
+if TYPE_CHECKING:
+    from petrelhaven.control.resumable.group_observation import GroupObservation
 
-def _epoch(s, phase, primary, hold, safe, cause, grace=0):
-    gates = sorted(n for n in s.members if n != primary and s.sound(n) and s.members[n]["warm"])
-    old = s.epoch or {}
-    was = old.get("stores", {})
-    stores = {
-        **was,
-        **{n: s.members[n]["store"] for n in hold if phase == "serve"},
-        **({} if old else {primary: s.members[primary]["store"]}),
-    }
-    safe = [n for n in safe if stores.get(n) == was.get(n)]
-    hold = sorted(hold)
-    opens = bool(old.get("open"))
-    if phase == "serve":
-        safe, opens = _sync(s, hold, safe)
-    return {
-        "t": "epoch",
-        "group": s.group.name,
-        "n": s.last + 1,
-        "phase": phase,
-        "primary": primary,
-        "hold": hold,
-        "safe": sorted(safe),
-        "gates": gates,
-        "open": opens,
-        "shares": _shares(s) if phase == "serve" else old.get("shares", {}),
-        "stores": stores,
-        "grace": grace,
-        "term": s.members[primary]["term"] if s.epoch is None else old["term"],
-        "where": {
-            n: {"addr": m["addr"], "hall": m["hall"], "boot": m["boot"]}
-            for n, m in sorted(s.members.items())
-        },
-        "cause": cause,
-        "evidence": _row(s, s.members),
-        "was": old.get("primary"),
-    }
+__all__ = ["epoch_after", "next_step"]
 
+_ANNOUNCING_US = 1_500_000
+_NO_LONGER_PRIMARY_US = 1_000_000
+_NO_CANDIDATE_WAIT_US = 3_000_000
+_CATCH_UP_WAIT_US = 2_500_000
 
-def _hold(s, primary):
-    return [
-        n
-        for n in sorted(s.members)
-        if n != primary
-        and s.sound(n)
-        and (s.epoch is None or n in s.epoch["hold"] or s.members[n]["near"])
+
+def next_step(observed: GroupObservation) -> Step:
+    """What the group needs now."""
+    epoch = observed.epoch
+    if epoch is None:
+        return _begin(observed)
+    if epoch.phase == SERVING:
+        return _while_serving(observed, epoch)
+    return _while_halted(observed, epoch)
+
+
+def epoch_after(observed: GroupObservation, epoch: EpochRecord, promoted: str) -> EpochRecord:
+    """The epoch that follows the promotion of a member under `epoch`."""
+    awaited = [
+        name
+        for name in sorted(observed.members)
+        if name != promoted
+        and observed.is_sound(name)
+        and (name in epoch.awaited or name in epoch.electable)
     ]
+    electable = [name for name in epoch.electable if name != promoted]
+    cause = f"elected after: {epoch.cause}"
+    planned = _serving_epoch(observed, promoted, awaited, electable, cause)
+    return replace(planned, term=epoch.number)
 
 
-def _first(s):
-    ps = [
-        n
-        for n, m in sorted(s.members.items())
-        if s.live(n) and m["role"] == "primary" and not s.leaving(n)
+def _begin(observed: GroupObservation) -> Step:
+    """The first epoch of a group, or the first after it was dropped."""
+    primaries = [
+        name
+        for name, member in sorted(observed.members.items())
+        if observed.is_live(name) and member.is_primary and not observed.is_leaving(name)
     ]
-    if not ps:
-        return "wait", "no primary has announced itself"
-    if not s.edges:
-        return "wait", "no edge has joined"
-    if len([n for n in s.members if s.live(n)]) < s.group.members and s.waited < 1_500_000:
-        return "wait", "members are still announcing themselves"
-    p = max(ps, key=lambda n: (s.members[n]["term"], s.members[n]["log"]))
-    return "epoch", _epoch(s, "serve", p, _hold(s, p), [], "first plan")
-
-
-def _serve(s):
-    e = s.epoch
-    p = e["primary"]
-    m = s.members.get(p)
-    if not s.live(p):
-        return "epoch", _epoch(s, "halt", p, e["hold"], e["safe"], "primary lost")
-    if m["store"] != e["stores"].get(p):
-        return "epoch", _epoch(
-            s, "halt", p, e["hold"], e["safe"], "primary came back with another store"
-        )
-    if m["role"] != "primary" and m.get("odd", 0) > 1_000_000:
-        return "epoch", _epoch(s, "halt", p, e["hold"], e["safe"], "primary is no longer one")
-    if s.leaving(p) and (_candidates(s) or s.waited > 3_000_000):
-        why = "primary draining" if m["draining"] else "hall emptied"
-        return "epoch", _epoch(s, "halt", p, e["hold"], e["safe"], why, grace=s.bounds.grace_us)
-    hold = _hold(s, p)
-    lost = [n for n in e["hold"] if n not in hold or s.members[n]["store"] != e["stores"].get(n)]
-    hold = [n for n in hold if n not in lost]
-    safe = e["safe"]
+    if not primaries:
+        return Wait("no primary has announced itself")
+    if not observed.proxies:
+        return Wait("no edge has joined")
+    live = [name for name in observed.members if observed.is_live(name)]
+    if len(live) < observed.group.members and observed.waited_us < _ANNOUNCING_US:
+        return Wait("members are still announcing themselves")
+    members = observed.members
+    primary = max(primaries, key=lambda name: (members[name].term, members[name].log))
+    awaited = _replicas_to_await(observed, primary)
+    return EnterEpoch(_serving_epoch(observed, primary, awaited, [], "first plan"))
+
+
+def _while_serving(observed: GroupObservation, epoch: EpochRecord) -> Step:
+    halt = _reason_to_halt(observed, epoch)
+    if halt is not None:
+        return EnterEpoch(halt)
+    primary = _primary_of(epoch)
+    replicas = _replicas_to_await(observed, primary)
+    lost = [
+        name
+        for name in epoch.awaited
+        if name not in replicas or not observed.has_planned_store(name, epoch)
+    ]
+    awaited = [name for name in replicas if name not in lost]
+
+    def serving(electable: Iterable[str], cause: str) -> EnterEpoch:
+        return EnterEpoch(_serving_epoch(observed, primary, awaited, electable, cause))
+
     if lost:
-        return "epoch", _epoch(s, "serve", p, hold, safe, "replica out: " + ",".join(lost))
-    if not (s.forced and e["settled"]):
-        return "wait", "the epoch is not in force everywhere yet"
-    if set(hold) - set(e["hold"]):
-        return "epoch", _epoch(
-            s, "serve", p, hold, safe, "replica in: " + ",".join(sorted(set(hold) - set(e["hold"])))
-        )
-    more = [
-        n
-        for n in e["hold"]
-        if n not in e["safe"]
-        and s.members[n]["term"] == e["term"]
-        and s.members[n]["log"] >= s.marks.get("catch", 1 << 62)
+        return serving(epoch.electable, "replica out: " + ",".join(lost))
+    if not (observed.is_in_force and observed.is_settled):
+        return Wait("the epoch is not in force everywhere yet")
+    added = sorted(set(awaited) - set(epoch.awaited))
+    if added:
+        return serving(epoch.electable, "replica in: " + ",".join(added))
+    caught_up = _caught_up(observed, epoch)
+    if caught_up:
+        electable = [*epoch.electable, *caught_up]
+        return serving(electable, "replica caught up: " + ",".join(caught_up))
+    planned = _serving_epoch(observed, primary, awaited, epoch.electable, "")
+    cause = _cause_of_change(planned, epoch)
+    return EnterEpoch(replace(planned, cause=cause)) if cause else Wait("serving")
+
+
+def _reason_to_halt(observed: GroupObservation, epoch: EpochRecord) -> EpochRecord | None:
+    """The epoch that stops writes, if the primary is lost or about to leave."""
+    primary = _primary_of(epoch)
+    if not observed.is_live(primary):
+        return _halted_epoch(observed, epoch, "primary lost")
+    member = observed.members[primary]
+    if not observed.has_planned_store(primary, epoch):
+        return _halted_epoch(observed, epoch, "primary came back with another store")
+    if not member.is_primary and member.not_primary_us > _NO_LONGER_PRIMARY_US:
+        return _halted_epoch(observed, epoch, "primary is no longer one")
+    may_leave = _candidates(observed) or observed.waited_us > _NO_CANDIDATE_WAIT_US
+    if observed.is_leaving(primary) and may_leave:
+        cause = "primary draining" if member.draining else "hall emptied"
+        return _halted_epoch(observed, epoch, cause, observed.bounds.grace_us)
+    return None
+
+
+def _caught_up(observed: GroupObservation, epoch: EpochRecord) -> list[str]:
+    """Replicas that hold every acknowledged commit by now, and may be elected from now on."""
+    if observed.caught_up_at is None:
+        return []
+    return [
+        name
+        for name in epoch.awaited
+        if name not in epoch.electable
+        and observed.members[name].term == epoch.term
+        and observed.members[name].log >= observed.caught_up_at
     ]
-    if more:
-        return "epoch", _epoch(
-            s, "serve", p, hold, safe + more, "replica caught up: " + ",".join(more)
-        )
-    new = _epoch(s, "serve", p, hold, safe, "")
-    if new["gates"] != e["gates"]:
-        return "epoch", {**new, "cause": "read gates changed"}
-    if new["open"] != e["open"]:
-        return "epoch", {**new, "cause": "in-sync least changed"}
-    if new["shares"] != e["shares"]:
-        return "epoch", {**new, "cause": "edges or caps changed"}
-    if any(new["where"][n] != e["where"].get(n) for n in new["where"]):
-        return "epoch", {**new, "cause": "a member restarted or moved"}
-    return "wait", "serving"
-
-
-def _candidates(s):
-    e = s.epoch
+
+
+def _cause_of_change(planned: EpochRecord, epoch: EpochRecord) -> str:
+    """What differs between the epoch in force and the one planned now, or ""."""
+    if planned.readers != epoch.readers:
+        return "read gates changed"
+    if planned.open != epoch.open:
+        return "in-sync least changed"
+    if planned.shares != epoch.shares:
+        return "edges or caps changed"
+    if any(place != epoch.places.get(name) for name, place in planned.places.items()):
+        return "a member restarted or moved"
+    return ""
+
+
+def _while_halted(observed: GroupObservation, epoch: EpochRecord) -> Step:
+    if not observed.is_in_force:
+        return Wait("writes to the old primary are being stopped")
+    old = _primary_of(epoch)
+    candidates = _candidates(observed)
+    is_back = observed.is_live(old) and observed.has_planned_store(old, epoch)
+    target = observed.target
+    if target and target != old and target not in candidates:
+        return EnterEpoch(_halted_epoch(observed, epoch, f"candidate {target} lost"))
+    if candidates:
+        candidate = target or _highest(observed, candidates)
+        if is_back and _must_catch_up(observed, candidate, old):
+            return Wait(f"{candidate} catches up with {old}")
+        return Promote(candidate)
+    if is_back and not observed.is_leaving(old):
+        return Promote(old)
+    electable = ",".join(epoch.electable or ["(no in-sync replica)"])
+    return Wait(f"no safe candidate: none of {electable} is alive and staying")
+
+
+def _must_catch_up(observed: GroupObservation, candidate: str, old: str) -> bool:
+    """Whether the candidate lacks a part of the log of an old primary that still is one."""
+    primary = observed.members[old]
+    is_behind = observed.members[candidate].log < primary.log
+    return primary.is_primary and is_behind and observed.waited_us < _CATCH_UP_WAIT_US
+
+
+def _highest(observed: GroupObservation, names: Iterable[str]) -> str:
+    """The member with the newest log, among equals one that isn't stalled."""
+
+    def rank(name: str) -> tuple[int, int, bool, str]:
+        member = observed.members[name]
+        return (member.term, member.log, not member.is_stalled, name)
+
+    return max(names, key=rank)
+
+
+def _candidates(observed: GroupObservation) -> list[str]:
+    """Replicas that hold every acknowledged commit, live and staying."""
+    epoch = observed.epoch
+    if epoch is None:
+        return []
     return [
-        n
-        for n in e["safe"]
-        if n != e["primary"]
-        and s.live(n)
-        and not s.leaving(n)
-        and s.members[n]["store"] == e["stores"].get(n)
+        name
+        for name in epoch.electable
+        if name != epoch.primary
+        and observed.is_live(name)
+        and not observed.is_leaving(name)
+        and observed.has_planned_store(name, epoch)
     ]
 
 
-def _halt(s):
-    e = s.epoch
-    p = e["primary"]
-    if not s.forced:
-        return "wait", "writes to the old primary are being stopped"
-    cs = _candidates(s)
-    back = s.live(p) and s.members[p]["store"] == e["stores"].get(p)
-    if s.target and s.target != p and s.target not in cs:
-        return "epoch", _epoch(s, "halt", p, e["hold"], e["safe"], f"candidate {s.target} lost")
-    if cs:
-        c = s.target or max(
-            cs,
-            key=lambda n: (
-                s.members[n]["term"],
-                s.members[n]["log"],
-                not s.members[n]["stalled"],
-                n,
-            ),
-        )
-        if (
-            back
-            and s.members[p]["role"] == "primary"
-            and s.members[c]["log"] < s.members[p]["log"]
-            and s.waited < 2_500_000
-        ):
-            return "wait", f"{c} catches up with {p}"
-        return "promote", c
-    if back and not s.leaving(p):
-        return "promote", p
-    return (
-        "wait",
-        "no safe candidate: none of "
-        + ",".join(e["safe"] or ["(no in-sync replica)"])
-        + " is alive and staying",
+def _replicas_to_await(observed: GroupObservation, primary: str) -> list[str]:
+    """Replicas whose acknowledgement commits may wait for; a new one must be near first."""
+    epoch = observed.epoch
+    return [
+        name
+        for name, member in sorted(observed.members.items())
+        if name != primary
+        and observed.is_sound(name)
+        and (epoch is None or name in epoch.awaited or member.is_near)
+    ]
+
+
+def _primary_of(epoch: EpochRecord) -> str:
+    if epoch.primary is None:
+        raise ValueError(f"epoch {epoch.number} of {epoch.group} has no primary")
+    return epoch.primary
+
+
+def _serving_epoch(
+    observed: GroupObservation,
+    primary: str,
+    awaited: Iterable[str],
+    electable: Iterable[str],
+    cause: str,
+) -> EpochRecord:
+    """The next epoch, under which `primary` serves."""
+    waited_for = tuple(sorted(awaited))
+    stores = _planned_stores(observed, primary, waited_for)
+    before = observed.epoch.stores if observed.epoch else {}
+    same_store = [name for name in electable if stores.get(name) == before.get(name)]
+    in_sync, is_open = _in_sync(observed, waited_for, same_store)
+    return replace(
+        _epoch(observed, SERVING, primary, cause),
+        awaited=waited_for,
+        electable=tuple(sorted(in_sync)),
+        open=is_open,
+        shares=_shares(observed),
+        stores=stores,
     )
 
 
-def after(s, target):
-    """The epoch that follows a promotion."""
-    e = s.epoch
-    hold = [
-        n
-        for n in sorted(s.members)
-        if n != target and s.sound(n) and (n in e["hold"] or n in e["safe"])
+def _halted_epoch(
+    observed: GroupObservation, epoch: EpochRecord, cause: str, grace_us: int = 0
+) -> EpochRecord:
+    """The next epoch, under which nobody takes writes; all else stays as it is."""
+    return replace(
+        _epoch(observed, HALTED, _primary_of(epoch), cause),
+        awaited=tuple(sorted(epoch.awaited)),
+        electable=tuple(sorted(epoch.electable)),
+        open=epoch.open,
+        shares=epoch.shares,
+        stores=epoch.stores,
+        grace_us=grace_us,
+    )
+
+
+def _epoch(observed: GroupObservation, phase: str, primary: str, cause: str) -> EpochRecord:
+    """What the epochs of both phases have in common."""
+    old, members = observed.epoch, observed.members
+    readers = [
+        name
+        for name, member in sorted(members.items())
+        if name != primary and observed.is_sound(name) and member.warm
     ]
-    safe = [n for n in e["safe"] if n != target]
-    return {
-        **_epoch(s, "serve", target, hold, safe, f"elected after: {e['cause']}"),
-        "term": e["n"],
+    places = {
+        name: {"addr": member.address, "hall": member.zone, "boot": member.boot}
+        for name, member in sorted(members.items())
     }
+    return EpochRecord(
+        group=observed.group.name,
+        number=observed.last_number + 1,
+        phase=phase,
+        primary=primary,
+        readers=tuple(readers),
+        term=members[primary].term if old is None else old.term,
+        places=places,
+        cause=cause,
+        evidence={name: member.to_evidence() for name, member in sorted(members.items())},
+        previous=old.primary if old else None,
+    )
+
+
+def _planned_stores(
+    observed: GroupObservation, primary: str, awaited: Iterable[str]
+) -> dict[str, str]:
+    """The store that each member is planned with: those waited for count with what they have."""
+    members = observed.members
+    present = {name: members[name].store for name in awaited}
+    if observed.epoch is None:
+        return {**present, primary: members[primary].store}
+    return {**observed.epoch.stores, **present}
+
+
+def _in_sync(
+    observed: GroupObservation, awaited: Sequence[str], electable: Sequence[str]
+) -> tuple[list[str], bool]:
+    """Who may be elected, and whether writes are acknowledged.
+
+    They are only while enough of the replicas waited for may be elected. While they are not,
+    nothing new is acknowledged, so whoever could be elected still can.
+    """
+    stores = observed.epoch.stores if observed.epoch else {}
+    members = observed.members
+    kept = [
+        name
+        for name in electable
+        if name in awaited and members[name].store == stores.get(name, members[name].store)
+    ]
+    if len(kept) >= observed.group.least:
+        return kept, True
+    return list(electable), False
 
 
-def step(s):
-    """The next step for the group: epoch, promote or wait, each with what it needs."""
-    if s.epoch is None:
-        return _first(s)
-    return _serve(s) if s.epoch["phase"] == "serve" else _halt(s)
+def _shares(observed: GroupObservation) -> dict[str, dict[str, int]]:
+    """Splits each member's connections among the proxies; the first ones get what is left over."""
+    proxies = sorted(observed.proxies)
+    shares: dict[str, dict[str, int]] = {proxy: {} for proxy in observed.proxies}
+    if not proxies:
+        return shares
+    for name, member in sorted(observed.members.items()):
+        capacity = min(observed.group.cap, member.capacity)
+        share, left_over = divmod(capacity, len(proxies))
+        for index, proxy in enumerate(proxies):
+            shares[proxy][name] = share + (index < left_over)
+    return shares
--- a/src/petrelhaven/control/resumable/planning_duty.py
+++ b/src/petrelhaven/control/resumable/planning_duty.py
@@ -1,385 +1,349 @@
 """The planning duty: done by the head alone, fenced by the epoch's number and the view."""
 
-import asyncio
+from __future__ import annotations
 
-from petrelhaven.control.leases import LAPSE_US, LEASE_US
-from petrelhaven.control.resumable.plan import GroupObservation, after, step
-from petrelhaven.runtime.errors import DeadlineExceeded, Fault, Malformed
+from collections.abc import Mapping
+from dataclasses import replace
+from typing import TYPE_CHECKING, Any
+
+from petrelhaven.control.resumable.announcements import (
+    AnnouncementTable,
+    HeardAnnouncement,
+    MemberObservation,
+    NodeReport,
+)
+from petrelhaven.control.resumable.duty_tasks import DutyTasks
+from petrelhaven.control.resumable.epoch_progress import EpochKey, EpochProgress
+from petrelhaven.control.resumable.group_observation import (
+    HALTED,
+    SERVING,
+    EnterEpoch,
+    GroupObservation,
+    Promote,
+    Step,
+    Wait,
+)
+from petrelhaven.control.resumable.log_tracker import LogTracker
+from petrelhaven.control.resumable.plan import epoch_after, next_step
+from petrelhaven.control.resumable.promotion import PromotionRequester
+from petrelhaven.control.resumable.proxy_watch import ProxyWatch
+from petrelhaven.control.resumable.records import EpochInForceRecord, EpochRecord
+from petrelhaven.runtime.errors import Fault, Fenced
 from petrelhaven.runtime.events import emit
 
+if TYPE_CHECKING:
+    from petrelhaven.control.configuration.document import Configuration, Group
+    from petrelhaven.control.failover.interfaces import Tasks
+    from petrelhaven.control.resumable.interfaces import (
+        CallNode,
+        Chain,
+        EpochPlatform,
+        LeaseTable,
+    )
+    from petrelhaven.membership.roster import Roster
+    from petrelhaven.runtime.clock import Clock
+
 __all__ = ["PlanningDuty"]
 
-_TURN_US = 80_000
-_FORGET_US = 600_000_000
-_REKEEP_US = LAPSE_US + 2_500_000
+_CHECK_INTERVAL_US = 80_000
+_REPORT_INTERVAL_US = 200_000
+_REPORT_US = 400_000
+_PROMOTION_RETRY_US = 250_000
+_MOST_SESSION_REPLICAS = 2
+_SERVING_EVENT, _HALTED_EVENT, _NO_CANDIDATE_EVENT = 320, 321, 322
+_REQUEST_FAILED_EVENT, _PROMOTED_EVENT = 323, 324
 
 
 class PlanningDuty:
-    """Watches members and edges, decides epochs, asks the platform to promote."""
-
-    def __init__(self, clock, tasks, chain, lease_table, roster, call, platform, log=None):
-        self.clock, self.tasks, self.chain, self.lease_table, self.roster = (
-            clock,
-            tasks,
-            chain,
-            lease_table,
-            roster,
-        )
-        self._call, self.platform, self.log = call, platform, log
-        self.heard = {}
-        self._others = {}
-        self._forced = {}
-        self._forcing = {}
-        self._busy = {}
-        self._targets = {}
-        self._since = {}
-        self._tracks = {}
-        self._odd = {}
-        self._catch = {}
-        self._let_go, self._born = {}, {}
-        self._began = None
-        self.why = {}
-
-    def announce(self, d):
+    """Watches members and proxies, decides epochs, asks the platform to promote.
+
+    Attributes:
+        platform: What promotes members.
+        wait_reasons: For each group, why nothing more is done now.
+    """
+
+    def __init__(  # noqa: PLR0913, PLR0917 (the parts of a control node)
+        self,
+        clock: Clock,
+        tasks: Tasks,
+        chain: Chain,
+        lease_table: LeaseTable,
+        roster: Roster,
+        call: CallNode,
+        platform: EpochPlatform,
+        log: Any = None,  # noqa: ANN401 (a logger or None)
+    ) -> None:
+        """Does nothing before `run`."""
+        self.clock, self.tasks, self.chain, self.lease_table = clock, tasks, chain, lease_table
+        self.platform, self.log = platform, log
+        self.wait_reasons: dict[str, str] = {}
+        self._call = call
+        self._announcements = AnnouncementTable(clock, chain.me)
+        self._running = DutyTasks(clock, tasks, log)
+        self._proxy_watch = ProxyWatch(clock, chain, lease_table, roster, self._running, log)
+        self._log_trackers: dict[str, LogTracker] = {}
+        self._progress = EpochProgress(clock, tasks, lease_table)
+        self._requester = PromotionRequester(clock, platform, self._announcements, chain.me, log)
+        self._need_since: dict[str, tuple[object, int]] = {}
+        self._acting_since: int | None = None
+
+    @property
+    def heard(self) -> Mapping[str, HeardAnnouncement]:
+        """The last announcement of each member to this node."""
+        return self._announcements.heard
+
+    def announce(self, document: dict[str, Any]) -> None:
         """Takes a member's announcement."""
+        self._announcements.take(document)
+
+    async def answer_report(self, _channel: object, _body: dict[str, Any]) -> dict[str, Any]:
+        """Answers `duty.heard`: what this node has heard of members and proxies."""
+        return {"doc": self._announcements.report(self.lease_table.live).to_document()}
+
+    async def run(self) -> None:
+        """Plans for good while this node is the active head."""
+        self.tasks.spawn(self._request_reports())
+        while True:
+            await self.clock.sleep(_CHECK_INTERVAL_US)
+            self._announcements.forget_old(self._planned_members())
+            if self.chain.head and self.chain.active:
+                self._act()
+            else:
+                self._stand_down()
+
+    def _planned_members(self) -> set[str]:
+        """The members that have a part in an epoch."""
+        planned: set[str] = set()
+        for row in self.chain.control_state.doc["epochs"].values():
+            planned.update((row["primary"], *row["hold"], *row["safe"]))
+        return planned
+
+    def _stand_down(self) -> None:
+        self._acting_since = None
+        self._progress.stand_down()
+
+    def _act(self) -> None:
         now = self.clock.now()
-        old = self.heard.get(d["member"])
-        if old and old["doc"]["boot"] == d["boot"] and old["doc"].get("beat", 0) > d.get("beat", 0):
+        if self._acting_since is None:
+            self._acting_since = now
+            self._need_since.clear()
+        configuration = self.chain.control_state.configuration
+        if configuration is None:
             return
-        self.heard[d["member"]] = {"doc": d, "at": now}
-
-    def _forget(self, now):
-        es = self.chain.control_state.doc["epochs"].values()
-        roles = {n for e in es for n in (e["primary"], *e["hold"], *e["safe"])}
-        for n in [
-            n for n, h in self.heard.items() if now - h["at"] > _FORGET_US and n not in roles
-        ]:
-            del self.heard[n]
-
-    async def told(self, ch, b):
-        """Answers another core: what members and edges said here, with ages."""
-        now = self.clock.now()
-        return {
-            "doc": {
-                "members": {
-                    m: {"doc": h["doc"], "age": now - h["at"]} for m, h in self.heard.items()
-                },
-                "edges": {e: t - now for e, t in self.lease_table.live.items()},
-            }
-        }
-
-    async def run(self):
-        """Plans for good while this core is the active head."""
-        self.tasks.spawn(self._listen())
-        while True:
-            await self.clock.sleep(_TURN_US)
-            c = self.chain
-            self._forget(self.clock.now())
-            if not (c.head and c.active):
-                self._began = None
-                self._forced.clear()
-                self._targets.clear()
-                continue
-            now = self.clock.now()
-            if self._began is None:
-                self._began = now
-                self._since.clear()
-            m = c.control_state.configuration
-            if m is None:
-                continue
-            self._edges(now)
-            ms = self._members(now)
-            for g in m.groups:
-                if g.name not in self._busy:
-                    self._group(g, m, ms, now)
-
-    async def _listen(self):
+        replicas = min(configuration.bounds.keepers, _MOST_SESSION_REPLICAS)
+        acting_us = now - self._acting_since
+        self._proxy_watch.check(self._announcements.reports, acting_us, replicas)
+        members = self._announcements.observations()
+        for group in configuration.groups:
+            if not self._running.is_busy(group.name):
+                self._attend(group, configuration, members, acting_us)
+
+    async def _request_reports(self) -> None:
+        """While this node is the head, asks the other control nodes what they have heard."""
         while True:
-            v = self.chain.view
-            if v and self.chain.head:
-                for n in v["ids"]:
-                    if n != self.chain.me:
-                        self.tasks.spawn(self._hear(n))
-            await self.clock.sleep(200_000)
-
-    async def _hear(self, n):
-        at = self.clock.now()
+            view = self.chain.view
+            if view and self.chain.head:
+                for node in view["ids"]:
+                    if node != self.chain.me:
+                        self.tasks.spawn(self._request_report(node))
+            await self.clock.sleep(_REPORT_INTERVAL_US)
+
+    async def _request_report(self, node: str) -> None:
+        requested_at = self.clock.now()
         try:
-            r = await self._call(n, "duty.heard", {"name": self.chain.me}, 400_000)
-            self._others[n] = (at, r["doc"])
+            answer = await self._call(node, "duty.heard", {"name": self.chain.me}, _REPORT_US)
+            report = NodeReport.from_document(answer["doc"], requested_at)
         except Fault:
-            pass
-
-    def _members(self, now):
-        out = {}
-        src = [
-            (
-                self.chain.me,
-                now,
-                {m: {"doc": h["doc"], "age": now - h["at"]} for m, h in self.heard.items()},
-            )
-        ]
-        src += [(n, at, d["members"]) for n, (at, d) in sorted(self._others.items())]
-        for who, at, ms in src:
-            for n, h in ms.items():
-                age = h["age"] + now - at
-                d = h["doc"]
-                o = out.get(n)
-                if (
-                    o is None
-                    or (d["boot"] == o["boot"] and d.get("beat", 0) > o.get("beat", 0))
-                    or (d["boot"] != o["boot"] and age < o["age"])
-                ):
-                    out[n] = {
-                        **d,
-                        "age": min(age, o["age"]) if o and o["boot"] == d["boot"] else age,
-                        "by": o["by"] if o else [],
-                    }
-                elif d["boot"] == o["boot"]:
-                    o["age"] = min(o["age"], age)
-                if age < 1_000_000:
-                    out[n]["by"] = sorted(set(out[n]["by"]) | {who})
-        return out
-
-    def _edges(self, now):
-        seen = {}
-        for e, t in self.lease_table.live.items():
-            seen[e] = max(seen.get(e, -1 << 60), t - now)
-        for at, d in self._others.values():
-            for e, left in d["edges"].items():
-                seen[e] = max(seen.get(e, -1 << 60), left - (now - at))
-        for n, e in sorted(self.chain.control_state.doc["edges"].items()):
-            if ("edge", n) in self._busy:
-                continue
-            if e["state"] == "gone":
-                if not e.get("lapsed") and now - self._began > LAPSE_US:
-                    self._do(("edge", n), self._lapse, n, e["inc"], self.chain.control_state.seq)
-                continue
-            born = self._born.setdefault((n, e["inc"]), now)
-            if (
-                sum(h != e["hall"] and now - t < _REKEEP_US for h, t in self._let_go.items())
-                >= self._keepers()
-                or now - self._began < 300_000
-            ):
-                continue
-            quiet = max(seen.get(n, -1 << 60), born + 2 * LEASE_US - now)
-            st = self.roster.state(n)
-            p = self.roster.peers.get(n)
-            lost = st == "gone" and p.incarnation >= e["inc"] and seen.get(n, 0) < 600_000
-            mute = (
-                quiet < -2_500_000
-                and now - self._began > 2_500_000
-                and self.lease_table.floor <= now
-            )
-            if lost or mute:
-                self._let_go[e["hall"]] = now
-                emit(self.log, 308, edge=n, incarnation=e["inc"], kith=st, lease_us=quiet)
-                self._do(("edge", n), self._gone, n, e["inc"], st)
-
-    def _keepers(self):
-        m = self.chain.control_state.configuration
-        return min(m.bounds.keepers, 2) if m else 1
-
-    async def _gone(self, n, incarnation, st):
-        seq = await self.chain.enter(
-            {
-                "t": "edge",
-                "name": n,
-                "inc": incarnation,
-                "state": "gone",
-                "cause": f"kith: {st}, no lease",
-                "by": self.chain.me,
-            }
-        )
-        await self._lapse(n, incarnation, seq)
-
-    async def _lapse(self, n, incarnation, seq):
-        await self.lease_table.in_force(seq)
-        await self.chain.enter({"t": "lapse", "name": n, "inc": incarnation})
-
-    def _do(self, key, fn, *a):
-        async def run():
-            try:
-                await fn(*a)
-            except Fault as e:
-                emit(self.log, 307, what=str(key), fault=e.code, note=e.note)
-                await self.clock.sleep(100_000)
-            finally:
-                self._busy.pop(key, None)
-
-        self._busy[key] = self.tasks.spawn(run())
-
-    def _group(self, g, m, ms, now):
-        c = self.chain
-        e = c.control_state.doc["epochs"].get(g.name)
-        mine = {n: d for n, d in ms.items() if d["group"] == g.name}
-        self._track(g, m, mine, e, now)
-        n = e["n"] if e else 0
-        key = (g.name, n)
-        if e and key not in self._forced and key not in self._forcing:
-            self._prune(g.name, n)
-            self._forcing[key] = self.tasks.spawn(self._force(key, e, c.control_state.seq))
-        if e and key in self._forced and not e["settled"] and e["phase"] == "serve":
-            self._do(g.name, c.enter, {"t": "settle", "group": g.name, "n": n})
             return
-        if e and now - self._began < m.bounds.lost_us and any(x not in mine for x in e["where"]):
-            self.why[g.name] = "members are being heard again"
+        self._announcements.reports[node] = report
+
+    def _attend(
+        self,
+        group: Group,
+        configuration: Configuration,
+        all_members: Mapping[str, MemberObservation],
+        acting_us: int,
+    ) -> None:
+        """Starts what a group needs now, if anything."""
+        row = self.chain.control_state.doc["epochs"].get(group.name)
+        epoch = EpochRecord.from_document(row) if row else None
+        members = _members_of(group, all_members)
+        self._track(group, configuration, members, epoch)
+        if epoch is not None:
+            key = (group.name, epoch.number)
+            self._progress.watch(key, epoch, self.chain.control_state.seq)
+            if self._settles(key, epoch, row["settled"]):
+                return
+            is_new_head = acting_us < configuration.bounds.lost_us
+            if is_new_head and any(name not in members for name in epoch.places):
+                self.wait_reasons[group.name] = "members are being heard again"
+                return
+        observed = self._observe(group, configuration, epoch, members)
+        self._take(group, configuration, observed, next_step(observed))
+
+    def _settles(self, key: EpochKey, epoch: EpochRecord, is_settled: bool) -> bool:
+        """Records that an epoch that serves is in force everywhere, unless it is recorded."""
+        if not self._progress.is_in_force(key) or is_settled or epoch.phase != SERVING:
+            return False
+        record = EpochInForceRecord(epoch.group, epoch.number)
+        self._running.start(epoch.group, self.chain.enter, record.to_document())
+        return True
+
+    def _take(
+        self,
+        group: Group,
+        configuration: Configuration,
+        observed: GroupObservation,
+        step: Step,
+    ) -> None:
+        """Starts what the plan says is to be done."""
+        if isinstance(step, EnterEpoch):
+            self._running.start(group.name, self._enter_epoch, step.epoch)
+        elif isinstance(step, Promote):
+            key = (group.name, observed.epoch.number if observed.epoch else 0)
+            self._progress.targets[key] = step.member
+            self._running.start(group.name, self._promote, group, configuration, key, step.member)
+        else:
+            self._note_wait(group.name, step)
+
+    def _note_wait(self, group: str, step: Wait) -> None:
+        if self.wait_reasons.get(group) == step.reason:
             return
-        s = self._observe_group(g, m, e, mine, now)
-        verb, arg = step(s)
-        if self.why.get(g.name) != arg and verb == "wait":
-            if arg.startswith("no safe"):
-                emit(self.log, 322, group=g.name, note=arg)
-            self.why[g.name] = arg
-        if verb == "epoch":
-            self._do(g.name, self._epoch, arg)
-        elif verb == "promote":
-            self._targets[key] = arg
-            self._do(g.name, self._promote, g, m, key, arg)
-
-    def _prune(self, g, n):
-        for d in (self._forced, self._catch, self._targets):
-            for k in [k for k in d if k[0] == g and k[1] < n]:
-                del d[k]
-
-    def _observe_group(self, g, m, e, mine, now):
-        key = (g.name, e["n"] if e else 0)
-        d = self.chain.control_state.doc
-        past = d["past"].get(g.name)
-        last = e["n"] if e else (past[-1]["n"] if past else 0)
+        if step.reason.startswith("no safe"):
+            emit(self.log, _NO_CANDIDATE_EVENT, group=group, note=step.reason)
+        self.wait_reasons[group] = step.reason
+
+    def _observe(
+        self,
+        group: Group,
+        configuration: Configuration,
+        epoch: EpochRecord | None,
+        members: Mapping[str, MemberObservation],
+    ) -> GroupObservation:
+        document = self.chain.control_state.doc
+        key = (group.name, epoch.number if epoch else 0)
+        past = document["past"].get(group.name)
         return GroupObservation(
-            g,
-            m.bounds,
-            e,
-            last,
-            mine,
-            [n for n, x in d["edges"].items() if x["state"] != "gone"],
-            d["halls"],
-            key in self._forced,
-            {"catch": self._catch.get(key, 1 << 62)},
-            self._waited(g.name, e, mine, d, now),
-            self._targets.get(key),
+            group=group,
+            bounds=configuration.bounds,
+            epoch=epoch,
+            is_settled=bool(epoch and document["epochs"][group.name]["settled"]),
+            last_number=epoch.number if epoch else (past[-1]["n"] if past else 0),
+            members=members,
+            proxies=[n for n, row in document["edges"].items() if row["state"] != "gone"],
+            zones=document["halls"],
+            is_in_force=self._progress.is_in_force(key),
+            caught_up_at=self._progress.caught_up_at.get(key),
+            waited_us=self._waited_us(key, epoch, members),
+            target=self._progress.targets.get(key),
         )
 
-    def _waited(self, g, e, mine, d, now):
-        p = mine.get(e["primary"]) if e else None
-        leaving = bool(p) and (p["draining"] or d["halls"].get(p["hall"], "open") != "open")
-        k = (
-            g,
-            e["n"] if e else 0,
-            e["phase"] if e else "",
-            leaving,
-            (g, e["n"] if e else 0) in self._forced,
+    def _waited_us(
+        self, key: EpochKey, epoch: EpochRecord | None, members: Mapping[str, MemberObservation]
+    ) -> int:
+        """For how long the group has needed the same."""
+        group = key[0]
+        primary = members.get(epoch.primary or "") if epoch else None
+        is_leaving = primary is not None and (
+            primary.draining
+            or self.chain.control_state.doc["halls"].get(primary.zone, "open") != "open"
         )
-        if e and e["phase"] == "serve":
-            k = (g, leaving)
-        if self._since.get(g, (None, 0))[0] != k:
-            self._since[g] = (k, now)
-        return now - self._since[g][1]
-
-    def _track(self, g, m, mine, e, now):
-        p = (
-            mine.get(e["primary"])
-            if e
-            else next((d for d in mine.values() if d["role"] == "primary"), None)
+        need: object = (
+            key,
+            epoch.phase if epoch else "",
+            is_leaving,
+            self._progress.is_in_force(key),
         )
-        t = self._tracks.setdefault(g.name, [])
-        if p and p["age"] < 600_000:
-            if not t or t[-1][1] != p["log"] or now - t[-1][0] > 300_000:
-                t.append((now - p["age"], p["log"]))
-        while len(t) > 1 and t[1][0] < now - m.bounds.stall_us:
-            t.pop(0)
-        was = t[0][1] if t and t[0][0] <= now - m.bounds.stall_us else 0
-        pl = p["log"] if p else 0
-        if p:
-            k = (g.name, e["n"] if e else 0)
-            if p["role"] == "primary" or self._odd.get(g.name, (None, 0))[0] != k:
-                self._odd[g.name] = (k, now)
-            p["odd"] = now - self._odd[g.name][1]
-        for d in mine.values():
-            d["stalled"] = d["log"] < was
-            d["near"] = d["log"] >= pl - 200 and not d["stalled"]
-        if e and (g.name, e["n"]) in self._forced and p:
-            k = (g.name, e["n"])
-            if k not in self._catch and now - p["age"] > self._forced[k]:
-                self._catch[k] = p["log"]
-
-    async def _force(self, key, e, seq):
-        try:
-            await self.lease_table.in_force(seq, e["grace"], horizon=60_000_000)
-            self._forced[key] = self.clock.now()
-        except Fault:
-            pass
-        finally:
-            self._forcing.pop(key, None)
+        if epoch and epoch.phase == SERVING:
+            need = (group, is_leaving)
+        now = self.clock.now()
+        if self._need_since.get(group, (None, 0))[0] != need:
+            self._need_since[group] = (need, now)
+        return now - self._need_since[group][1]
+
+    def _track(
+        self,
+        group: Group,
+        configuration: Configuration,
+        members: Mapping[str, MemberObservation],
+        epoch: EpochRecord | None,
+    ) -> None:
+        """Compares the members' logs with that of the primary."""
+        if epoch is not None:
+            primary = members.get(epoch.primary or "")
+        else:
+            primary = next((member for member in members.values() if member.is_primary), None)
+        tracker = self._log_trackers.setdefault(group.name, LogTracker(self.clock))
+        number = epoch.number if epoch else 0
+        tracker.update(members, primary, number, configuration.bounds.stall_us)
+        if epoch is not None and primary is not None:
+            announced_at = self.clock.now() - primary.age_us
+            self._progress.note_primary_log((group.name, number), announced_at, primary.log)
 
-    async def _epoch(self, rec):
-        rec = {**rec, "by": self.chain.me, "view": self.chain.view["n"]}
-        await self.chain.enter(rec)
+    async def _enter_epoch(self, planned: EpochRecord) -> None:
+        epoch = replace(planned, by=self.chain.me, view=self.chain.view["n"])
+        await self.chain.enter(epoch.to_document())
         emit(
             self.log,
-            321 if rec["phase"] == "halt" else 320,
-            group=rec["group"],
-            n=rec["n"],
-            primary=rec["primary"],
-            hold=",".join(rec["hold"]),
-            safe=",".join(rec["safe"]),
-            cause=rec["cause"],
+            _HALTED_EVENT if epoch.phase == HALTED else _SERVING_EVENT,
+            group=epoch.group,
+            n=epoch.number,
+            primary=epoch.primary,
+            hold=",".join(epoch.awaited),
+            safe=",".join(epoch.electable),
+            cause=epoch.cause,
         )
 
-    async def _asked(self, g, target, key):
-        """Asks the platform; a target that announces the office under this epoch is answer enough."""
-        t = asyncio.ensure_future(self.platform.promote(g.name, target, key[1], self.chain.me))
-        end = self.clock.now() + 4_000_000
-        try:
-            while True:
-                try:
-                    r = await self.clock.limit(t, 200_000, keep=True)
-                    for k, want in (("primary", target), ("epoch", key[1])):
-                        if r.get(k) != want:
-                            raise Malformed(
-                                f"platform answer: {k} must be {want}, is {str(r.get(k))[:40]}"
-                            )
-                    return r
-                except DeadlineExceeded:
-                    d = self._members(self.clock.now()).get(target)
-                    if d and d["role"] == "primary" and d["term"] == key[1]:
-                        emit(self.log, 325, group=g.name, primary=target, epoch=key[1])
-                        return None
-                    if t.done() or self.clock.now() >= end:
-                        raise
-        finally:
-            t.cancel()
-
-    async def _promote(self, g, m, key, target):
+    async def _promote(
+        self, group: Group, configuration: Configuration, key: EpochKey, target: str
+    ) -> None:
+        """Has the platform promote a member, and enters the epoch that follows."""
         if not self.chain.active:
             return
         try:
-            await self._asked(g, target, key)
-        except Fault as f:
-            emit(
-                self.log, 323, group=g.name, target=target, epoch=key[1], fault=f.code, note=f.note
-            )
-            self.why[g.name] = f"platform: {f.code} {f.note}"
-            if f.code == "fenced":
-                e = self.chain.control_state.doc["epochs"].get(g.name)
-                if e and e["n"] == key[1]:
-                    await self._epoch(
-                        {
-                            **{k: v for k, v in e.items() if k not in ("settled", "before", "seq")},
-                            "t": "epoch",
-                            "n": e["n"] + 1,
-                            "cause": "promotion fenced: " + f.note,
-                        }
-                    )
-            else:
-                await self.clock.sleep(250_000)
+            await self._requester.request(group.name, target, key[1])
+        except Fault as fault:
+            await self._after_failed_request(key, target, fault)
             return
-        emit(self.log, 324, group=g.name, primary=target, epoch=key[1])
-        now = self.clock.now()
-        e = self.chain.control_state.doc["epochs"].get(g.name)
-        if not e or e["n"] != key[1]:
+        emit(self.log, _PROMOTED_EVENT, group=group.name, primary=target, epoch=key[1])
+        epoch = self._epoch_if_current(key)
+        if epoch is None:
             return
-        mine = {n: d for n, d in self._members(now).items() if d["group"] == g.name}
-        self._track(g, m, mine, e, now)
-        await self._epoch(after(self._observe_group(g, m, e, mine, now), target))
+        members = _members_of(group, self._announcements.observations())
+        self._track(group, configuration, members, epoch)
+        observed = self._observe(group, configuration, epoch, members)
+        await self._enter_epoch(epoch_after(observed, epoch, target))
+
+    async def _after_failed_request(self, key: EpochKey, target: str, fault: Fault) -> None:
+        """A fenced request needs an epoch with a higher number; others are repeated."""
+        group, number = key
+        emit(
+            self.log,
+            _REQUEST_FAILED_EVENT,
+            group=group,
+            target=target,
+            epoch=number,
+            fault=fault.code,
+            note=fault.note,
+        )
+        self.wait_reasons[group] = f"platform: {fault.code} {fault.note}"
+        if fault.code != Fenced.code:
+            await self.clock.sleep(_PROMOTION_RETRY_US)
+            return
+        epoch = self._epoch_if_current(key)
+        if epoch is not None:
+            cause = "promotion fenced: " + fault.note
+            await self._enter_epoch(replace(epoch, number=number + 1, cause=cause))
+
+    def _epoch_if_current(self, key: EpochKey) -> EpochRecord | None:
+        """The epoch of `key`, unless the group has another one by now."""
+        row = self.chain.control_state.doc["epochs"].get(key[0])
+        if not row or row["n"] != key[1]:
+            return None
+        return EpochRecord.from_document(row)
+
+
+def _members_of(
+    group: Group, members: Mapping[str, MemberObservation]
+) -> dict[str, MemberObservation]:
+    return {name: member for name, member in members.items() if member.group == group.name}
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -20,6 +20,8 @@
 import petrelhaven.proxy.resumable.session_replicas as session_replicas
 import petrelhaven.proxy.resumable.writes as writes
 import petrelhaven.proxy.routing.request_slots as request_slots
+from petrelhaven.control.resumable.group_observation import GroupObservation
+from petrelhaven.control.resumable.promotion import PromotionRequester
 from petrelhaven.control.storage.documents import ChainRecord
 from petrelhaven.runtime.errors import DeadlineExceeded, Unreachable
 
@@ -101,7 +103,7 @@
     mp.setattr(
         plan,
         "_candidates",
-        lambda s: [n for n in s.members if n != s.epoch["primary"] and s.live(n)],
+        lambda s: [n for n in s.members if n != s.epoch.primary and s.is_live(n)],
     )
 
 
@@ -110,7 +112,7 @@
 
 
 def leaving_ignored(mp):
-    mp.setattr(plan.GroupObservation, "leaving", lambda self, n: False)
+    mp.setattr(GroupObservation, "is_leaving", lambda self, n: False)
 
 
 def zones_ignored(mp):
@@ -120,7 +122,7 @@
         "turn",
         lambda self, e, share, zones: real(self, e, share, lambda h: "open"),
     )
-    mp.setattr(plan.GroupObservation, "leaving", lambda self, n: self.members[n]["draining"])
+    mp.setattr(GroupObservation, "is_leaving", lambda self, n: self.members[n].draining)
 
 
 def no_lease(mp):
@@ -236,9 +238,9 @@
     real = duty.PlanningDuty._promote
 
     async def promote(self, g, m, key, target):
-        n = len(self.why)
+        n = len(self.wait_reasons)
         await real(self, g, m, key, target)
-        if "platform" in self.why.get(g.name, ""):
+        if "platform" in self.wait_reasons.get(g.name, ""):
             await self.clock.sleep(10**12 + n)
 
     mp.setattr(duty.PlanningDuty, "_promote", promote)
@@ -260,12 +262,11 @@
 
 
 def only_the_answer(mp):
-    async def asked(self, g, target, key):
-        return await self.clock.limit(
-            self.platform.promote(g.name, target, key[1], self.chain.me), 4_000_000
-        )
+    async def request(self, group, target, epoch):
+        promotion = self.platform.promote(group, target, epoch, self.name)
+        return await self.clock.limit(promotion, 4_000_000)
 
-    mp.setattr(duty.PlanningDuty, "_asked", asked)
+    mp.setattr(PromotionRequester, "request", request)
 
 
 def routes_blindly(mp):
@@ -276,13 +277,13 @@
 
 
 def promotes_twice(mp):
-    real = duty.PlanningDuty._asked
+    real = PromotionRequester.request
 
-    async def asked(self, g, target, key):
-        await real(self, g, target, key)
-        return await real(self, g, target, key)
+    async def request(self, group, target, epoch):
+        await real(self, group, target, epoch)
+        return await real(self, group, target, epoch)
 
-    mp.setattr(duty.PlanningDuty, "_asked", asked)
+    mp.setattr(PromotionRequester, "request", request)
 
 
 def handed_over_stale(mp):
