--- a/src/petrelhaven/control/base_node.py
+++ b/src/petrelhaven/control/base_node.py
@@ -121,7 +121,7 @@
     def handlers(self):
         """What this core answers beside the chain's own calls."""
         return {
-            "duty.heard": self.duty.told,
+            "duty.heard": self.duty.answer_report,
             "edge.lease": self.lease_table.lease,
             "edge.enter": self._edge,
         }
@@ -455,9 +455,9 @@
             if not lo <= doc.get(k, lo) <= hi:
                 raise Malformed(f"announcement field {k} must be from {lo} to {hi}")
         old = self.duty.heard.get(doc["member"])
-        if old and old["doc"]["group"] != doc["group"] and self.clock.now() - old["at"] < 5_000_000:
+        if old and old.document["group"] != doc["group"] and self.clock.now() - old.at < 5_000_000:
             raise Malformed(
-                f"announcement field group must stay {old['doc']['group']} for {doc['member']}"
+                f"announcement field group must stay {old.document['group']} for {doc['member']}"
             )
         self.duty.announce(doc)
 
@@ -485,10 +485,10 @@
             "ruling": self.chain.ruling,
             "active": self.chain.active,
             "head": self.chain.head,
-            "waiting": dict(self.duty.why) if self.chain.head else {},
+            "waiting": dict(self.duty.wait_reasons) if self.chain.head else {},
             "garbage": getattr(self.link, "garbage", 0),
             "members": {
-                m: {**h["doc"], "age_us": now - h["at"]} for m, h in sorted(self.duty.heard.items())
+                m: {**h.document, "age_us": now - h.at} for m, h in sorted(self.duty.heard.items())
             },
         }
 
--- a/src/petrelhaven/control/failover/observation.py
+++ b/src/petrelhaven/control/failover/observation.py
@@ -1,9 +1,13 @@
-"""What the cores see of a primary that is doubted: each asks it over a connection of its own."""
+"""Inspection of a suspected primary: each control node asks it over a connection of its own."""
+
+from __future__ import annotations
 
 import asyncio
 from dataclasses import dataclass
+from typing import TYPE_CHECKING, Any
 
-from petrelhaven.control.failover.interfaces import CoreServices
+from petrelhaven.control.failover.group_state import MemberEndpoint
+from petrelhaven.control.failover.interfaces import UNREACHABLE
 from petrelhaven.control.failover.member_access import MemberHandle
 from petrelhaven.runtime.errors import (
     Busy,
@@ -15,77 +19,92 @@
     Unreachable,
 )
 
-__all__ = ["MUTE", "REFUSED", "Observer", "Survey"]
+if TYPE_CHECKING:
+    from petrelhaven.control.failover.group_state import GroupMember
+    from petrelhaven.control.failover.interfaces import ControlServices
+
+__all__ = ["REFUSED", "UNREACHABLE", "Observer", "Survey"]
 
-MUTE, REFUSED, UP = "mute", "refused", "up:"
-_BUSY = UP + "busy"
-_LOOK_US = 400_000
+REFUSED = "refused"
+_REACHED = "up:"
+_BUSY = _REACHED + "busy"
+_REPLICA = _REACHED + "replica"
+_INSPECTION_US = 400_000
 _CALL_MARGIN_US = 200_000
 
 
 @dataclass(frozen=True, slots=True)
 class Survey:
-    """What the cores that answered saw, and how many cores are configured."""
+    """What the control nodes that answered found, and how many control nodes there are.
+
+    Attributes:
+        observations: Each `REFUSED`, `UNREACHABLE`, or `up:` with the member's role.
+        control_nodes: The number of control nodes in the view.
+    """
 
-    seen: tuple[str, ...]
-    cores: int
+    observations: tuple[str, ...]
+    control_nodes: int
 
     @property
-    def up(self) -> tuple[str, ...]:
-        """What those saw that reached the member."""
-        return tuple(x for x in self.seen if x.startswith(UP))
+    def is_reachable(self) -> bool:
+        """Whether a control node reached the member."""
+        return any(observation.startswith(_REACHED) for observation in self.observations)
 
     @property
-    def says_replica(self) -> bool:
-        """Whether the member told a core that it is a replica."""
-        return UP + "replica" in self.seen
+    def reports_replica(self) -> bool:
+        """Whether the member answered a control node that it is a replica."""
+        return _REPLICA in self.observations
 
     @property
     def is_majority(self) -> bool:
-        """Whether more than half of the configured cores answered."""
-        return len(self.seen) > self.cores // 2
+        """Whether more than half of the control nodes answered."""
+        return len(self.observations) > self.control_nodes // 2
 
 
 class Observer:
-    """Looks at members for this core, and asks the other cores for what they see."""
+    """Inspects members for this control node, and has the others inspect them."""
 
-    def __init__(self, core: CoreServices) -> None:
-        self._core = core
+    def __init__(self, node: ControlServices) -> None:
+        """Works for one control node."""
+        self._node = node
 
-    async def look(self, name: str, facts: dict) -> str:
-        """What this core sees of a member: `up:` with its role, `refused` or `mute`."""
-        handle = MemberHandle(self._core.wire, self._core.clock, name, facts)
+    async def inspect(self, endpoint: MemberEndpoint) -> str:
+        """What this node finds: `up:` with the member's role, `REFUSED` or `UNREACHABLE`."""
+        handle = MemberHandle(self._node.wire, self._node.clock, endpoint)
         try:
-            row = await self._core.clock.limit(handle.ask("status"), _LOOK_US)
-            return UP + row.role
+            status = await self._node.clock.limit(handle.ask("status"), _INSPECTION_US)
+            return _REACHED + status.role
         except (Busy, MemberDeclined):
             return _BUSY
-        except (NotSent, MemberReplaced) as e:
-            return MUTE if e.note == MUTE else REFUSED
+        except (NotSent, MemberReplaced) as fault:
+            return UNREACHABLE if fault.note == UNREACHABLE else REFUSED
         except (DeadlineExceeded, Unreachable):
-            return MUTE
+            return UNREACHABLE
         finally:
             handle.close()
 
-    async def answer(self, _channel: object, body: dict) -> dict:
-        """Another core asks what this one sees."""
-        facts = {"addr": body["addr"], "group": body["group"]}
-        return {"how": await self.look(body["member"], facts)}
-
-    async def survey(self, name: str, facts: dict) -> Survey:
-        """What all cores of the view see of a member, each for itself."""
-        view = self._core.chain.view
-        asked = [self._ask(core, name, facts) for core in view["chain"]]
-        seen = await asyncio.gather(*asked)
-        return Survey(tuple(x for x in seen if x), len(view["ids"]))
-
-    async def _ask(self, core: str, name: str, facts: dict) -> str | None:
-        if core == self._core.name:
-            return await self.look(name, facts)
-        body = {"member": name, "addr": facts["addr"], "group": facts["group"]}
-        bound = _LOOK_US + _CALL_MARGIN_US
+    async def answer(self, _channel: object, body: dict[str, Any]) -> dict[str, Any]:
+        """Answers `warden.look`: another control node asks what this one finds."""
+        return {"how": await self.inspect(MemberEndpoint.from_body(body))}
+
+    async def survey(self, member: GroupMember) -> Survey:
+        """What all control nodes of the chain find, each for itself."""
+        view = self._node.chain.view
+        endpoint = member.endpoint
+        observations = await asyncio.gather(
+            *[self._request_inspection(node, endpoint) for node in view["chain"]]
+        )
+        answered = tuple(observation for observation in observations if observation)
+        return Survey(answered, len(view["ids"]))
+
+    async def _request_inspection(self, node: str, endpoint: MemberEndpoint) -> str | None:
+        """What a control node finds, or None if it does not answer."""
+        if node == self._node.name:
+            return await self.inspect(endpoint)
+        limit_us = _INSPECTION_US + _CALL_MARGIN_US
         try:
-            answer = await self._core.reach.call(core, "warden.look", body, bound)
+            answer = await self._node.reach.call(node, "warden.look", endpoint.to_body(), limit_us)
         except Fault:
             return None
-        return answer["how"]
+        observation: str = answer["how"]
+        return observation
--- a/src/petrelhaven/control/interface/control_interface.py
+++ b/src/petrelhaven/control/interface/control_interface.py
@@ -127,7 +127,7 @@
         g = q.query.get("group", "")
         control_state = await self._c.control_state()
         answer = why_of(
-            control_state, q.query, self._c.duty.why.get(g) if self._c.chain.head else None
+            control_state, q.query, self._c.duty.wait_reasons.get(g) if self._c.chain.head else None
         )
         return {**answer, "evidence": control_state["evidence"].get(g)}
 
--- a/src/petrelhaven/control/node.py
+++ b/src/petrelhaven/control/node.py
@@ -123,7 +123,7 @@
             "chain.force": self.lease_table.force,
             "tie.pulse": self._pulse,
             "warden.doubt": self._suspected,
-            "warden.look": self.duty.answer_look,
+            "warden.look": self.duty.answer_inspection,
             "wall.read": self._read_wall_clock,
             "tie.wall": self._true_time,
         }
@@ -395,7 +395,7 @@
             "ruling": self.chain.ruling,
             "active": self.chain.active,
             "head": self.chain.head,
-            "waiting": dict(self.duty.why),
+            "waiting": dict(self.duty.wait_reasons),
             "tied": sorted(self.connected_proxies),
             "garbage": self.link.garbage,
             **({"time": self._embargoes.time.status()} if self._embargoes else {}),
--- a/src/petrelhaven/control/resumable/control_interface.py
+++ b/src/petrelhaven/control/resumable/control_interface.py
@@ -104,7 +104,7 @@
         return {
             "epoch": past[i],
             "replaced": past[i - 1] if i else None,
-            "waiting": self._c.duty.why.get(g) if self._c.chain.head else None,
+            "waiting": self._c.duty.wait_reasons.get(g) if self._c.chain.head else None,
             "kept": [e["n"] for e in past],
         }
 
--- a/src/petrelhaven/proxy/routing/group.py
+++ b/src/petrelhaven/proxy/routing/group.py
@@ -107,7 +107,7 @@
         """
         rows = control_state.group(self.name)
         self.size = control_state.doc["sizes"].get(self.name, 0)
-        self.floor = control_state.evidence(self.name).floor
+        self.floor = control_state.evidence(self.name).lower_bound
         for name, row in rows.items():
             self._turn_member(name, row, control_state, fresh)
         for name in [name for name in self.members if name not in rows]:
--- a/src/petrelhaven/simulator/resumable/scenes/members.py
+++ b/src/petrelhaven/simulator/resumable/scenes/members.py
@@ -66,8 +66,8 @@
     await asyncio.sleep(4)
     bad = []
     head = next(c.node for c in w.cores if c.node.chain.head)
-    if "no safe candidate" not in head.duty.why.get("g1", ""):
-        bad.append(("does not say why", head.duty.why))
+    if "no safe candidate" not in head.duty.wait_reasons.get("g1", ""):
+        bad.append(("does not say why", head.duty.wait_reasons))
     e = w.edges[0].node
     s = await e.open_session()
     t = w.loop.time()
--- a/tests/test_connection_sessions_storm.py
+++ b/tests/test_connection_sessions_storm.py
@@ -7,7 +7,7 @@
 
 from petrelhaven.control import leases as lease_table
 from petrelhaven.control.consensus import chain
-from petrelhaven.control.failover.departures import DepartureWatch
+from petrelhaven.control.failover.counting_out import CountingOut
 from petrelhaven.control.failover.leader_change import LeaderChange
 from petrelhaven.control.failover.member_access import MemberHandle
 from petrelhaven.control.storage import core_store
@@ -71,11 +71,11 @@
 
     async def pause(self, term):
         taken[self] = term
-        return self.row and dataclasses.replace(self.row, held_term=term)
+        return self.last_status and dataclasses.replace(self.last_status, paused_term=term)
 
     async def status_(self):
         row = await status(self)
-        return row and dataclasses.replace(row, held_term=taken.get(self, 0))
+        return row and dataclasses.replace(row, paused_term=taken.get(self, 0))
 
     async def resume_(self):
         taken.pop(self, None)
@@ -90,8 +90,10 @@
     real = LeaderChange._promote
 
     async def promote(self, candidate, term, accepted_loss=""):
-        others = [h for n, h in self._members.handles.items() if n != self.old and h.row]
-        return await real(self, min(others, key=lambda h: h.row.position), term, accepted_loss)
+        handles = self._members.handles.items()
+        others = [h for n, h in handles if n != self.old_primary and h.last_status]
+        lowest = min(others, key=lambda h: h.last_status.position)
+        return await real(self, lowest, term, accepted_loss)
 
     mp.setattr(LeaderChange, "_promote", promote)
 
@@ -237,7 +239,7 @@
     async def nothing(self, *args):
         return None
 
-    mp.setattr(DepartureWatch, "_count_out", nothing)
+    mp.setattr(CountingOut, "update", nothing)
 
 
 def stops_ignored(mp):
--- a/tests/test_control_interface.py
+++ b/tests/test_control_interface.py
@@ -283,7 +283,7 @@
         why = (await ask(http_server, "GET", "/why?group=g1"))[1]
         assert why["evidence"]["order"] == {"member": "m2", "by": "anna"}
         assert why["evidence"]["unproven"] == ["m1"]
-        await until(lambda: "ordered by anna" in node.duty.why.get("g1", ""), 5)
+        await until(lambda: "ordered by anna" in node.duty.wait_reasons.get("g1", ""), 5)
         assert "ordered by anna" in await told(http_server, "status")
 
     on_a_node(tmp_path, go)
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -9,6 +9,7 @@
 from hypothesis import strategies as st
 
 from petrelhaven.control.failover.coordinator import FailoverCoordinator
+from petrelhaven.control.failover.group_state import MemberEndpoint
 from petrelhaven.control.state.control_state import ControlState
 from petrelhaven.runtime.clock import BackgroundTasks, Clock
 from petrelhaven.runtime.errors import Conflict, Fenced, Invalid, NotSent, Unreachable
@@ -76,7 +77,7 @@
 
 
 class Estate:
-    """A group that commits with one acknowledgement, its platform, and the core that the warden is part of."""
+    """A group that commits with one acknowledgement, its platform, and the core that the coordinator is part of."""
 
     def __init__(self, names=("p", "r1", "r2"), zones=None):
         self.clock, self.tasks, self.log = LoopClock(), BackgroundTasks(), None
@@ -110,7 +111,7 @@
                     "count": 1,
                 }
             )
-        self.warden = FailoverCoordinator(self, self)
+        self.coordinator = FailoverCoordinator(self, self)
 
     def put(self, r):
         led = self.chain.control_state
@@ -185,12 +186,11 @@
         how = self.others[core]
         if how is None:
             raise Unreachable("cut off")
-        return {
-            "how": await self.warden.observer.look(body["member"], body) if how == "same" else how
-        }
+        endpoint = MemberEndpoint.from_body(body)
+        return {"how": await self.coordinator.observer.inspect(endpoint) if how == "same" else how}
 
     async def suspect(self, group, member, how):
-        self.warden.suspect(group, member, how)
+        self.coordinator.suspect(group, member, how)
 
     async def promote(self, group, name, fence, holder):
         """The platform: fenced, slow to act, and sometimes without an answer or without the call."""
@@ -254,14 +254,14 @@
 
     async def start(self):
         """The group in office and at work."""
-        self.tasks.spawn(self.warden.run())
+        self.tasks.spawn(self.coordinator.run())
         self.tasks.spawn(self.work())
         await self.until(lambda: self.leadership and self.leadership["phase"] == "serve")
 
     async def until(self, ok, s=20):
         end = self.clock.now() + s * 1_000_000
         while not ok():
-            assert self.clock.now() < end, (self.trace[-12:], self.warden.why, self.leadership)
+            assert self.clock.now() < end, (self.trace[-12:], self.coordinator.wait_reasons, self.leadership)
             await asyncio.sleep(0.01)
 
     @property
@@ -316,7 +316,7 @@
         e.barrier = 0.3
         e.trace.clear()
         e.dark("p", runs=False)
-        e.warden.suspect("g", "p", "refused")
+        e.coordinator.suspect("g", "p", "refused")
         await e.until(lambda: e.calls and e.settled)
         moved = next(x[2] for x in e.trace if x[0] == "move")
         candidate = e.calls[0]
@@ -331,9 +331,9 @@
         assert e.at("promote") < e.at("leads", candidate) < e.at("serve", candidate)
         other = ({"r1", "r2"} - {candidate}).pop()
         await e.until(lambda: ("resume", other) in e.trace[e.at("serve", candidate) :], 1)
-        assert len(e.calls) == 1 and e.leadership["term"] == 2 and not e.warden.why
+        assert len(e.calls) == 1 and e.leadership["term"] == 2 and not e.coordinator.wait_reasons
         e.dark("p", True, True)
-        await e.until(lambda: "g" not in e.warden._to_resume)
+        await e.until(lambda: "g" not in e.coordinator.resumption.pending)
         await asyncio.sleep(5)
         assert e.leadership["primary"] == candidate and len(e.calls) == 1
 
@@ -346,7 +346,7 @@
         e.members[({"r1", "r2"} - {ahead}).pop()].follows = False
         await asyncio.sleep(1)
         e.dark("p")
-        e.warden.suspect("g", "p", "mute")
+        e.coordinator.suspect("g", "p", "mute")
         await e.until(lambda: e.calls and e.settled)
         assert e.calls == [ahead]
 
@@ -359,14 +359,14 @@
     async def go(e):
         e.dark("p", runs=False)
         e.dark(away, *how)
-        e.warden.suspect("g", "p", "mute")
+        e.coordinator.suspect("g", "p", "mute")
         await e.until(lambda: e.leadership["phase"] == "move", 2)
         await asyncio.sleep(30)
         assert (
             e.calls == []
             and e.leadership["phase"] == "move"
             and e.leadership["stuck"]
-            and away in e.warden.why["g"]
+            and away in e.coordinator.wait_reasons["g"]
         )
         assert sum(x[0] == "move" and x[3] for x in e.trace) == 1
         e.dark(away, True, True)
@@ -382,7 +382,7 @@
         await asyncio.sleep(0.5)
         e.put({"t": "member", "name": "r1", "state": "gone", "addr": "1.1.1.1:1"})
         e.dark("p", runs=False)
-        e.warden.suspect("g", "p", "refused")
+        e.coordinator.suspect("g", "p", "refused")
         await asyncio.sleep(10)
         assert e.calls == [] and e.leadership["stuck"]
         new = e.members["r1n"] = Member("r1n", "replica")
@@ -410,7 +410,7 @@
     async def go(e):
         e.barrier = 1.0
         e.dark("p")
-        e.warden.suspect("g", "p", "mute")
+        e.coordinator.suspect("g", "p", "mute")
         await e.until(lambda: all(e.members[n].held for n in ("r1", "r2")))
         await asyncio.sleep(0.2)
         e.members["r2"].held = 0
@@ -428,9 +428,9 @@
         e.members[({"r1", "r2"} - {ahead}).pop()].follows = False
         e.members[ahead].silent = True
         e.dark("p")
-        e.warden.suspect("g", "p", "mute")
+        e.coordinator.suspect("g", "p", "mute")
         await asyncio.sleep(5)
-        assert e.calls == [] and "paused" in e.warden.why["g"]
+        assert e.calls == [] and "paused" in e.coordinator.wait_reasons["g"]
         e.members[ahead].silent = False
         await e.until(lambda: e.calls and e.settled)
         assert e.calls == [ahead]
@@ -442,7 +442,7 @@
     async def go(e):
         e.dark("p")
         e.dark("r1")
-        e.warden.suspect("g", "p", "mute")
+        e.coordinator.suspect("g", "p", "mute")
         await e.until(lambda: e.leadership["phase"] == "move")
         await asyncio.sleep(2)
         e.dark("p", True)
@@ -463,7 +463,7 @@
         e.others = others
         e.dark("p")
         for _ in range(10):
-            e.warden.suspect("g", "p", "mute")
+            e.coordinator.suspect("g", "p", "mute")
             await asyncio.sleep(1)
         assert (
             e.leadership["phase"] == "serve"
@@ -471,7 +471,7 @@
             and not any(m.held for m in e.members.values())
         )
         e.others = {"c2": "mute", "c3": "mute"}
-        e.warden.suspect("g", "p", "mute")
+        e.coordinator.suspect("g", "p", "mute")
         await e.until(lambda: e.calls and e.leadership["primary"] != "p")
 
     virtual(go)
@@ -480,8 +480,8 @@
 def test_a_doubt_of_somebody_who_is_not_in_leadership_is_none():
     async def go(e):
         e.dark("r1")
-        e.warden.suspect("g", "r1", "mute")
-        e.warden.suspect("h", "p", "mute")
+        e.coordinator.suspect("g", "r1", "mute")
+        e.coordinator.suspect("h", "p", "mute")
         await asyncio.sleep(3)
         assert e.leadership["phase"] == "serve" and e.trace == e.trace[:1]
 
@@ -519,7 +519,7 @@
         assert (
             e.calls == [] and e.leadership["phase"] == "swap" and e.members["p"].role == "primary"
         )
-        assert "catches up" in e.warden.why["g"]
+        assert "catches up" in e.coordinator.wait_reasons["g"]
         e.members["r2"].follows = True
         await e.until(lambda: e.calls and e.settled)
         assert e.calls == ["r2"] and e.leadership["primary"] == "r2"
@@ -560,7 +560,7 @@
         assert (
             e.calls == []
             and e.leadership["phase"] == "serve"
-            and e.warden.why["g"] == "no heir for a planned move"
+            and e.coordinator.wait_reasons["g"] == "no candidate for a planned move"
         )
         e.member("r2", "ready")
         await e.until(lambda: e.calls and e.settled)
@@ -588,7 +588,7 @@
     async def go(e):
         e.barrier = 1.0
         e.dark("p", runs=False)
-        e.warden.suspect("g", "p", "refused")
+        e.coordinator.suspect("g", "p", "refused")
         await e.until(lambda: all(e.members[n].held for n in ("r1", "r2")))
         setattr(e.chain, lost, False)
         await asyncio.sleep(10)
@@ -604,7 +604,7 @@
     async def go(e):
         e.promote_as = [how] * (1 if how == "unanswered" else 3)
         e.dark("p", runs=False)
-        e.warden.suspect("g", "p", "refused")
+        e.coordinator.suspect("g", "p", "refused")
         await e.until(lambda: e.calls and e.settled)
         assert len(e.calls) == (1 if how == "unanswered" else 4)
         assert e.members[e.leadership["primary"]].role == "primary"
@@ -616,7 +616,7 @@
     async def go(e):
         e.promote_as = ["lost"] * 99
         e.dark("p")
-        e.warden.suspect("g", "p", "mute")
+        e.coordinator.suspect("g", "p", "mute")
         await e.until(lambda: e.calls)
         e.dark("r1")
         await asyncio.sleep(3)
@@ -638,7 +638,7 @@
     async def go(e):
         e.promote_s, e.promote_as = 1.0, ["unanswered"]
         e.dark("p")
-        e.warden.suspect("g", "p", "mute")
+        e.coordinator.suspect("g", "p", "mute")
         await e.until(lambda: e.calls)
         candidate = e.calls[0]
         other = ({"r1", "r2"} - {candidate}).pop()
@@ -677,7 +677,7 @@
     async def go(e):
         e.promote_s, e.promote_as = 2.0, ["unanswered"]
         e.dark("p")
-        e.warden.suspect("g", "p", "mute")
+        e.coordinator.suspect("g", "p", "mute")
         await e.until(lambda: e.calls)
         candidate = e.calls[0]
         e.members[candidate].follows = False
@@ -695,7 +695,7 @@
     async def go(e):
         e.promote_as = ["unsent", "unanswered"]
         e.dark("p", runs=False)
-        e.warden.suspect("g", "p", "refused")
+        e.coordinator.suspect("g", "p", "refused")
         await e.until(lambda: e.calls and e.settled)
         fences = [x[2] for x in e.trace if x[0] == "promote"]
         assert len(fences) >= 2 and fences == sorted(set(fences))
@@ -728,7 +728,7 @@
     async def go(e):
         e.lead("r1" if e.members["r1"].pos >= e.acked else "r2")
         new = next(n for n, m in e.members.items() if m.role == "primary")
-        e.warden.suspect("g", "p", "replica")
+        e.coordinator.suspect("g", "p", "replica")
         await e.until(lambda: e.leadership["primary"] == new and e.leadership["phase"] == "serve")
         assert e.calls == []
 
@@ -754,7 +754,7 @@
         last = e.leadership["primary"]
         e.dark(last, runs=False)
         e.members["r1" if second != "r1" else "r2"].follows = True
-        e.warden.suspect("g", last, "refused")
+        e.coordinator.suspect("g", last, "refused")
         await e.until(lambda: e.leadership["primary"] != last and e.settled, 5)
 
     virtual(go)
@@ -770,9 +770,9 @@
         await e.until(lambda: e.evidence.counted_out, 2)
         assert e.members["r1"].held and e.evidence.counted_out["r1"] == e.members["r1"].pos
         await leaving
-        assert not e.evidence.unproven and e.evidence.floor == e.members["r1"].pos
+        assert not e.evidence.unproven and e.evidence.lower_bound == e.members["r1"].pos
         e.dark("p", runs=False)
-        e.warden.suspect("g", "p", "refused")
+        e.coordinator.suspect("g", "p", "refused")
         await e.until(lambda: e.calls and e.settled, 5)
         assert e.calls == ["r2"]
 
@@ -801,15 +801,15 @@
         await e.release("r1")
         assert e.evidence.unproven == ("r1",)
         e.dark("p")
-        e.warden.suspect("g", "p", "mute")
+        e.coordinator.suspect("g", "p", "mute")
         await asyncio.sleep(8)
-        assert e.calls == [] and e.leadership["stuck"] and "r1" in e.warden.why["g"]
+        assert e.calls == [] and e.leadership["stuck"] and "r1" in e.coordinator.wait_reasons["g"]
         e.dark("p", True)
         e.members["r2"].follows = True
         await e.until(lambda: e.settled and not e.evidence.unproven)
         await asyncio.sleep(1)
         e.dark("p", runs=False)
-        e.warden.suspect("g", "p", "refused")
+        e.coordinator.suspect("g", "p", "refused")
         await e.until(lambda: e.calls and e.settled)
         assert e.calls == ["r2"]
 
@@ -822,14 +822,14 @@
             e.members[n].follows = n == "r1"
         await asyncio.sleep(0.5)
         e.dark("p", runs=False)
-        e.warden.suspect("g", "p", "refused")
+        e.coordinator.suspect("g", "p", "refused")
         await e.until(lambda: e.leadership["primary"] == "r1" and e.leadership["phase"] == "serve")
         e.put({"t": "member", "name": "p", "state": "gone", "addr": "1.1.1.1:0"})
         e.join("n1")
         await asyncio.sleep(0.2)
         e.members["n1"].follows = False
         e.dark("r1", runs=False)
-        e.warden.suspect("g", "r1", "refused")
+        e.coordinator.suspect("g", "r1", "refused")
         await asyncio.sleep(5)
         assert e.calls == ["r1"] and e.leadership["stuck"]
         e.dark("r1", True, True)
@@ -864,7 +864,7 @@
         assert e.members["r1"].held and e.evidence.counted_out["r1"] == e.members["r1"].pos
         await leaving
         e.dark("p", runs=False)
-        e.warden.suspect("g", "p", "refused")
+        e.coordinator.suspect("g", "p", "refused")
         await e.until(lambda: e.calls and e.settled, 5)
 
     virtual(go)
@@ -898,7 +898,7 @@
         e.join("n1")
         e.member("p", "draining")
         await asyncio.sleep(2)
-        assert e.calls == [] and "r1" in e.warden.why["g"]
+        assert e.calls == [] and "r1" in e.coordinator.wait_reasons["g"]
         e.dark("r1", True, True)
         e.members["r1"].held = 0
         await e.until(lambda: e.calls and e.settled)
@@ -926,9 +926,9 @@
         e.members["r2"].follows = False
         await e.release("r1")
         e.dark("p", runs=False)
-        e.warden.suspect("g", "p", "refused")
+        e.coordinator.suspect("g", "p", "refused")
         await asyncio.sleep(5)
-        assert e.calls == [] and "petrelhavenctl elect" in e.warden.why["g"]
+        assert e.calls == [] and "petrelhavenctl elect" in e.coordinator.wait_reasons["g"]
         e.acked = (1, 0)
         order = {"t": "evidence", "group": "g", "what": "order", "member": "r2", "by": "anna"}
         with pytest.raises(Conflict):
@@ -999,7 +999,7 @@
                 if e.chain.control_state.zone("b") != state:
                     e.put({"t": "hall", "hall": "b", "state": state, "by": "op"})
             elif what == "doubt":
-                e.warden.suspect("g", e.leadership["primary"], "mute")
+                e.coordinator.suspect("g", e.leadership["primary"], "mute")
             elif "barrier" in what:
                 e.barrier = 1.5 if what == "slow barrier" else 0.0
             elif "head" in what:
@@ -1011,8 +1011,8 @@
         for n, m in e.members.items():
             m.seen = m.runs = m.follows = True
             m.silent = False
-        e.warden.suspect("g", e.leadership["primary"], "mute")
-        await e.until(lambda: e.settled and "g" not in e.warden._to_resume, 60)
+        e.coordinator.suspect("g", e.leadership["primary"], "mute")
+        await e.until(lambda: e.settled and "g" not in e.coordinator.resumption.pending, 60)
 
     virtual(go, zones={"p": "b", "r2": "b"})
 
@@ -1020,7 +1020,7 @@
 def lose_for_good(e, name):
     """A replica ends without a word; a core misses its beats."""
     e.dark(name, True, False)
-    e.warden.suspect("g", name, "no beats")
+    e.coordinator.suspect("g", name, "no beats")
 
 
 def test_a_replica_lost_for_good_does_not_hold_up_the_next_loss():
@@ -1029,7 +1029,7 @@
         await e.until(lambda: "r1" in e.evidence.counted_out, 4)
         await asyncio.sleep(2)
         e.dark("p")
-        e.warden.suspect("g", "p", "mute")
+        e.coordinator.suspect("g", "p", "mute")
         await e.until(
             lambda: e.leadership["primary"] == "r2" and e.leadership["phase"] == "serve", 6
         )
@@ -1046,7 +1046,7 @@
         await e.until(lambda: "r1" in e.evidence.counted_out, 4)
         e.dark("r1")
         e.dark("p")
-        e.warden.suspect("g", "p", "mute")
+        e.coordinator.suspect("g", "p", "mute")
         await asyncio.sleep(8)
         assert e.calls == [] and e.leadership["stuck"]
 
@@ -1063,7 +1063,7 @@
         e.dark("r1", True, True)
         await e.until(lambda: e.settled)
         e.dark("p", runs=False)
-        e.warden.suspect("g", "p", "refused")
+        e.coordinator.suspect("g", "p", "refused")
         await e.until(lambda: e.calls and e.settled)
 
     virtual(go)
@@ -1149,7 +1149,7 @@
         self.e.chain.head = True
 
     async def _doubt(self, pick, s):
-        self.e.warden.suspect("g", self.e.leadership["primary"], "mute")
+        self.e.coordinator.suspect("g", self.e.leadership["primary"], "mute")
 
     async def _lone(self, pick, s):
         """Only one replica receives for a while, and nobody after it."""
@@ -1167,7 +1167,7 @@
         member = self.e.members[names[pick % len(names)]]
         member.runs = False
         await asyncio.sleep(s / 2)
-        self.e.warden.suspect("g", member.name, "no beats")
+        self.e.coordinator.suspect("g", member.name, "no beats")
         await asyncio.sleep(s / 2 + pick % 3)
         name = next(n for n, m in self.e.members.items() if m is member)
         if self.e.chain.control_state.doc["members"][name]["state"] != "gone":
@@ -1217,7 +1217,7 @@
         for _ in range(2):
             primary = e.leadership["primary"]
             e.dark(primary, runs=False)
-            e.warden.suspect("g", primary, "refused")
+            e.coordinator.suspect("g", primary, "refused")
             await asyncio.sleep(3)
 
     virtual(go, zones={"p": "b", "r2": "b"})
--- a/tests/test_failover_evidence.py
+++ b/tests/test_failover_evidence.py
@@ -11,7 +11,7 @@
 from petrelhaven.control.failover import evidence as module
 from petrelhaven.control.failover.evidence import (
     Evidence,
-    MemberRow,
+    MemberStatus,
     Proven,
     Unproven,
     decide,
@@ -197,7 +197,7 @@
         for name in heard:
             self.copies[name].held = self.term + 1
         rows = {
-            n: MemberRow("replica", self.term, self.copies[n].position, self.term + 1)
+            n: MemberStatus("replica", self.term, self.copies[n].position, self.term + 1)
             for n in heard
         }
         verdict = self.check(self._evidence, self.primary, names, rows)
@@ -241,11 +241,11 @@
 
 def without_positions_of_those_counted_out(evidence, *rest):
     counted_out = dict.fromkeys(evidence.counted_out, (0, 0))
-    return decide(Evidence(evidence.floor, counted_out, evidence.unproven), *rest)
+    return decide(Evidence(evidence.lower_bound, counted_out, evidence.unproven), *rest)
 
 
 def without_unproven(evidence, *rest):
-    return decide(Evidence(floor=evidence.floor, counted_out=evidence.counted_out), *rest)
+    return decide(Evidence(lower_bound=evidence.lower_bound, counted_out=evidence.counted_out), *rest)
 
 
 def with_those_heard(evidence, primary, replicas, rows):
@@ -281,7 +281,7 @@
 
 
 def row(position, held=2):
-    return MemberRow("replica", 1, position, held)
+    return MemberStatus("replica", 1, position, held)
 
 
 @pytest.mark.parametrize(
@@ -289,9 +289,9 @@
     [
         (Evidence(), {"a": row((1, 5)), "b": row((1, 4))}, ("a",)),
         (Evidence(), {"a": row((1, 5)), "b": row((1, 5))}, ("a", "b")),
-        (Evidence(floor=(1, 4), counted_out={"b": (1, 4)}), {"a": row((1, 5))}, ("a",)),
+        (Evidence(lower_bound=(1, 4), counted_out={"b": (1, 4)}), {"a": row((1, 5))}, ("a",)),
         (
-            Evidence(floor=(1, 7), counted_out={"b": (1, 7)}),
+            Evidence(lower_bound=(1, 7), counted_out={"b": (1, 7)}),
             {"a": row((1, 5)), "b": row((1, 7))},
             ("b",),
         ),
@@ -314,7 +314,7 @@
     [
         (Evidence(), {"a": row((1, 5))}, "not heard: b", False),
         (Evidence(unproven=("z",)), {"a": row((1, 5)), "b": row((1, 4))}, "z left", True),
-        (Evidence(floor=(2, 1)), {"a": row((1, 5)), "b": row((1, 4))}, "nobody holds 2.1", True),
+        (Evidence(lower_bound=(2, 1)), {"a": row((1, 5)), "b": row((1, 4))}, "nobody holds 2.1", True),
     ],
 )
 def test_without_proof_the_reason_is_told(evidence, rows, reason, lost):
@@ -335,5 +335,5 @@
     assert newer.evidence("g").unproven == ("unrecorded-1",)
     record = {"t": "evidence", "group": "g", "what": "bounded", "pos": [1, 9]}
     newer.apply(newer.seq + 1, {**record, "members": ["unrecorded-1"]})
-    assert newer.evidence("g") == Evidence(floor=(1, 9)) and newer.doc["sizes"]["g"] == 2
+    assert newer.evidence("g") == Evidence(lower_bound=(1, 9)) and newer.doc["sizes"]["g"] == 2
     assert ControlState(json.loads(json.dumps(newer.frame()))).evidence("g") == newer.evidence("g")
