--- a/src/petrelhaven/control/consensus/chain.py
+++ b/src/petrelhaven/control/consensus/chain.py
@@ -11,7 +11,7 @@
     NotReady,
     ViewSuperseded,
 )
-from petrelhaven.runtime.events import emit
+from petrelhaven.runtime.events import Events, emit
 
 __all__ = ["Chain", "CONFIRM_US", "DRIFT"]
 
@@ -110,7 +110,7 @@
         self.confirmed = 0
         self.adopted = self.clock.now()
         self.active_at = self.clock.now() + int(self.confirm_us * DRIFT)
-        emit(self.log, 301, n=view["n"], chain=",".join(view["chain"]), cause=view["cause"])
+        emit(self.log, Events.VIEW_ADOPTED, n=view["n"], chain=",".join(view["chain"]), cause=view["cause"])
         if self._feeder:
             self._feeder.cancel()
             self._feeder = None
@@ -295,7 +295,7 @@
             if not (self.head and self.active):
                 raise NotHead(
                     "not the active head",
-                    more={"head": self.view["chain"][0] if self.view else None},
+                    details={"head": self.view["chain"][0] if self.view else None},
                 )
             self.control_state.check(rec)
             seq = self.control_state.seq + 1
@@ -310,14 +310,14 @@
             await self.clock.sleep(30_000)
         what = ("name", "group", "hall", "state", "role") if rec["t"] == "member" else ()
         more = {k: rec[k] for k in what if rec.get(k)}
-        emit(self.log, 305, seq=seq, kind=rec["t"], **more)
+        emit(self.log, Events.RECORD_COMMITTED, seq=seq, kind=rec["t"], **more)
         return seq
 
     def read(self):
         """The control state, answered only by the tail of the current view."""
         if not (self.tail and self.active):
             raise NotReady(
-                "not the active tail", more={"tail": self.view["chain"][-1] if self.view else None}
+                "not the active tail", details={"tail": self.view["chain"][-1] if self.view else None}
             )
         return self.control_state.doc
 
@@ -340,7 +340,7 @@
                     rs = self.mem.since(held, mark)
                     if rs is None:
                         body.update(
-                            frame=self.control_state.frame(),
+                            frame=self.control_state.snapshot(),
                             prev=self.control_state.seq,
                             mark=self.mem.mark,
                             done=True,
--- a/src/petrelhaven/control/embargo/duty.py
+++ b/src/petrelhaven/control/embargo/duty.py
@@ -5,7 +5,7 @@
 from petrelhaven.control.embargo.agreed_time import AgreedTime
 from petrelhaven.control.embargo.rules import Table, of_configuration, placed, rules_of, told
 from petrelhaven.runtime.errors import Duplicate, Fault, Invalid, NotReady
-from petrelhaven.runtime.events import emit
+from petrelhaven.runtime.events import Events, emit
 from petrelhaven.runtime.wall_clock import WallClock
 
 __all__ = ["EmbargoDuty"]
@@ -69,7 +69,7 @@
                 "edges that may not know that embargoes are on: "
                 + ", ".join(late)[:200]
                 + "; restart them, or name those that are gone for good",
-                more={"edges": late},
+                details={"edges": late},
             )
 
     async def apply(self, m, rec):
@@ -96,12 +96,12 @@
         try:
             got = await self.s.enter(r, True)
         except Duplicate as e:
-            emit(self.s.log, 330, do=r["do"], embargo=r["name"], by=r["by"] or "-", again=True)
-            e.more["in_force"] = True
+            emit(self.s.log, Events.EMBARGO_IN_FORCE, do=r["do"], embargo=r["name"], by=r["by"] or "-", again=True)
+            e.details["in_force"] = True
             raise
         emit(
             self.s.log,
-            330,
+            Events.EMBARGO_IN_FORCE,
             do=r["do"],
             embargo=r["name"],
             by=r["by"] or "-",
@@ -128,7 +128,7 @@
             if not isinstance(d.get(k, ""), str)
         ]
         if bad or not d.get("thing"):
-            raise Invalid("question declined", more={"faults": bad or [["thing", "missing"]]})
+            raise Invalid("question declined", details={"faults": bad or [["thing", "missing"]]})
         doc = await self.s.control_state()
         t = Table(rules_of(doc))
         got = self.time.interval()
--- a/src/petrelhaven/control/failover/context.py
+++ b/src/petrelhaven/control/failover/context.py
@@ -15,7 +15,7 @@
 from petrelhaven.control.failover.suspicions import Suspicions
 from petrelhaven.control.state.evidence_records import CountedOutRecord
 from petrelhaven.control.state.records import LeadershipRecord
-from petrelhaven.runtime.events import emit
+from petrelhaven.runtime.events import Events, emit
 
 if TYPE_CHECKING:
     from petrelhaven.control.failover.evidence import Evidence, Position
@@ -25,8 +25,6 @@
 __all__ = ["FailoverContext"]
 
 _OPEN = "open"
-_SERVING_EVENT, _CHANGE_EVENT, _WAIT_EVENT = 320, 321, 328
-_COUNTED_OUT_EVENT, _RECEIVES_EVENT = 340, 341
 
 
 class FailoverContext:
@@ -103,7 +101,7 @@
     def wait(self, group: str, reason: WaitReason) -> None:
         """Notes why a group waits, and logs each reason once."""
         if self.wait_reasons.get(group) != reason:
-            emit(self.log, _WAIT_EVENT, group=group, note=reason)
+            emit(self.log, Events.LEADER_CHANGE_WAITS, group=group, note=reason)
         self.wait_reasons[group] = reason
 
     def end_change(self, group: str) -> None:
@@ -130,7 +128,9 @@
         number = await self.node.chain.enter(record.to_document())
         emit(
             self.log,
-            _SERVING_EVENT if new.phase is LeadershipPhase.SERVING else _CHANGE_EVENT,
+            Events.LEADERSHIP_CHANGED
+            if new.phase is LeadershipPhase.SERVING
+            else Events.GROUP_HALTED,
             group=group,
             phase=new.phase.value,
             primary=new.primary,
@@ -143,6 +143,6 @@
         """Records that a leaving member is paused at `position`, or receives again if None."""
         await self.node.chain.enter(CountedOutRecord(group, member, position).to_document())
         if position is not None:
-            emit(self.log, _COUNTED_OUT_EVENT, group=group, member=member, pos=position)
+            emit(self.log, Events.MEMBER_COUNTED_OUT, group=group, member=member, pos=position)
         else:
-            emit(self.log, _RECEIVES_EVENT, group=group, member=member)
+            emit(self.log, Events.MEMBER_COUNTED_AGAIN, group=group, member=member)
--- a/src/petrelhaven/control/failover/coordinator.py
+++ b/src/petrelhaven/control/failover/coordinator.py
@@ -20,7 +20,7 @@
 from petrelhaven.control.failover.resumption import ReplicaResumption
 from petrelhaven.control.failover.wait_reasons import NO_CANDIDATE, TOO_FEW_CONTROL_NODES
 from petrelhaven.runtime.errors import Fault
-from petrelhaven.runtime.events import emit
+from petrelhaven.runtime.events import Events, emit
 
 if TYPE_CHECKING:
     from petrelhaven.control.failover.interfaces import ControlServices, Platform
@@ -30,7 +30,6 @@
 _CHECK_INTERVAL_US = 100_000
 _FAULT_PAUSE_US = 200_000
 _ADOPT_PAUSE_US = 300_000
-_WORK_FAILED_EVENT, _INSPECTION_EVENT = 307, 327
 
 
 class FailoverCoordinator:
@@ -106,7 +105,9 @@
             try:
                 await work(*arguments)
             except Fault as fault:
-                emit(self._log, _WORK_FAILED_EVENT, what=group, fault=fault.code, note=fault.note)
+                emit(
+                    self._log, Events.RECORD_DECLINED, what=group, fault=fault.code, note=fault.note
+                )
                 await self._clock.sleep(_FAULT_PAUSE_US)
             finally:
                 self._tasks.pop(group, None)
@@ -172,7 +173,7 @@
         observations = ",".join(survey.observations)
         emit(
             self._log,
-            _INSPECTION_EVENT,
+            Events.PRIMARY_CHECKED,
             group=group,
             primary=primary.name,
             suspect=suspicion,
--- a/src/petrelhaven/control/failover/departures.py
+++ b/src/petrelhaven/control/failover/departures.py
@@ -23,7 +23,7 @@
 from petrelhaven.control.state.evidence_records import BoundedRecord
 from petrelhaven.control.state.records import DepartureRecord
 from petrelhaven.runtime.errors import Fault
-from petrelhaven.runtime.events import emit
+from petrelhaven.runtime.events import Events, emit
 
 if TYPE_CHECKING:
     from petrelhaven.control.failover.context import FailoverContext
@@ -38,7 +38,6 @@
 _ENDED_US = 2_000_000
 _REFUSING_US = 1_000_000
 _SUSPECTED_US = 10_000_000
-_WORK_FAILED_EVENT, _BOUNDED_EVENT = 307, 342
 _UNFOLLOWED_END = "unfollowed end"
 _REFUSING, _UNPROVEN = "refusing ", "unproven "
 
@@ -116,7 +115,13 @@
         try:
             await self._attend(group)
         except Fault as fault:
-            emit(self._node.log, _WORK_FAILED_EVENT, what=group, fault=fault.code, note=fault.note)
+            emit(
+                self._node.log,
+                Events.RECORD_DECLINED,
+                what=group,
+                fault=fault.code,
+                note=fault.note,
+            )
         finally:
             await self._clock.sleep(_ROUND_INTERVAL_US)
             self._tasks.pop(group, None)
@@ -212,7 +217,7 @@
         record = BoundedRecord(group, tuple(ended), position)
         await self._node.chain.enter(record.to_document())
         names = ",".join(ended)
-        emit(self._node.log, _BOUNDED_EVENT, group=group, members=names, pos=position)
+        emit(self._node.log, Events.DEPARTED_LOG_BOUNDED, group=group, members=names, pos=position)
 
     async def _sign_off_overdue(self, group: str) -> None:
         """Signs off members that drained for their time and refuse: they ended unannounced."""
--- a/src/petrelhaven/control/failover/failover.py
+++ b/src/petrelhaven/control/failover/failover.py
@@ -15,7 +15,7 @@
     not_heard,
     order_unanswered,
 )
-from petrelhaven.runtime.events import emit
+from petrelhaven.runtime.events import Events, emit
 
 if TYPE_CHECKING:
     from petrelhaven.control.failover.context import FailoverContext
@@ -26,8 +26,6 @@
 
 __all__ = ["Failover"]
 
-_NO_PROOF_EVENT, _ORDER_OBEYED_EVENT = 343, 344
-
 
 class Failover:
     """Prepares the promotion of a candidate that provably has every acknowledged commit."""
@@ -93,7 +91,7 @@
         if verdict.lost_copies and is_new:
             emit(
                 self._context.log,
-                _NO_PROOF_EVENT,
+                Events.GROUP_WAITS_FOR_PROOF,
                 group=self._group,
                 primary=self._old_primary,
                 note=verdict.reason,
@@ -137,7 +135,7 @@
         await self._announce(candidate)
         emit(
             self._context.log,
-            _ORDER_OBEYED_EVENT,
+            Events.MEMBER_ELECTED_BY_ORDER,
             group=self._group,
             member=order.member,
             by=order.by,
--- a/src/petrelhaven/control/failover/leader_change.py
+++ b/src/petrelhaven/control/failover/leader_change.py
@@ -11,7 +11,7 @@
 from petrelhaven.control.failover.promotion import PromotionRequests
 from petrelhaven.control.failover.switchover import Switchover
 from petrelhaven.runtime.errors import NotHead
-from petrelhaven.runtime.events import emit
+from petrelhaven.runtime.events import Events, emit
 
 if TYPE_CHECKING:
     from petrelhaven.control.failover.context import FailoverContext
@@ -27,7 +27,6 @@
 _CARRY_ON_US = 1_500_000
 _PROMOTION_CHECK_US = 40_000
 _NEXT_CHANGE_US = 1_000_000
-_PRIMARY_RECORDED_EVENT, _CANDIDATE_EVENT = 324, 326
 
 
 class LeaderChange:
@@ -133,7 +132,13 @@
         if not self._context.is_active_head:
             raise NotHead("not the active head any more")
         position = candidate.last_status.position if candidate.last_status else None
-        emit(self._log, _CANDIDATE_EVENT, group=self.group, candidate=candidate.name, pos=position)
+        emit(
+            self._log,
+            Events.CANDIDATE_CHOSEN,
+            group=self.group,
+            candidate=candidate.name,
+            pos=position,
+        )
         end = self._clock.now() + await self._requests.send(candidate.name)
         while self._clock.now() < end:
             if await _is_primary(candidate):
@@ -162,7 +167,7 @@
         await self._context.enter_leadership(self.group, record)
         emit(
             self._log,
-            _PRIMARY_RECORDED_EVENT,
+            Events.PRIMARY_PROMOTED,
             group=self.group,
             primary=candidate.name,
             term=status.term,
--- a/src/petrelhaven/control/failover/promotion.py
+++ b/src/petrelhaven/control/failover/promotion.py
@@ -11,7 +11,7 @@
 
 from petrelhaven.control.failover.group_state import LeadershipPhase, NewLeadership
 from petrelhaven.runtime.errors import Fault, Fenced, NotSent
-from petrelhaven.runtime.events import emit
+from petrelhaven.runtime.events import Events, emit
 
 if TYPE_CHECKING:
     from petrelhaven.control.failover.context import FailoverContext
@@ -21,7 +21,6 @@
 _TAKES_EFFECT_US = 2_500_000
 _ACCEPTED_WAIT_US = 5_000_000
 _DECLINED_WAIT_US = 300_000
-_REQUEST_FAILED_EVENT = 323
 
 
 class PromotionRequests:
@@ -119,7 +118,7 @@
     def _log_failure(self, candidate: str, fault: Fault) -> None:
         emit(
             self._context.log,
-            _REQUEST_FAILED_EVENT,
+            Events.PLATFORM_DECLINED,
             group=self._group,
             target=candidate,
             fault=fault.code,
--- a/src/petrelhaven/control/resumable/duty_tasks.py
+++ b/src/petrelhaven/control/resumable/duty_tasks.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any
 
 from petrelhaven.runtime.errors import Fault
-from petrelhaven.runtime.events import emit
+from petrelhaven.runtime.events import Events, emit
 
 if TYPE_CHECKING:
     from petrelhaven.control.failover.interfaces import Tasks
@@ -16,7 +16,6 @@
 __all__ = ["DutyTasks"]
 
 _FAULT_PAUSE_US = 100_000
-_WORK_FAILED_EVENT = 307
 
 
 class DutyTasks:
@@ -41,7 +40,9 @@
                 await work(*arguments)
             except Fault as fault:
                 what = str(subject)
-                emit(self._log, _WORK_FAILED_EVENT, what=what, fault=fault.code, note=fault.note)
+                emit(
+                    self._log, Events.RECORD_DECLINED, what=what, fault=fault.code, note=fault.note
+                )
                 await self._clock.sleep(_FAULT_PAUSE_US)
             finally:
                 self._running.pop(subject, None)
--- a/src/petrelhaven/control/resumable/planning_duty.py
+++ b/src/petrelhaven/control/resumable/planning_duty.py
@@ -29,7 +29,7 @@
 from petrelhaven.control.resumable.proxy_watch import ProxyWatch
 from petrelhaven.control.resumable.records import EpochInForceRecord, EpochRecord
 from petrelhaven.runtime.errors import Fault, Fenced
-from petrelhaven.runtime.events import emit
+from petrelhaven.runtime.events import Events, emit
 
 if TYPE_CHECKING:
     from petrelhaven.control.configuration.document import Configuration, Group
@@ -50,8 +50,6 @@
 _REPORT_US = 400_000
 _PROMOTION_RETRY_US = 250_000
 _MOST_SESSION_REPLICAS = 2
-_SERVING_EVENT, _HALTED_EVENT, _NO_CANDIDATE_EVENT = 320, 321, 322
-_REQUEST_FAILED_EVENT, _PROMOTED_EVENT = 323, 324
 
 
 class PlanningDuty:
@@ -210,7 +208,7 @@
         if self.wait_reasons.get(group) == step.reason:
             return
         if step.reason.startswith("no safe"):
-            emit(self.log, _NO_CANDIDATE_EVENT, group=group, note=step.reason)
+            emit(self.log, Events.NO_SAFE_CANDIDATE, group=group, note=step.reason)
         self.wait_reasons[group] = step.reason
 
     def _observe(
@@ -285,7 +283,7 @@
         await self.chain.enter(epoch.to_document())
         emit(
             self.log,
-            _HALTED_EVENT if epoch.phase == HALTED else _SERVING_EVENT,
+            Events.GROUP_HALTED if epoch.phase == HALTED else Events.LEADERSHIP_CHANGED,
             group=epoch.group,
             n=epoch.number,
             primary=epoch.primary,
@@ -305,7 +303,7 @@
         except Fault as fault:
             await self._after_failed_request(key, target, fault)
             return
-        emit(self.log, _PROMOTED_EVENT, group=group.name, primary=target, epoch=key[1])
+        emit(self.log, Events.PRIMARY_PROMOTED, group=group.name, primary=target, epoch=key[1])
         epoch = self._epoch_if_current(key)
         if epoch is None:
             return
@@ -319,7 +317,7 @@
         group, number = key
         emit(
             self.log,
-            _REQUEST_FAILED_EVENT,
+            Events.PLATFORM_DECLINED,
             group=group,
             target=target,
             epoch=number,
--- a/src/petrelhaven/control/resumable/promotion.py
+++ b/src/petrelhaven/control/resumable/promotion.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any
 
 from petrelhaven.runtime.errors import DeadlineExceeded, Malformed
-from petrelhaven.runtime.events import emit
+from petrelhaven.runtime.events import Events, emit
 
 if TYPE_CHECKING:
     from petrelhaven.control.resumable.announcements import AnnouncementTable
@@ -18,7 +18,6 @@
 
 _PROMOTION_US = 4_000_000
 _PROMOTION_CHECK_US = 200_000
-_ANNOUNCED_EVENT = 325
 
 
 class PromotionRequester:
@@ -57,7 +56,13 @@
                     document = await self.clock.limit(answer, _PROMOTION_CHECK_US, keep=True)
                 except DeadlineExceeded:
                     if self._is_announced(target, epoch):
-                        emit(self._log, _ANNOUNCED_EVENT, group=group, primary=target, epoch=epoch)
+                        emit(
+                            self._log,
+                            Events.PROMOTION_OBSERVED,
+                            group=group,
+                            primary=target,
+                            epoch=epoch,
+                        )
                         return
                     if answer.done() or self.clock.now() >= end:
                         raise
--- a/src/petrelhaven/control/resumable/proxy_watch.py
+++ b/src/petrelhaven/control/resumable/proxy_watch.py
@@ -8,7 +8,7 @@
 
 from petrelhaven.control.leases import LAPSE_US, LEASE_US
 from petrelhaven.control.resumable.records import LeaseExpiryRecord, ProxyRecord
-from petrelhaven.runtime.events import emit
+from petrelhaven.runtime.events import Events, emit
 
 if TYPE_CHECKING:
     from petrelhaven.control.resumable.announcements import NodeReport
@@ -25,7 +25,6 @@
 _SILENT_US = 2_500_000
 _LEASE_REMAINDER_US = 600_000
 _GONE = "gone"
-_PROXY_GONE_EVENT = 308
 
 
 @dataclass(frozen=True, slots=True)
@@ -135,7 +134,7 @@
         self._declared[proxy.zone] = now
         emit(
             self._log,
-            _PROXY_GONE_EVENT,
+            Events.PROXY_GONE,
             edge=proxy.name,
             incarnation=proxy.incarnation,
             kith=state,
--- a/src/petrelhaven/proxy/resumable/sender.py
+++ b/src/petrelhaven/proxy/resumable/sender.py
@@ -9,7 +9,7 @@
     StatementRejected,
     Unreachable,
 )
-from petrelhaven.runtime.events import emit
+from petrelhaven.runtime.events import Events, emit
 
 __all__ = ["Sender"]
 
@@ -53,12 +53,12 @@
                 conn.lost = True
             if f.note not in _NOTHING:
                 raise StatementRejected(
-                    f.note, more={k: v for k, v in f.more.items() if k != "fault"}
+                    f.note, details={k: v for k, v in f.details.items() if k != "fault"}
                 ) from None
             raise
         except (DeadlineExceeded, Unreachable) as f:
             conn.lost = True
-            emit(e.log, 421, member=post.name, fault=f.code)
+            emit(e.log, Events.MEMBER_CONNECTION_LOST, member=post.name, fault=f.code)
             raise
         conn.tag = tag
         e.sent += 1
--- a/src/petrelhaven/proxy/resumable/writes.py
+++ b/src/petrelhaven/proxy/resumable/writes.py
@@ -11,7 +11,7 @@
     StatementRejected,
     Unreachable,
 )
-from petrelhaven.runtime.events import emit
+from petrelhaven.runtime.events import Events, emit
 
 __all__ = ["Writer"]
 
@@ -37,11 +37,11 @@
         """The primary, if writes are taken now."""
         if t.key is None:
             raise NoPrimary(
-                "writes are stopped while a primary is elected", more={"epoch": t.epoch["n"]}
+                "writes are stopped while a primary is elected", details={"epoch": t.epoch["n"]}
             )
         if not t.epoch["open"]:
             raise NoPrimary(
-                "too few in-sync replicas to keep a write safe", more={"epoch": t.epoch["n"]}
+                "too few in-sync replicas to keep a write safe", details={"epoch": t.epoch["n"]}
             )
         return t.posts[t.epoch["primary"]]
 
@@ -89,7 +89,7 @@
             ok = True
             return (yield from self.settled(s, n, {"outcome": "not kept", **f.doc()}))
         except (DeadlineExceeded, Unreachable):
-            emit(e.log, 420, sid=s.sid, n=n)
+            emit(e.log, Events.STATEMENT_OUTCOME_UNKNOWN, sid=s.sid, n=n)
             return {"outcome": "unknown", "retry_after_us": 300_000}
         finally:
             post.writes -= 1
@@ -104,7 +104,7 @@
         except DeadlineExceeded:
             held = False
         if not held:
-            emit(e.log, 420, sid=s.sid, n=n, pos=r["pos"])
+            emit(e.log, Events.STATEMENT_OUTCOME_UNKNOWN, sid=s.sid, n=n, pos=r["pos"])
             return {"outcome": "unknown", "retry_after_us": 300_000}
         return (
             yield from self.settled(
--- a/src/petrelhaven/transport/channel.py
+++ b/src/petrelhaven/transport/channel.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from petrelhaven.runtime.clock import BackgroundTasks, Clock
+from petrelhaven.runtime.clock import Clock
 from petrelhaven.runtime.errors import (
     Fault,
     Malformed,
@@ -19,7 +19,8 @@
     Unreachable,
     rebuild,
 )
-from petrelhaven.runtime.events import emit
+from petrelhaven.runtime.events import Events, emit
+from petrelhaven.runtime.tasks import BackgroundTasks
 from petrelhaven.transport.contracts import RELAY, Repeat, repeat_of
 from petrelhaven.transport.messages import CALL, FAULT, RESULT, Message, pack, unpack
 
@@ -55,7 +56,7 @@
     """
     fault = rebuild(doc)
     if isinstance(fault, NotSent) and not (kind == RELAY and isinstance(fault, NotRelayed)):
-        fault = Unreachable(fault.note, fault.back, fault.more)
+        fault = Unreachable(fault.note, fault.retry_after_us, fault.details)
     fault.answered = True
     return fault
 
@@ -168,7 +169,7 @@
         except Fault as fault:
             raw = pack(kind, FAULT, message.number, {"doc": fault.doc()})
         except Exception as error:
-            emit(self._link.log, 112, kind=kind, what=repr(error))
+            emit(self._link.log, Events.HANDLER_FAILED, kind=kind, what=repr(error))
             typed = Malformed if isinstance(error, _BAD_BODY) else Fault
             doc = typed(f"{kind}: {type(error).__name__}").doc()
             raw = pack(kind, FAULT, message.number, {"doc": doc})
--- a/src/petrelhaven/transport/http_server.py
+++ b/src/petrelhaven/transport/http_server.py
@@ -5,7 +5,7 @@
 from aiohttp import web
 
 from petrelhaven.runtime.errors import Fault, Malformed, TooLarge
-from petrelhaven.runtime.events import emit
+from petrelhaven.runtime.events import Events, emit
 
 __all__ = ["HttpServer", "body_of"]
 
@@ -46,13 +46,13 @@
         except UnicodeDecodeError:
             return self.fault(Malformed("the body is not UTF-8"))
         except Exception as e:
-            emit(self._log, 112, path=req.path, what=repr(e))
+            emit(self._log, Events.HANDLER_FAILED, path=req.path, what=repr(e))
             return self.fault(Fault(type(e).__name__))
 
     @staticmethod
     def fault(e):
         """The HTTP result of a typed fault."""
-        h = {"Retry-After": str(-(-e.back // 1_000_000))} if e.back is not None else {}
+        h = {"Retry-After": str(-(-e.retry_after_us // 1_000_000))} if e.retry_after_us is not None else {}
         return web.json_response(e.doc(), status=e.status, headers=h)
 
     async def start(self):
--- a/tests/test_entered_record.py
+++ b/tests/test_entered_record.py
@@ -9,8 +9,9 @@
 from petrelhaven.control.consensus.chain import Chain
 from petrelhaven.control.state.control_state import ControlState
 from petrelhaven.control.storage.core_store import CoreStore
-from petrelhaven.runtime.clock import BackgroundTasks, Clock
+from petrelhaven.runtime.clock import Clock
 from petrelhaven.runtime.errors import NotReady, NotSent
+from petrelhaven.runtime.tasks import BackgroundTasks
 
 
 class LoopClock(Clock):
@@ -56,7 +57,7 @@
             "prev": 1,
             "mark": 2,
             "recs": [],
-            "frame": control_state.frame(),
+            "frame": control_state.snapshot(),
             "done": True,
         }
         await chain.append(None, body)
--- a/tests/test_interface_compatibility.py
+++ b/tests/test_interface_compatibility.py
@@ -25,7 +25,7 @@
 def fault_values():
     """HTTP status, retry-after and the wider codes of every fault, by its code."""
     return {
-        code: {"status": fault.status, "retry_after_us": fault.back, "codes": _codes(fault)}
+        code: {"status": fault.status, "retry_after_us": fault.retry_after_us, "codes": _codes(fault)}
         for code, fault in sorted(REGISTRY.items())
     }
 
@@ -37,7 +37,7 @@
 
 def event_levels():
     """The level of every event, by its number."""
-    return {str(number): event[0] for number, event in sorted(EVENTS.items())}
+    return {str(number): event.level for number, event in sorted(EVENTS.items())}
 
 
 def shape(value, names):
--- a/tests/test_proxy_interface.py
+++ b/tests/test_proxy_interface.py
@@ -14,7 +14,8 @@
 from petrelhaven.proxy.core_connection import CoreConnection
 from petrelhaven.proxy.node import ProxyNode
 from petrelhaven.proxy.proxy_interface import ProxyInterface
-from petrelhaven.runtime.clock import BackgroundTasks, Clock
+from petrelhaven.runtime.clock import Clock
+from petrelhaven.runtime.tasks import BackgroundTasks
 from petrelhaven.transport.light_http import LightHttpServer, _Request
 from petrelhaven.transport.link import Link
 
@@ -101,7 +102,7 @@
             for r in records:
                 led.check(r)
                 led.apply(led.seq + 1, r)
-            await core_connection._push(None, {"frame": led.frame(), "recs": [], "commit": led.seq})
+            await core_connection._push(None, {"frame": led.snapshot(), "recs": [], "commit": led.seq})
         try:
             return await fn(proxy, http_server)
         finally:
