--- a/src/petrelhaven/commands/control.py
+++ b/src/petrelhaven/commands/control.py
@@ -7,8 +7,9 @@
 from petrelhaven.control.base_node import BaseControlNode
 from petrelhaven.control.interface.control_interface import ControlInterface
 from petrelhaven.control.node import ControlNode
-from petrelhaven.control.resumable.control_interface import Platform, ResumableControlInterface
+from petrelhaven.control.resumable.control_interface import ResumableControlInterface
 from petrelhaven.control.resumable.member_protocol import MemberWire
+from petrelhaven.control.resumable.platform_client import PlatformClient
 from petrelhaven.control.state.control_state import ControlState
 from petrelhaven.control.storage.core_store import CoreStore
 from petrelhaven.control.storage.data_folder import DataFolder
@@ -35,7 +36,7 @@
         d.link,
         Folder(s.data),
         random.SystemRandom(),
-        Platform(s.platform),
+        PlatformClient(s.platform),
         MemberWire(d.clock, Wire(d.clock, d.tasks)),
         _HEARTBEAT_US,
         d.log,
@@ -57,7 +58,7 @@
         d.link,
         Folder(s.data),
         random.SystemRandom(),
-        Platform(s.platform),
+        PlatformClient(s.platform),
         d.log,
     )
     ResumableControlInterface(core, d.http_server)
--- a/src/petrelhaven/control/failover/context.py
+++ b/src/petrelhaven/control/failover/context.py
@@ -5,16 +5,12 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from petrelhaven.control.failover.group_state import (
-    GroupMember,
-    Leadership,
-    LeadershipPhase,
-    NewLeadership,
-)
+from petrelhaven.control.failover.group_state import NewLeadership
 from petrelhaven.control.failover.observation import Observer
 from petrelhaven.control.failover.suspicions import Suspicions
 from petrelhaven.control.state.evidence_records import CountedOutRecord
 from petrelhaven.control.state.records import LeadershipRecord
+from petrelhaven.control.state.rows import Leadership, LeadershipPhase, Member
 from petrelhaven.runtime.events import Events, emit
 
 if TYPE_CHECKING:
@@ -73,10 +69,10 @@
         row = self.node.chain.control_state.doc["offices"].get(group)
         return Leadership.from_row(row) if row else None
 
-    def members(self, group: str) -> dict[str, GroupMember]:
+    def members(self, group: str) -> dict[str, Member]:
         """The members of a group that are not gone, by name."""
         rows = self.node.chain.control_state.group(group)
-        return {name: GroupMember.from_row(name, row) for name, row in rows.items()}
+        return {name: Member.from_row(name, row) for name, row in rows.items()}
 
     def evidence(self, group: str) -> Evidence:
         """What is recorded about the logs of a group's members."""
--- a/src/petrelhaven/control/failover/coordinator.py
+++ b/src/petrelhaven/control/failover/coordinator.py
@@ -8,17 +8,13 @@
 
 from petrelhaven.control.failover.context import FailoverContext
 from petrelhaven.control.failover.departures import DepartureWatch
-from petrelhaven.control.failover.group_state import (
-    GroupMember,
-    Leadership,
-    LeadershipPhase,
-    NewLeadership,
-)
+from petrelhaven.control.failover.group_state import MemberEndpoint, NewLeadership
 from petrelhaven.control.failover.heartbeats import HeartbeatMonitor
 from petrelhaven.control.failover.leader_change import LeaderChange
 from petrelhaven.control.failover.member_access import MemberHandle
 from petrelhaven.control.failover.resumption import ReplicaResumption
 from petrelhaven.control.failover.wait_reasons import NO_CANDIDATE, TOO_FEW_CONTROL_NODES
+from petrelhaven.control.state.rows import Leadership, LeadershipPhase, Member
 from petrelhaven.runtime.errors import Fault
 from petrelhaven.runtime.events import Events, emit
 
@@ -126,7 +122,7 @@
         else:
             self._attend_serving(group, leadership, members)
 
-    def _begin_leadership(self, group: str, members: Mapping[str, GroupMember]) -> None:
+    def _begin_leadership(self, group: str, members: Mapping[str, Member]) -> None:
         announced = [
             name for name, member in members.items() if member.is_primary and member.is_ready
         ]
@@ -135,7 +131,7 @@
             self._start(group, self._context.enter_leadership, group, record)
 
     def _attend_serving(
-        self, group: str, leadership: Leadership, members: Mapping[str, GroupMember]
+        self, group: str, leadership: Leadership, members: Mapping[str, Member]
     ) -> None:
         primary = members.get(leadership.primary)
         another = any(
@@ -153,7 +149,7 @@
         elif group in self.resumption.pending:
             self._start(group, self.resumption.resume, group)
 
-    def _starts_switchover(self, group: str, primary: GroupMember) -> bool:
+    def _starts_switchover(self, group: str, primary: Member) -> bool:
         """Starts a switchover if the primary drains or its zone is evacuated."""
         if not primary.is_draining and self._context.is_open(primary.zone):
             return False
@@ -166,7 +162,7 @@
         self._start(group, self._change_leader, group, True, cause)
         return True
 
-    async def _inspect_primary(self, primary: GroupMember, suspicion: str) -> None:
+    async def _inspect_primary(self, primary: Member, suspicion: str) -> None:
         """Several control nodes inspect a suspected primary; one that is reached stays."""
         group = primary.group
         survey = await self.observer.survey(primary)
@@ -192,7 +188,7 @@
         """Records the member that answers that it is the primary, if another is recorded."""
         recorded = self._context.leadership(group).primary
         for member in self._context.members(group).values():
-            handle = MemberHandle(self._node.wire, self._clock, member.endpoint)
+            handle = MemberHandle(self._node.wire, self._clock, MemberEndpoint.of(member))
             status = await handle.status()
             handle.close()
             if status is not None and status.is_primary and member.name != recorded:
--- a/src/petrelhaven/control/failover/counting_out.py
+++ b/src/petrelhaven/control/failover/counting_out.py
@@ -12,13 +12,14 @@
 from collections.abc import Callable, Iterable
 from typing import TYPE_CHECKING
 
+from petrelhaven.control.failover.group_state import MemberEndpoint
 from petrelhaven.control.failover.member_access import MemberHandle
 
 if TYPE_CHECKING:
     from petrelhaven.control.failover.context import FailoverContext
     from petrelhaven.control.failover.evidence import Position
-    from petrelhaven.control.failover.group_state import GroupMember
     from petrelhaven.control.failover.resumption import ReplicaResumption
+    from petrelhaven.control.state.rows import Member
 
 __all__ = ["CountingOut"]
 
@@ -35,7 +36,7 @@
         self._context, self._resumption, self._group = context, resumption, group
         self._clock = context.clock
         self._handles: dict[str, MemberHandle] = {}
-        self._members: dict[str, GroupMember] = {}
+        self._members: dict[str, Member] = {}
         self._unfollowed_since: int | None = None
 
     def close(self) -> None:
@@ -51,8 +52,10 @@
             self._handles.pop(name).close()
         for name, member in self._members.items():
             if name not in self._handles:
-                self._handles[name] = MemberHandle(node.wire, self._clock, member.endpoint)
-            self._handles[name].move_to(member.endpoint)
+                self._handles[name] = MemberHandle(
+                    node.wire, self._clock, MemberEndpoint.of(member)
+                )
+            self._handles[name].move_to(MemberEndpoint.of(member))
 
     def handle(self, name: str) -> MemberHandle | None:
         """The connection to a member, if it was in the group at the last refresh."""
--- a/src/petrelhaven/control/failover/departures.py
+++ b/src/petrelhaven/control/failover/departures.py
@@ -14,14 +14,11 @@
 from typing import TYPE_CHECKING
 
 from petrelhaven.control.failover.counting_out import CountingOut
-from petrelhaven.control.failover.group_state import (
-    GroupMember,
-    LeadershipPhase,
-    draining_members,
-)
+from petrelhaven.control.failover.group_state import MemberEndpoint, draining_members
 from petrelhaven.control.failover.observation import REFUSED, UNREACHABLE
 from petrelhaven.control.state.evidence_records import BoundedRecord
 from petrelhaven.control.state.records import DepartureRecord
+from petrelhaven.control.state.rows import LeadershipPhase, Member
 from petrelhaven.runtime.errors import Fault
 from petrelhaven.runtime.events import Events, emit
 
@@ -84,7 +81,7 @@
     def _evidence(self, group: str) -> Evidence:
         return self._context.evidence(group)
 
-    def _leaving(self, group: str) -> list[GroupMember]:
+    def _leaving(self, group: str) -> list[Member]:
         return [m for m in self._context.members(group).values() if m.is_draining]
 
     def _needs_round(self, group: str) -> bool:
@@ -185,10 +182,10 @@
                 lost.append(name)
         return lost
 
-    async def _is_lost(self, member: GroupMember) -> bool:
+    async def _is_lost(self, member: Member) -> bool:
         """Whether the port of a member has been closed for a while; drops refuted suspicions."""
         group, name = member.group, member.name
-        observation = await self._observer.inspect(member.endpoint)
+        observation = await self._observer.inspect(MemberEndpoint.of(member))
         if observation == REFUSED:
             return self._seen_us(group, _REFUSING + name) > _REFUSING_US
         self._not_seen(group, _REFUSING + name)
@@ -206,8 +203,8 @@
             if row is None:
                 ended.append(name)
                 continue
-            member = GroupMember.from_row(name, row)
-            observation = await self._observer.inspect(member.endpoint)
+            member = Member.from_row(name, row)
+            observation = await self._observer.inspect(MemberEndpoint.of(member))
             if observation == REFUSED or (observation == UNREACHABLE and seen_us > _ENDED_US):
                 ended.append(name)
         return ended
@@ -225,7 +222,7 @@
             if self._drained_us(member.name) < _SIGN_OFF_AFTER_US:
                 continue
             refusing = _REFUSING + member.name
-            if await self._observer.inspect(member.endpoint) != REFUSED:
+            if await self._observer.inspect(MemberEndpoint.of(member)) != REFUSED:
                 self._not_seen(group, refusing)
             elif self._seen_us(group, refusing) > _REFUSING_US:
                 record = DepartureRecord(member.name, member.address)
--- a/src/petrelhaven/control/failover/group_members.py
+++ b/src/petrelhaven/control/failover/group_members.py
@@ -7,6 +7,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
+from petrelhaven.control.failover.group_state import MemberEndpoint
 from petrelhaven.control.failover.member_access import REQUEST_US, MemberHandle
 from petrelhaven.runtime.errors import DeadlineExceeded
 
@@ -92,7 +93,7 @@
         for name, member in members.items():
             if name not in self.handles:
                 self.handles[name] = MemberHandle(
-                    self._node.wire, self._node.clock, member.endpoint
+                    self._node.wire, self._node.clock, MemberEndpoint.of(member)
                 )
                 self._zones[name] = member.zone
 
--- a/src/petrelhaven/control/failover/heartbeats.py
+++ b/src/petrelhaven/control/failover/heartbeats.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from petrelhaven.control.failover.group_state import GroupMember
+from petrelhaven.control.state.rows import Member
 
 if TYPE_CHECKING:
     from petrelhaven.control.failover.context import FailoverContext
@@ -55,7 +55,7 @@
     def _report_replica(self, name: str) -> None:
         row = self._node.chain.control_state.doc["members"].get(name)
         if row is not None:
-            member = GroupMember.from_row(name, row)
+            member = Member.from_row(name, row)
             if member.is_ready:
                 self._report(member.group, name)
 
--- a/src/petrelhaven/control/failover/leader_change.py
+++ b/src/petrelhaven/control/failover/leader_change.py
@@ -7,9 +7,10 @@
 from petrelhaven.control.failover.change_steps import ChangeStep, GiveBack, Promote, Wait
 from petrelhaven.control.failover.failover import Failover
 from petrelhaven.control.failover.group_members import GroupMembers, GroupSurvey
-from petrelhaven.control.failover.group_state import LeadershipPhase, NewLeadership
+from petrelhaven.control.failover.group_state import NewLeadership
 from petrelhaven.control.failover.promotion import PromotionRequests
 from petrelhaven.control.failover.switchover import Switchover
+from petrelhaven.control.state.rows import LeadershipPhase
 from petrelhaven.runtime.errors import NotHead
 from petrelhaven.runtime.events import Events, emit
 
--- a/src/petrelhaven/control/failover/observation.py
+++ b/src/petrelhaven/control/failover/observation.py
@@ -20,8 +20,8 @@
 )
 
 if TYPE_CHECKING:
-    from petrelhaven.control.failover.group_state import GroupMember
     from petrelhaven.control.failover.interfaces import ControlServices
+    from petrelhaven.control.state.rows import Member
 
 __all__ = ["REFUSED", "UNREACHABLE", "Observer", "Survey"]
 
@@ -87,10 +87,10 @@
         """Answers `warden.look`: another control node asks what this one finds."""
         return {"how": await self.inspect(MemberEndpoint.from_body(body))}
 
-    async def survey(self, member: GroupMember) -> Survey:
+    async def survey(self, member: Member) -> Survey:
         """What all control nodes of the chain find, each for itself."""
         view = self._node.chain.view
-        endpoint = member.endpoint
+        endpoint = MemberEndpoint.of(member)
         observations = await asyncio.gather(
             *[self._request_inspection(node, endpoint) for node in view["chain"]]
         )
--- a/src/petrelhaven/control/failover/promotion.py
+++ b/src/petrelhaven/control/failover/promotion.py
@@ -9,7 +9,8 @@
 
 from typing import TYPE_CHECKING
 
-from petrelhaven.control.failover.group_state import LeadershipPhase, NewLeadership
+from petrelhaven.control.failover.group_state import NewLeadership
+from petrelhaven.control.state.rows import LeadershipPhase
 from petrelhaven.runtime.errors import Fault, Fenced, NotSent
 from petrelhaven.runtime.events import Events, emit
 
--- a/src/petrelhaven/control/failover/resumption.py
+++ b/src/petrelhaven/control/failover/resumption.py
@@ -5,6 +5,7 @@
 from collections.abc import Iterable, Mapping
 from typing import TYPE_CHECKING
 
+from petrelhaven.control.failover.group_state import MemberEndpoint
 from petrelhaven.control.failover.member_access import MemberHandle
 
 if TYPE_CHECKING:
@@ -51,7 +52,7 @@
         node = self._context.node
         members = self._context.members(group)
         handles = {
-            name: MemberHandle(node.wire, node.clock, members[name].endpoint)
+            name: MemberHandle(node.wire, node.clock, MemberEndpoint.of(members[name]))
             for name in self.pending[group]
             if name in members
         }
--- a/src/petrelhaven/control/resumable/__init__.py
+++ b/src/petrelhaven/control/resumable/__init__.py
@@ -1,1 +1,4 @@
-"""Control of resumable sessions: sessions that outlive a connection, with replicas on other proxies."""
+"""Control of resumable sessions, which outlive a connection: epochs, proxies and their shares.
+
+Start with `planning_duty.PlanningDuty.run`; what it decides is in `plan.next_step`.
+"""
--- a/src/petrelhaven/control/resumable/control_interface.py
+++ b/src/petrelhaven/control/resumable/control_interface.py
@@ -1,28 +1,37 @@
-"""The operators' and members' face of a core, and the core's call to the platform."""
+"""The HTTP interface of a control node for operators and members, with resumable sessions."""
 
-import asyncio
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any
 
-import aiohttp
 from aiohttp import web
 
 from petrelhaven.control.interface.event_feed import EventFeed
-from petrelhaven.runtime.errors import Malformed, NoRoute, NotReady, Unreachable, rebuild
-from petrelhaven.transport.http_server import body_of
+from petrelhaven.runtime.errors import Malformed, NoRoute, NotReady
+from petrelhaven.transport.http_server import HttpServer, body_of
+
+if TYPE_CHECKING:
+    from petrelhaven.control.base_node import BaseControlNode
+
+__all__ = ["ResumableControlInterface"]
 
-__all__ = ["ResumableControlInterface", "Platform"]
+Document = dict[str, Any]
+
+_ZONE_STATES = {"evacuate": "emptied", "restore": "open"}
 
 
 class ResumableControlInterface:
-    """Routes of the operators' and members' face."""
+    """The routes; what they mean is in docs/http.md."""
 
-    def __init__(self, core, http_server):
-        self._c = core
-        self._event_feed = EventFeed(core.chain)
-        for v, p, f in (
+    def __init__(self, node: BaseControlNode, http_server: HttpServer) -> None:
+        """Puts the routes of `node` on `http_server`."""
+        self._node = node
+        self._event_feed = EventFeed(node.chain)
+        for verb, path, handler in (
             ("POST", "/announce", self._announce),
-            ("POST", "/manifest", self._apply),
-            ("GET", "/manifest", self._show),
-            ("POST", "/halls/{hall}/{verb}", self._zone),
+            ("POST", "/manifest", self._apply_configuration),
+            ("GET", "/manifest", self._show_configuration),
+            ("POST", "/halls/{hall}/{verb}", self._set_zone_state),
             ("POST", "/reform", self._reform),
             ("GET", "/status", self._status),
             ("GET", "/why", self._why),
@@ -31,122 +40,100 @@
             ("GET", "/realm", self._control_state),
             ("GET", "/events", self._events),
         ):
-            http_server.on(v, p, f)
+            http_server.on(verb, path, handler)
 
-    async def _announce(self, req):
-        self._c.announce(await body_of(req))
+    async def _announce(self, request: web.Request) -> Document:
+        self._node.announce(await body_of(request))
         return {"ok": True}
 
-    async def _apply(self, req):
-        return await self._c.apply(
-            await req.text(), by=req.query.get("by", ""), retire=req.query.get("retire") == "true"
+    async def _apply_configuration(self, request: web.Request) -> Document:
+        retire = request.query.get("retire") == "true"
+        answer: Document = await self._node.apply(
+            await request.text(), by=request.query.get("by", ""), retire=retire
         )
-
-    async def _show(self, req):
-        sure = req.query.get("unconfirmed") != "true"
-        d = await self._c.control_state() if sure else self._c.unconfirmed()
-        m = d["manifest"]
-        if "version" in req.query:
-            m = next(
-                (x for x in d["old"] + [m] if x and str(x["version"]) == req.query["version"]), None
-            )
-        if m is None:
+        return answer
+
+    async def _show_configuration(self, request: web.Request) -> web.Response:
+        confirmed = request.query.get("unconfirmed") != "true"
+        state = await self._node.control_state() if confirmed else self._node.unconfirmed()
+        accepted = state["manifest"]
+        if "version" in request.query:
+            version = request.query["version"]
+            known = [row for row in [*state["old"], accepted] if row]
+            accepted = next((row for row in known if str(row["version"]) == version), None)
+        if accepted is None:
             raise NoRoute("no such manifest")
         return web.Response(
-            body=m["text"].encode(),
+            body=accepted["text"].encode(),
             content_type="application/json",
-            headers={"Confirmed-By-Majority": "yes" if sure else "no"},
+            headers={"Confirmed-By-Majority": "yes" if confirmed else "no"},
         )
 
-    async def _reform(self, req):
-        d = await body_of(req)
-        lost = d.get("lost") if isinstance(d, dict) else None
-        if not isinstance(lost, list) or not all(isinstance(x, str) for x in lost):
+    async def _reform(self, request: web.Request) -> Document:
+        document = await body_of(request)
+        lost = document.get("lost") if isinstance(document, dict) else None
+        if not isinstance(lost, list) or not all(isinstance(name, str) for name in lost):
             raise Malformed("lost must be a list of names of cores")
-        return await self._c.reform(lost, req.query.get("by", ""))
+        answer: Document = await self._node.reform(lost, request.query.get("by", ""))
+        return answer
 
-    async def _zone(self, req):
-        verb = req.match_info["verb"]
-        if verb not in ("evacuate", "restore"):
+    async def _set_zone_state(self, request: web.Request) -> Document:
+        verb = request.match_info["verb"]
+        if verb not in _ZONE_STATES:
             raise Malformed("evacuate or restore")
-        return await self._c.set_zone_state(
-            req.match_info["hall"],
-            "emptied" if verb == "evacuate" else "open",
-            req.query.get("by", ""),
-        )
+        zone, by = request.match_info["hall"], request.query.get("by", "")
+        answer: Document = await self._node.set_zone_state(zone, _ZONE_STATES[verb], by)
+        return answer
 
-    async def _status(self, req):
-        return self._c.status()
+    async def _status(self, _request: web.Request) -> Document:
+        status: Document = self._node.status()
+        return status
 
-    async def _control_state(self, req):
-        return await self._c.control_state()
+    async def _control_state(self, _request: web.Request) -> Document:
+        state: Document = await self._node.control_state()
+        return state
 
-    async def _events(self, req):
-        n = req.query.get("after", "0")
-        if not n.isdigit():
+    async def _events(self, request: web.Request) -> web.Response:
+        after = request.query.get("after", "0")
+        if not after.isdigit():
             raise Malformed("after must be a whole number")
         return web.json_response(
-            self._event_feed.since(int(n)), content_type="application/cloudevents-batch+json"
+            self._event_feed.since(int(after)), content_type="application/cloudevents-batch+json"
         )
 
-    async def _why(self, req):
-        d = await self._c.control_state()
-        g = req.query.get("group", "")
-        if g not in d["past"]:
-            raise NoRoute(f"no group {g}")
-        past = d["past"][g]
-        n = req.query.get("n")
-        if n is not None and not n.isdigit():
-            raise Malformed("n must be a whole number")
-        i = next((i for i, e in enumerate(past) if str(e["n"]) == n), None) if n else len(past) - 1
-        if i is None:
-            raise NoRoute(f"epoch {n} of {g} is not kept")
+    async def _why(self, request: web.Request) -> Document:
+        """An epoch of a group, the one it replaced, and the numbers of those still stored."""
+        state = await self._node.control_state()
+        group = request.query.get("group", "")
+        if group not in state["past"]:
+            raise NoRoute(f"no group {group}")
+        past = state["past"][group]
+        index = _index_of(past, request.query.get("n"), group)
+        reason = self._node.duty.wait_reasons.get(group) if self._node.chain.head else None
         return {
-            "epoch": past[i],
-            "replaced": past[i - 1] if i else None,
-            "waiting": self._c.duty.wait_reasons.get(g) if self._c.chain.head else None,
-            "kept": [e["n"] for e in past],
+            "epoch": past[index],
+            "replaced": past[index - 1] if index else None,
+            "waiting": reason,
+            "kept": [epoch["n"] for epoch in past],
         }
 
-    async def _belief(self, req):
-        return self._c.belief()
+    async def _belief(self, _request: web.Request) -> Document:
+        belief: Document = self._node.belief()
+        return belief
 
-    async def _ready(self, req):
-        if not self._c.ready:
+    async def _ready(self, _request: web.Request) -> Document:
+        if not self._node.ready:
             raise NotReady("not ruling yet")
         return {"ready": True}
 
 
-class Platform:
-    """The wire to the platform."""
-
-    def __init__(self, addr):
-        self._addr = addr
-        self._http = None
-
-    def turn(self, addr):
-        """The platform stands at another address now."""
-        self._addr = addr
-
-    async def promote(self, group, member, epoch, by):
-        """Asks the platform to make `member` the primary of `group`, fenced by `epoch`."""
-        if self._http is None:
-            self._http = aiohttp.ClientSession()
-        try:
-            async with self._http.post(
-                f"http://{self._addr}/promote",
-                json={"group": group, "member": member, "epoch": epoch, "by": by},
-            ) as r:
-                d = await r.json()
-        except (aiohttp.ClientError, OSError, ValueError, asyncio.TimeoutError):
-            raise Unreachable("platform") from None
-        if not isinstance(d, dict):
-            raise Malformed("platform answer must be an object")
-        if r.status != 200:
-            raise rebuild(d)
-        return d
-
-    async def close(self):
-        """Closes the wire."""
-        if self._http:
-            await self._http.close()
+def _index_of(past: list[Document], number: str | None, group: str) -> int:
+    """Which of the past epochs has the number, or the last one if none is asked for."""
+    if number is not None and not number.isdigit():
+        raise Malformed("n must be a whole number")
+    if not number:
+        return len(past) - 1
+    for index, epoch in enumerate(past):
+        if str(epoch["n"]) == number:
+            return index
+    raise NoRoute(f"epoch {number} of {group} is not kept")
--- /dev/null
+++ b/src/petrelhaven/control/resumable/platform_client.py
@@ -0,0 +1,54 @@
+"""Calls the platform over HTTP to promote members."""
+
+from __future__ import annotations
+
+
+from typing import Any
+
+import aiohttp
+
+from petrelhaven.runtime.errors import Malformed, Unreachable, rebuild
+
+__all__ = ["PlatformClient"]
+
+_OK = 200
+
+
+class PlatformClient:
+    """The platform under its address; the HTTP session is opened with the first call."""
+
+    def __init__(self, address: str) -> None:
+        """Has called nobody yet; `address` is host and port."""
+        self._address = address
+        self._http: aiohttp.ClientSession | None = None
+
+    def move_to(self, address: str) -> None:
+        """The platform is at another address from now on."""
+        self._address = address
+
+    async def promote(self, group: str, member: str, epoch: int, by: str) -> dict[str, Any]:
+        """Asks the platform to make `member` the primary of `group`, fenced by `epoch`.
+
+        Raises:
+            Unreachable: No answer came; the request may still take effect.
+            Malformed: The answer is not a JSON object.
+            Fault: The platform declined; the fault is the one that it answered.
+        """
+        if self._http is None:
+            self._http = aiohttp.ClientSession()
+        body = {"group": group, "member": member, "epoch": epoch, "by": by}
+        try:
+            async with self._http.post(f"http://{self._address}/promote", json=body) as response:
+                document = await response.json()
+        except (aiohttp.ClientError, OSError, ValueError, TimeoutError):
+            raise Unreachable("platform") from None
+        if not isinstance(document, dict):
+            raise Malformed("platform answer must be an object")
+        if response.status != _OK:
+            raise rebuild(document)
+        return document
+
+    async def close(self) -> None:
+        """Closes the HTTP session."""
+        if self._http:
+            await self._http.close()
--- a/src/petrelhaven/control/state/control_state.py
+++ b/src/petrelhaven/control/state/control_state.py
@@ -26,7 +26,7 @@
     ZoneRecord,
     from_document,
 )
-from petrelhaven.control.state.rows import AcceptedConfiguration, Leadership, Member
+from petrelhaven.control.state.rows import AcceptedConfiguration, Leadership, LeadershipPhase, Member
 from petrelhaven.runtime.errors import Conflict, Duplicate, NoRoute, Stale, VersionTaken
 
 if TYPE_CHECKING:
@@ -35,8 +35,6 @@
 __all__ = ["ControlState"]
 
 GONE = "gone"
-SERVING = "serve"
-MOVING = "move"
 _READY = "ready"
 _MOST_GONE_MEMBERS = 64
 _MOST_PAST_LEADERSHIPS = 16
@@ -250,7 +248,7 @@
         row["state"] = GONE
         group = row["group"]
         leadership = self.leadership(group)
-        moving = leadership is not None and leadership.phase != SERVING
+        moving = leadership is not None and not leadership.is_serving
         evidence = self.evidence(group)
         self._put_evidence(group, evidence.with_departure(name, moving))
         if name in evidence.counted_out and not moving:
@@ -298,7 +296,7 @@
 
     def _check_order(self, record: ElectionOrderRecord, leadership: Leadership) -> None:
         group, member = record.group[:_NAME_LENGTH], record.member
-        if leadership.phase != MOVING:
+        if leadership.phase is not LeadershipPhase.FAILOVER:
             served = f"group {group} is served by {leadership.primary}"
             raise declined("no election is waited for", ("group", served))
         if record.number != leadership.number:
@@ -339,7 +337,7 @@
         before = self.leadership(record.group)
         row = {**record.row, "since": _leadership_since(before, record)}
         self.doc["offices"][record.group] = row
-        if record.phase == SERVING and before is not None:
+        if record.phase == LeadershipPhase.SERVING and before is not None:
             evidence = self.evidence(record.group).with_primary(
                 before.primary != record.primary,
                 record.position or NO_POSITION,
--- a/src/petrelhaven/control/state/rows.py
+++ b/src/petrelhaven/control/state/rows.py
@@ -4,13 +4,24 @@
 
 from collections.abc import Mapping
 from dataclasses import dataclass
+from enum import StrEnum
 from typing import Any
 
 from petrelhaven.control.state.record import Position, position_of
 
-__all__ = ["AcceptedConfiguration", "Leadership", "Member"]
+__all__ = ["AcceptedConfiguration", "Leadership", "LeadershipPhase", "Member"]
 
 
+class LeadershipPhase(StrEnum):
+    """What a leadership record says of its group; the values are those stored."""
+
+    SERVING = "serve"
+    """The primary serves."""
+    FAILOVER = "move"
+    """The primary is lost; nobody is known to serve."""
+    SWITCHOVER = "swap"
+    """The primary serves until a candidate replaces it."""
+
 @dataclass(frozen=True, slots=True)
 class Member:
     """A member as it announced itself last.
@@ -46,6 +57,26 @@
             count=row["count"],
         )
 
+    @property
+    def is_primary(self) -> bool:
+        """Whether it announced itself as a primary."""
+        return self.role == "primary"
+
+    @property
+    def is_replica(self) -> bool:
+        """Whether it announced itself as a replica."""
+        return self.role == "replica"
+
+    @property
+    def is_ready(self) -> bool:
+        """Whether it serves and is not about to leave."""
+        return self.state == "ready"
+
+    @property
+    def is_draining(self) -> bool:
+        """Whether it is about to leave."""
+        return self.state == "draining"
+
 
 @dataclass(frozen=True, slots=True)
 class Leadership:
@@ -53,7 +84,7 @@
 
     Attributes:
         number: The number of the group's last leadership record.
-        phase: serve, move (no primary is known to serve) or swap (planned, it still serves).
+        phase: Whether the primary serves, or which kind of change is under way.
         term: The term under which the primary was promoted.
         cause: Why, for operators.
         by: The control node that entered it.
@@ -64,7 +95,7 @@
     """
 
     number: int
-    phase: str
+    phase: LeadershipPhase
     primary: str
     term: int
     cause: str
@@ -79,7 +110,7 @@
         """Reads a row of `offices`."""
         return cls(
             number=row["n"],
-            phase=row["phase"],
+            phase=LeadershipPhase(row["phase"]),
             primary=row["primary"],
             term=row.get("term", 0),
             cause=row.get("cause", ""),
@@ -90,6 +121,16 @@
             requested=tuple(row.get("requested", ())),
         )
 
+    @property
+    def is_serving(self) -> bool:
+        """Whether no change of the primary is under way."""
+        return self.phase is LeadershipPhase.SERVING
+
+    @property
+    def pending(self) -> frozenset[str]:
+        """Members that a request of the change under way may still promote."""
+        return frozenset() if self.is_serving else frozenset(self.requested)
+
 
 @dataclass(frozen=True, slots=True)
 class AcceptedConfiguration:
--- a/src/petrelhaven/runtime/daemon.py
+++ b/src/petrelhaven/runtime/daemon.py
@@ -136,7 +136,7 @@
         elif field == "seeds" and value != "-":
             self.seeds[:] = value
         elif field == "platform":
-            self._node.duty.platform.turn(value)
+            self._node.duty.platform.move_to(value)
 
     async def _tell(self, node: Any) -> None:  # noqa: ANN401 (any kind of node)
         """Tells readiness on standard output whenever it changes."""
