--- a/src/petrelhaven/control/failover/observation.py
+++ b/src/petrelhaven/control/failover/observation.py
@@ -18,6 +18,7 @@
     NotSent,
     Unreachable,
 )
+from petrelhaven.transport.message_kinds import MessageKind
 
 if TYPE_CHECKING:
     from petrelhaven.control.failover.interfaces import ControlServices
@@ -103,7 +104,9 @@
             return await self.inspect(endpoint)
         limit_us = _INSPECTION_US + _CALL_MARGIN_US
         try:
-            answer = await self._node.reach.call(node, "warden.look", endpoint.to_body(), limit_us)
+            answer = await self._node.reach.call(
+                node, MessageKind.MEMBER_CHECK, endpoint.to_body(), limit_us
+            )
         except Fault:
             return None
         observation: str = answer["how"]
--- a/src/petrelhaven/control/resumable/planning_duty.py
+++ b/src/petrelhaven/control/resumable/planning_duty.py
@@ -30,6 +30,7 @@
 from petrelhaven.control.resumable.records import EpochInForceRecord, EpochRecord
 from petrelhaven.runtime.errors import Fault, Fenced
 from petrelhaven.runtime.events import Events, emit
+from petrelhaven.transport.message_kinds import MessageKind
 
 if TYPE_CHECKING:
     from petrelhaven.control.configuration.document import Configuration, Group
@@ -149,7 +150,9 @@
     async def _request_report(self, node: str) -> None:
         requested_at = self.clock.now()
         try:
-            answer = await self._call(node, "duty.heard", {"name": self.chain.me}, _REPORT_US)
+            answer = await self._call(
+                node, MessageKind.PLANNER_OBSERVATIONS, {"name": self.chain.me}, _REPORT_US
+            )
             report = NodeReport.from_document(answer["doc"], requested_at)
         except Fault:
             return
--- a/src/petrelhaven/control/resumable/platform_client.py
+++ b/src/petrelhaven/control/resumable/platform_client.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-
 from typing import Any
 
 import aiohttp
--- a/src/petrelhaven/control/state/control_state.py
+++ b/src/petrelhaven/control/state/control_state.py
@@ -26,7 +26,12 @@
     ZoneRecord,
     from_document,
 )
-from petrelhaven.control.state.rows import AcceptedConfiguration, Leadership, LeadershipPhase, Member
+from petrelhaven.control.state.rows import (
+    AcceptedConfiguration,
+    Leadership,
+    LeadershipPhase,
+    Member,
+)
 from petrelhaven.runtime.errors import Conflict, Duplicate, NoRoute, Stale, VersionTaken
 
 if TYPE_CHECKING:
