--- a/src/petrelhaven/control/state/control_state.py
+++ b/src/petrelhaven/control/state/control_state.py
@@ -100,7 +100,7 @@
         return Evidence.from_document(self.doc["evidence"].get(group))
 
     def read_configuration(self, text: str) -> dict[str, Any]:
-        """The configuration as its text has it; the platform's start puts a reader of its own here."""
+        """The configuration as its text has it; the platform's start puts its own reader here."""
         configuration: dict[str, Any] = json.loads(text)
         return configuration
 
