--- a/tests/test_embargo_world.py
+++ b/tests/test_embargo_world.py
@@ -174,19 +174,19 @@
 def no_lease(mp):
     from petrelhaven.proxy import embargo
 
-    real = embargo.EmbargoFilter.turn
+    real = embargo.EmbargoFilter.apply_records
 
-    def turn(self, control_state, recs, fresh):
+    def apply_records(self, control_state, recs, fresh):
         real(self, control_state, recs, fresh)
         self.scope = frozenset()
 
-    mp.setattr(embargo.EmbargoFilter, "turn", turn)
+    mp.setattr(embargo.EmbargoFilter, "apply_records", apply_records)
 
 
 def no_second_look(mp):
     from petrelhaven.proxy import embargo
 
-    mp.setattr(embargo.EmbargoFilter, "passed", lambda self, v, a, group, reply: reply)
+    mp.setattr(embargo.EmbargoFilter, "check_reply", lambda self, v, a, group, reply: reply)
 
 
 def acknowledged_at_once(mp):
@@ -199,13 +199,14 @@
 
 
 def own_clock(mp):
-    from petrelhaven.control.embargo import agreed_time as truetime
+    from petrelhaven.control.embargo import agreed_time
+    from petrelhaven.runtime.wall_clock import TimeInterval
 
     def interval(self):
         w = self.wall_clock.now()
-        return w - self._bounds()["skew_us"], w + self._bounds()["skew_us"]
+        return TimeInterval(w - self._limits().skew_us, w + self._limits().skew_us)
 
-    mp.setattr(truetime.AgreedTime, "interval", interval)
+    mp.setattr(agreed_time.AgreedTime, "interval", interval)
 
 
 def highest_time(mp):
@@ -215,7 +216,7 @@
         got = self.interval()
         return got[1] if got else 0
 
-    mp.setattr(embargo.EdgeTime, "lowest", lowest)
+    mp.setattr(embargo.ProxyTime, "lowest", lowest)
 
 
 def middle_time(mp):
@@ -225,7 +226,7 @@
         got = self.interval()
         return sum(got) // 2 if got else 0
 
-    mp.setattr(embargo.EdgeTime, "lowest", lowest)
+    mp.setattr(embargo.ProxyTime, "lowest", lowest)
 
 
 def executes_unseen(mp):
@@ -246,10 +247,10 @@
 def rules_at_the_start_only(mp):
     from petrelhaven.proxy import embargo
 
-    real = embargo.EmbargoFilter.turn
+    real = embargo.EmbargoFilter.apply_records
     mp.setattr(
         embargo.EmbargoFilter,
-        "turn",
+        "apply_records",
         lambda self, control_state, recs, fresh: real(self, control_state, [], fresh),
     )
 
