--- a/src/petrelhaven/proxy/embargo.py
+++ b/src/petrelhaven/proxy/embargo.py
@@ -25,7 +25,7 @@
     from collections.abc import Collection, Sequence
 
     from petrelhaven.control.state.control_state import ControlState
-    from petrelhaven.proxy.node import ProxyNode
+    from petrelhaven.proxy.routing.base import ProxyServices
     from petrelhaven.proxy.session.client_session import ClientSession
     from petrelhaven.proxy.session.statement import Statement
     from petrelhaven.runtime.clock import Clock
@@ -116,7 +116,7 @@
 class EmbargoFilter:
     """Decides what a proxy withholds. Made when the control state first names embargoes."""
 
-    def __init__(self, proxy: ProxyNode) -> None:
+    def __init__(self, proxy: ProxyServices) -> None:
         """Withholds nothing until `apply_records` gives it the rules."""
         self._proxy = proxy
         self.time = ProxyTime(proxy.clock, proxy.name, 0)
@@ -166,7 +166,7 @@
 
     def withholding(self, group: str, things: Collection[str], client: str) -> Withholding | None:
         """Why a read of `things` is withheld from `client` now, or None."""
-        if group in self.scope and not self._proxy.core_connection.holds:
+        if group in self.scope and not self._proxy.core_connection.holds_lease:
             return Withholding("lease")
         now_us = self.time.lowest()
         latest = self.table.latest_release(group, things, client, now_us)
@@ -212,7 +212,7 @@
         return refusal
 
     def _log_lease(self, group: str) -> None:
-        has_lease = self._proxy.core_connection.holds
+        has_lease = self._proxy.core_connection.holds_lease
         if group in self.scope and has_lease != self._had_lease:
             self._had_lease = has_lease
             emit(self._proxy.log, Events.LEASE_REGAINED if has_lease else Events.NO_LEASE)
@@ -243,6 +243,6 @@
             "scope": sorted(self.scope),
             "rules": len(self.table),
             "time": self.time.interval(),
-            "lease": self._proxy.core_connection.holds,
+            "lease": self._proxy.core_connection.holds_lease,
             "count": dict(self._counts),
         }
--- a/tests/test_unleased_commits.py
+++ b/tests/test_unleased_commits.py
@@ -85,10 +85,10 @@
     def __init__(self):
         self.given, self.dropped = [], []
 
-    def give(self, connection):
+    def release(self, connection):
         self.given.append(connection)
 
-    def drop(self, connection):
+    def discard(self, connection):
         self.dropped.append(connection)
 
 
@@ -107,10 +107,10 @@
         order=Order(),
         log=None,
         core_connection=types.SimpleNamespace(
-            holds=True, confirmed=confirmed, edges=3, suspect=lambda *_: None
+            holds_lease=True, lease_confirmed=confirmed, proxy_count=3, suspect=lambda *_: None
         ),
         wire=_Wire(logs, delays, clock),
-        near=lambda zone: {"a": 0, "b": 2}[zone],
+        zone_distance=lambda zone: {"a": 0, "b": 2}[zone],
         outside_contact=OutsideContact(clock),
         drain_us=0,
         empty_us=0,
@@ -130,7 +130,7 @@
     control_state.apply(control_state.seq + 1, leadership | {"cause": ""})
     group = MemberGroup("g", proxy)
     group.sync_replicas = sync_replicas
-    group.turn(control_state, True)
+    group.apply(control_state, True)
     return group, control_state
 
 
@@ -172,11 +172,11 @@
         number = self.control_state.doc["offices"]["g"]["n"] + 1
         record = {"t": "office", "group": "g", "n": number, "phase": phase, "primary": primary}
         self.control_state.apply(self.control_state.seq + 1, record | {"term": term, "cause": ""})
-        self.group.turn(self.control_state, False)
+        self.group.apply(self.control_state, False)
 
     def contact_again(self, phase):
         """The proxy, cut off as it sent, gets its lease back together with a newer office."""
-        self.proxy.core_connection.confirmed = True
+        self.proxy.core_connection.lease_confirmed = True
         self.leadership(phase, "p", 1)
 
 
@@ -297,7 +297,7 @@
 
     async def go():
         case = _Case(kind, {"m1": SHORT, "m2": SHORT}, confirmed=True, far="m2")
-        case.group.fine(case.group.members["m2"])
+        case.group.note_answer(case.group.members["m2"])
         await case.proxy.clock.sleep(silent_us)
         assert (await case.run()).ok == (silent_us < 100_000)
 
@@ -308,7 +308,7 @@
 def test_a_primary_elsewhere_is_itself_word_from_there(warp, kind):
     async def go():
         case = _Case(kind, {"m1": SHORT, "m2": SHORT}, confirmed=True, far="p")
-        case.group.fine(case.group.members["p"])
+        case.group.note_answer(case.group.members["p"])
         await case.proxy.clock.sleep(1_000_000)
         assert (await case.run()).ok
         assert case.proxy.wire.asked == []
@@ -322,8 +322,8 @@
     core_connection = CoreConnection(
         clock, BackgroundTasks(), Link(clock, BackgroundTasks()), None, "e1", [], lambda zone: 0
     )
-    assert not core_connection.holds and not core_connection.confirmed
-    core_connection._renew(now, 1_500_000, 200_000)
-    assert core_connection.holds and core_connection.confirmed
+    assert not core_connection.holds_lease and not core_connection.lease_confirmed
+    core_connection._extend_lease(now, 1_500_000, 200_000)
+    assert core_connection.holds_lease and core_connection.lease_confirmed
     now += 450_000
-    assert core_connection.holds and not core_connection.confirmed
+    assert core_connection.holds_lease and not core_connection.lease_confirmed
