--- a/src/petrelhaven/control/node.py
+++ b/src/petrelhaven/control/node.py
@@ -124,7 +124,7 @@
             MessageKind.CHAIN_IN_FORCE: self.lease_table.force,
             MessageKind.LEASE_RENEW: self._pulse,
             MessageKind.MEMBER_SUSPECT: self._suspected,
-            MessageKind.MEMBER_CHECK: self.duty.answer_look,
+            MessageKind.MEMBER_CHECK: self.duty.answer_inspection,
             MessageKind.WALL_CLOCK_READ: self._read_wall_clock,
             MessageKind.AGREED_TIME_READ: self._true_time,
         }
@@ -396,7 +396,7 @@
             "ruling": self.chain.ruling,
             "active": self.chain.active,
             "head": self.chain.head,
-            "waiting": dict(self.duty.why),
+            "waiting": dict(self.duty.wait_reasons),
             "tied": sorted(self.connected_proxies),
             "garbage": self.link.garbage,
             **({"time": self._embargoes.time.status()} if self._embargoes else {}),
--- a/src/petrelhaven/runtime/daemon.py
+++ b/src/petrelhaven/runtime/daemon.py
@@ -160,7 +160,7 @@
         elif field == "seeds" and value != "-":
             self.seeds[:] = value
         elif field == "platform":
-            self._node.duty.platform.turn(value)
+            self._node.duty.platform.move_to(value)
 
     async def _report_readiness(self, node: Any) -> None:  # noqa: ANN401 (any kind of node)
         """Writes a line to standard output whenever the node becomes ready or stops to be."""
