--- a/src/petrelhaven/commands/control.py
+++ b/src/petrelhaven/commands/control.py
@@ -7,8 +7,9 @@
 from petrelhaven.control.base_node import BaseControlNode
 from petrelhaven.control.interface.control_interface import ControlInterface
 from petrelhaven.control.node import ControlNode
-from petrelhaven.control.resumable.control_interface import Platform, ResumableControlInterface
+from petrelhaven.control.resumable.control_interface import ResumableControlInterface
 from petrelhaven.control.resumable.member_protocol import MemberWire
+from petrelhaven.control.resumable.platform_client import PlatformClient
 from petrelhaven.control.state.control_state import ControlState
 from petrelhaven.control.storage.core_store import CoreStore
 from petrelhaven.control.storage.data_folder import DataFolder
@@ -28,14 +29,14 @@
     s = d.set
     node = ControlNode(
         s.name,
-        s.hall,
+        s.zone,
         d.seeds,
         d.clock,
         d.tasks,
         d.link,
         Folder(s.data),
         random.SystemRandom(),
-        Platform(s.platform),
+        PlatformClient(s.platform),
         MemberWire(d.clock, Wire(d.clock, d.tasks)),
         _HEARTBEAT_US,
         d.log,
@@ -50,14 +51,14 @@
         return _make_held(d)
     core = BaseControlNode(
         s.name,
-        s.hall,
+        s.zone,
         d.seeds,
         d.clock,
         d.tasks,
         d.link,
         Folder(s.data),
         random.SystemRandom(),
-        Platform(s.platform),
+        PlatformClient(s.platform),
         d.log,
     )
     ResumableControlInterface(core, d.http_server)
