--- a/src/petrelhaven/control/resumable/control_interface.py
+++ b/src/petrelhaven/control/resumable/control_interface.py
@@ -6,8 +6,16 @@
 
 from aiohttp import web
 
+from petrelhaven.control.interface.documents import (
+    EVENTS_CONTENT_TYPE,
+    confirmation_headers,
+    leadership_answer,
+    lost_nodes,
+    ready_answer,
+)
 from petrelhaven.control.interface.event_feed import EventFeed
-from petrelhaven.runtime.errors import Malformed, NoRoute, NotReady
+from petrelhaven.control.state.base import EVACUATED, OPEN
+from petrelhaven.runtime.errors import Malformed, NoRoute
 from petrelhaven.transport.http_server import HttpServer, body_of
 
 if TYPE_CHECKING:
@@ -17,7 +25,7 @@
 
 Document = dict[str, Any]
 
-_ZONE_STATES = {"evacuate": "emptied", "restore": "open"}
+_ZONE_STATES = {"evacuate": EVACUATED, "restore": OPEN}
 
 
 class ResumableControlInterface:
@@ -66,14 +74,11 @@
         return web.Response(
             body=accepted["text"].encode(),
             content_type="application/json",
-            headers={"Confirmed-By-Majority": "yes" if confirmed else "no"},
+            headers=confirmation_headers(confirmed),
         )
 
     async def _reform(self, request: web.Request) -> Document:
-        document = await body_of(request)
-        lost = document.get("lost") if isinstance(document, dict) else None
-        if not isinstance(lost, list) or not all(isinstance(name, str) for name in lost):
-            raise Malformed("lost must be a list of names of cores")
+        lost = lost_nodes(await body_of(request))
         answer: Document = await self._node.reform(lost, request.query.get("by", ""))
         return answer
 
@@ -98,7 +103,7 @@
         if not after.isdigit():
             raise Malformed("after must be a whole number")
         return web.json_response(
-            self._event_feed.since(int(after)), content_type="application/cloudevents-batch+json"
+            self._event_feed.since(int(after)), content_type=EVENTS_CONTENT_TYPE
         )
 
     async def _why(self, request: web.Request) -> Document:
@@ -110,21 +115,14 @@
         past = state["past"][group]
         index = _index_of(past, request.query.get("n"), group)
         reason = self._node.duty.wait_reasons.get(group) if self._node.chain.head else None
-        return {
-            "epoch": past[index],
-            "replaced": past[index - 1] if index else None,
-            "waiting": reason,
-            "kept": [epoch["n"] for epoch in past],
-        }
+        return leadership_answer(past, index, reason)
 
     async def _belief(self, _request: web.Request) -> Document:
         belief: Document = self._node.belief()
         return belief
 
     async def _ready(self, _request: web.Request) -> Document:
-        if not self._node.ready:
-            raise NotReady("not ruling yet")
-        return {"ready": True}
+        return ready_answer(self._node.ready)
 
 
 def _index_of(past: list[Document], number: str | None, group: str) -> int:
