--- a/src/petrelhaven/proxy/core_connection.py
+++ b/src/petrelhaven/proxy/core_connection.py
@@ -2,7 +2,7 @@
 
 A proxy keeps a connection to the nearest control node that a majority confirms. Over it come the
 records of the control state, numbered, and every quarter of a second the renewal of a lease. The
-rules of that lease are in docs/notes/ties-and-leases.md.
+rules of that lease are in docs/notes/core-connections-and-leases.md.
 """
 
 from __future__ import annotations
