--- a/src/petrelhaven/control/state/control_state.py
+++ b/src/petrelhaven/control/state/control_state.py
@@ -6,8 +6,9 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING, Any
 
+from petrelhaven.control.configuration.faults import ConfigurationFault, declined
 from petrelhaven.control.failover.evidence import NO_POSITION, ElectionOrder, Evidence
-from petrelhaven.control.state.base import BaseControlState, declined, digest_of
+from petrelhaven.control.state.base import BaseControlState, digest_of
 from petrelhaven.control.state.evidence_records import (
     BoundedRecord,
     CountedOutRecord,
@@ -26,7 +27,12 @@
     ZoneRecord,
     from_document,
 )
-from petrelhaven.control.state.rows import AcceptedConfiguration, Leadership, Member
+from petrelhaven.control.state.rows import (
+    AcceptedConfiguration,
+    Leadership,
+    LeadershipPhase,
+    Member,
+)
 from petrelhaven.runtime.errors import Conflict, Duplicate, NoRoute, Stale, VersionTaken
 
 if TYPE_CHECKING:
@@ -35,8 +41,6 @@
 __all__ = ["ControlState"]
 
 GONE = "gone"
-SERVING = "serve"
-MOVING = "move"
 _READY = "ready"
 _MOST_GONE_MEMBERS = 64
 _MOST_PAST_LEADERSHIPS = 16
@@ -97,7 +101,7 @@
         return Evidence.from_document(self.doc["evidence"].get(group))
 
     def read_configuration(self, text: str) -> dict[str, Any]:
-        """The configuration as its text has it; the platform's start puts a reader of its own here."""
+        """The configuration as its text has it; the platform's start puts its own reader here."""
         configuration: dict[str, Any] = json.loads(text)
         return configuration
 
@@ -124,7 +128,10 @@
             ):
                 self._check_evidence(record)
             case SupersededConfiguration():
-                raise declined("nothing enters a placeholder", ("t", "must be another kind"))
+                raise declined(
+                    "nothing enters a placeholder",
+                    [ConfigurationFault("t", "must be another kind")],
+                )
             case _:
                 self._check_embargo(record)
 
@@ -186,7 +193,10 @@
         if served:
             raise declined(
                 "manifest declined",
-                *(("groups", f"group {g} is served; retire it with retire=true") for g in served),
+                [
+                    ConfigurationFault("groups", f"group {g} is served; retire it with retire=true")
+                    for g in served
+                ],
             )
 
     def _accepted_digest(self, version: int) -> str | None:
@@ -250,7 +260,7 @@
         row["state"] = GONE
         group = row["group"]
         leadership = self.leadership(group)
-        moving = leadership is not None and leadership.phase != SERVING
+        moving = leadership is not None and not leadership.is_serving
         evidence = self.evidence(group)
         self._put_evidence(group, evidence.with_departure(name, moving))
         if name in evidence.counted_out and not moving:
@@ -298,14 +308,14 @@
 
     def _check_order(self, record: ElectionOrderRecord, leadership: Leadership) -> None:
         group, member = record.group[:_NAME_LENGTH], record.member
-        if leadership.phase != MOVING:
+        if leadership.phase is not LeadershipPhase.FAILOVER:
             served = f"group {group} is served by {leadership.primary}"
-            raise declined("no election is waited for", ("group", served))
+            raise declined("no election is waited for", [ConfigurationFault("group", served)])
         if record.number != leadership.number:
             raise Conflict(f"office {leadership.number} of {group} waits, not {record.number}")
         if member not in self.group(record.group):
             missing = f"no member {member[:_NAME_LENGTH]} in group {group}"
-            raise declined("no such member", ("member", missing))
+            raise declined("no such member", [ConfigurationFault("member", missing)])
         order = self.evidence(record.group).order
         if order is not None and order.member == member:
             raise Duplicate(f"{order.by} ordered {member} already")
@@ -339,7 +349,7 @@
         before = self.leadership(record.group)
         row = {**record.row, "since": _leadership_since(before, record)}
         self.doc["offices"][record.group] = row
-        if record.phase == SERVING and before is not None:
+        if record.phase == LeadershipPhase.SERVING and before is not None:
             evidence = self.evidence(record.group).with_primary(
                 before.primary != record.primary,
                 record.position or NO_POSITION,
--- a/tests/test_control_interface.py
+++ b/tests/test_control_interface.py
@@ -25,7 +25,7 @@
 )
 from petrelhaven.control.configuration.document import Bounds, Group, Route
 from petrelhaven.control.interface.control_interface import ControlInterface
-from petrelhaven.control.interface.documents import why_of
+from petrelhaven.control.interface.documents import leadership_history
 from petrelhaven.control.node import ControlNode
 from petrelhaven.control.resumable.member_protocol import MemberWire
 from petrelhaven.control.state.control_state import ControlState
@@ -289,7 +289,7 @@
         why = (await ask(http_server, "GET", "/why?group=g1"))[1]
         assert why["evidence"]["order"] == {"member": "m2", "by": "anna"}
         assert why["evidence"]["unproven"] == ["m1"]
-        await until(lambda: "ordered by anna" in node.duty.why.get("g1", ""), 5)
+        await until(lambda: "ordered by anna" in node.duty.wait_reasons.get("g1", ""), 5)
         assert "ordered by anna" in await told(http_server, "status")
 
     on_a_node(tmp_path, go)
@@ -438,7 +438,7 @@
 def test_leaderships_from_before_the_past_was_kept_are_told():
     o = {"n": 3, "phase": "serve", "primary": "m1", "term": 2, "cause": "x", "by": "c1"}
     led = ControlState({"seq": 9, "offices": {"g": o}})
-    d = why_of(led.doc, {"group": "g"})
+    d = leadership_history(led.doc, {"group": "g"})
     assert d == {"epoch": o, "replaced": None, "waiting": None, "kept": [3]}
     out = []
     ctl._why(d, out.append)
