--- a/src/petrelhaven/commands/control.py
+++ b/src/petrelhaven/commands/control.py
@@ -26,7 +26,7 @@
 
 
 def _make_held(d):
-    s = d.set
+    s = d.settings
     node = ControlNode(
         s.name,
         s.zone,
@@ -46,7 +46,7 @@
 
 
 def _make(d):
-    s = d.set
+    s = d.settings
     if s.path == "held":
         return _make_held(d)
     core = BaseControlNode(
@@ -74,7 +74,7 @@
         """The face of the path that this core runs."""
         return (
             LightHttpServer(host, port, log=self.log)
-            if self.set.path == "held"
+            if self.settings.path == "held"
             else super().make_http_server(host, port)
         )
 
@@ -84,26 +84,26 @@
             self.check()
         except Damaged:
             pass  # the core comes back as an empty one
-        f = Folder(self.set.data)
+        f = Folder(self.settings.data)
         CoreStore(
             f,
-            self.set.name,
+            self.settings.name,
             random.SystemRandom(),
             self.log,
-            state=ControlState if self.set.path == "held" else None,
+            state=ControlState if self.settings.path == "held" else None,
         )
         f.close()
 
     def check(self):
         """Looks into the data folder, if there is one, without writing."""
-        if os.path.isdir(self.set.data):
-            folder = DataFolder(self.set.data)
-            if folder.name not in (None, self.set.name):
-                raise WrongNode(f"the data folder belongs to {folder.name}, not {self.set.name}")
+        if os.path.isdir(self.settings.data):
+            folder = DataFolder(self.settings.data)
+            if folder.name not in (None, self.settings.name):
+                raise WrongNode(f"the data folder belongs to {folder.name}, not {self.settings.name}")
             path = "held" if isinstance(folder.control_state, ControlState) else "kept"
-            if folder.name and path != self.set.path:
+            if folder.name and path != self.settings.path:
                 raise WrongNode(
-                    f"the data folder holds control state of the path {path}, not {self.set.path}"
+                    f"the data folder holds control state of the path {path}, not {self.settings.path}"
                 )
 
 
--- a/src/petrelhaven/commands/proxy.py
+++ b/src/petrelhaven/commands/proxy.py
@@ -13,7 +13,7 @@
 
 
 def _make(daemon: Daemon) -> ResumableProxy:
-    settings = daemon.set
+    settings = daemon.settings
     edge = ResumableProxy(
         settings.name,
         settings.zone,
--- a/src/petrelhaven/emulator/main.py
+++ b/src/petrelhaven/emulator/main.py
@@ -11,7 +11,7 @@
 from petrelhaven.emulator.member import Member
 from petrelhaven.emulator.platform import PlatformLogic
 from petrelhaven.runtime.clock import Clock
-from petrelhaven.runtime.daemon import say
+from petrelhaven.runtime.daemon import print_line
 from petrelhaven.runtime.errors import Fenced, Unreachable
 from petrelhaven.runtime.tasks import BackgroundTasks
 from petrelhaven.transport.http import fetch
@@ -115,7 +115,7 @@
         ("GET", "/route", route),
     ):
         http_server.on(v, path, fn)
-    say(f"started name=platform http={await http_server.start()}")
+    print_line(f"started name=platform http={await http_server.start()}")
     await logic.tend()
 
 
--- a/src/petrelhaven/emulator/member.py
+++ b/src/petrelhaven/emulator/member.py
@@ -10,7 +10,7 @@
 
 from petrelhaven.emulator.store import Declined, Store, Unanswered
 from petrelhaven.runtime.clock import Clock
-from petrelhaven.runtime.daemon import say
+from petrelhaven.runtime.daemon import print_line
 from petrelhaven.runtime.errors import Fault
 from petrelhaven.runtime.events import Events, emit, logger
 from petrelhaven.runtime.tasks import BackgroundTasks
@@ -103,7 +103,7 @@
         self.addr = await f.start()
         self.http = aiohttp.ClientSession()
         emit(self.log, Events.EMULATOR_STARTED, role=self.s.role, log=self.s.log, http=self.addr)
-        say(f"started name={self.a.name} http={self.addr}")
+        print_line(f"started name={self.a.name} http={self.addr}")
         if self.a.cores == "-":
             self.cores = (await asyncio.get_running_loop().run_in_executor(None, input)).split(",")
         else:
--- a/src/petrelhaven/membership/prober.py
+++ b/src/petrelhaven/membership/prober.py
@@ -8,6 +8,7 @@
 from collections.abc import Sequence
 from typing import TYPE_CHECKING, Any
 
+from petrelhaven.membership.messages import Probe
 from petrelhaven.membership.update import ALIVE, GONE
 from petrelhaven.runtime.errors import Fault
 from petrelhaven.transport.message_kinds import MessageKind
@@ -80,9 +81,9 @@
                 self.tasks.spawn(self._check(peer))
 
     def leave(self, limit: int | None = None) -> None:
-        """Notifies living peers, at limit `limit` of them, that this node is leaving."""
+        """Notifies living peers, at most `limit` of them, that this node is leaving."""
         self.roster.leaving = True
-        body = self._introduction()
+        body = self._introduction().to_body()
         for name in self.roster.living()[:limit]:
             address = self.roster.addr_of(name)
             if address is not None:
@@ -109,9 +110,10 @@
         """
         await self.clock.sleep(_ALONE_US)
         while not self.roster.peers:
+            body = self._introduction().to_body()
             for address in self.seeds:
                 if address != self.link.addr:
-                    self.link.send_datagram(address, MessageKind.PEER_PROBE, self._introduction())
+                    self.link.send_datagram(address, MessageKind.PEER_PROBE, body)
             await self.clock.sleep(_SEED_PROBE_US)
 
     def _next(self) -> Peer | None:
@@ -136,25 +138,26 @@
             if name != peer.name and other.state == ALIVE
         ]
         self.rng.shuffle(others)
-        reached = await asyncio.gather(
-            *[
-                self._ping(
-                    other.addr, MessageKind.PEER_PROBE_FOR, {"to": peer.addr}, _SECOND_OPINION_TIMES
-                )
-                for other in others[: self.second_opinions]
-            ]
-        )
+        opinions = [
+            self._is_reached_by(other.addr, peer.addr) for other in others[: self.second_opinions]
+        ]
+        reached = await asyncio.gather(*opinions)
         if not any(reached):
             self.roster.suspect(peer.name)
 
+    async def _is_reached_by(self, address: str, target: str) -> bool:
+        """Whether the node at `address` reports that it reaches the one at `target`."""
+        kind = MessageKind.PEER_PROBE_FOR
+        return await self._ping(address, kind, target, _SECOND_OPINION_TIMES)
+
     async def _ping(
-        self, address: str, kind: str, fields: dict[str, Any] | None = None, times: int = 1
+        self, address: str, kind: str, target: str | None = None, times: int = 1
     ) -> bool:
         """Whether `address` acknowledges a message of `kind` in `times` the usual wait."""
         self._nonce += 1
         nonce = self._nonce
         answered = self._waiting[nonce] = asyncio.get_running_loop().create_future()
-        self.link.send_datagram(address, kind, {**self._body(nonce), **(fields or {})})
+        self._send(address, kind, nonce, target)
         try:
             await self.clock.limit(answered, self.answer_us * times)
         except Fault:
@@ -164,43 +167,45 @@
         finally:
             self._waiting.pop(nonce, None)
 
-    def _introduction(self) -> dict[str, Any]:
+    def _introduction(self) -> Probe:
         """An update about this node alone, which nobody has to acknowledge."""
-        return {
-            "nonce": _NOBODY_WAITS,
-            "src": self.link.addr,
-            "news": [self.roster.own_update().to_wire()],
-        }
+        return Probe(_NOBODY_WAITS, self._own_address(), [self.roster.own_update().to_wire()])
+
+    def _own_address(self) -> str:
+        assert self.link.addr is not None, "the link listens before the prober runs"
+        return self.link.addr
 
-    def _body(self, nonce: int) -> dict[str, Any]:
-        return {"nonce": nonce, "src": self.link.addr, "news": self.roster.rows()}
+    def _send(self, address: str, kind: str, nonce: int, target: str | None = None) -> None:
+        probe = Probe(nonce, self._own_address(), self.roster.rows(), target)
+        self.link.send_datagram(address, kind, probe.to_body())
 
-    def _acknowledge(self, body: dict[str, Any]) -> None:
-        answer = self._body(body["nonce"])
-        self.link.send_datagram(body["src"], MessageKind.PEER_ACKNOWLEDGE, answer)
+    def _acknowledge(self, probe: Probe) -> None:
+        self._send(probe.source, MessageKind.PEER_ACKNOWLEDGE, probe.nonce)
 
     def _on_probe(self, body: dict[str, Any]) -> None:
-        self._merge_sender(body)
-        self._acknowledge(body)
+        self._acknowledge(self._merge_sender(body))
 
-    def _merge_sender(self, body: dict[str, Any]) -> None:
-        self.roster.record_contact(body["src"])
-        self.roster.merge(body["news"], body["src"])
+    def _merge_sender(self, body: dict[str, Any]) -> Probe:
+        """Reads a probe and merges what its sender reports."""
+        probe = Probe.from_body(body)
+        self.roster.record_contact(probe.source)
+        self.roster.merge(probe.rows, probe.source)
+        return probe
 
     def _on_acknowledge(self, body: dict[str, Any]) -> None:
-        self._merge_sender(body)
-        answered = self._waiting.get(body["nonce"])
+        probe = self._merge_sender(body)
+        answered = self._waiting.get(probe.nonce)
         if answered is not None and not answered.done():
             answered.set_result(None)
 
     def _on_probe_for(self, body: dict[str, Any]) -> None:
-        self._merge_sender(body)
-        self.tasks.spawn(self._second_opinion(body))
+        self.tasks.spawn(self._second_opinion(self._merge_sender(body)))
 
-    async def _second_opinion(self, body: dict[str, Any]) -> None:
+    async def _second_opinion(self, request: Probe) -> None:
         """Probes a peer for another node, which learns only if it answers."""
-        if await self._ping(body["to"], MessageKind.PEER_PROBE):
-            self._acknowledge(body)
+        assert request.target is not None, "its contract has the field"
+        if await self._ping(request.target, MessageKind.PEER_PROBE):
+            self._acknowledge(request)
 
     async def _on_join(self, channel: Channel, body: dict[str, Any]) -> dict[str, Any]:
         self.roster.merge(body["news"])
--- a/src/petrelhaven/runtime/daemon.py
+++ b/src/petrelhaven/runtime/daemon.py
@@ -18,14 +18,14 @@
 from petrelhaven.transport.http_server import HttpServer
 from petrelhaven.transport.link import Link
 
-__all__ = ["Daemon", "say"]
+__all__ = ["Daemon", "print_line"]
 
 _SETTINGS_DECLINED = 2
 _DATA_OF_ANOTHER_NODE = 3
 _READINESS_PERIOD_US = 50_000
 
 
-def say(line: str) -> None:
+def print_line(line: str) -> None:
     """Writes one line to standard output, for whoever started the program."""
     print(line, flush=True)
 
@@ -37,7 +37,7 @@
         self,
         prog: str,
         doc: str,
-        core: bool,
+        is_control_node: bool,
         make: Callable[[Daemon], Any],
         leave: Callable[[Any], Awaitable[None]],
     ) -> None:
@@ -46,18 +46,18 @@
         Args:
             prog: its name.
             doc: what it is, for `--help`.
-            core: whether it takes the settings of a control node.
+            is_control_node: whether it takes the settings of a control node.
             make: builds the node from this daemon's settings, link and HTTP server.
             leave: has the node leave the fleet, before the program ends.
         """
-        self.prog, self.doc, self.core = prog, doc, core
+        self.prog, self.doc, self.is_control_node = prog, doc, is_control_node
         self._make, self._leave = make, leave
 
     def main(self, argv: Sequence[str] | None = None) -> int:
         """Runs the program; returns its exit code."""
         faults: Sequence[Exception] = ()
         try:
-            self.set = load(self.prog, self.doc, self.core, argv)
+            self.settings = load(self.prog, self.doc, self.is_control_node, argv)
         except* SettingsFault as group:
             faults = group.exceptions
         if faults:
@@ -65,7 +65,7 @@
                 print(f"{self.prog}: settings declined: {fault}", file=sys.stderr)
             return _SETTINGS_DECLINED
         self._argv = argv
-        self.log = logger(self.set.name, self.set.level)
+        self.log = logger(self.settings.name, self.settings.level)
         try:
             return self._check_or_run()
         except SettingsFault as fault:
@@ -80,9 +80,9 @@
         return exit_code
 
     def _check_or_run(self) -> int:
-        if self.set.check:
+        if self.settings.check:
             self.check()
-            say(f"settings of {self.set.name} are good")
+            print_line(f"settings of {self.settings.name} are good")
             return 0
         return asyncio.run(self._run())
 
@@ -105,16 +105,16 @@
 
     def _create_servers(self) -> None:
         self.clock, self.tasks = Clock(), BackgroundTasks(self.log)
-        host, port = self.set.link.rsplit(":", 1)
+        host, port = self.settings.link.rsplit(":", 1)
         self.link = Link(self.clock, self.tasks, self.log, host, int(port))
-        host, port = self.set.http.rsplit(":", 1)
+        host, port = self.settings.http.rsplit(":", 1)
         self.http_server = self.make_http_server(host, int(port))
 
     async def _read_seeds(self) -> None:
         """Takes the seed addresses from the settings or, once listening, from standard input."""
-        seeds = self.set.seeds
+        seeds = self.settings.seeds
         if isinstance(seeds, str):
-            say(f"listening name={self.set.name} link={self.link.addr}")
+            print_line(f"listening name={self.settings.name} link={self.link.addr}")
             loop = asyncio.get_running_loop()
             seeds = await loop.run_in_executor(None, seeds_from_stdin)
         self.seeds = seeds
@@ -127,7 +127,9 @@
         self._node = node
         node.start()
         self._follow_settings(node)
-        say(f"started name={self.set.name} link={self.link.addr} http={self.http_server.addr}")
+        print_line(
+            f"started name={self.settings.name} link={self.link.addr} http={self.http_server.addr}"
+        )
         readiness = self.tasks.spawn(self._report_readiness(node))
         await stop.wait()
         if readiness is not None:
@@ -146,10 +148,10 @@
 
     def _follow_settings(self, node: Any) -> None:  # noqa: ANN401 (any kind of node)
         """Follows the settings file, if there is one."""
-        if not self.set.file:
+        if not self.settings.file:
             return
-        again = functools.partial(load, self.prog, self.doc, self.core, self._argv)
-        watch = Watch(self.clock, again, self.set, self._apply, self.log)
+        load_again = functools.partial(load, self.prog, self.doc, self.is_control_node, self._argv)
+        watch = Watch(self.clock, load_again, self.settings, self._apply, self.log)
         node.settings = watch.status
         self.tasks.spawn(watch.run())
 
@@ -168,5 +170,5 @@
         while True:
             if node.ready != ready:
                 ready = node.ready
-                say(f"{'ready' if ready else 'unready'} name={self.set.name}")
+                print_line(f"{'ready' if ready else 'unready'} name={self.settings.name}")
             await self.clock.sleep(_READINESS_PERIOD_US)
--- a/src/petrelhaven/runtime/settings.py
+++ b/src/petrelhaven/runtime/settings.py
@@ -99,12 +99,12 @@
 LIVE = ("level", "platform", "seeds")
 _DEFAULTS = {"link": "127.0.0.1:0", "http": "127.0.0.1:0", "level": "info"}
 _REQUIRED = ("name", "hall", "link", "http", "seeds", "level")
-_REQUIRED_OF_CORE = ("data", "platform", "path")
+_REQUIRED_OF_CONTROL_NODE = ("data", "platform", "path")
 _ADDRESSES = ("link", "http", "platform")
 
 
-def parser(prog: str, doc: str, core: bool) -> argparse.ArgumentParser:
-    """The flags of a daemon; `core` adds those of a control node."""
+def parser(prog: str, doc: str, is_control_node: bool) -> argparse.ArgumentParser:
+    """The flags of a daemon; `is_control_node` adds those of a control node."""
     flags = argparse.ArgumentParser(
         prog=prog,
         description=doc,
@@ -139,7 +139,7 @@
         "- reads them from standard input once listening",
     )
     flags.add_argument("--level", help="least level of log events (info)")
-    if core:
+    if is_control_node:
         flags.add_argument("--data", metavar="DIR", help="data folder")
         flags.add_argument("--platform", metavar="IP:PORT", help="address of the platform")
         flags.add_argument(
@@ -151,13 +151,13 @@
     return flags
 
 
-def load(prog: str, doc: str, core: bool, argv: Sequence[str] | None = None) -> Settings:
+def load(prog: str, doc: str, is_control_node: bool, argv: Sequence[str] | None = None) -> Settings:
     """The checked settings of the program `prog`, from its file and its flags.
 
     Raises:
         ExceptionGroup: of one SettingsFault for each field that is wrong.
     """
-    flags = vars(parser(prog, doc, core).parse_args(argv))
+    flags = vars(parser(prog, doc, is_control_node).parse_args(argv))
     file, check = flags.pop("settings"), flags.pop("check")
     values: dict[str, Any] = dict(_DEFAULTS)
     if file:
@@ -165,11 +165,11 @@
     values.update({name: value for name, value in flags.items() if value is not None})
     if isinstance(values.get("seeds"), str):
         values["seeds"] = values["seeds"].split(",")
-    if core:
+    if is_control_node:
         values.setdefault("path", "kept")
     settings = Settings()
     settings.file, settings.check = file, check
-    required = [*_REQUIRED, *(_REQUIRED_OF_CORE if core else ())]
+    required = [*_REQUIRED, *(_REQUIRED_OF_CONTROL_NODE if is_control_node else ())]
     faults = [f"{name}: unknown field" for name in values if name not in required]
     for name in required:
         if name not in values:
