--- a/src/petrelhaven/proxy/proxy_interface.py
+++ b/src/petrelhaven/proxy/proxy_interface.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from petrelhaven.control.interface.documents import configuration_of, why_of
+from petrelhaven.control.interface.documents import configuration_answer, leadership_history
 from petrelhaven.proxy.state_routes import serve_state
 from petrelhaven.runtime.errors import Malformed, NoRoute
 
@@ -72,7 +72,7 @@
 
     async def _show_leadership(self, request: HttpRequest) -> dict[str, Any]:
         document = self._proxy.core_connection.control_state.doc
-        answer: dict[str, Any] = why_of(document, request.query)
+        answer: dict[str, Any] = leadership_history(document, request.query)
         return answer
 
     async def _show_configuration(self, request: HttpRequest) -> tuple[int, bytes, Any]:
@@ -84,5 +84,5 @@
         version = str(stored["version"])
         if request.query.get("version", version) != version:
             raise NoRoute("no such manifest")
-        answer: tuple[int, bytes, Any] = configuration_of(stored["text"], False)
+        answer: tuple[int, bytes, Any] = configuration_answer(stored["text"], False)
         return answer
