--- a/src/petrelhaven/control/storage/core_store.py
+++ b/src/petrelhaven/control/storage/core_store.py
@@ -1,4 +1,4 @@
-"""What a core remembers across a restart: its identity, its vote, its place in the chain, the control state."""
+"""What a control node stores: its identity, its vote, its place in the chain, the control state."""
 
 import contextlib
 import zlib
@@ -10,7 +10,7 @@
     Entry,
     HandedOver,
     Reset,
-    StateFrame,
+    Snapshot,
     Vote,
     from_document,
     no_vote,
@@ -34,17 +34,17 @@
     return FILE_SIZE - zlib.crc32(name.encode()) % _SIZE_STEPS * _SIZE_STEP
 
 
-def _default_state(document: dict | None = None) -> Any:  # noqa: ANN401
+def _default_state(document: dict[str, Any] | None = None) -> Any:  # noqa: ANN401
     from petrelhaven.control.resumable.control_state import ResumableControlState
 
     return ResumableControlState(document)
 
 
-def replayed(documents: list[dict], state: Callable[..., Any]) -> Any:  # noqa: ANN401
+def replayed(documents: list[dict[str, Any]], state: Callable[..., Any]) -> Any:  # noqa: ANN401
     """The control state that `documents` add up to; None if there are none."""
-    control_state = None
+    control_state: Any = None
     for entry in map(from_document, documents):
-        if isinstance(entry, StateFrame | Reset):
+        if isinstance(entry, Snapshot | Reset):
             control_state = state(entry.control_state)
         elif isinstance(entry, ChainRecord):
             control_state.apply(entry.seq, entry.record)
@@ -52,7 +52,7 @@
 
 
 class CoreStore:
-    """Every change is written and synced first, and remembered only if that succeeded.
+    """Every change is written and synced first, and taken over only if that succeeded.
 
     A change that the disk refuses raises `DiskRefused` and leaves everything as it was; from then on `refuses` is
     True, until a later change or `recover` has succeeded. A core that refuses takes part in nothing.
@@ -72,10 +72,10 @@
         self._state = state or _default_state
         self._log = RecordLog(disk, size=_file_size(name))
         self._aside = SetAside(disk)
-        self.damaged = self.refuses = self._unborn = self._said = False
+        self.damaged = self.refuses = self._without_identity = self._reported_refusal = False
         self.on_turn: list[Callable[[], None]] = []
         self._clear()
-        self._unborn = not self._load()
+        self._without_identity = not self._load()
         self._start()
 
     def _load(self) -> bool:
@@ -103,17 +103,17 @@
         """Tries whether the disk takes writes; does nothing unless an earlier one was refused."""
         if not self.refuses:
             return
-        if self._unborn:
-            self._guarded(lambda: self._begin(self._frame()))
+        if self._without_identity:
+            self._guarded(lambda: self._begin(self._snapshot()))
         else:
-            self._guarded(lambda: self._log.confirm(self._frame_document))
+            self._guarded(lambda: self._log.confirm(self._snapshot_document))
 
-    def _begin(self, frame: StateFrame) -> None:
-        """Writes the first frame of an identity; what a damaged log still holds is copied first."""
+    def _begin(self, snapshot: Snapshot) -> None:
+        """Writes the first snapshot of an identity; what a damaged log still holds is copied first."""
         if self.damaged:
             self._set_aside()
-        self._log.begin(to_document(frame))
-        self._unborn = False
+        self._log.begin(to_document(snapshot))
+        self._without_identity = False
 
     def _set_aside(self) -> None:
         try:
@@ -125,26 +125,26 @@
     def _clear(self) -> None:
         """Nothing is remembered; the identity drawn here counts unless one is read."""
         self.disk = "%016x" % self._rng.getrandbits(64)
-        self.vote: dict = no_vote()
+        self.vote: dict[str, Any] = no_vote()
         self.done = 0
         self._forget_state(self._state(), 0)
 
     def _forget_state(self, control_state: Any, mark: int) -> None:  # noqa: ANN401
         self.control_state, self.mark = control_state, mark
-        self.recs: list[list] = []
+        self.recs: list[list[Any]] = []
         self._text_bytes = 0
 
     def wipe(self) -> None:
         """Forgets everything; the core goes on as an empty one with another disk identity."""
         disk = "%016x" % self._rng.getrandbits(64)
-        empty = StateFrame(disk, self.name, no_vote(), 0, self._state().snapshot(), 0)
+        empty = Snapshot(disk, self.name, no_vote(), 0, self._state().snapshot(), 0)
         self._guarded(lambda: self._log.begin(to_document(empty)))
         self.disk, self.vote, self.done = disk, no_vote(), 0
         self._forget_state(self._state(), 0)
 
     def expect_identity(self) -> None:
         """Raises DiskRefused while the identity of this core has not been written yet."""
-        if self._unborn:
+        if self._without_identity:
             raise DiskRefused("the identity of this core is not written yet")
 
     @property
@@ -152,33 +152,33 @@
         """True while this core has neither voted nor held anything."""
         return self.vote["value"] is None and self.control_state.seq == 0
 
-    def _frame(self) -> StateFrame:
-        return StateFrame(
+    def _snapshot(self) -> Snapshot:
+        return Snapshot(
             self.disk, self.name, self.vote, self.done, self.control_state.snapshot(), self.mark
         )
 
-    def _frame_document(self) -> dict:
-        return to_document(self._frame())
+    def _snapshot_document(self) -> dict[str, Any]:
+        return to_document(self._snapshot())
 
     def _keep(self, entry: Entry) -> None:
         """Writes an entry; only then may the caller remember it."""
-        if self._unborn:
+        if self._without_identity:
             self.recover()
-        self._guarded(lambda: self._log.append(to_document(entry), self._frame_document))
+        self._guarded(lambda: self._log.append(to_document(entry), self._snapshot_document))
 
     def _guarded(self, write: Callable[[], None]) -> None:
         try:
             write()
         except DiskRefused as refusal:
-            self._turn(True, refusal.note)
+            self._set_refuses(True, refusal.note)
             raise
-        self._turn(False)
+        self._set_refuses(False)
 
-    def _turn(self, refuses: bool, note: str = "") -> None:
+    def _set_refuses(self, refuses: bool, note: str = "") -> None:
         self.refuses = refuses
-        if self._said == refuses:
+        if self._reported_refusal == refuses:
             return
-        self._said = refuses
+        self._reported_refusal = refuses
         if refuses:
             emit(self.log, Events.DISK_REFUSES_WRITES, note=note)
         else:
@@ -188,7 +188,7 @@
 
     def _replay(self, entry: Entry | None) -> None:
         match entry:
-            case StateFrame(disk, name, vote, done, control_state, mark):
+            case Snapshot(disk, name, vote, done, control_state, mark):
                 if self._any_name:
                     self.name = name
                 elif name != self.name:
@@ -205,7 +205,7 @@
             case Reset(control_state, mark):
                 self._forget_state(self._state(control_state), mark)
 
-    def _take(self, seq: int, view: int, record: dict) -> None:
+    def _take(self, seq: int, view: int, record: dict[str, Any]) -> None:
         self.control_state.apply(seq, record)
         self.recs.append([seq, view, record])
         self.mark = view
@@ -246,20 +246,20 @@
             return
         emit(self.log, Events.DAMAGED_COPIES_REMOVED, seq=held.seq if held else 0)
 
-    def put_rec(self, seq: int, view: int, record: dict) -> None:
+    def put_rec(self, seq: int, view: int, record: dict[str, Any]) -> None:
         """Adds a numbered record."""
         if seq != self.control_state.seq + 1:
             raise AssertionError(f"record {seq} does not follow {self.control_state.seq}")
         self._keep(ChainRecord(seq, view, record))
         self._take(seq, view, record)
 
-    def reset(self, control_state: dict, mark: int) -> None:
-        """Replaces the control state by another core's frame."""
+    def reset(self, control_state: dict[str, Any], mark: int) -> None:
+        """Replaces the control state by another node's snapshot."""
         state = self._state(control_state)
         self._keep(Reset(control_state, mark))
         self._forget_state(state, mark)
 
-    def since(self, seq: int, mark: int | None = None) -> list[list] | None:
+    def since(self, seq: int, mark: int | None = None) -> list[list[Any]] | None:
         """Records after `seq`, or None if they are no longer kept (or `mark` does not fit)."""
         if seq == self.control_state.seq:
             return [] if mark in (None, self.mark) else None
--- a/src/petrelhaven/control/storage/data_folder.py
+++ b/src/petrelhaven/control/storage/data_folder.py
@@ -7,7 +7,7 @@
 from petrelhaven.control.resumable.control_state import ResumableControlState
 from petrelhaven.control.state.control_state import ControlState
 from petrelhaven.control.storage.core_store import CoreStore, replayed
-from petrelhaven.control.storage.documents import StateFrame, from_document
+from petrelhaven.control.storage.documents import Snapshot, from_document
 from petrelhaven.control.storage.record_log import log_file_names, readable_documents
 from petrelhaven.control.storage.set_aside import SetAside
 from petrelhaven.runtime.errors import Damaged
@@ -69,16 +69,16 @@
     return max(readable, key=lambda state: state.control_state.seq)
 
 
-def _salvaged(documents: list[dict]) -> Salvage | None:
+def _salvaged(documents: list[dict[str, Any]]) -> Salvage | None:
     if not documents:
         return None
     first = from_document(documents[0])
-    if not isinstance(first, StateFrame):
+    if not isinstance(first, Snapshot):
         return None
     return Salvage(first.name, replayed(documents, _state))
 
 
-def _state(document: dict | None = None) -> ControlState | ResumableControlState:
+def _state(document: dict[str, Any] | None = None) -> ControlState | ResumableControlState:
     return (
         ControlState(document)
         if document and "offices" in document
--- a/src/petrelhaven/control/storage/documents.py
+++ b/src/petrelhaven/control/storage/documents.py
@@ -1,13 +1,14 @@
 """What a core writes to its log: typed entries, and their one translation to and from JSON documents."""
 
 from dataclasses import dataclass
+from typing import Any
 
 __all__ = [
     "ChainRecord",
     "Entry",
     "HandedOver",
     "Reset",
-    "StateFrame",
+    "Snapshot",
     "Vote",
     "from_document",
     "no_vote",
@@ -16,14 +17,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StateFrame:
+class Snapshot:
     """Everything that a core remembers: the first record of every file."""
 
     disk: str
     name: str
-    vote: dict
+    vote: dict[str, Any]
     done: int
-    control_state: dict
+    control_state: dict[str, Any]
     mark: int
 
 
@@ -31,7 +32,7 @@
 class Vote:
     """The promise and the view accepted last; with `done`, everything of that view is held here too."""
 
-    vote: dict
+    vote: dict[str, Any]
     done: int | None = None
 
 
@@ -48,29 +49,29 @@
 
     seq: int
     view: int
-    record: dict
+    record: dict[str, Any]
 
 
 @dataclass(frozen=True, slots=True)
 class Reset:
     """The control state was replaced by that of another core."""
 
-    control_state: dict
+    control_state: dict[str, Any]
     mark: int
 
 
-Entry = StateFrame | Vote | HandedOver | ChainRecord | Reset
+Entry = Snapshot | Vote | HandedOver | ChainRecord | Reset
 
 
-def no_vote() -> dict:
+def no_vote() -> dict[str, Any]:
     """The vote of a core that has neither promised nor accepted anything."""
     return {"num": 0, "who": "", "anum": 0, "awho": "", "value": None, "ids": None}
 
 
-def to_document(entry: Entry) -> dict:
+def to_document(entry: Entry) -> dict[str, Any]:
     """The JSON document of an entry."""
     match entry:
-        case StateFrame(disk, name, vote, done, control_state, mark):
+        case Snapshot(disk, name, vote, done, control_state, mark):
             return {
                 "t": "frame",
                 "disk": disk,
@@ -93,11 +94,11 @@
     raise TypeError(type(entry).__name__)
 
 
-def from_document(document: dict) -> Entry | None:
+def from_document(document: dict[str, Any]) -> Entry | None:
     """The entry of a JSON document; None for one that says nothing more than its frame (`id`)."""
     match document:
         case {"t": "frame"}:
-            return StateFrame(
+            return Snapshot(
                 document["disk"],
                 document["name"],
                 {**no_vote(), **document["vote"]},
--- a/src/petrelhaven/control/storage/record_format.py
+++ b/src/petrelhaven/control/storage/record_format.py
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogRecord:
-    """One whole record of a file: `offset` is its first byte, `end` the byte after it."""
+    """One complete record of a file: `offset` is its first byte, `end` the byte after it."""
 
     lap: int
     number: int
@@ -47,6 +47,9 @@
     """The lap that the file's lead names; None if the lead is missing, torn or damaged."""
     if len(raw) < LEAD_SIZE:
         return None
+    magic: bytes
+    lap: int
+    checksum: int
     magic, lap, checksum = _LEAD.unpack(raw[:LEAD_SIZE])
     if magic != _MAGIC or zlib.crc32(raw[: LEAD_SIZE - _CHECKSUM.size]) != checksum:
         return None
@@ -60,7 +63,7 @@
 
 
 def read_record(raw: bytes, offset: int) -> LogRecord | None:
-    """The record at `offset`; None unless header, body and end byte are all whole."""
+    """The record at `offset`; None unless header, body and end byte are all intact."""
     start = offset + _HEADER.size
     if offset < 0 or start > len(raw):
         return None
@@ -77,7 +80,7 @@
 
 
 def holds_record(raw: bytes, start: int, lap: int, least_number: int = 0) -> bool:
-    """Whether a whole record of `lap`, numbered `least_number` or more, begins at `start` or later."""
+    """Whether a complete record of `lap`, numbered `least_number` or more, begins at `start` or later."""
     pattern = _NUMBER.pack(lap)
     at = raw.find(pattern, start + _LAP_OFFSET)
     while at >= 0:
--- a/src/petrelhaven/control/storage/record_log.py
+++ b/src/petrelhaven/control/storage/record_log.py
@@ -1,8 +1,8 @@
-"""An append-only log over a few preallocated files, written in turn: a core's memory on disk."""
+"""An append-only log over a few preallocated files, written one after the other."""
 
 import json
 from collections.abc import Callable
-from typing import Protocol
+from typing import Any, Protocol
 
 from petrelhaven.control.storage.record_format import (
     LEAD_SIZE,
@@ -23,7 +23,7 @@
 
 
 class Disk(Protocol):
-    """What the log needs of a disk; a write that is not wholly synced raises OSError."""
+    """What the log needs of a disk; a write that is not fully synced raises OSError."""
 
     def read(self, name: str) -> bytes:
         """All bytes of a file; empty if there is none."""
@@ -40,13 +40,13 @@
     return [f"ring-{index}" for index in range(count)]
 
 
-def _encode(document: dict) -> bytes:
+def _encode(document: dict[str, Any]) -> bytes:
     return json.dumps(document, separators=(",", ":")).encode()
 
 
 def _scan(raw: bytes, lap: int) -> list[LogRecord]:
-    """The whole records of a file from its first on, up to the first that is not whole."""
-    records = []
+    """The intact records of a file from its first on, up to the first that is not intact."""
+    records: list[LogRecord] = []
     offset = LEAD_SIZE
     while record := read_record(raw, offset):
         if record.lap != lap or records and record.number != records[-1].number + 1:
@@ -56,7 +56,7 @@
     return records
 
 
-def readable_documents(files: list[bytes]) -> list[dict]:
+def readable_documents(files: list[bytes]) -> list[dict[str, Any]]:
     """What can still be read of damaged files: the newest readable state, oldest record first."""
     firsts = [(record.lap, raw) for raw in files if (record := read_record(raw, LEAD_SIZE))]
     if not firsts:
@@ -66,15 +66,15 @@
 
 
 class RecordLog:
-    """Every file opens with a frame of the whole state, so that older files may be written over.
+    """Every file opens with a snapshot of the state, so that older files may be written over.
 
     A record counts once its write and its sync have succeeded. One that the disk refuses changes neither number nor
     place: the next one is written over what it left. After a loss of power the last write may be there, missing or
-    torn in any part and is dropped unless it is whole. A bad record is damage only where a later record proves that
+    torn in any part and is dropped unless it is intact. A bad record is damage only where a later record proves that
     it had been synced; damage is raised, never read past.
 
-    A turn to the next file writes zeros, then the frame, then the lead, each synced before the next. Until the lead
-    is whole the file before it holds everything; once a turn has begun, nothing more goes to the file before.
+    A switch to the next file writes zeros, then the snapshot, then the lead, each synced before the next. Until the
+    lead is intact the file before it holds everything; once a switch has begun, nothing more goes to the file before.
     """
 
     def __init__(self, disk: Disk, count: int = FILE_COUNT, size: int = FILE_SIZE) -> None:
@@ -92,8 +92,8 @@
         """True from `load` until what was read is known to be synced: the process may have died before its sync."""
         return self._unconfirmed
 
-    def load(self) -> list[dict]:
-        """The documents since the newest whole frame, oldest first; empty for a new disk."""
+    def load(self) -> list[dict[str, Any]]:
+        """The documents since the newest intact snapshot, oldest first; empty for a new disk."""
         files = [self._read(name) for name in self._names]
         laps = {lap: index for index, raw in enumerate(files) if (lap := read_lead(raw))}
         if not laps:
@@ -118,7 +118,7 @@
             raise Damaged("no whole lead")
 
     def _expect_no_later_lap(self, files: list[bytes]) -> None:
-        """A record behind the frame of the next lap proves that the next lap's lead had been synced."""
+        """A record behind the snapshot of the next lap proves that the next lap's lead had been synced."""
         later = self._lap + 1
         if any(holds_record(raw, LEAD_SIZE + 1, later) for raw in files):
             self._lap = later
@@ -137,15 +137,15 @@
         self.torn = self._leftover > 0
         self._unconfirmed = True
 
-    def append(self, document: dict, frame: Callable[[], dict]) -> None:
-        """Adds `document`; a full file is left first, and the next opens with `frame()`, the state before it."""
+    def append(self, document: dict[str, Any], snapshot: Callable[[], dict[str, Any]]) -> None:
+        """Adds `document`; a full file is left first, and the next opens with `snapshot()`, the state before it."""
         body = _encode(document)
         raw = encode_record(self._lap, self._number + 1, body)
         if self._lap == 0 or self._turning or self._offset + len(raw) + _SLACK > self._size:
-            self._turn(frame(), len(raw))
+            self._turn(snapshot(), len(raw))
             raw = encode_record(self._lap, self._number + 1, body)
         elif self._unconfirmed:
-            self.confirm(frame)
+            self.confirm(snapshot)
         self._leftover = max(self._leftover, len(raw))
         self._write(self._name(), self._offset, raw)
         self._last, self._last_offset = raw, self._offset
@@ -153,16 +153,16 @@
         self._offset += len(raw)
         self._number += 1
 
-    def begin(self, frame: dict) -> None:
-        """Starts anew with `frame` in the next file; what was there before stays in the older ones for a while."""
+    def begin(self, snapshot: dict[str, Any]) -> None:
+        """Starts anew with `snapshot` in the next file; what was there before stays in the older ones for a while."""
         if self._lap == 0:
             self._clear()
-        self._turn(frame, 0)
+        self._turn(snapshot, 0)
 
-    def confirm(self, frame: Callable[[], dict]) -> None:
-        """Has exactly what is remembered on the disk: finishes a turn, or writes the last record anew."""
+    def confirm(self, snapshot: Callable[[], dict[str, Any]]) -> None:
+        """Has exactly what is remembered on the disk: finishes a switch of files, or writes the last record anew."""
         if self._turning:
-            self._turn(frame(), 0)
+            self._turn(snapshot(), 0)
             return
         if self._leftover:
             self._write(self._name(), self._offset, bytes(self._leftover))
@@ -170,10 +170,10 @@
         self._write(self._name(), self._last_offset, self._last)
         self._unconfirmed = False
 
-    def _turn(self, frame: dict, room: int) -> None:
+    def _turn(self, snapshot: dict[str, Any], room: int) -> None:
         self._turning = True
         lap, number = self._lap + 1, self._number + 1
-        raw = encode_record(lap, number, _encode(frame))
+        raw = encode_record(lap, number, _encode(snapshot))
         lead = encode_lead(lap)
         size = max(self._size, 2 * (len(raw) + room))
         name = self._names[self._index(lap)]
--- a/src/petrelhaven/control/storage/set_aside.py
+++ b/src/petrelhaven/control/storage/set_aside.py
@@ -1,5 +1,7 @@
 """Copies of damaged log files, kept until other cores are known to hold as much."""
 
+from typing import Any
+
 from petrelhaven.control.storage.record_log import Disk, log_file_names, readable_documents
 
 __all__ = ["SetAside"]
@@ -26,7 +28,7 @@
         self._disk.write(_MARK, 0, _COMPLETE)
         self.present = True
 
-    def documents(self) -> list[dict]:
+    def documents(self) -> list[dict[str, Any]]:
         """What can still be read of the copies."""
         return readable_documents([self._disk.read(self._copy(name)) for name in log_file_names()])
 
