--- a/src/petrelhaven/proxy/routing/base.py
+++ b/src/petrelhaven/proxy/routing/base.py
@@ -15,11 +15,11 @@
 if TYPE_CHECKING:
     import logbook
 
+    from petrelhaven.control.state.rows import Leadership
     from petrelhaven.proxy.bounds import ProxyBounds
     from petrelhaven.proxy.core_connection import CoreConnection
     from petrelhaven.proxy.reads.position import Position
     from petrelhaven.proxy.reads.read_clock import Order
-    from petrelhaven.proxy.routing.leadership import Leadership
     from petrelhaven.proxy.routing.member import Member
     from petrelhaven.proxy.routing.member_wire import MemberWire
     from petrelhaven.proxy.routing.outside_contact import OutsideContact
--- a/src/petrelhaven/proxy/routing/group.py
+++ b/src/petrelhaven/proxy/routing/group.py
@@ -7,16 +7,17 @@
 from typing import TYPE_CHECKING, Any
 
 from petrelhaven.control.failover.evidence import NO_POSITION
+from petrelhaven.control.state.rows import LeadershipPhase
 from petrelhaven.proxy.pool.connection_pool import ConnectionPool
 from petrelhaven.proxy.reads.log_progress import LogProgress
 from petrelhaven.proxy.reads.read_clock import ReadClock
-from petrelhaven.proxy.routing.leadership import MOVING, SERVING, Leadership
 from petrelhaven.proxy.routing.member import NO_ANSWER, NOT_PRIMARY, REFUSED, Member
 from petrelhaven.proxy.routing.member_proofs import MemberProofs
 from petrelhaven.runtime.errors import DeadlineExceeded, Fault, MemberReplaced, NotSent, Unreachable
 
 if TYPE_CHECKING:
     from petrelhaven.control.state.control_state import ControlState
+    from petrelhaven.control.state.rows import Leadership
     from petrelhaven.proxy.pool.member_connection import MemberConnection
     from petrelhaven.proxy.reads.position import Position
     from petrelhaven.proxy.routing.attempt import Attempt
@@ -25,6 +26,8 @@
 
 __all__ = ["MemberGroup"]
 
+_SERVING, _FAILOVER = LeadershipPhase.SERVING, LeadershipPhase.FAILOVER
+
 _DOWN_US = 250_000
 _DOWN_MOST_US = 2_000_000
 _FAILURES_MOST = 4
@@ -52,7 +55,7 @@
         name: Its name.
         members: The members that are not gone, by name.
         leadership: Who leads the group, or None while that is not known.
-        leading: (number, primary) of the leadership, also while it moves; the read clock's pairs
+        leading: (number of its first record, primary), also while it moves; the read clock's pairs
             belong to it.
         connection_cap: How many connections all proxies together may have to one member.
         sync_replicas: How many replicas have a commit before it is acknowledged.
@@ -71,7 +74,6 @@
         self.members: dict[str, Member] = {}
         self.leadership: Leadership | None = None
         self.leading: tuple[int, str] | None = None
-        self._leadership_record: dict[str, Any] | None = None
         self.connection_cap = _CONNECTION_CAP
         self.sync_replicas = self.size = self.strong_sessions = 0
         self.lower_bound: Position = NO_POSITION
@@ -86,7 +88,7 @@
     def primary(self) -> Member | None:
         """The primary, or None while the leadership moves or is not known."""
         now = self.leadership
-        if now is None or now.phase == MOVING:
+        if now is None or now.phase is _FAILOVER:
             return None
         return self.members.get(now.primary)
 
@@ -98,7 +100,7 @@
         positions by STATUS instead of carried fetches, see `read_placement`.
         """
         now = self.leadership
-        if now is None or now.phase != SERVING or not self._proxy.core_connection.holds_lease:
+        if now is None or now.phase is not _SERVING or not self._proxy.core_connection.holds_lease:
             return None
         return self.members.get(now.primary)
 
@@ -125,9 +127,9 @@
             self._apply_member(name, row, control_state, fresh)
         for name in [name for name in self.members if name not in rows]:
             self.members.pop(name).close()
-        record = control_state.doc["offices"].get(self.name)
-        if record != self._leadership_record:
-            self._apply_leadership(record)
+        leadership = control_state.leadership(self.name)
+        if leadership != self.leadership:
+            self._apply_leadership(leadership)
 
     def _apply_member(
         self, name: str, row: dict[str, Any], control_state: ControlState, fresh: bool
@@ -168,14 +170,12 @@
         member = Member(name, row, proxy.zone_distance(row["hall"]), pool, log_progress)
         return member
 
-    def _apply_leadership(self, record: dict[str, Any] | None) -> None:
-        self._leadership_record = record
-        now = Leadership.from_record(record) if record is not None else None
+    def _apply_leadership(self, now: Leadership | None) -> None:
         self.leadership = now
-        self.leading = (now.number, now.primary) if now is not None else None
+        self.leading = (now.since, now.primary) if now is not None else None
         self.read_clock.set_leading(self.leading)
         primary = self.primary
-        if primary is not None and now is not None and now.phase == SERVING:
+        if primary is not None and now is not None and now.phase is _SERVING:
             primary.down_until = primary.failures = 0
         waiter, self._next_leadership = self._next_leadership, None
         if waiter is not None:
@@ -245,7 +245,7 @@
         member.failures = min(member.failures + 1, _FAILURES_MOST)
         member.down_until = now + min(_DOWN_US << (member.failures - 1), _DOWN_MOST_US)
         leadership = self.leadership
-        if leadership is None or leadership.primary != member.name or leadership.phase == MOVING:
+        if leadership is None or leadership.primary != member.name or leadership.phase is _FAILOVER:
             return
         self._proxy.core_connection.suspect(self.name, member.name, how)
 
--- a/src/petrelhaven/proxy/routing/member_proofs.py
+++ b/src/petrelhaven/proxy/routing/member_proofs.py
@@ -6,7 +6,7 @@
 import contextlib
 from typing import TYPE_CHECKING, Any
 
-from petrelhaven.proxy.routing.leadership import MOVING
+from petrelhaven.control.state.rows import LeadershipPhase
 from petrelhaven.proxy.routing.waiting import first_done
 from petrelhaven.runtime.errors import Fault, Unreachable
 
@@ -17,6 +17,7 @@
 
 __all__ = ["MemberProofs"]
 
+_FAILOVER = LeadershipPhase.FAILOVER
 _COMMIT_US = 400_000
 _NEAREST_US = 40_000
 _SILENT_US = 250_000
@@ -42,7 +43,7 @@
         if self._group.sync_replicas == 0:
             return False
         now = self._group.leadership
-        if now is None or now.phase == MOVING or now.primary != answered.name:
+        if now is None or now.phase is _FAILOVER or now.primary != answered.name:
             return True
         if position is not None and position[0] < now.term:
             return True
