--- a/src/petrelhaven/proxy/bounds.py
+++ b/src/petrelhaven/proxy/bounds.py
@@ -1,4 +1,4 @@
-"""The bounds by which a proxy of the held path works."""
+"""The bounds by which a proxy with connection sessions works."""
 
 from dataclasses import dataclass
 
@@ -7,11 +7,13 @@
 
 @dataclass(slots=True)
 class ProxyBounds:
-    """Times in microseconds.
+    """Times are in microseconds.
 
-    `fetch_us` is how long a position fetch may take before another is started beside it, `join_us`
-    how long a read waits for a position, `lanes` how many fetches a group has under way, and
-    `idle_txn_us` how long a transaction may rest between statements.
+    Attributes:
+        fetch_us: How long a position fetch may take before another is started beside it.
+        join_us: How long a read waits for a position.
+        lanes: How many position fetches a group has under way at once.
+        idle_txn_us: How long a transaction may be idle between statements.
     """
 
     fetch_us: int = 250_000
--- a/src/petrelhaven/proxy/core_connection.py
+++ b/src/petrelhaven/proxy/core_connection.py
@@ -291,7 +291,7 @@
         Args:
             group: The group.
             member: The name of its primary.
-            how: The sign of it: mute, reset, refused or replica.
+            how: The sign of it, one of the constants of `routing/member`.
         """
         now = self.clock.now()
         if self._next_report_at.get(group, 0) > now or self._channel is None:
--- a/src/petrelhaven/proxy/pool/connection_pool.py
+++ b/src/petrelhaven/proxy/pool/connection_pool.py
@@ -77,7 +77,7 @@
         return max(1, min(self.max_size, self._full_at))
 
     def saturation(self) -> str:
-        """Idle, busy, opening and waiting, in one word for a log."""
+        """Idle, busy, opening and waiting, as one field for a log."""
         return f"{len(self.idle)}/{len(self.busy)}/{self._opening}/{len(self._waiting)}"
 
     def acquire(self, session: SessionValues) -> asyncio.Future[MemberConnection]:
--- a/src/petrelhaven/proxy/pool/member_connection.py
+++ b/src/petrelhaven/proxy/pool/member_connection.py
@@ -49,7 +49,7 @@
 
 
 class SetUpStatement(NamedTuple):
-    """A statement that makes a connection fit: said under a client's number, or "-" for none."""
+    """A statement that makes a connection fit: sent under a client's number, or "-" for none."""
 
     verb: str
     args: tuple[Any, ...]
--- a/src/petrelhaven/proxy/routing/member_proofs.py
+++ b/src/petrelhaven/proxy/routing/member_proofs.py
@@ -1,4 +1,4 @@
-"""What the known members of a group prove where the primary's word is missing or not enough."""
+"""What the known members of a group prove where the primary's answer is missing or not enough."""
 
 from __future__ import annotations
 
@@ -129,7 +129,7 @@
     def is_silent(self, member: Member) -> bool:
         """Whether asking the member is in vain: nobody is there, or it has not answered for long.
 
-        One that reset a connection is asked again: it is there, and its own word is the quickest.
+        One that reset a connection is asked again: it is there, and its own answer is the quickest.
         """
         now = self._clock.now()
         if member.down_until <= now:
@@ -138,11 +138,11 @@
         return member.refuses or (unanswered and member.last_heard < member.asked_at)
 
     async def _silence_of(self, primary: Member | None) -> None:
-        """Waits until the primary has been silent for so long that nobody trusts its word unproven.
+        """Waits until the primary has been silent for so long that no proxy trusts its answers unproven.
 
         A proxy that is cut off together with it passes on its answers, without the proof by a known
         replica, for a moment after the cut; what the other members hold proves nothing until then.
-        Any word of it since this call began shows that it was not cut off then.
+        Any answer of it since this call began shows that it was not cut off then.
         """
         if primary is None or primary.refuses:
             return
--- a/src/petrelhaven/proxy/routing/outside_contact.py
+++ b/src/petrelhaven/proxy/routing/outside_contact.py
@@ -1,4 +1,4 @@
-"""When a proxy last had word from far away: evidence that its own place is not cut off."""
+"""When a proxy last heard from far away: evidence that its own zone is not cut off."""
 
 from petrelhaven.runtime.clock import Clock
 
@@ -18,7 +18,7 @@
     __slots__ = ("_clock", "_farthest", "_heard_at")
 
     def __init__(self, clock: Clock) -> None:
-        """Starts without any word."""
+        """Has heard nothing yet."""
         self._clock = clock
         self._farthest = 0
         self._heard_at = 0
@@ -33,7 +33,7 @@
             self._heard_at = self._clock.now()
 
     def is_recent(self, distance: int) -> bool:
-        """Whether word came lately from where the farthest are, unless `distance` is as far."""
+        """Whether the farthest members answered lately; always if `distance` is as far."""
         if self._farthest <= distance:
             return True
         return self._clock.now() - self._heard_at <= _LATELY_US
--- a/src/petrelhaven/proxy/routing/read_path.py
+++ b/src/petrelhaven/proxy/routing/read_path.py
@@ -1,4 +1,4 @@
-"""Single reads of held sessions: placed by the read clock, hedged when slow."""
+"""Single reads: placed by the read clock, hedged when slow."""
 
 from __future__ import annotations
 
@@ -95,7 +95,7 @@
                 return reply
 
     def _round(self, state: _ReadState) -> Continuation[Reply | None]:
-        """Starts an attempt where there is a place for one, waits, and looks at what came."""
+        """Starts an attempt where there is a place for one, waits, and collects replies."""
         group = state.request.group
         if state.leadership != group.leading:
             state.leadership, state.position = group.leading, None
--- a/src/petrelhaven/proxy/routing/read_placement.py
+++ b/src/petrelhaven/proxy/routing/read_placement.py
@@ -61,17 +61,17 @@
         return None
 
     def is_behind(self, member: Member, position: Position) -> bool:
-        """Whether the member has just said LAGGING and is not known to hold `position` yet."""
+        """Whether the member has just answered LAGGING and is not known to hold `position` yet."""
         return member.lagging_until > self._clock.now() and member.log_progress.log < position
 
     def joined(self, member: Member, position: Position, end: int) -> Continuation[None]:
-        """Joins the wait for the member's log of whoever was told LAGGING."""
+        """Joins the wait of a read that the member answered LAGGING."""
         yield from self._log_wait(member, position, end, _JOINED_WAIT_US)
 
     def wait_after_lagging(
         self, member: Member, position: Position, end: int
     ) -> Continuation[bool]:
-        """Waits for the log of a member that said LAGGING; False if it is to be given up."""
+        """Waits for the log of a member that answered LAGGING; False if it is to be given up."""
         now = self._clock.now()
         member.lagging_replies += 1
         if member.lagging_replies > _LAGGING_MOST:
--- a/src/petrelhaven/proxy/routing/route.py
+++ b/src/petrelhaven/proxy/routing/route.py
@@ -1,4 +1,4 @@
-"""What a proxy looks at of a configured route."""
+"""What a proxy uses of a configured route."""
 
 from dataclasses import dataclass
 from typing import Any
--- a/src/petrelhaven/proxy/routing/statement_path.py
+++ b/src/petrelhaven/proxy/routing/statement_path.py
@@ -1,4 +1,4 @@
-"""Which way a statement of a held session takes: a read, a write, or inside its transaction."""
+"""Which path a statement takes: a read, a write, or inside its transaction."""
 
 from __future__ import annotations
 
--- a/src/petrelhaven/proxy/routing/transaction_path.py
+++ b/src/petrelhaven/proxy/routing/transaction_path.py
@@ -1,4 +1,4 @@
-"""Statements inside a transaction of a held session: on one connection to its end."""
+"""Statements inside a transaction: all on one connection, to its end."""
 
 from __future__ import annotations
 
--- a/src/petrelhaven/proxy/routing/write_path.py
+++ b/src/petrelhaven/proxy/routing/write_path.py
@@ -1,4 +1,4 @@
-"""Single writes of held sessions: sent once, and again only if they certainly did not run."""
+"""Single writes: sent once, and again only if they certainly did not run."""
 
 from __future__ import annotations
 
--- a/src/petrelhaven/proxy/session/immediate_reply.py
+++ b/src/petrelhaven/proxy/session/immediate_reply.py
@@ -1,4 +1,4 @@
-"""Statements of held sessions that need no member: values, prepared names, BEGIN, ROLLBACK."""
+"""Statements that need no member: values, prepared names, BEGIN, ROLLBACK."""
 
 from __future__ import annotations
 
--- a/src/petrelhaven/proxy/session/statement.py
+++ b/src/petrelhaven/proxy/session/statement.py
@@ -1,4 +1,4 @@
-"""A statement of a held session and its reply; the wire puts them into words."""
+"""A client's statement and its reply; adapters translate them to and from the protocol."""
 
 from __future__ import annotations
 
@@ -14,9 +14,14 @@
 class Statement:
     """One statement of a client.
 
-    `num` is the number that the client gave it, `text` how it came. Verbs: begin, commit, rollback,
-    read, write, set, prepare, execute, forget. `name` and `data` are a value's or a prepared
-    statement's name and what is said of it, `shape` the text of a prepared statement.
+    Attributes:
+        num: The number that the client gave it.
+        verb: begin, commit, rollback, read, write, set, prepare, execute or forget.
+        text: The statement as it came.
+        name: The name of the value or prepared statement, if it has one.
+        writes: Whether it may write.
+        shape: The text of the prepared statement that PREPARE names.
+        data: The value that SET sets, or the arguments of EXECUTE.
     """
 
     __slots__ = ("num", "verb", "name", "writes", "shape", "text", "data")
@@ -42,7 +47,7 @@
 
     @property
     def things(self) -> set[str]:
-        """What a read asks for, in each way that a member may take its words."""
+        """The records that a read names, in each way that a member may split its text."""
         words = self.data if self.verb == "execute" else self.text.partition(" ")[2]
         return {words, *words.split()}
 
@@ -50,7 +55,14 @@
 class Reply:
     """What is answered: rows and a stamp, or a code and a text.
 
-    `state` is the session's state after it (I, T or E), `pos` the position of the member's log.
+    Attributes:
+        rows: The rows of the result.
+        stamp: The member's stamp of it, "-" for none.
+        code: Why it was not served, or None if it was.
+        text: What goes with the code.
+        state: The session's state after it: I, T or E.
+        pos: The position of the member's log, or None.
+
     Codes: busy, lagging, readonly, misdirected, crowded, failed, unprepared, timeout, malformed,
     aborted, unsure, unknown (no such database), oversize, withheld (not released yet).
     """
@@ -76,5 +88,5 @@
 
     @property
     def ok(self) -> bool:
-        """Whether the statement was run and not declined."""
+        """Whether the statement was run."""
         return self.code is None
