--- a/src/petrelhaven/proxy/routing/member_proofs.py
+++ b/src/petrelhaven/proxy/routing/member_proofs.py
@@ -138,7 +138,7 @@
         return member.refuses or (unanswered and member.last_heard < member.asked_at)
 
     async def _silence_of(self, primary: Member | None) -> None:
-        """Waits until the primary has been silent for so long that no proxy trusts its answers unproven.
+        """Waits until the primary has been silent so long that no proxy trusts it without proof.
 
         A proxy that is cut off together with it passes on its answers, without the proof by a known
         replica, for a moment after the cut; what the other members hold proves nothing until then.
--- a/src/petrelhaven/proxy/routing/request.py
+++ b/src/petrelhaven/proxy/routing/request.py
@@ -27,7 +27,7 @@
     end: int
 
     def oldest_fetch(self, now: int) -> int | None:
-        """When the fetch that a browsing read uses may have started at the earliest; None for a strong read."""
+        """The earliest start of a fetch that a browsing read may use; None for a strong read."""
         if not self.route.browsing:
             return None
         return now - int(self.route.stale_us * _BROWSING_SHARE)
