--- a/src/petrelhaven/commands/control.py
+++ b/src/petrelhaven/commands/control.py
@@ -1,8 +1,13 @@
-"""petrelhaven-control: the core daemon."""
+"""petrelhaven-control: the control daemon."""
 
+from __future__ import annotations
+
+import contextlib
 import os
 import random
 import sys
+from collections.abc import Sequence
+from typing import TYPE_CHECKING
 
 from petrelhaven.control.base_node import BaseControlNode
 from petrelhaven.control.interface.control_interface import ControlInterface
@@ -18,105 +23,118 @@
 from petrelhaven.runtime.errors import Damaged, WrongNode
 from petrelhaven.transport.light_http import LightHttpServer
 
-__all__ = ["main"]
+if TYPE_CHECKING:
+    from petrelhaven.transport.http_server import HttpServer
 
+__all__ = ["main"]
 
 _HEARTBEAT_US = 1_200_000
+_CONNECTION_SESSIONS, _RESUMABLE_SESSIONS = "held", "kept"
+"""Values of the setting `path`: which kind of sessions the node is for."""
 
 
-def _make_held(d):
-    s = d.set
+def _make_node(daemon: Daemon) -> BaseControlNode:
+    if daemon.set.path == _CONNECTION_SESSIONS:
+        return _make_connection_node(daemon)
+    return _make_resumable_node(daemon)
+
+
+def _make_connection_node(daemon: Daemon) -> ControlNode:
+    settings = daemon.set
     node = ControlNode(
-        s.name,
-        s.hall,
-        d.seeds,
-        d.clock,
-        d.tasks,
-        d.link,
-        Folder(s.data),
+        settings.name,
+        settings.hall,
+        daemon.seeds,
+        daemon.clock,
+        daemon.tasks,
+        daemon.link,
+        Folder(settings.data),
         random.SystemRandom(),
-        Platform(s.platform),
-        MemberWire(d.clock, Wire(d.clock, d.tasks)),
+        Platform(settings.platform),
+        MemberWire(daemon.clock, Wire(daemon.clock, daemon.tasks)),
         _HEARTBEAT_US,
-        d.log,
+        daemon.log,
     )
-    ControlInterface(node, d.http_server, lambda: node.settings(), announced=True)
+    ControlInterface(node, daemon.http_server, lambda: node.settings(), announced=True)
     return node
 
 
-def _make(d):
-    s = d.set
-    if s.path == "held":
-        return _make_held(d)
-    core = BaseControlNode(
-        s.name,
-        s.hall,
-        d.seeds,
-        d.clock,
-        d.tasks,
-        d.link,
-        Folder(s.data),
+def _make_resumable_node(daemon: Daemon) -> BaseControlNode:
+    settings = daemon.set
+    node = BaseControlNode(
+        settings.name,
+        settings.hall,
+        daemon.seeds,
+        daemon.clock,
+        daemon.tasks,
+        daemon.link,
+        Folder(settings.data),
         random.SystemRandom(),
-        Platform(s.platform),
-        d.log,
+        Platform(settings.platform),
+        daemon.log,
     )
-    ResumableControlInterface(core, d.http_server)
-    return core
+    ResumableControlInterface(node, daemon.http_server)
+    return node
 
 
-async def _leave(core):
-    await core.drain()
+async def _leave(node: BaseControlNode) -> None:
+    await node.drain()
 
 
 class _ControlDaemon(Daemon):
-    def make_http_server(self, host, port):
-        """The face of the path that this core runs."""
-        return (
-            LightHttpServer(host, port, log=self.log)
-            if self.set.path == "held"
-            else super().make_http_server(host, port)
-        )
-
-    def prepare(self):
-        """Looks into the data folder before listening; another node's folder, or another path's, is declined."""
-        try:
+    @property
+    def _serves_connection_sessions(self) -> bool:
+        return bool(self.set.path == _CONNECTION_SESSIONS)
+
+    def make_http_server(self, host: str, port: int) -> HttpServer | LightHttpServer:
+        """The HTTP server for the kind of sessions that this node is for."""
+        if self._serves_connection_sessions:
+            return LightHttpServer(host, port, log=self.log)
+        return super().make_http_server(host, port)
+
+    def prepare(self) -> None:
+        """Opens the data folder once before listening.
+
+        Raises:
+            WrongNode: it belongs to another node, or to one for the other kind of sessions.
+        """
+        with contextlib.suppress(Damaged):  # the node comes back as an empty one
             self.check()
-        except Damaged:
-            pass  # the core comes back as an empty one
-        f = Folder(self.set.data)
-        CoreStore(
-            f,
-            self.set.name,
-            random.SystemRandom(),
-            self.log,
-            state=ControlState if self.set.path == "held" else None,
-        )
-        f.close()
-
-    def check(self):
-        """Looks into the data folder, if there is one, without writing."""
-        if os.path.isdir(self.set.data):
-            folder = DataFolder(self.set.data)
-            if folder.name not in (None, self.set.name):
-                raise WrongNode(f"the data folder belongs to {folder.name}, not {self.set.name}")
-            path = "held" if isinstance(folder.control_state, ControlState) else "kept"
-            if folder.name and path != self.set.path:
-                raise WrongNode(
-                    f"the data folder holds control state of the path {path}, not {self.set.path}"
-                )
-
-
-def main(argv=None):
-    """Runs a core until it is told to stop."""
-    sys.exit(
-        _ControlDaemon(
-            "petrelhaven-control",
-            "Core daemon: keeps the manifest, the epochs and the leases.",
-            True,
-            _make,
-            _leave,
-        ).main(argv)
+        folder = Folder(self.set.data)
+        state_class = ControlState if self._serves_connection_sessions else None
+        CoreStore(folder, self.set.name, random.SystemRandom(), self.log, state=state_class)
+        folder.close()
+
+    def check(self) -> None:
+        """Reads the data folder, if there is one, without writing.
+
+        Raises:
+            Damaged: the folder can't be read.
+            WrongNode: as for `prepare`.
+        """
+        if not os.path.isdir(self.set.data):
+            return
+        folder = DataFolder(self.set.data)
+        if folder.name not in (None, self.set.name):
+            raise WrongNode(f"the data folder belongs to {folder.name}, not {self.set.name}")
+        is_connection_state = isinstance(folder.control_state, ControlState)
+        path = _CONNECTION_SESSIONS if is_connection_state else _RESUMABLE_SESSIONS
+        if folder.name and path != self.set.path:
+            raise WrongNode(
+                f"the data folder holds control state of the path {path}, not {self.set.path}"
+            )
+
+
+def main(argv: Sequence[str] | None = None) -> None:
+    """Runs a control node until it is told to stop."""
+    daemon = _ControlDaemon(
+        "petrelhaven-control",
+        "Core daemon: keeps the manifest, the epochs and the leases.",
+        True,
+        _make_node,
+        _leave,
     )
+    sys.exit(daemon.main(argv))
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/src/petrelhaven/commands/ctl/__main__.py
@@ -0,0 +1,6 @@
+"""Runs petrelhavenctl by `python -m petrelhaven.commands.ctl`."""
+
+from petrelhaven.commands.ctl.program import main
+
+if __name__ == "__main__":
+    main()
--- /dev/null
+++ b/src/petrelhaven/commands/ctl/configuration.py
@@ -0,0 +1,89 @@
+"""Commands for configurations: apply, show, check, salvage."""
+
+from __future__ import annotations
+
+import sys
+
+from petrelhaven.commands.ctl.command import Command, CommandParsers, in_force, read_text
+from petrelhaven.control.configuration.document import read
+from petrelhaven.control.storage.data_folder import salvage
+from petrelhaven.runtime.errors import NoRoute
+
+__all__ = ["add_commands"]
+
+_UNCONFIRMED = (
+    "petrelhavenctl: NOT confirmed by a majority of the cores; "
+    "a newer one may have been acknowledged"
+)
+
+
+def add_commands(commands: CommandParsers) -> None:
+    """Adds these commands to petrelhavenctl's parser."""
+    parser = commands.add_parser(
+        "apply", help="apply a whole manifest; returns once it is in force"
+    )
+    parser.add_argument("file", help="the manifest (JSON), - for standard input")
+    parser.add_argument("--retire", action="store_true", help="allow served groups to be left out")
+    parser.set_defaults(run=_apply)
+    parser = commands.add_parser(
+        "show", help="read the newest acknowledged manifest back, byte for byte"
+    )
+    parser.add_argument("--version", type=int, help="an older version")
+    parser.add_argument(
+        "--unconfirmed",
+        action="store_true",
+        help="what one core alone holds, when no majority is left to confirm it",
+    )
+    parser.set_defaults(run=_show)
+    parser = commands.add_parser(
+        "check",
+        help="check a manifest without a fleet; names every fault by path, changes nothing",
+    )
+    parser.add_argument("file", help="the manifest (JSON), - for standard input")
+    parser.set_defaults(run=_check, needs_cores=False)
+    parser = commands.add_parser(
+        "salvage",
+        help="read the manifest out of a core's data folder without changing it; "
+        "no majority confirms it",
+    )
+    parser.add_argument("folder")
+    parser.set_defaults(run=_salvage, needs_cores=False)
+
+
+async def _apply(command: Command) -> None:
+    text = read_text(command.arguments.file)
+    retire = "true" if command.arguments.retire else "false"
+    answer = await command.change(
+        f"/manifest{command.by_query}&retire={retire}", data=text.encode()
+    )
+    command.print(f"version {answer['version']} is in force ({in_force(answer)})")
+
+
+async def _show(command: Command) -> None:
+    unconfirmed, version = command.arguments.unconfirmed, command.arguments.version
+    query = f"?unconfirmed={'true' if unconfirmed else 'false'}"
+    if version is not None:
+        query += f"&version={version}"
+    if unconfirmed:
+        print(_UNCONFIRMED, file=sys.stderr)
+    sys.stdout.buffer.write(await command.read("GET", f"/manifest{query}", raw=True))
+
+
+async def _check(command: Command) -> None:
+    configuration = read(read_text(command.arguments.file))
+    command.print(
+        f"manifest {configuration.name} version {configuration.version} is good: "
+        f"{len(configuration.groups)} groups, {len(configuration.routes)} routes, "
+        f"{len(configuration.zones)} halls"
+    )
+
+
+async def _salvage(command: Command) -> None:
+    folder = command.arguments.folder
+    salvaged = salvage(folder)
+    configuration = salvaged.control_state.doc["manifest"]
+    if configuration is None:
+        raise NoRoute(f"{folder} holds no manifest")
+    origin = f"folder of {salvaged.name}, change {salvaged.control_state.seq}"
+    print(f"{_UNCONFIRMED} ({origin})", file=sys.stderr)
+    sys.stdout.write(configuration["text"])
--- /dev/null
+++ b/src/petrelhaven/commands/ctl/groups.py
@@ -0,0 +1,125 @@
+"""Commands for member groups: why, elect."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from petrelhaven.commands.ctl.command import Command, CommandParsers, Document
+
+__all__ = ["add_commands", "print_explanation"]
+
+_US_PER_S = 1e6
+
+Print = Callable[[str], object]
+
+
+def add_commands(commands: CommandParsers) -> None:
+    """Adds these commands to petrelhavenctl's parser."""
+    parser = commands.add_parser(
+        "why",
+        help="explain an epoch: what was seen, by whom, what was decided and what it replaced",
+    )
+    parser.add_argument("group")
+    parser.add_argument("--epoch", type=int)
+    parser.set_defaults(run=_why)
+    parser = commands.add_parser(
+        "elect",
+        help="elect a member of a group that waits without proof; acknowledged commits may be lost",
+    )
+    parser.add_argument("--group", required=True)
+    parser.add_argument("--member", required=True)
+    parser.add_argument(
+        "--office", type=int, help="the number of the waiting office; asked for if it is not said"
+    )
+    parser.add_argument(
+        "--accept-loss",
+        action="store_true",
+        required=True,
+        help="say that commits only held by members that left may be lost",
+    )
+    parser.set_defaults(run=_elect)
+
+
+async def _why(command: Command) -> None:
+    group, number = command.arguments.group, command.arguments.epoch
+    query = f"&n={number}" if number is not None else ""
+    print_explanation(await command.read("GET", f"/why?group={group}{query}"), command.print)
+
+
+async def _elect(command: Command) -> None:
+    """Orders an election for the leadership that waits now, or for the one that was given."""
+    group, member = command.arguments.group, command.arguments.member
+    leadership = command.arguments.office
+    if leadership is None:
+        leadership = (await command.read("GET", f"/why?group={group}"))["epoch"]["n"]
+    query = f"{command.by_query}&member={member}&office={leadership}&accept_loss=true"
+    answer = await command.change(f"/groups/{group}/elect{query}")
+    command.print(
+        f"member {answer['member']} of {answer['group']} is to be elected "
+        f"(change {answer['change']})"
+    )
+
+
+def print_explanation(answer: Document, out: Print) -> None:
+    """Prints an answer to why, of either kind of sessions."""
+    if "evidence" in answer["epoch"]:
+        _print_resumable(answer, out)
+    else:
+        _print_connection(answer, out)
+    if answer["waiting"]:
+        out(f"now: {answer['waiting']}")
+
+
+def _print_connection(answer: Document, out: Print) -> None:
+    """Where sessions live with their connection."""
+    leadership, replaced = answer["epoch"], answer["replaced"]
+    out(
+        f"{_leadership(leadership)}, decided by {leadership['by']} "
+        f"as change {leadership.get('seq', '?')}"
+    )
+    out(f"cause: {leadership['cause']}")
+    out(f"replaced: {_leadership(replaced) if replaced else 'nothing that is kept'}")
+
+
+def _leadership(leadership: Document) -> str:
+    return (
+        f"office {leadership['n']} ({leadership['phase']}, primary {leadership['primary']} "
+        f"in term {leadership['term']})"
+    )
+
+
+def _print_resumable(answer: Document, out: Print) -> None:
+    """Where sessions are resumable."""
+    epoch, replaced = answer["epoch"], answer["replaced"]
+    out(
+        f"epoch {epoch['n']} ({epoch['phase']}, primary {epoch['primary']}), decided by "
+        f"{epoch.get('by')} in view {epoch.get('view')} as change {epoch['seq']}"
+    )
+    out(f"cause: {epoch['cause']}")
+    out("seen:")
+    for member, evidence in epoch["evidence"].items():
+        out(f"  {member}: {_evidence(evidence)}")
+    out(
+        f"decided: in sync {','.join(epoch['safe']) or '-'}; "
+        f"to be waited for {','.join(epoch['hold']) or '-'}; "
+        f"gates {','.join(epoch['gates']) or '-'}"
+    )
+    out(f"replaced: {_replaced_epoch(replaced) if replaced else 'nothing'}")
+
+
+def _evidence(evidence: Document) -> str:
+    witnesses = evidence["seen_by"]
+    return (
+        f"{evidence['role']} in {evidence['hall']}, log {evidence['log']}, "
+        f"heard {evidence['age'] / _US_PER_S:.2f} s before"
+        + (f" by {','.join(witnesses)}" if witnesses else ", lately by nobody")
+        + (", draining" if evidence["draining"] else "")
+        + (", log stalled" if evidence["stalled"] else "")
+    )
+
+
+def _replaced_epoch(epoch: Document) -> str:
+    return (
+        f"epoch {epoch['n']} ({epoch['phase']}, primary {epoch['primary']}, "
+        f"in sync {','.join(epoch['safe']) or '-'})"
+    )
--- /dev/null
+++ b/src/petrelhaven/commands/ctl/nodes.py
@@ -0,0 +1,124 @@
+"""Commands for the control nodes themselves: status, reform."""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Callable
+
+from petrelhaven.commands.ctl.command import Command, CommandParsers, Document
+from petrelhaven.runtime.errors import NotSent
+from petrelhaven.transport.http import fetch
+
+__all__ = ["add_commands"]
+
+_US_PER_S = 1e6
+
+Print = Callable[[str], object]
+
+
+def add_commands(commands: CommandParsers) -> None:
+    """Adds these commands to petrelhavenctl's parser."""
+    parser = commands.add_parser(
+        "reform",
+        help="form the chain anew after a majority of the cores lost their disks; "
+        "asks the first --core",
+    )
+    parser.add_argument(
+        "--lost",
+        required=True,
+        metavar="NAME,...",
+        help="the cores whose disks are lost for good; they must run over empty folders",
+    )
+    parser.set_defaults(run=_reform)
+    parser = commands.add_parser("status", help="what the cores believe, or one node")
+    parser.add_argument("--node", metavar="IP:PORT", help="ask this node instead")
+    parser.set_defaults(run=_status)
+
+
+async def _reform(command: Command) -> None:
+    answer = await command.change(
+        f"/reform{command.by_query}",
+        cores=command.cores[:1],
+        doc={"lost": command.arguments.lost.split(",")},
+    )
+    command.print(
+        f"view {answer['view']}: {' > '.join(answer['chain'])}; change {answer['change']}, "
+        f"manifest {answer['manifest']}, state taken from {answer['from']}"
+    )
+
+
+async def _status(command: Command) -> None:
+    node = command.arguments.node
+    if node:
+        command.print(json.dumps(await fetch(node, "GET", "/status"), indent=1))
+        return
+    for core in command.cores:
+        try:
+            _print_status(await fetch(core, "GET", "/status"), command.print)
+        except NotSent:
+            command.print(f"{core}: nobody answers")
+
+
+def _print_status(status: Document, out: Print) -> None:
+    """Prints a control node's status, of either kind of sessions."""
+    name, settings = status["name"], status["settings"]
+    for kind in ("waiting", "declined"):
+        if settings.get(kind):
+            out(f"{name}: settings {kind}: {'; '.join(settings[kind])}")
+    view = status["view"]
+    out(
+        f"{name}: {status['state']}{', head' if status['head'] else ''}"
+        f"{', ruling' if status['ruling'] else ''}; "
+        f"change {status['seq']} (committed {status['commit']}), manifest {status['manifest']}"
+        + (f"; view {view['n']}: {' > '.join(view['chain'])}" if view else "")
+    )
+    if "tied" in status:
+        _print_connection(status, out)
+    elif status["head"]:
+        _print_resumable(status, out)
+
+
+def _print_connection(status: Document, out: Print) -> None:
+    """The rest of the status where sessions live with their connection."""
+    out("  edges tied here: " + (", ".join(status["tied"]) or "-"))
+    if not status["head"]:
+        return
+    for group, leadership in status["epochs"].items():
+        reason = status["waiting"].get(group)
+        out(
+            f"  {group}: office {leadership['n']} {leadership['phase']}, "
+            f"primary {leadership['primary']} in term {leadership['term']}"
+            + (f" ({reason})" if reason else "")
+        )
+    _print_zones(status, out)
+    for member, (group, state, role) in status["members"].items():
+        if state != "gone":
+            heard_us = status["heard_us"].get(member)
+            heard = "" if heard_us is None else f", heard here {heard_us / _US_PER_S:.2f} s ago"
+            out(f"  {member}: {role} of {group}, {state}{heard}")
+
+
+def _print_resumable(status: Document, out: Print) -> None:
+    """The rest of the head's status where sessions are resumable."""
+    for group, epoch in status["epochs"].items():
+        out(
+            f"  {group}: epoch {epoch['n']} {epoch['phase']}, primary {epoch['primary']}, "
+            f"in sync {','.join(epoch['safe']) or '-'}, gates {','.join(epoch['gates']) or '-'}"
+            + ("" if epoch["open"] else ", WRITES DECLINED: too few in-sync replicas")
+            + f" ({status['waiting'].get(group, '')})"
+        )
+    edges = [f"{name} {edge[1]}" for name, edge in status["edges"].items()]
+    out("  edges: " + (", ".join(edges) or "-"))
+    _print_zones(status, out)
+    for name, member in status["members"].items():
+        out(
+            f"  {name}: {member['role']} in {member['hall']}, log {member['log']}"
+            f"{', draining' if member['draining'] else ''}"
+            f"{'' if member['warm'] else ', warming up'}, "
+            f"heard {member['age_us'] / _US_PER_S:.2f} s ago"
+        )
+
+
+def _print_zones(status: Document, out: Print) -> None:
+    zones = [f"{zone} {state}" for zone, state in status["halls"].items()]
+    out("  halls: " + (", ".join(zones) or "all open"))
--- /dev/null
+++ b/src/petrelhaven/commands/ctl/zones.py
@@ -0,0 +1,21 @@
+"""Commands for zones: evacuate, restore."""
+
+from __future__ import annotations
+
+from petrelhaven.commands.ctl.command import Command, CommandParsers, in_force
+
+__all__ = ["add_commands"]
+
+
+def add_commands(commands: CommandParsers) -> None:
+    """Adds these commands to petrelhavenctl's parser."""
+    for verb, description in (("evacuate", "empty a hall"), ("restore", "take a hall back")):
+        parser = commands.add_parser(verb, help=description)
+        parser.add_argument("hall")
+        parser.set_defaults(run=_set_state)
+
+
+async def _set_state(command: Command) -> None:
+    zone, verb = command.arguments.hall, command.arguments.verb
+    answer = await command.change(f"/halls/{zone}/{verb}{command.by_query}")
+    command.print(f"hall {answer['hall']} is {answer['state']} ({in_force(answer)})")
--- a/src/petrelhaven/commands/diff.py
+++ b/src/petrelhaven/commands/diff.py
@@ -40,9 +40,8 @@
 
 
 async def _beliefs(first: str, second: str) -> list[Belief]:
-    return await asyncio.gather(
-        *[fetch(address, "GET", "/belief", us=_ANSWER_US) for address in (first, second)]
-    )
+    calls = [fetch(address, "GET", "/belief", us=_ANSWER_US) for address in (first, second)]
+    return list(await asyncio.gather(*calls))
 
 
 def _parser() -> argparse.ArgumentParser:
--- a/tests/test_control_interface.py
+++ b/tests/test_control_interface.py
@@ -16,7 +16,8 @@
 from stand_in.scene import Scene
 from stand_in.until import until
 
-from petrelhaven.commands import ctl
+from petrelhaven.commands.ctl import program
+from petrelhaven.commands.ctl.groups import print_explanation
 from petrelhaven.control.configuration.defaults import BOUNDS, GROUP, ROUTE, fill
 from petrelhaven.control.configuration.document import Bounds, Group, Route
 from petrelhaven.control.interface.control_interface import ControlInterface
@@ -118,7 +119,8 @@
 async def told(http_server, *argv):
     """What `petrelhavenctl` prints against the face."""
     out = []
-    await ctl._run(ctl._parser().parse_args(["--core", http_server.addr, *argv]), out.append)
+    arguments = program.parser().parse_args(["--core", http_server.addr, *argv])
+    await program.run(arguments, out.append)
     return "\n".join(out)
 
 
@@ -432,7 +434,7 @@
     d = why_of(led.doc, {"group": "g"})
     assert d == {"epoch": o, "replaced": None, "waiting": None, "kept": [3]}
     out = []
-    ctl._why(d, out.append)
+    print_explanation(d, out.append)
     assert out[0] == "office 3 (serve, primary m1 in term 2), decided by c1 as change ?"
 
 
