--- a/src/petrelhaven/commands/ctl/configuration.py
+++ b/src/petrelhaven/commands/ctl/configuration.py
@@ -5,7 +5,7 @@
 import sys
 
 from petrelhaven.commands.ctl.command import Command, CommandParsers, in_force, read_text
-from petrelhaven.control.configuration.document import read
+from petrelhaven.control.configuration.parsing import parse_configuration
 from petrelhaven.control.storage.data_folder import salvage
 from petrelhaven.runtime.errors import NoRoute
 
@@ -70,7 +70,7 @@
 
 
 async def _check(command: Command) -> None:
-    configuration = read(read_text(command.arguments.file))
+    configuration = parse_configuration(read_text(command.arguments.file))
     command.print(
         f"manifest {configuration.name} version {configuration.version} is good: "
         f"{len(configuration.groups)} groups, {len(configuration.routes)} routes, "
