--- a/src/petrelhaven/commands/ctl/command.py
+++ b/src/petrelhaven/commands/ctl/command.py
@@ -82,11 +82,11 @@
         return answer
 
     @staticmethod
-    async def _ask(cores: list[str], changes: bool, *call: str, **options: Any) -> Any:  # noqa: ANN401 (as above)
+    async def _ask(cores: list[str], changes: bool, verb: str, path: str, **options: Any) -> Any:  # noqa: ANN401 (as above)
         faults: list[Exception] = []
         for core in cores:
             try:
-                return await fetch(core, *call, **options)
+                return await fetch(core, verb, path, **options)
             except (DeadlineExceeded, Unreachable) as fault:
                 if changes and not isinstance(fault, NotSent):
                     raise DeadlineExceeded(
