--- a/src/petrelhaven/commands/control.py
+++ b/src/petrelhaven/commands/control.py
@@ -12,8 +12,9 @@
 from petrelhaven.control.base_node import BaseControlNode
 from petrelhaven.control.interface.control_interface import ControlInterface
 from petrelhaven.control.node import ControlNode
-from petrelhaven.control.resumable.control_interface import Platform, ResumableControlInterface
+from petrelhaven.control.resumable.control_interface import ResumableControlInterface
 from petrelhaven.control.resumable.member_protocol import MemberWire
+from petrelhaven.control.resumable.platform_client import PlatformClient
 from petrelhaven.control.state.control_state import ControlState
 from petrelhaven.control.storage.core_store import CoreStore
 from petrelhaven.control.storage.data_folder import DataFolder
@@ -43,14 +44,14 @@
     settings = daemon.set
     node = ControlNode(
         settings.name,
-        settings.hall,
+        settings.zone,
         daemon.seeds,
         daemon.clock,
         daemon.tasks,
         daemon.link,
         Folder(settings.data),
         random.SystemRandom(),
-        Platform(settings.platform),
+        PlatformClient(settings.platform),
         MemberWire(daemon.clock, Wire(daemon.clock, daemon.tasks)),
         _HEARTBEAT_US,
         daemon.log,
@@ -63,14 +64,14 @@
     settings = daemon.set
     node = BaseControlNode(
         settings.name,
-        settings.hall,
+        settings.zone,
         daemon.seeds,
         daemon.clock,
         daemon.tasks,
         daemon.link,
         Folder(settings.data),
         random.SystemRandom(),
-        Platform(settings.platform),
+        PlatformClient(settings.platform),
         daemon.log,
     )
     ResumableControlInterface(node, daemon.http_server)
@@ -86,7 +87,9 @@
     def _serves_connection_sessions(self) -> bool:
         return bool(self.set.path == _CONNECTION_SESSIONS)
 
-    def make_http_server(self, host: str, port: int) -> HttpServer | LightHttpServer:
+    def make_http_server(  # type: ignore[override]  # both kinds serve the same calls
+        self, host: str, port: int
+    ) -> HttpServer | LightHttpServer:
         """The HTTP server for the kind of sessions that this node is for."""
         if self._serves_connection_sessions:
             return LightHttpServer(host, port, log=self.log)
--- a/src/petrelhaven/control/base_node.py
+++ b/src/petrelhaven/control/base_node.py
@@ -14,7 +14,7 @@
 from petrelhaven.control.leases import LeaseTable
 from petrelhaven.control.storage.core_store import CoreStore
 from petrelhaven.membership.prober import Prober
-from petrelhaven.membership.roster import Roster
+from petrelhaven.membership.roster import NodeIdentity, Roster
 from petrelhaven.runtime.errors import Duplicate, Fault, Invalid, Malformed, NotReady
 from petrelhaven.runtime.events import Events, emit
 from petrelhaven.runtime.limits import NAME
@@ -57,7 +57,8 @@
         self.name, self.zone, self.seeds = name, zone, seeds
         self.clock, self.tasks, self.link, self.rng, self.log = clock, tasks, link, rng, log
         self.mem = CoreStore(disk, name, rng, log, state=self.state_of)
-        self.roster = Roster(clock, (name, "core", zone, link.addr, 0), log, self.suspect_us)
+        identity = NodeIdentity(name, "core", zone, link.addr, 0)
+        self.roster = Roster(clock, identity, log, self.suspect_us)
         self.reach = Reach(clock, link, self.roster, rng)
         self.prober = Prober(clock, link, tasks, rng, self.roster, seeds, self.probe_us)
         self.chain = Chain(clock, tasks, self.mem, self.call, log, self.confirm_us, self.ask_us)
@@ -122,7 +123,7 @@
     def handlers(self):
         """What this core answers beside the chain's own calls."""
         return {
-            MessageKind.PLANNER_OBSERVATIONS: self.duty.told,
+            MessageKind.PLANNER_OBSERVATIONS: self.duty.answer_report,
             MessageKind.PROXY_LEASE: self.lease_table.lease,
             MessageKind.PROXY_ENTER: self._edge,
         }
@@ -458,9 +459,9 @@
             if not lo <= doc.get(k, lo) <= hi:
                 raise Malformed(f"announcement field {k} must be from {lo} to {hi}")
         old = self.duty.heard.get(doc["member"])
-        if old and old["doc"]["group"] != doc["group"] and self.clock.now() - old["at"] < 5_000_000:
+        if old and old.document["group"] != doc["group"] and self.clock.now() - old.at < 5_000_000:
             raise Malformed(
-                f"announcement field group must stay {old['doc']['group']} for {doc['member']}"
+                f"announcement field group must stay {old.document['group']} for {doc['member']}"
             )
         self.duty.announce(doc)
 
@@ -473,7 +474,7 @@
             "state": self.state,
             "commit": self.chain.commit,
             "view": self.chain.view,
-            "kith": {row[0]: row[5] for row in self.roster.full()},
+            "kith": {row[0]: row[5] for row in self.roster.all_rows()},
         }
 
     async def _belief(self, ch, b):
@@ -488,10 +489,10 @@
             "ruling": self.chain.ruling,
             "active": self.chain.active,
             "head": self.chain.head,
-            "waiting": dict(self.duty.why) if self.chain.head else {},
+            "waiting": dict(self.duty.wait_reasons) if self.chain.head else {},
             "garbage": getattr(self.link, "garbage", 0),
             "members": {
-                m: {**h["doc"], "age_us": now - h["at"]} for m, h in sorted(self.duty.heard.items())
+                m: {**h.document, "age_us": now - h.at} for m, h in sorted(self.duty.heard.items())
             },
         }
 
--- a/src/petrelhaven/control/node.py
+++ b/src/petrelhaven/control/node.py
@@ -80,11 +80,11 @@
         self.founds = founds and link.addr in seeds
         self.orders = OrderRouter(clock, self.chain, self.reach, name, self.roster.state)
         self.chain.sparing = True
-        self.roster.quiet = 12
+        self.roster.spread_limit = 12
         self.prober.join_us = 6_000_000
         self.chain.connected_proxies = lambda: len(self.connected_proxies)
         self._news = asyncio.Event()
-        self.roster.on_turn.append(self._peer_turned)
+        self.roster.on_change.append(self._peer_turned)
         self.chain.on_view.append(self._news.set)
         self.chain.on_view.append(lambda: tasks.spawn(self._ask_who_moved()))
         self.chain.on_commit.append(self._committed)
@@ -124,7 +124,7 @@
             MessageKind.CHAIN_IN_FORCE: self.lease_table.force,
             MessageKind.LEASE_RENEW: self._pulse,
             MessageKind.MEMBER_SUSPECT: self._suspected,
-            MessageKind.MEMBER_CHECK: self.duty.answer_look,
+            MessageKind.MEMBER_CHECK: self.duty.answer_inspection,
             MessageKind.WALL_CLOCK_READ: self._read_wall_clock,
             MessageKind.AGREED_TIME_READ: self._true_time,
         }
@@ -396,7 +396,7 @@
             "ruling": self.chain.ruling,
             "active": self.chain.active,
             "head": self.chain.head,
-            "waiting": dict(self.duty.why),
+            "waiting": dict(self.duty.wait_reasons),
             "tied": sorted(self.connected_proxies),
             "garbage": self.link.garbage,
             **({"time": self._embargoes.time.status()} if self._embargoes else {}),
--- a/src/petrelhaven/proxy/session/immediate_reply.py
+++ b/src/petrelhaven/proxy/session/immediate_reply.py
@@ -4,11 +4,11 @@
 
 from typing import TYPE_CHECKING
 
-from petrelhaven.proxy.session.client_session import Transaction
+from petrelhaven.proxy.session.client_session import FAILED, IDLE, Transaction
 from petrelhaven.proxy.session.statement import Reply
 
 if TYPE_CHECKING:
-    from petrelhaven.proxy.node import ProxyNode
+    from petrelhaven.proxy.routing.base import ProxyServices
     from petrelhaven.proxy.routing.transaction_path import TransactionPath
     from petrelhaven.proxy.session.client_session import ClientSession
     from petrelhaven.proxy.session.statement import Statement
@@ -17,16 +17,19 @@
 
 
 def reply_at_once(
-    proxy: ProxyNode, transactions: TransactionPath, session: ClientSession, statement: Statement
+    proxy: ProxyServices,
+    transactions: TransactionPath,
+    session: ClientSession,
+    statement: Statement,
 ) -> Reply | None:
     """The reply to a statement that needs no member, or None if it needs one."""
     verb = statement.verb
     if verb == "rollback":
-        if session.state != "idle":
+        if session.state != IDLE:
             transactions.release(session, statement.num)
             session.settle()
         return Reply()
-    if session.state == "failed":
+    if session.state == FAILED:
         return _in_failed_transaction(transactions, session, verb)
     if verb == "begin":
         return _begin(proxy, session, statement)
@@ -56,7 +59,7 @@
     return None
 
 
-def _begin(proxy: ProxyNode, session: ClientSession, statement: Statement) -> Reply:
+def _begin(proxy: ProxyServices, session: ClientSession, statement: Statement) -> Reply:
     if session.transaction is not None:
         return Reply(code="malformed", text="a transaction is open", state=session.mark)
     session.begin()
@@ -73,11 +76,11 @@
 def _change_session(session: ClientSession, statement: Statement) -> None:
     if statement.verb == "set":
         session.values[statement.name] = statement.data
-        session.nums[statement.name] = statement.num
+        session.statement_numbers[statement.name] = statement.num
         if session.transaction is not None:
             session.transaction.has_set = True
     elif statement.verb == "prepare":
         session.prepared[statement.name] = statement.shape
-        session.nums["", statement.name] = statement.num
+        session.statement_numbers["", statement.name] = statement.num
     else:
         session.prepared.pop(statement.name, None)
--- a/tests/test_connection_sessions_storm.py
+++ b/tests/test_connection_sessions_storm.py
@@ -7,7 +7,7 @@
 
 from petrelhaven.control import leases as lease_table
 from petrelhaven.control.consensus import chain
-from petrelhaven.control.failover.departures import DepartureWatch
+from petrelhaven.control.failover.counting_out import CountingOut
 from petrelhaven.control.failover.leader_change import LeaderChange
 from petrelhaven.control.failover.member_access import MemberHandle
 from petrelhaven.control.storage import core_store
@@ -71,11 +71,11 @@
 
     async def pause(self, term):
         taken[self] = term
-        return self.row and dataclasses.replace(self.row, held_term=term)
+        return self.last_status and dataclasses.replace(self.last_status, paused_term=term)
 
     async def status_(self):
         row = await status(self)
-        return row and dataclasses.replace(row, held_term=taken.get(self, 0))
+        return row and dataclasses.replace(row, paused_term=taken.get(self, 0))
 
     async def resume_(self):
         taken.pop(self, None)
@@ -90,8 +90,10 @@
     real = LeaderChange._promote
 
     async def promote(self, candidate, term, accepted_loss=""):
-        others = [h for n, h in self._members.handles.items() if n != self.old and h.row]
-        return await real(self, min(others, key=lambda h: h.row.position), term, accepted_loss)
+        handles = self._members.handles.items()
+        others = [h for n, h in handles if n != self.old_primary and h.last_status]
+        lowest = min(others, key=lambda h: h.last_status.position)
+        return await real(self, lowest, term, accepted_loss)
 
     mp.setattr(LeaderChange, "_promote", promote)
 
@@ -104,7 +106,7 @@
 
 
 def no_lease(mp):
-    mp.setattr(core_connection.CoreConnection, "holds", property(lambda self: True))
+    mp.setattr(core_connection.CoreConnection, "holds_lease", property(lambda self: True))
 
 
 def no_after(mp):
@@ -131,7 +133,7 @@
     mp.setattr(
         clock.ReadClock,
         "_fits",
-        staticmethod(lambda start, us, r: start > r.arr or r.since is not None),
+        staticmethod(lambda start, us, r: start > r.arrival or r.since is not None),
     )
 
 
@@ -174,13 +176,13 @@
 
 
 def _without(mp, verbs):
-    real = member_connection.MemberConnection.outfit
+    real = member_connection.MemberConnection.set_up
 
-    def outfit(self, start_clients, ask=None):
-        out, alias = real(self, start_clients, ask)
+    def set_up(self, session, statement=None):
+        out, alias = real(self, session, statement)
         return [x for x in out if x[0] not in verbs], alias
 
-    mp.setattr(member_connection.MemberConnection, "outfit", outfit)
+    mp.setattr(member_connection.MemberConnection, "set_up", set_up)
 
 
 def no_outfit(mp):
@@ -192,13 +194,13 @@
 
 
 def one_shape_for_all(mp):
-    real = member_connection.MemberConnection.outfit
+    real = member_connection.MemberConnection.set_up
 
-    def outfit(self, start_clients, ask=None):
-        out, alias = real(self, start_clients, ask)
+    def set_up(self, session, statement=None):
+        out, alias = real(self, session, statement)
         return out, alias and "p1"
 
-    mp.setattr(member_connection.MemberConnection, "outfit", outfit)
+    mp.setattr(member_connection.MemberConnection, "set_up", set_up)
 
 
 def another_connection(mp):
@@ -214,7 +216,7 @@
 def rolled_forward(mp):
     async def settle(self, conn, b, num):
         await conn.plain("commit", (), num)
-        b.pool.drop(conn)
+        b.pool.discard(conn)
 
     mp.setattr(group.MemberGroup, "settle", settle)
 
@@ -237,18 +239,18 @@
     async def nothing(self, *args):
         return None
 
-    mp.setattr(DepartureWatch, "_count_out", nothing)
+    mp.setattr(CountingOut, "update", nothing)
 
 
 def stops_ignored(mp):
-    real = group.MemberGroup.turn
+    real = group.MemberGroup.apply
 
-    def turn(self, control_state, fresh):
+    def apply(self, control_state, fresh):
         real(self, control_state, fresh)
         for b in self.members.values():
             b.stop_at = None
 
-    mp.setattr(group.MemberGroup, "turn", turn)
+    mp.setattr(group.MemberGroup, "apply", apply)
 
 
 def acked_by_the_head(mp):
--- a/tests/test_member_proofs.py
+++ b/tests/test_member_proofs.py
@@ -47,14 +47,16 @@
 
 
 def _band(names, size, holds, floor=(0, 0)):
-    core_connection = types.SimpleNamespace(holds=holds, edges=3, suspect=lambda *_: None)
+    core_connection = types.SimpleNamespace(
+        holds_lease=holds, proxy_count=3, suspect=lambda *_: None
+    )
     proxy = types.SimpleNamespace(
         clock=LoopClock(),
         tasks=BackgroundTasks(),
         order=Order(),
         core_connection=core_connection,
         wire=_Wire(),
-        near=lambda h: 0,
+        zone_distance=lambda h: 0,
         outside_contact=OutsideContact(LoopClock()),
         drain_us=0,
         empty_us=0,
@@ -78,7 +80,7 @@
             },
         )
     led.doc["sizes"]["g"] = size
-    led.doc["evidence"]["g"] = Evidence(floor=floor).document()
+    led.doc["evidence"]["g"] = Evidence(lower_bound=floor).document()
     led.apply(
         led.seq + 1,
         {
@@ -93,7 +95,7 @@
     )
     b = MemberGroup("g", proxy)
     b.sync_replicas = 1
-    b.turn(led, True)
+    b.apply(led, True)
     return b
 
 
