--- a/src/petrelhaven/commands/ctl/command.py
+++ b/src/petrelhaven/commands/ctl/command.py
@@ -42,19 +42,22 @@
         """The start of a query that says who asks, if that was given."""
         return f"?by={self.arguments.by}" if self.arguments.by else "?"
 
-    async def read(self, verb: str, path: str, **options: Any) -> Any:  # noqa: ANN401 (an answer)
+    async def read(
+        self, verb: str, path: str, doc: Document | None = None, raw: bool = False
+    ) -> Any:  # noqa: ANN401 (a JSON document of any form, or bytes)
         """The answer of the first core that serves a call which changes nothing.
 
         Args:
             verb: HTTP's.
             path: with its query.
-            options: further arguments of `transport.http.fetch`.
+            doc: a JSON document to send.
+            raw: answer with bytes instead of a document.
 
         Raises:
             ExceptionGroup: of a Fault for each core, if none serves.
             Fault: a core declined.
         """
-        return await self._ask(self.cores, False, verb, path, **options)
+        return await self._ask(self.cores, False, verb, path, {"doc": doc, "raw": raw})
 
     async def change(
         self,
@@ -77,12 +80,18 @@
             Fault: a core declined.
         """
         answer: Document = await self._ask(
-            cores or self.cores, True, "POST", path, doc=doc, data=data
+            cores or self.cores, True, "POST", path, {"doc": doc, "data": data}
         )
         return answer
 
     @staticmethod
-    async def _ask(cores: list[str], changes: bool, verb: str, path: str, **options: Any) -> Any:  # noqa: ANN401 (as above)
+    async def _ask(
+        cores: list[str],
+        changes: bool,
+        verb: str,
+        path: str,
+        options: Document,
+    ) -> Any:  # noqa: ANN401 (as above)
         faults: list[Exception] = []
         for core in cores:
             try:
