--- a/src/petrelhaven/commands/control.py
+++ b/src/petrelhaven/commands/control.py
@@ -35,13 +35,13 @@
 
 
 def _make_node(daemon: Daemon) -> BaseControlNode:
-    if daemon.set.path == _CONNECTION_SESSIONS:
+    if daemon.settings.path == _CONNECTION_SESSIONS:
         return _make_connection_node(daemon)
     return _make_resumable_node(daemon)
 
 
 def _make_connection_node(daemon: Daemon) -> ControlNode:
-    settings = daemon.set
+    settings = daemon.settings
     node = ControlNode(
         settings.name,
         settings.zone,
@@ -61,7 +61,7 @@
 
 
 def _make_resumable_node(daemon: Daemon) -> BaseControlNode:
-    settings = daemon.set
+    settings = daemon.settings
     node = BaseControlNode(
         settings.name,
         settings.zone,
@@ -85,7 +85,7 @@
 class _ControlDaemon(Daemon):
     @property
     def _serves_connection_sessions(self) -> bool:
-        return bool(self.set.path == _CONNECTION_SESSIONS)
+        return bool(self.settings.path == _CONNECTION_SESSIONS)
 
     def make_http_server(  # type: ignore[override]  # both kinds serve the same calls
         self, host: str, port: int
@@ -103,9 +103,9 @@
         """
         with contextlib.suppress(Damaged):  # the node comes back as an empty one
             self.check()
-        folder = Folder(self.set.data)
+        folder = Folder(self.settings.data)
         state_class = ControlState if self._serves_connection_sessions else None
-        CoreStore(folder, self.set.name, random.SystemRandom(), self.log, state=state_class)
+        CoreStore(folder, self.settings.name, random.SystemRandom(), self.log, state=state_class)
         folder.close()
 
     def check(self) -> None:
@@ -115,16 +115,16 @@
             Damaged: the folder can't be read.
             WrongNode: as for `prepare`.
         """
-        if not os.path.isdir(self.set.data):
+        if not os.path.isdir(self.settings.data):
             return
-        folder = DataFolder(self.set.data)
-        if folder.name not in (None, self.set.name):
-            raise WrongNode(f"the data folder belongs to {folder.name}, not {self.set.name}")
+        folder = DataFolder(self.settings.data)
+        if folder.name not in (None, self.settings.name):
+            raise WrongNode(f"the data folder belongs to {folder.name}, not {self.settings.name}")
         is_connection_state = isinstance(folder.control_state, ControlState)
         path = _CONNECTION_SESSIONS if is_connection_state else _RESUMABLE_SESSIONS
-        if folder.name and path != self.set.path:
+        if folder.name and path != self.settings.path:
             raise WrongNode(
-                f"the data folder holds control state of the path {path}, not {self.set.path}"
+                f"the data folder holds control state of the path {path}, not {self.settings.path}"
             )
 
 
--- a/src/petrelhaven/control/resumable/interfaces.py
+++ b/src/petrelhaven/control/resumable/interfaces.py
@@ -51,14 +51,14 @@
     """The leases of the proxies.
 
     Attributes:
-        live: When each lease granted here ends (clock microseconds).
-        floor: Until when leases may be running that this node doesn't know of.
+        lease_ends: When each lease granted here has expired (clock microseconds).
+        unknown_leases_end: When leases that this node doesn't know of have expired.
     """
 
-    live: dict[str, int]
-    floor: int
+    lease_ends: dict[str, int]
+    unknown_leases_end: int
 
-    async def in_force(self, seq: int, grace: int = 0, horizon: int = 15_000_000) -> object:
+    async def in_force(self, seq: int, grace_us: int = 0, timeout_us: int = 15_000_000) -> object:
         """Returns once every proxy has acknowledged record `seq`, or its lease has expired."""
 
 
--- a/src/petrelhaven/control/resumable/planning_duty.py
+++ b/src/petrelhaven/control/resumable/planning_duty.py
@@ -97,7 +97,7 @@
 
     async def answer_report(self, _channel: object, _body: dict[str, Any]) -> dict[str, Any]:
         """Answers `duty.heard`: what this node has heard of members and proxies."""
-        return {"doc": self._announcements.report(self.lease_table.live).to_document()}
+        return {"doc": self._announcements.report(self.lease_table.lease_ends).to_document()}
 
     async def run(self) -> None:
         """Plans for good while this node is the active head."""
--- a/src/petrelhaven/proxy/core_connection.py
+++ b/src/petrelhaven/proxy/core_connection.py
@@ -2,7 +2,7 @@
 
 A proxy keeps a connection to the nearest control node that a majority confirms. Over it come the
 records of the control state, numbered, and every quarter of a second the renewal of a lease. The
-rules of that lease are in docs/notes/ties-and-leases.md.
+rules of that lease are in docs/notes/core-connections-and-leases.md.
 """
 
 from __future__ import annotations
@@ -291,7 +291,7 @@
         Args:
             group: The group.
             member: The name of its primary.
-            how: The sign of it: mute, reset, refused or replica.
+            how: The sign of it, one of the constants of `routing/member`.
         """
         now = self.clock.now()
         if self._next_report_at.get(group, 0) > now or self._channel is None:
