--- a/src/petrelhaven/emulator/member.py
+++ b/src/petrelhaven/emulator/member.py
@@ -33,7 +33,7 @@
             self.s.born -= a.warm_us
         self.s.source = a.source or None
         self._owners = {}
-        self._kept = 0
+        self._kept = self._heartbeats = 0
         self._file = None
         self._news = asyncio.Event()
         if a.data:
@@ -230,8 +230,8 @@
             await self.clock.sleep(200_000)
 
     async def _once(self):
-        self._heartbeat = getattr(self, "_beat", 0) + 1
-        d = self.s.announcement(self.addr, self._heartbeat)
+        self._heartbeats += 1
+        d = self.s.announcement(self.addr, self._heartbeats)
 
         async def say_to(c):
             try:
--- a/src/petrelhaven/emulator/store.py
+++ b/src/petrelhaven/emulator/store.py
@@ -17,6 +17,7 @@
 Operation = list[Any]
 Statement = Mapping[str, Any]
 Result = dict[str, Any]
+Handler = Callable[["_Connection", Statement], Result | None]
 
 
 class Unanswered(Exception):  # noqa: N818 (no error of the store: a fault that it plays)
@@ -230,7 +231,7 @@
         return {"value": connection.values.get(statement["name"])}
 
     @staticmethod
-    def _fill(connection: _Connection, text: object, arguments: list[Any]) -> object:
+    def _fill(connection: _Connection, text: Any, arguments: list[Any]) -> Any:  # noqa: ANN401
         """A field of a statement, with `$N` and `$name` replaced."""
         if not isinstance(text, str) or not text.startswith("$"):
             return text
@@ -246,7 +247,8 @@
             for key, text in shape.items()
             if key != "verb"
         }
-        return getattr(self, f"_{shape['verb']}")(connection, {"v": shape["verb"], **filled})
+        run: Handler = getattr(self, f"_{shape['verb']}")
+        return run(connection, {"v": shape["verb"], **filled})
 
     def _view(self, connection: _Connection) -> dict[str, Any]:
         return connection.txn.view if connection.txn else self.data
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -273,7 +273,7 @@
     async def look(self, n):
         return True
 
-    mp.setattr(load_balancer.LoadBalancer, "_look", look)
+    mp.setattr(load_balancer.LoadBalancer, "_is_ready", look)
 
 
 def promotes_twice(mp):
