--- a/src/petrelhaven/proxy/node.py
+++ b/src/petrelhaven/proxy/node.py
@@ -47,17 +47,29 @@
 """Every connection has ended."""
 
 _SLOTS = 1024
+"""Statements under way at once."""
 _SLACK_US = 30_000
+"""By how much a statement ends before its route's time is over, for the way back."""
 _HORIZON_US = 2_000_000
+"""After how much more a slot is freed whatever its statement waits for."""
 _RETRY_US = 250_000
+"""When a client that is sent away should come back."""
 _SESSION_ID_BITS = 0xFFFFFF
+"""Part of a session's identity that is logged."""
 
 
 class ProxyNode:
-    """One proxy's logic; clock, links, core connection and wire are given.
+    """One proxy: its sessions, groups and routes.
 
-    `zone_distance(zone)` ranks zones (0 the own one); `drain_us` and `empty_us` are how long a
-    primary that drains, or whose zone is evacuated, still takes statements.
+    Attributes:
+        state: `STARTING`, `SERVING`, `LEAVING` or `LEFT`.
+        routes: The configured routes by host.
+        groups: The configured groups by name.
+        sessions: The open sessions.
+        count: Counters that the status shows.
+        embargo: Withholds embargoed records; None while no rule and no group asks for it.
+
+    The others are those of `routing/base.ProxyServices`.
     """
 
     states = [STARTING, SERVING, LEAVING, LEFT]
@@ -88,7 +100,21 @@
         empty_us: int,
         log: logbook.Logger | None = None,
     ) -> None:
-        """Puts a proxy together; `start` starts it."""
+        """Puts a proxy together; `start` starts it.
+
+        Args:
+            name: Its name.
+            zone: The zone it is in.
+            clock: Monotonic time, in microseconds.
+            tasks: Where its tasks run.
+            rng: Spreads the times at which clients come back.
+            core_connection: Its connection to the control nodes.
+            wire: Opens connections to members.
+            zone_distance: How far a zone is: 0 its own, 1 its region, 2 farther.
+            drain_us: How long a primary that drains still takes new statements.
+            empty_us: The same for a primary whose zone is evacuated.
+            log: Where events go.
+        """
         self.name, self.zone, self.log = name, zone, log
         self.clock, self.tasks, self.rng = clock, tasks, rng
         self.core_connection, self.wire, self.zone_distance = core_connection, wire, zone_distance
@@ -301,11 +327,9 @@
             code=reply.code,
             us=took_us,
             note=reply.text,
-            start_clients=id(request.session) & _SESSION_ID_BITS,
-            connection_pools=",".join(
-                f"{n[-4:]}:{m.pool.saturation()}" for n, m in group.members.items()
-            ),
-            visits=group.strong_sessions,
+            session=id(request.session) & _SESSION_ID_BITS,
+            pools=",".join(f"{n[-4:]}:{m.pool.saturation()}" for n, m in group.members.items()),
+            sessions=group.strong_sessions,
         )
 
     def retry_after(self, delay_us: int = _RETRY_US) -> str:
