--- a/tests/test_stand_in.py
+++ b/tests/test_stand_in.py
@@ -31,6 +31,7 @@
 from stand_in.trouble import Trouble
 from stand_in.until import until
 from stand_in.wire import Wire
+from virtual_io import HANG_S, run_in_virtual_time
 
 NET = f"127.{20 + os.getpid() % 200}"
 
@@ -75,7 +76,7 @@
         async with members(**knobs) as (g, ms):
             await fn(g, *ms)
 
-    asyncio.run(go())
+    run_in_virtual_time(go())
 
 
 def test_a_member_speaks_the_wire():
@@ -404,7 +405,9 @@
     async def go():
         async with ControlStub() as c, members(2, c.addresses) as (g, (p, r)):
             await until(lambda: {x[1][-3:] for x in c.got} == {"i-0", "i-1"})
-            i, path, body = next(x for x in c.got if x[0] == 1 and x[1].endswith("i-0"))
+            i, path, body = await until(
+                lambda: next((x for x in c.got if x[0] == 1 and x[1].endswith("i-0")), None)
+            )
             assert path == "/v1/Members.Heartbeat/i-0" and body.pop("CallSeq") > 0
             assert body == {
                 "Service": "svc",
@@ -434,7 +437,7 @@
             await new.start()
             assert new.log == p.log and await say(await dial(new, "i-9"), "STATUS")
 
-    asyncio.run(go())
+    run_in_virtual_time(go())
 
 
 def test_the_operator_sends_again_until_an_answer_is_clear():
@@ -455,7 +458,7 @@
             assert h.evacuations[0].finished_at and await o.fetch() == {}
             await o.close()
 
-    asyncio.run(go())
+    run_in_virtual_time(go())
 
 
 def test_failover_is_fenced_and_named():
@@ -489,7 +492,7 @@
             finally:
                 await cloud.close()
 
-    asyncio.run(go())
+    run_in_virtual_time(go())
 
 
 def test_the_router_uses_ready_nodes_and_then_other_zones():
@@ -514,7 +517,7 @@
             assert r.pick("z1", "u") == "front-b"
             await r.close()
 
-    asyncio.run(go())
+    run_in_virtual_time(go())
 
 
 class Pass:
@@ -609,7 +612,7 @@
             else:
                 assert rule in seen
 
-    asyncio.run(go())
+    run_in_virtual_time(go())
 
 
 def test_a_client_tries_again_as_a_whole_with_new_ids():
@@ -637,7 +640,7 @@
             assert (await c.operate()).served
             c._close()
 
-    asyncio.run(go())
+    run_in_virtual_time(go())
 
 
 SETTINGS_PROGRAM = """
