--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -6,10 +6,10 @@
 import pytest
 from hypothesis import HealthCheck, Phase, given, settings
 from hypothesis import strategies as st
+from virtual_io import LoopClock, run_in_virtual_time
 
 from petrelhaven.control.configuration.document import read
 from petrelhaven.proxy.resumable.member_protocol import Wire
-from petrelhaven.runtime.clock import Clock
 from petrelhaven.runtime.errors import Fault, Invalid, Malformed, Unreachable
 from petrelhaven.runtime.tasks import BackgroundTasks
 from petrelhaven.simulator.resumable.storm import inside
@@ -148,7 +148,9 @@
     for x in (json.dumps(doc), text):
         with pytest.raises(Invalid) as e:
             read(x)
-        assert e.value.details["faults"] and all(at and why for at, why in e.value.details["faults"])
+        assert e.value.details["faults"] and all(
+            at and why for at, why in e.value.details["faults"]
+        )
 
 
 def test_junk_inside_well_formed_messages_is_counted_and_no_node_stumbles():
@@ -230,7 +232,7 @@
         for p in ("/open", "/run", "/status"):
             f.on("POST", p, any_)
         a, tasks = await f.start(), BackgroundTasks()
-        w = Wire(Clock(), tasks)
+        w = Wire(LoopClock(), tasks)
         odd["text"] = '{"conn": 1}'
         c = await w.open(a)
         for text in (
@@ -257,4 +259,4 @@
         await f.close()
         await tasks.close()
 
-    asyncio.run(go())
+    run_in_virtual_time(go())
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -13,9 +13,9 @@
 import pytest
 from hypothesis import HealthCheck, Phase, given, settings
 from hypothesis import strategies as st
+from virtual_io import LoopClock, run_in_virtual_time
 from wire_model import Node, virtual
 
-from petrelhaven.runtime.clock import Clock
 from petrelhaven.runtime.errors import Busy, DeadlineExceeded, Fault, NotSent, Stale, Unreachable
 from petrelhaven.runtime.tasks import BackgroundTasks
 from petrelhaven.transport import channel as channel_module
@@ -475,7 +475,7 @@
 def test_a_call_that_is_given_up_is_taken_back_from_the_wire(end):
     async def go():
         server, tasks = DeafServer(), BackgroundTasks()
-        link = Link(Clock(), tasks)
+        link = Link(LoopClock(), tasks)
         task = asyncio.ensure_future(
             link.call(server.addr, "span.deliver", {"sid": BIG, "ask": {}}, 100_000)
         )
@@ -487,17 +487,17 @@
         assert await server.hears() < len(BIG) // 2
         await tasks.close()
 
-    asyncio.run(go())
+    run_in_virtual_time(go())
 
 
 def test_a_fenced_call_to_the_platform_is_taken_back_from_the_wire():
     async def go():
         server = DeafServer()
         with pytest.raises(DeadlineExceeded):
-            await light_call(Clock(), server.addr, "POST", "/failover", {"a": BIG}, us=100_000)
+            await light_call(LoopClock(), server.addr, "POST", "/failover", {"a": BIG}, us=100_000)
         assert await server.hears() < len(BIG)
 
-    asyncio.run(go())
+    run_in_virtual_time(go())
 
 
 def test_a_statement_that_is_given_up_is_taken_back_from_the_wire():
@@ -511,7 +511,7 @@
         member_connection.close()
         assert await server.hears() < len(BIG)
 
-    asyncio.run(go())
+    run_in_virtual_time(go())
 
 
 def test_a_call_whose_caller_has_reset_the_connection_is_not_run_any_more():
@@ -519,7 +519,7 @@
 
     async def go():
         tasks, ran = BackgroundTasks(), []
-        link = Link(Clock(), tasks)
+        link = Link(LoopClock(), tasks)
 
         async def run(channel, body):
             ran.append(body)
@@ -540,7 +540,7 @@
         await link.close()
         await tasks.close()
 
-    asyncio.run(go())
+    run_in_virtual_time(go())
 
 
 def test_connections_do_not_wait_for_a_dark_machine_for_long():
@@ -551,7 +551,7 @@
 
     async def go():
         tasks, taken = BackgroundTasks(), []
-        link, other = Link(Clock(), tasks), Link(Clock(), tasks)
+        link, other = Link(LoopClock(), tasks), Link(LoopClock(), tasks)
         real = other._wrap
         other._wrap = lambda r, w: (taken.append(w.transport), real(r, w))
         address = await other.start()
@@ -568,7 +568,7 @@
         await tasks.close()
         await other.close()
 
-    asyncio.run(go())
+    run_in_virtual_time(go())
 
 
 def test_a_fault_without_a_shape_ends_the_connection_and_the_call():
@@ -582,14 +582,14 @@
 
         server = await asyncio.start_server(odd, "127.0.0.1", 0)
         address = "%s:%d" % server.sockets[0].getsockname()
-        link = Link(Clock(), tasks)
+        link = Link(LoopClock(), tasks)
         with pytest.raises(Unreachable):
             await link.call(address, "creed.belief", {"who": "x"}, 900_000)
         assert link.garbage == 1
         server.close()
         await tasks.close()
 
-    asyncio.run(go())
+    run_in_virtual_time(go())
 
 
 def test_a_batch_that_is_cancelled_leaves_its_connection_lost():
@@ -602,7 +602,7 @@
 
         server = await asyncio.start_server(mute, "127.0.0.1", 0)
         tasks = BackgroundTasks()
-        wire = Wire(Clock(), tasks)
+        wire = Wire(LoopClock(), tasks)
         connection = wire_connection(wire, "%s:%d" % server.sockets[0].getsockname())
         task = asyncio.ensure_future(connection.run([{"op": "get"}], 5_000_000))
         await asyncio.sleep(0.05)
@@ -622,4 +622,4 @@
 
         return _Conn(wire, address, aiohttp.ClientSession(), 1)
 
-    asyncio.run(go())
+    run_in_virtual_time(go())
--- a/tests/test_control_interface.py
+++ b/tests/test_control_interface.py
@@ -15,6 +15,7 @@
 from hypothesis import strategies as st
 from stand_in.scene import Scene
 from stand_in.until import until
+from virtual_io import LoopClock, run_in_virtual_time
 
 from petrelhaven.commands import ctl
 from petrelhaven.control.configuration.defaults import BOUNDS, GROUP, ROUTE, fill
@@ -26,7 +27,6 @@
 from petrelhaven.control.state.control_state import ControlState
 from petrelhaven.control.storage.data_folder import DataFolder
 from petrelhaven.control.storage.disk import Folder
-from petrelhaven.runtime.clock import Clock
 from petrelhaven.runtime.errors import (
     DeadlineExceeded,
     Fault,
@@ -71,7 +71,7 @@
 @contextlib.asynccontextmanager
 async def seated(folder):
     """A core alone in its view, active, with its face."""
-    clock, tasks = Clock(), BackgroundTasks()
+    clock, tasks = LoopClock(), BackgroundTasks()
     link = Link(clock, tasks)
     await link.start()
     node = ControlNode(
@@ -105,7 +105,7 @@
         async with seated(folder) as (node, http_server):
             return await fn(node, http_server)
 
-    return asyncio.run(go())
+    return run_in_virtual_time(go())
 
 
 async def ask(http_server, verb, path, body=b""):
@@ -692,7 +692,7 @@
         for p in ("/x/do", "/x//do", "/x/a/b/do", "/x/a/undo", "/x/a/do/", "/do"):
             assert (await f.answer(_Request("POST", p, b"")))[0] == 404, p
 
-    asyncio.run(go())
+    run_in_virtual_time(go())
     assert got == [("a%20b", {"k": "2", "e": "", "p": "a+b c"}), ("bad", {})]
 
 
@@ -811,7 +811,7 @@
             return self.answer
 
     def opened(answer):
-        return MemberWire(Clock(), Asked(answer)).open("127.0.0.1:9", "g1", "m1", 1_000_000)
+        return MemberWire(LoopClock(), Asked(answer)).open("127.0.0.1:9", "g1", "m1", 1_000_000)
 
     async def go():
         row = {"member": "m1", "role": "replica", "log": 7, "term": 2}
@@ -830,4 +830,4 @@
                 await opened(answer)
             assert type(e.value) is tp and e.value.note == note
 
-    asyncio.run(go())
+    run_in_virtual_time(go())
--- a/tests/test_light_http.py
+++ b/tests/test_light_http.py
@@ -8,8 +8,8 @@
 import pytest
 from hypothesis import Phase, given, settings
 from hypothesis import strategies as st
+from virtual_io import LoopClock, run_in_virtual_time
 
-from petrelhaven.runtime.clock import Clock
 from petrelhaven.runtime.errors import (
     DeadlineExceeded,
     Fault,
@@ -429,12 +429,12 @@
         s = await asyncio.start_server(peer, "127.0.0.1", 0)
         try:
             a = "127.0.0.1:%d" % s.sockets[0].getsockname()[1]
-            return await light_call(Clock(), a, "POST", "/p", doc, heads, us), got
+            return await light_call(LoopClock(), a, "POST", "/p", doc, heads, us), got
         finally:
             for e in [s, *ends]:
                 e.close()
 
-    return asyncio.run(go())
+    return run_in_virtual_time(go())
 
 
 @pytest.mark.parametrize(
@@ -482,7 +482,9 @@
     with socket.socket() as s:
         s.bind(("127.0.0.1", 0))
         with pytest.raises(NotSent):
-            asyncio.run(light_call(Clock(), "127.0.0.1:%d" % s.getsockname()[1], "GET", "/"))
+            run_in_virtual_time(
+                light_call(LoopClock(), "127.0.0.1:%d" % s.getsockname()[1], "GET", "/")
+            )
 
 
 def test_a_call_says_its_document_and_heads_whole():
@@ -504,12 +506,12 @@
     async def go():
         c = Called()
         a = await c.http_server.start()
-        assert await light_call(Clock(), a, "POST", "/doc", {"x": [1]}) == (200, {"x": [1]})
-        st_, d = await light_call(Clock(), a, "GET", "/busy")
+        assert await light_call(LoopClock(), a, "POST", "/doc", {"x": [1]}) == (200, {"x": [1]})
+        st_, d = await light_call(LoopClock(), a, "GET", "/busy")
         assert st_ == 503 and d["fault"] == "not-ready" and isinstance(d["retry_after_us"], int)
         await c.http_server.close()
         with pytest.raises(NotSent):
-            await light_call(Clock(), a, "GET", "/busy")
+            await light_call(LoopClock(), a, "GET", "/busy")
 
-    asyncio.run(go())
+    run_in_virtual_time(go())
     assert issubclass(NotSent, Fault)
--- a/tests/test_proxy_interface.py
+++ b/tests/test_proxy_interface.py
@@ -7,6 +7,7 @@
 import pytest
 from hypothesis import HealthCheck, Phase, given, settings
 from hypothesis import strategies as st
+from virtual_io import LoopClock, run_in_virtual_time
 
 from petrelhaven.commands.diff import differences
 from petrelhaven.control.interface.documents import number
@@ -14,7 +15,6 @@
 from petrelhaven.proxy.core_connection import CoreConnection
 from petrelhaven.proxy.node import ProxyNode
 from petrelhaven.proxy.proxy_interface import ProxyInterface
-from petrelhaven.runtime.clock import Clock
 from petrelhaven.runtime.tasks import BackgroundTasks
 from petrelhaven.transport.light_http import LightHttpServer, _Request
 from petrelhaven.transport.link import Link
@@ -79,7 +79,7 @@
     """Runs `fn(gate, face)` over a gate whose tie was told of `records`."""
 
     async def go():
-        clock, tasks = Clock(), BackgroundTasks()
+        clock, tasks = LoopClock(), BackgroundTasks()
         core_connection = CoreConnection(
             clock, tasks, Link(clock, tasks), random.Random(1), "e1", [], lambda h: 0
         )
@@ -108,7 +108,7 @@
         finally:
             tasks.kill()
 
-    return asyncio.run(go())
+    return run_in_virtual_time(go())
 
 
 async def ask(http_server, path, verb="GET"):
--- a/tests/test_stand_in.py
+++ b/tests/test_stand_in.py
@@ -31,7 +31,7 @@
 from stand_in.trouble import Trouble
 from stand_in.until import until
 from stand_in.wire import Wire
-from virtual_io import HANG_S, run_in_virtual_time
+from virtual_io import run_in_virtual_time
 
 NET = f"127.{20 + os.getpid() % 200}"
 
