--- a/src/petrelhaven/control/node.py
+++ b/src/petrelhaven/control/node.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from petrelhaven.control.base_node import _ADDR, BaseControlNode
-from petrelhaven.control.configuration.document import read
+from petrelhaven.control.configuration.parsing import parse_configuration
 from petrelhaven.control.consensus.chain import DRIFT
 from petrelhaven.control.consensus.proxy_survey import ProxySurvey
 from petrelhaven.control.core_changes import CoreChanges
@@ -20,6 +20,7 @@
     Stale,
 )
 from petrelhaven.runtime.limits import NAME
+from petrelhaven.transport.message_kinds import MessageKind
 
 __all__ = ["CONNECTION_LEASE_US", "ControlNode"]
 
@@ -90,11 +91,11 @@
 
     @property
     def embargoes(self):
-        """The duty of embargoes, loaded when it is first needed."""
+        """What this node does about embargoes, loaded when it is first needed."""
         if self._embargoes is None:
-            from petrelhaven.control.embargo.duty import EmbargoDuty
+            from petrelhaven.control.embargo.service import EmbargoService
 
-            self._embargoes = EmbargoDuty(self, self._wall_clock)
+            self._embargoes = EmbargoService(self, self._wall_clock)
         return self._embargoes
 
     def _committed(self):
@@ -105,7 +106,7 @@
         return {"wall": self.embargoes.time.wall_clock.now()}
 
     async def _true_time(self, ch, b):
-        return self.embargoes.edge_time()
+        return self.embargoes.proxy_time()
 
     def make_lease_table(self):
         """The desk of the edges' ties."""
@@ -119,13 +120,13 @@
     def handlers(self):
         """What edges and other cores ask."""
         return {
-            "edge.hold": self._hold,
-            "chain.force": self.lease_table.force,
-            "tie.pulse": self._pulse,
-            "warden.doubt": self._suspected,
-            "warden.look": self.duty.answer_look,
-            "wall.read": self._read_wall_clock,
-            "tie.wall": self._true_time,
+            MessageKind.PROXY_CONNECT: self._hold,
+            MessageKind.CHAIN_IN_FORCE: self.lease_table.force,
+            MessageKind.LEASE_RENEW: self._pulse,
+            MessageKind.MEMBER_SUSPECT: self._suspected,
+            MessageKind.MEMBER_CHECK: self.duty.answer_look,
+            MessageKind.WALL_CLOCK_READ: self._read_wall_clock,
+            MessageKind.AGREED_TIME_READ: self._true_time,
         }
 
     async def rest(self):
@@ -155,7 +156,7 @@
     def _peer_turned(self, peer, _was):
         """A peer is new here, or another than it was: the cores are looked at again at once."""
         if peer.state == "alive":
-            self.link.dial_anew(peer.addr)
+            self.link.cancel_opening(peer.addr)
         self._news.set()
 
     def wake(self):
@@ -257,7 +258,7 @@
             return
         b = {"group": group, "member": member, "how": how}
         try:
-            await self.call(v["chain"][0], "warden.doubt", b, 800_000)
+            await self.call(v["chain"][0], MessageKind.MEMBER_SUSPECT, b, 800_000)
         except Fault:
             pass
 
@@ -287,7 +288,7 @@
 
     async def apply(self, text, by="", retire=True, within_us=_OWN_US):
         """Checks and applies a manifest; returns once it is on every disk of the view."""
-        m = read(text)
+        m = parse_configuration(text)
         rec = {
             "t": "manifest",
             "text": text,
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -2,19 +2,22 @@
 
 import asyncio
 import json
+from types import SimpleNamespace
 
 import pytest
 from hypothesis import HealthCheck, Phase, given, settings
 from hypothesis import strategies as st
 from virtual_io import LoopClock, run_in_virtual_time
 
-from petrelhaven.control.configuration.document import read
+from petrelhaven.control.configuration.parsing import parse_configuration
 from petrelhaven.proxy.resumable.member_protocol import Wire
 from petrelhaven.runtime.errors import Fault, Invalid, Malformed, Unreachable
+from petrelhaven.runtime.events import Events, emit
 from petrelhaven.runtime.tasks import BackgroundTasks
+from petrelhaven.simulator.net import SimLog
 from petrelhaven.simulator.resumable.storm import inside
 from petrelhaven.transport.http_server import HttpServer, body_of
-from petrelhaven.transport.messages import KINDS, TELL, pack
+from petrelhaven.transport.messages import DATAGRAM, KINDS, pack
 
 LEAF = (
     st.none()
@@ -147,7 +150,7 @@
 def test_a_wrong_configuration_names_its_faults(doc, text):
     for x in (json.dumps(doc), text):
         with pytest.raises(Invalid) as e:
-            read(x)
+            parse_configuration(x)
         assert e.value.details["faults"] and all(
             at and why for at, why in e.value.details["faults"]
         )
@@ -171,10 +174,10 @@
             n = b.link.garbage
             for x in junk:
                 for kind in ("kith.probe", "kith.ack", "kith.ask"):
-                    b.link.heard(
+                    b.link.receive_datagram(
                         pack(
                             kind,
-                            TELL,
+                            DATAGRAM,
                             0,
                             {
                                 "nonce": 1,
@@ -191,12 +194,12 @@
                 ask = {
                     f["name"]: (
                         x
-                        if f["name"] in KINDS[kind].ask.documents
+                        if f["name"] in KINDS[kind].request.documents
                         else {"string": "sim:e3", "long": 1, "boolean": False}.get(
                             str(f["type"]), []
                         )
                     )
-                    for f in KINDS[kind].ask.schema["fields"]
+                    for f in KINDS[kind].request.schema["fields"]
                 }
                 if isinstance(ask.get("acked"), list):
                     ask["acked"] = 1
@@ -213,11 +216,21 @@
                 sid, {"verb": "put", "route": "g1", "key": "z", "value": 1, "try": 1}
             )
         )["outcome"] == "kept"
-        return [x for x in w.net.findings if "internal handler fault" not in x[3]]
+        return [x for x in w.net.findings if not x[3].startswith("E112 ")]
 
     assert inside(go, 2)[0] == []
 
 
+@pytest.mark.parametrize(
+    "event, found",
+    [(Events.TASK_FAILED, 1), (Events.HANDLER_FAILED, 1), (Events.MALFORMED_MESSAGE, 0)],
+)
+def test_a_task_or_handler_that_fails_is_a_finding_of_a_simulated_run(event, found):
+    net = SimpleNamespace(loop=SimpleNamespace(time=lambda: 1.0), log=[], findings=[])
+    emit(SimLog(net, "c1"), event, what="ValueError()")
+    assert len(net.log) == 1 and len(net.findings) == found
+
+
 def test_a_member_that_answers_oddly_is_a_typed_fault_never_a_result():
     async def go():
         odd = {}
