--- a/src/petrelhaven/proxy/routing/member_proofs.py
+++ b/src/petrelhaven/proxy/routing/member_proofs.py
@@ -1,4 +1,4 @@
-"""What the known members of a group prove where the primary's word is missing or not enough."""
+"""What the known members of a group prove where the primary's answer is missing or not enough."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import contextlib
 from typing import TYPE_CHECKING, Any
 
-from petrelhaven.proxy.routing.leadership import MOVING
+from petrelhaven.control.state.rows import LeadershipPhase
 from petrelhaven.proxy.routing.waiting import first_done
 from petrelhaven.runtime.errors import Fault, Unreachable
 
@@ -17,6 +17,7 @@
 
 __all__ = ["MemberProofs"]
 
+_FAILOVER = LeadershipPhase.FAILOVER
 _COMMIT_US = 400_000
 _NEAREST_US = 40_000
 _SILENT_US = 250_000
@@ -42,7 +43,7 @@
         if self._group.sync_replicas == 0:
             return False
         now = self._group.leadership
-        if now is None or now.phase == MOVING or now.primary != answered.name:
+        if now is None or now.phase is _FAILOVER or now.primary != answered.name:
             return True
         if position is not None and position[0] < now.term:
             return True
@@ -128,7 +129,7 @@
     def is_silent(self, member: Member) -> bool:
         """Whether asking the member is in vain: nobody is there, or it has not answered for long.
 
-        One that reset a connection is asked again: it is there, and its own word is the quickest.
+        One that reset a connection is asked again: it is there, and its own answer is the quickest.
         """
         now = self._clock.now()
         if member.down_until <= now:
@@ -137,11 +138,11 @@
         return member.refuses or (unanswered and member.last_heard < member.asked_at)
 
     async def _silence_of(self, primary: Member | None) -> None:
-        """Waits until the primary has been silent for so long that nobody trusts its word unproven.
+        """Waits until the primary has been silent so long that no proxy trusts it without proof.
 
         A proxy that is cut off together with it passes on its answers, without the proof by a known
         replica, for a moment after the cut; what the other members hold proves nothing until then.
-        Any word of it since this call began shows that it was not cut off then.
+        Any answer of it since this call began shows that it was not cut off then.
         """
         if primary is None or primary.refuses:
             return
