--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -7,10 +7,10 @@
 import pytest
 from hypothesis import HealthCheck, Phase, given, settings
 from hypothesis import strategies as st
+from virtual_io import LoopClock, run_in_virtual_time
 
 from petrelhaven.control.configuration.parsing import parse_configuration
 from petrelhaven.proxy.resumable.member_protocol import Wire
-from petrelhaven.runtime.clock import Clock
 from petrelhaven.runtime.errors import Fault, Invalid, Malformed, Unreachable
 from petrelhaven.runtime.events import Events, emit
 from petrelhaven.runtime.tasks import BackgroundTasks
@@ -245,7 +245,7 @@
         for p in ("/open", "/run", "/status"):
             f.on("POST", p, any_)
         a, tasks = await f.start(), BackgroundTasks()
-        w = Wire(Clock(), tasks)
+        w = Wire(LoopClock(), tasks)
         odd["text"] = '{"conn": 1}'
         c = await w.open(a)
         for text in (
@@ -272,4 +272,4 @@
         await f.close()
         await tasks.close()
 
-    asyncio.run(go())
+    run_in_virtual_time(go())
