--- a/src/petrelhaven/control/base_node.py
+++ b/src/petrelhaven/control/base_node.py
@@ -11,7 +11,7 @@
 from petrelhaven.control.consensus.reform import Reform
 from petrelhaven.control.consensus.register import Proposer, Voter
 from petrelhaven.control.departure import Departure
-from petrelhaven.control.leases import LeaseTable
+from petrelhaven.control.resumable.leases import ResumableLeaseTable
 from petrelhaven.control.storage.core_store import CoreStore
 from petrelhaven.membership.prober import Prober
 from petrelhaven.membership.roster import NodeIdentity, Roster
@@ -93,8 +93,8 @@
             MessageKind.DISK_STATE_CHANGED: self.disk_watch.heard,
             MessageKind.CHAIN_ENTER: self._enter,
             MessageKind.CHAIN_READ: self._read,
-            MessageKind.CHAIN_IN_FORCE: self.lease_table.force,
-            MessageKind.PROXY_CONNECT: self.lease_table.hold,
+            MessageKind.CHAIN_IN_FORCE: self.lease_table.report,
+            MessageKind.PROXY_CONNECT: self.lease_table.subscribe,
             MessageKind.NODE_BELIEF: self._belief,
             **self.handlers(),
         }.items():
@@ -102,8 +102,8 @@
         self.chain.on_view.append(self.turn)
 
     def make_lease_table(self):
-        """The desk that lends leases to edges."""
-        return LeaseTable(self.clock, self.tasks, self.chain, self.call, self.log)
+        """The leases that this node grants to proxies."""
+        return ResumableLeaseTable(self.clock, self.tasks, self.chain, self.call, self.log)
 
     def make_duty(self, platform):
         """The duty that this core does while it is the head."""
@@ -124,7 +124,7 @@
         """What this core answers beside the chain's own calls."""
         return {
             MessageKind.PLANNER_OBSERVATIONS: self.duty.answer_report,
-            MessageKind.PROXY_LEASE: self.lease_table.lease,
+            MessageKind.PROXY_LEASE: self.lease_table.renew,
             MessageKind.PROXY_ENTER: self._edge,
         }
 
--- a/src/petrelhaven/control/resumable/epoch_progress.py
+++ b/src/petrelhaven/control/resumable/epoch_progress.py
@@ -15,7 +15,7 @@
 
 __all__ = ["EpochKey", "EpochProgress"]
 
-_IN_FORCE_HORIZON_US = 60_000_000
+_IN_FORCE_TIMEOUT_US = 60_000_000
 
 EpochKey = tuple[str, int]
 """A group and the number of its epoch; 0 before the first."""
@@ -69,7 +69,7 @@
 
     async def _wait(self, key: EpochKey, epoch: EpochRecord, seq: int) -> None:
         try:
-            await self._lease_table.in_force(seq, epoch.grace_us, horizon=_IN_FORCE_HORIZON_US)
+            await self._lease_table.in_force(seq, epoch.grace_us, timeout_us=_IN_FORCE_TIMEOUT_US)
             self._in_force_since[key] = self._clock.now()
         except Fault:
             pass
