--- a/tests/test_platform_orders.py
+++ b/tests/test_platform_orders.py
@@ -10,7 +10,7 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent / "platform"))
 
-from core import Control  # noqa: E402
+from core import ControlRoutes  # noqa: E402
 from petrelhaven.control.orders import ANSWER_US  # noqa: E402
 from petrelhaven.runtime.errors import (  # noqa: E402
     DeadlineExceeded,
@@ -58,7 +58,8 @@
 def answers(fault):
     async def go():
         node, http_server = ControlNode(fault), LightHttpServer("127.0.0.1", 0)
-        Control(node, SimpleNamespace(zones=["a", "b"], zone="a", control="h:1"), None, http_server)
+        settings = SimpleNamespace(zones=["a", "b"], zone="a", control_address="h:1")
+        ControlRoutes(node, settings, http_server)
         replace = await http_server.answer(Request("POST", "/v1/Config.Replace", CONFIGURATION))
         begin = await http_server.answer(Request("POST", "/v1/Evacuations.Begin/a", b""))
         finish = await http_server.answer(Request("POST", "/v1/Evacuations.Finish/a", b""))
@@ -90,12 +91,8 @@
 def test_a_configuration_that_is_not_above_the_one_held(fault, replace):
     async def go():
         http_server = LightHttpServer("127.0.0.1", 0)
-        Control(
-            ControlNode(fault),
-            SimpleNamespace(zones=["a"], zone="a", control="h:1"),
-            None,
-            http_server,
-        )
+        settings = SimpleNamespace(zones=["a"], zone="a", control_address="h:1")
+        ControlRoutes(ControlNode(fault), settings, http_server)
         return (await http_server.answer(Request("POST", "/v1/Config.Replace", CONFIGURATION)))[0]
 
     assert asyncio.run(go()) == replace
