--- a/src/petrelhaven/control/resumable/proxy_watch.py
+++ b/src/petrelhaven/control/resumable/proxy_watch.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from petrelhaven.control.leases import LAPSE_US, LEASE_US
+from petrelhaven.control.resumable.leases import EXPIRY_US, LEASE_US
 from petrelhaven.control.resumable.records import LeaseExpiryRecord, ProxyRecord
 from petrelhaven.runtime.events import Events, emit
 
@@ -20,7 +20,7 @@
 __all__ = ["ProxyWatch"]
 
 _NEVER = -(1 << 60)
-_REPLICATE_US = LAPSE_US + 2_500_000
+_REPLICATE_US = EXPIRY_US + 2_500_000
 _SETTLING_US = 300_000
 _SILENT_US = 2_500_000
 _LEASE_REMAINDER_US = 600_000
@@ -90,7 +90,7 @@
         """For how long the lease of each proxy still runs, by any control node."""
         now = self._clock.now()
         left: dict[str, int] = {}
-        for proxy, end in self._lease_table.live.items():
+        for proxy, end in self._lease_table.lease_ends.items():
             left[proxy] = max(left.get(proxy, _NEVER), end - now)
         for report in reports.values():
             for proxy, left_us in report.leases.items():
@@ -98,7 +98,7 @@
         return left
 
     def _record_expiry(self, proxy: _Proxy, acting_us: int) -> None:
-        if not proxy.has_lapsed and acting_us > LAPSE_US:
+        if not proxy.has_lapsed and acting_us > EXPIRY_US:
             seq = self._chain.control_state.seq
             self._tasks.start(
                 ("edge", proxy.name), self._expire, proxy.name, proxy.incarnation, seq
@@ -127,7 +127,9 @@
             and (lease_us if lease_us is not None else 0) < _LEASE_REMAINDER_US
         )
         is_silent = (
-            left_us < -_SILENT_US and acting_us > _SILENT_US and self._lease_table.floor <= now
+            left_us < -_SILENT_US
+            and acting_us > _SILENT_US
+            and self._lease_table.unknown_leases_end <= now
         )
         if not is_lost and not is_silent:
             return
