--- a/src/petrelhaven/control/base_node.py
+++ b/src/petrelhaven/control/base_node.py
@@ -10,6 +10,7 @@
 from petrelhaven.control.consensus.disk_watch import DiskWatch
 from petrelhaven.control.consensus.reform import Reform
 from petrelhaven.control.consensus.register import Proposer, Voter
+from petrelhaven.control.consensus.view import View
 from petrelhaven.control.departure import Departure
 from petrelhaven.control.leases import LeaseTable
 from petrelhaven.control.storage.core_store import CoreStore
@@ -141,16 +142,16 @@
 
     def turn(self):
         """The one function that changes this core's state."""
-        at = (
-            self.chain.view
-            and self.name in self.chain.view["chain"]
-            and self.chain.view["ids"].get(self.name) == self.mem.disk
-        )
-        want = "outside" if self.chain.view is None else "chained" if at else "joining"
+        view = self.chain.view
+        if view is None:
+            want = "outside"
+        else:
+            chained = view.position(self.name, self.mem.disk) is not None
+            want = "chained" if chained else "joining"
         if want != self.state:
             {"outside": self.part, "joining": self.knock, "chained": self.enchain}[want]()
             if want == "chained":
-                emit(self.log, 304 if self.chain.view["n"] > 1 else 102, view=self.chain.view["n"])
+                emit(self.log, 304 if view.number > 1 else 102, view=view.number)
 
     async def _told(self, ch, b):
         return self.told()
@@ -163,7 +164,7 @@
             "name": self.name,
             "disk": m.disk,
             "fresh": m.fresh,
-            "view": self.chain.view or None,
+            "view": self._view_document(),
             "done": m.done,
             "held": m.control_state.seq,
             "commit": self.chain.commit,
@@ -171,8 +172,11 @@
             "granted_us": self.chain.granted_ages(),
         }
 
+    def _view_document(self):
+        return None if self.chain.view is None else self.chain.view.to_document()
+
     async def _learn(self, ch, b):
-        self.chain.adopt(b["view"])
+        self.chain.adopt(View.from_optional(b["view"]))
 
     async def _maintain_view(self):
         while True:
@@ -223,27 +227,27 @@
             self.wake()
         self.informed()
         if r and r["view"]:
-            self.chain.adopt(r["view"])
+            self.chain.adopt(View.from_document(r["view"]))
 
     def informed(self):
         """Another core has told of itself."""
 
     async def _finish(self, v):
         try:
-            self.spread(await self._ask.change(self.mem.vote["ids"] or v["ids"], lambda x: x or v))
+            self.spread(await self._ask.change(self.mem.vote["ids"] or v.ids, lambda x: x or v))
         except Fault:
             pass
 
     def spread(self, view):
         """Adopts a decided view and tells the other cores of it."""
         self.chain.adopt(view)
-        for n in view["ids"]:
+        for n in view.ids:
             if n != self.name:
                 self.tasks.spawn(self._send_view(n, view))
 
     async def _send_view(self, n, view):
         try:
-            await self.call(n, "view.learn", {"view": view}, 500_000)
+            await self.call(n, "view.learn", {"view": view.to_document()}, 500_000)
         except Fault:
             pass
 
@@ -253,7 +257,7 @@
         now = self.clock.now()
         if v is None:
             if self.mem.vote["value"]:
-                return await self._finish(self.mem.vote["value"])
+                return await self._finish(View.from_document(self.mem.vote["value"]))
             blank = all(r["fresh"] and not r["view"] for r in infos.values())
             if not self.founds or len(infos) < len(self.seeds) or not blank:
                 self._alone = now
@@ -261,13 +265,12 @@
             if min(infos) != self.name and now - self._alone < 2_000_000:
                 return
             ids = {n: r["disk"] for n, r in sorted(infos.items())}
-            new = {"n": 1, "chain": sorted(ids), "ids": ids, "cause": "first view", "by": self.name}
-            new["before"] = []
+            new = View(1, tuple(sorted(ids)), ids, "first view", self.name, before=())
             emit(self.log, 302, n=1, cause="first view")
             self.spread(await self._ask.change(ids, lambda x: x or new))
             return
-        newest = self.mem.vote["value"]
-        if newest and newest["n"] > v["n"] and self.name in newest["ids"]:
+        newest = View.from_optional(self.mem.vote["value"])
+        if newest and newest.number > v.number and newest.is_member(self.name):
             return await self._finish(newest)
         await self._repair_view(v, infos)
 
@@ -280,10 +283,10 @@
     async def _repair_view(self, v, infos):
         keep = [
             n
-            for n in v["chain"]
+            for n in v.chain
             if self._there(n)
             and self.disk_watch.takes_writes(n)
-            and (n not in infos or infos[n]["disk"] == v["ids"][n])
+            and (n not in infos or infos[n]["disk"] == v.ids[n])
         ]
         if not keep or keep[0] != self.name or not self.chain.complete:
             return
@@ -292,16 +295,16 @@
             for n in sorted(infos)
             if n not in keep
             and self._there(n)
-            and n in v["ids"]
+            and v.is_member(n)
             and self.disk_watch.takes_writes(n)
         ]
-        chain = keep + join
-        ids = {**v["ids"], **{n: infos[n]["disk"] for n in join}}
-        if chain == v["chain"] and ids == v["ids"]:
+        chain = (*keep, *join)
+        ids = {**v.ids, **{n: infos[n]["disk"] for n in join}}
+        if chain == v.chain and ids == v.ids:
             return await self.recast(v, infos)
-        if len(chain) <= len(v["ids"]) // 2:
+        if len(chain) < v.quorum:
             return
-        out = [n for n in v["chain"] if n not in keep]
+        out = [n for n in v.chain if n not in keep]
         cause = "; ".join(
             filter(
                 None,
@@ -318,11 +321,11 @@
 
     async def propose(self, v, chain, ids, cause):
         """Has a majority of the view's cores decide the next view."""
-        new = {"n": v["n"] + 1, "chain": chain, "ids": ids, "cause": cause, "by": self.name}
-        new["before"] = self.chain.former_cores()
-        emit(self.log, 302, n=new["n"], cause=cause)
+        before = self.chain.former_cores()
+        new = View(v.number + 1, tuple(chain), ids, cause, self.name, before)
+        emit(self.log, 302, n=new.number, cause=cause)
         self.spread(
-            await self._ask.change(v["ids"], lambda x: new if x is None or x["n"] == v["n"] else x)
+            await self._ask.change(v.ids, lambda x: new if x is None or x.number == v.number else x)
         )
 
     async def _edge(self, ch, b):
@@ -347,10 +350,10 @@
         v = self.chain.view
         if v is None:
             raise NotReady("no view yet")
-        if v["chain"][0] == self.name:
+        if v.head == self.name:
             return await self._enter(None, {"rec": rec, "force": force, "bound": None})
         return await self.reach.call(
-            v["chain"][0],
+            v.head,
             "chain.enter",
             {"rec": rec, "force": force, "bound": None},
             20_000_000,
@@ -371,11 +374,9 @@
         v = self.chain.view
         if v is None:
             raise NotReady("no view yet")
-        if v["chain"][-1] == self.name:
+        if v.tail == self.name:
             return self.chain.read()
-        return (await self.reach.call(v["chain"][-1], "chain.read", {"what": None}, 2_000_000))[
-            "doc"
-        ]
+        return (await self.reach.call(v.tail, "chain.read", {"what": None}, 2_000_000))["doc"]
 
     async def apply(self, text, by="", retire=False):
         """Checks and applies a manifest."""
@@ -469,7 +470,7 @@
             "role": "core",
             "state": self.state,
             "commit": self.chain.commit,
-            "view": self.chain.view,
+            "view": self._view_document(),
             "kith": {row[0]: row[5] for row in self.roster.full()},
         }
 
--- a/src/petrelhaven/control/consensus/chain.py
+++ b/src/petrelhaven/control/consensus/chain.py
@@ -3,6 +3,7 @@
 import asyncio
 
 from petrelhaven.control.consensus.peer_clocks import PeerClocks
+from petrelhaven.control.consensus.view import View
 from petrelhaven.runtime.errors import (
     DeadlineExceeded,
     DiskRefused,
@@ -57,13 +58,7 @@
         return self.mem.control_state
 
     def _at(self):
-        if (
-            self.view
-            and self.view["ids"].get(self.me) == self.mem.disk
-            and self.me in self.view["chain"]
-        ):
-            return self.view["chain"].index(self.me)
-        return None
+        return self.view.position(self.me, self.mem.disk) if self.view else None
 
     @property
     def head(self):
@@ -71,13 +66,13 @@
 
     @property
     def tail(self):
-        return self._at() is not None and self.view["chain"][-1] == self.me
+        return self._at() is not None and self.view.tail == self.me
 
     @property
     def complete(self):
         return (
             self.view is not None
-            and self.mem.done == self.view["n"]
+            and self.mem.done == self.view.number
             and self._at() is not None
             and not self.mem.refuses
         )
@@ -98,25 +93,26 @@
 
     def adopt(self, view):
         """Takes a decided view if it is newer."""
-        if view is None or self.view and view["n"] <= self.view["n"]:
+        if view is None or self.view and view.number <= self.view.number:
             return
-        newer = not self.mem.vote["value"] or self.mem.vote["value"]["n"] < view["n"]
+        newer = not self.mem.vote["value"] or self.mem.vote["value"]["n"] < view.number
         self.mem.put_vote(
-            done=view["n"] if self._holds_all_of(view) else None,
-            ids=view["ids"],
-            **({"value": view} if newer else {}),
+            done=view.number if self._holds_all_of(view) else None,
+            ids=dict(view.ids),
+            **({"value": view.to_document()} if newer else {}),
         )
         self.view = view
         self.confirmed = 0
         self.adopted = self.clock.now()
         self.active_at = self.clock.now() + int(self.confirm_us * DRIFT)
-        emit(self.log, 301, n=view["n"], chain=",".join(view["chain"]), cause=view["cause"])
+        emit(self.log, 301, n=view.number, chain=",".join(view.chain), cause=view.cause)
         if self._feeder:
             self._feeder.cancel()
             self._feeder = None
         at = self._at()
-        if at is not None and at + 1 < len(view["chain"]):
-            self._feeder = self.tasks.spawn(self._feed(view, view["chain"][at + 1]))
+        successor = None if at is None else view.successor(at)
+        if successor is not None:
+            self._feeder = self.tasks.spawn(self._feed(view, successor))
         for f in self.on_view:
             f()
         self._ask_others()
@@ -126,9 +122,9 @@
     def former_cores(self):
         """The cores, by disk, that may still rule when the next view is proposed; None where that isn't known."""
         if self.clock.now() >= self.active_at:
-            return [self.view["ids"]]
-        before = self.view.get("before")
-        return None if before is None else [*before, self.view["ids"]]
+            return (self.view.ids,)
+        before = self.view.before
+        return None if before is None else (*before, self.view.ids)
 
     def granted_ages(self):
         """For each core, how long ago this one last confirmed a view to it."""
@@ -142,10 +138,10 @@
         adopted. A core rules under an older view only for `confirm_us` after a majority confirmed that to it. Of any
         majority of a former view's cores, one confirmed to it last; once they all hold the newer view, none will again.
         """
-        before = self.view.get("before")
+        before = self.view.before
         if before is None:
             return
-        n, lapsed_at = self.view["n"], at
+        n, lapsed_at = self.view.number, at
         # This core is among those it asked, too: each counts once.
         by_name = {r["name"]: r for r in told}
         for ids in before:
@@ -170,9 +166,9 @@
         The head of a view does, and so does a core that was complete in the view before and stays in the chain:
         what was committed there is on every core of that chain.
         """
-        if view["ids"].get(self.me) != self.mem.disk or self.me not in view["chain"]:
+        if view.position(self.me, self.mem.disk) is None:
             return False
-        return view["chain"][0] == self.me or self.mem.done == view["n"] - 1
+        return view.head == self.me or self.mem.done == view.number - 1
 
     def _wake(self):
         """Lets whoever waits for a commit look again."""
@@ -233,12 +229,12 @@
             return
         now = self.clock.now()
         self._sent[self.me] = now
-        others = [n for n in v["ids"] if n != self.me]
+        others = [n for n in v.ids if n != self.me]
         if self.sparing and now < self.confirmed - self.confirm_us // 2:
             self._turns += 1
-            others = [others[(self._turns + i) % len(others)] for i in range(len(v["ids"]) // 2)]
+            others = [others[(self._turns + i) % len(others)] for i in range(v.quorum - 1)]
         for n in others:
-            self.tasks.spawn(self._ask(n, v["n"], now))
+            self.tasks.spawn(self._ask(n, v.number, now))
         self._count(v)
 
     def note_pause(self):
@@ -249,7 +245,7 @@
 
     async def ask(self, name):
         """Asks one core whether this view is still its own."""
-        await self._ask(name, self.view["n"], self.clock.now())
+        await self._ask(name, self.view.number, self.clock.now())
 
     async def _ask(self, name, n, at):
         try:
@@ -262,16 +258,17 @@
         except Fault:
             return
         self.peer_clocks.note(name, r["boot"], r["clock"])
-        if r["view"] and self.view and r["view"]["n"] > self.view["n"]:
-            self.adopt(r["view"])
-        elif r["ok"] and self.view["n"] == n:
+        newer = View.from_optional(r["view"])
+        if newer and self.view and newer.number > self.view.number:
+            self.adopt(newer)
+        elif r["ok"] and self.view.number == n:
             self._sent[name] = max(at, self._sent.get(name, 0))
             self._count(self.view)
 
     def _count(self, v):
-        ts = sorted((self._sent.get(n, 0) for n in v["ids"]), reverse=True)
-        t = ts[len(v["ids"]) // 2]
-        if t and self.mem.vote["value"] and self.mem.vote["value"]["n"] <= v["n"]:
+        ts = sorted((self._sent.get(n, 0) for n in v.ids), reverse=True)
+        t = ts[v.quorum - 1]
+        if t and self.mem.vote["value"] and self.mem.vote["value"]["n"] <= v.number:
             self.confirmed = max(self.confirmed, t + self.confirm_us)
 
     async def confirmed_by(self, ch, b):
@@ -286,7 +283,7 @@
         )
         if ok:
             self._granted[b["name"]] = self.clock.now()
-        newer = self.view if self.view and self.view["n"] > b["n"] else None
+        newer = self.view.to_document() if self.view and self.view.number > b["n"] else None
         return {"ok": ok, "view": newer, "boot": self.boot, "clock": self.clock.now()}
 
     async def enter(self, rec, horizon=8_000_000):
@@ -295,17 +292,17 @@
             if not (self.head and self.active):
                 raise NotHead(
                     "not the active head",
-                    more={"head": self.view["chain"][0] if self.view else None},
+                    more={"head": self.view.head if self.view else None},
                 )
             self.control_state.check(rec)
             seq = self.control_state.seq + 1
-            n = self.view["n"]
+            n = self.view.number
             self.mem.put_rec(seq, n, rec)
             self._news.set()
             self._settle()
         await self.clock.limit(self.settled(seq, n), horizon)
         while not self.active:
-            if self.mem.refuses or self.view["n"] != n and not self.head:
+            if self.mem.refuses or self.view.number != n and not self.head:
                 raise NotReady("the view changed; read back to see the outcome")
             await self.clock.sleep(30_000)
         what = ("name", "group", "hall", "state", "role") if rec["t"] == "member" else ()
@@ -317,7 +314,7 @@
         """The control state, answered only by the tail of the current view."""
         if not (self.tail and self.active):
             raise NotReady(
-                "not the active tail", more={"tail": self.view["chain"][-1] if self.view else None}
+                "not the active tail", more={"tail": self.view.tail if self.view else None}
             )
         return self.control_state.doc
 
@@ -329,7 +326,7 @@
                     await self.clock.sleep(40_000)
                     continue
                 body = {
-                    "view": view["n"],
+                    "view": view.number,
                     "prev": -1,
                     "mark": 0,
                     "recs": [],
@@ -366,8 +363,8 @@
     async def append(self, ch, b):
         """Takes records from the predecessor; answers once all successors hold them, or soon with what is committed."""
         v = self.view
-        if v is None or v["n"] != b["view"] or not self._at():
-            raise ViewSuperseded(f"view {v['n'] if v else 0}")
+        if v is None or v.number != b["view"] or not self._at():
+            raise ViewSuperseded(f"view {v.number if v else 0}")
         if self.mem.refuses:
             raise DiskRefused("the disk of this core refuses writes")
         if b["prev"] >= 0:
@@ -379,7 +376,7 @@
                 for s, n, r in b["recs"]:
                     self.mem.put_rec(s, n, r)
             if b["done"]:
-                self.mem.put_done(v["n"])
+                self.mem.put_done(v.number)
             seq = self.control_state.seq
             self._settle()
             if not self.tail and b["done"]:
--- a/src/petrelhaven/control/consensus/reform.py
+++ b/src/petrelhaven/control/consensus/reform.py
@@ -1,5 +1,6 @@
 """Forming the chain anew after a majority of the cores lost their disks: at the operator's word only."""
 
+from petrelhaven.control.consensus.view import View
 from petrelhaven.runtime.errors import Conflict, Fault, Malformed, NotReady
 from petrelhaven.runtime.events import emit
 
@@ -18,10 +19,10 @@
     async def run(self, lost, by=""):
         """Forms the chain without the disks of the cores in `lost`; returns what was formed."""
         c = self._c
-        v = c.chain.view or c.mem.vote["value"]
+        v = c.chain.view or View.from_optional(c.mem.vote["value"])
         if v is None:
             raise NotReady("this core knows no view to form anew")
-        ids = v["ids"]
+        ids = v.ids
         odd = [n for n in lost if n not in ids]
         if odd or not lost or c.name in lost or len(set(lost)) != len(lost):
             raise Malformed(
@@ -42,17 +43,12 @@
             if infos[n]["disk"] == ids[n]:
                 raise Conflict(f"{n} answers with the disk that the view names; it is not lost")
         frame, src = await self._newest()
-        n = max([v["n"]] + [i["view"]["n"] for i in infos.values() if i and i["view"]]) + _GAP
+        n = max([v.number] + [i["view"]["n"] for i in infos.values() if i and i["view"]]) + _GAP
         self._above(frame)
         new = {n2: infos[n2]["disk"] if n2 in lost else d for n2, d in ids.items()}
         chain = [c.name] + [x for x in sorted(ids) if x != c.name and infos[x]]
-        view = {
-            "n": n,
-            "chain": chain,
-            "ids": new,
-            "cause": "formed anew without " + ",".join(lost),
-            "by": by or c.name,
-        }
+        cause = "formed anew without " + ",".join(lost)
+        view = View(n, tuple(chain), new, cause, by or c.name)
         emit(self.log, 310, n=n, seq=frame["seq"], src=src, lost=",".join(lost), by=by)
         c.mem.reset(frame, n)
         c.spread(view)
--- a/src/petrelhaven/control/consensus/register.py
+++ b/src/petrelhaven/control/consensus/register.py
@@ -2,6 +2,7 @@
 
 import asyncio
 
+from petrelhaven.control.consensus.view import View
 from petrelhaven.runtime.errors import Conflict, Fault
 
 __all__ = ["Voter", "Proposer"]
@@ -63,12 +64,12 @@
         ok = [r for r in got if r["ok"]]
         best = max(got, key=lambda r: (r["num"], r["who"]), default=None)
         if len(ok) < need:
-            v = best["value"] if best else None
+            v = View.from_optional(best["value"]) if best else None
             raise Conflict("no majority promised", more={"value": v})
         best = max(ok, key=lambda r: (r["num"], r["who"]))
-        new = fn(best["value"])
+        new = fn(View.from_optional(best["value"]))
         got = await self._round(
-            ids, "vote.accept", {"num": num, "who": me, "ids": ids, "value": new}
+            ids, "vote.accept", {"num": num, "who": me, "ids": ids, "value": new.to_document()}
         )
         if sum(r["ok"] for r in got) < need:
             raise Conflict("no majority accepted")
--- a/src/petrelhaven/control/core_changes.py
+++ b/src/petrelhaven/control/core_changes.py
@@ -7,6 +7,7 @@
 from typing import TYPE_CHECKING, Any
 
 if TYPE_CHECKING:
+    from petrelhaven.control.consensus.view import View
     from petrelhaven.control.node import ControlNode
 
 __all__ = ["CoreChanges", "ViewChange"]
@@ -35,30 +36,28 @@
         self._core, self._most = core, most
         self._born = core.clock.now()
 
-    def newcomers(self, view: Mapping[str, Any], told: Mapping[str, Any]) -> list[str]:
+    def newcomers(self, view: View, told: Mapping[str, Any]) -> list[str]:
         """Cores beside those of the view that could be taken in."""
         return [
             name
             for name in sorted(told)
-            if name not in view["ids"]
+            if name not in view.ids
             and self._core.roster.state(name) == "alive"
             and self._core.disk_watch.takes_writes(name)
         ]
 
-    def wiped(self, view: Mapping[str, Any], told: Mapping[str, Any]) -> list[str]:
+    def wiped(self, view: View, told: Mapping[str, Any]) -> list[str]:
         """Cores of the view that came back with another disk than they had in it."""
         return [
-            name
-            for name, disk in view["ids"].items()
-            if name in told and told[name]["disk"] != disk
+            name for name, disk in view.ids.items() if name in told and told[name]["disk"] != disk
         ]
 
-    def has_place_for_newcomer(self, view: Mapping[str, Any], told: Mapping[str, Any]) -> bool:
+    def has_place_for_newcomer(self, view: View, told: Mapping[str, Any]) -> bool:
         """Whether a core waits to be taken in, and one is missing in the view."""
-        missing = len(view["ids"]) < self._most or len(view["chain"]) < len(view["ids"])
+        missing = len(view.ids) < self._most or not view.every_member_in_chain
         return missing and bool(self.newcomers(view, told))
 
-    def next_change(self, view: Mapping[str, Any], told: Mapping[str, Any]) -> ViewChange | None:
+    def next_change(self, view: View, told: Mapping[str, Any]) -> ViewChange | None:
         """One change at a time: takes a newcomer in; while it may not, lets a lost core go.
 
         Any majority before such a change meets any majority after it.
@@ -66,7 +65,7 @@
         newcomers = self.newcomers(view, told)
         if not newcomers:
             return None
-        chain, ids, newcomer = list(view["chain"]), dict(view["ids"]), newcomers[0]
+        chain, ids, newcomer = list(view.chain), dict(view.ids), newcomers[0]
         if len(ids) < self._most:
             ids[newcomer] = told[newcomer]["disk"]
             return ViewChange([*chain, newcomer], ids, f"took in {newcomer}")
--- a/src/petrelhaven/control/departure.py
+++ b/src/petrelhaven/control/departure.py
@@ -53,7 +53,7 @@
         return [
             name
             for name in roster.living("core")
-            if name not in view["ids"] and roster.state(name) == "alive"
+            if not view.is_member(name) and roster.state(name) == "alive"
         ]
 
     async def _own_turn(self, end: int) -> None:
@@ -61,7 +61,7 @@
         whole_since = None
         while self._clock.now() < end:
             view = self._core.chain.view
-            if self._core.name not in view["chain"]:
+            if not view.contains(self._core.name):
                 return
             if not self._is_whole():
                 whole_since = None
@@ -72,23 +72,21 @@
             await self._clock.sleep(_CHECK_US)
 
     def _wait_us(self) -> int:
-        chain = self._core.chain.view["chain"]
+        chain = self._core.chain.view.chain
         return (len(chain) - chain.index(self._core.name)) * _WHOLE_US
 
     def _is_whole(self) -> bool:
         """Whether every member of the view is in the chain and alive."""
         view, roster = self._core.chain.view, self._core.roster
-        return len(view["chain"]) == len(view["ids"]) and all(
-            roster.state(name) == "alive" for name in view["ids"]
+        return view.every_member_in_chain and all(
+            roster.state(name) == "alive" for name in view.ids
         )
 
     def _is_free(self, replaced: bool) -> bool:
         """Whether the others need neither this core's copy nor its vote."""
         view = self._core.chain.view
-        if view is None or self._core.name not in view["ids"]:
+        if view is None or not view.is_member(self._core.name):
             return True
         if replaced and self._newcomers():
             return False
-        return (
-            self._core.name not in view["chain"] or len(view["chain"]) <= len(view["ids"]) // 2 + 1
-        )
+        return not view.contains(self._core.name) or len(view.chain) <= view.quorum
--- a/src/petrelhaven/control/embargo/duty.py
+++ b/src/petrelhaven/control/embargo/duty.py
@@ -32,7 +32,7 @@
 
     def _cores(self):
         v = self.s.chain.view
-        return sorted(v["ids"]) if v else []
+        return sorted(v.ids) if v else []
 
     def _bounds(self):
         return (self.s.chain.control_state.doc["manifest"] or {}).get("embargo")
@@ -56,7 +56,7 @@
         doc = await self.s.control_state()
         since = max(doc.get("embargo_since", {}).values(), default=0)
         v = self.s.chain.view
-        rs = await asyncio.gather(*[self._ask(n, since) for n in v["chain"]])
+        rs = await asyncio.gather(*[self._ask(n, since) for n in v.chain])
         if None in rs:
             raise NotReady("a core does not say which edges it knows")
         acked = {}
--- a/src/petrelhaven/control/failover/observation.py
+++ b/src/petrelhaven/control/failover/observation.py
@@ -75,9 +75,9 @@
     async def survey(self, name: str, facts: dict) -> Survey:
         """What all cores of the view see of a member, each for itself."""
         view = self._core.chain.view
-        asked = [self._ask(core, name, facts) for core in view["chain"]]
+        asked = [self._ask(core, name, facts) for core in view.chain]
         seen = await asyncio.gather(*asked)
-        return Survey(tuple(x for x in seen if x), len(view["ids"]))
+        return Survey(tuple(x for x in seen if x), len(view.ids))
 
     async def _ask(self, core: str, name: str, facts: dict) -> str | None:
         if core == self._core.name:
--- a/src/petrelhaven/control/leases.py
+++ b/src/petrelhaven/control/leases.py
@@ -120,7 +120,7 @@
         while True:
             v = self.chain.view
             news = self._news
-            rs = await asyncio.gather(*[self._ask(n, seq) for n in v["chain"]])
+            rs = await asyncio.gather(*[self._ask(n, seq) for n in v.chain])
             if self.chain.view is v and self._held(rs, seq, sure):
                 emit(self.log, 306, seq=seq, us=self.clock.now() - t0)
                 return self.clock.now() - t0
--- a/src/petrelhaven/control/node.py
+++ b/src/petrelhaven/control/node.py
@@ -133,9 +133,9 @@
         v = self.chain.view
         whole = (
             v is not None
-            and len(v["chain"]) == len(v["ids"])
+            and v.every_member_in_chain
             and self.chain.active
-            and all(self.roster.state(n) == "alive" for n in v["ids"])
+            and all(self.roster.state(n) == "alive" for n in v.ids)
             and not self.changes.wiped(v, self.news())
         )
         busy = v is None or self.undecided or self.changes.has_place_for_newcomer(v, self.news())
@@ -227,8 +227,8 @@
             self.tasks.spawn(self.suspect(*d))
         v = self.chain.view
         cores = []
-        if v and b["cores"] != v["n"]:
-            for n in sorted(v["ids"]):
+        if v and b["cores"] != v.number:
+            for n in sorted(v.ids):
                 a = self.roster.addr_of(n)
                 if a:
                     cores.append([n, self.zone if n == self.name else self.roster.peers[n].zone, a])
@@ -240,7 +240,7 @@
             "us": CONNECTION_LEASE_US,
             "age": self.chain.confirmation_age(),
             "need": self.chain.control_state.seq,
-            "view": v["n"] if v else 0,
+            "view": v.number if v else 0,
             "edges": len(self.connected_proxies)
             + sum(
                 n
@@ -257,7 +257,7 @@
             return
         b = {"group": group, "member": member, "how": how}
         try:
-            await self.call(v["chain"][0], "warden.doubt", b, 800_000)
+            await self.call(v.head, "warden.doubt", b, 800_000)
         except Fault:
             pass
 
@@ -380,7 +380,7 @@
     def core_near(self, zone):
         """The link address of the core in `hall`, if one is in the view and alive."""
         v = self.chain.view
-        for n in v["chain"] if v else ():
+        for n in v.chain if v else ():
             p = self.roster.peers.get(n)
             if n == self.name and zone == self.zone:
                 return self.link.addr
--- a/src/petrelhaven/control/orders.py
+++ b/src/petrelhaven/control/orders.py
@@ -12,6 +12,7 @@
 
 from petrelhaven.control.consensus.chain import Chain
 from petrelhaven.control.consensus.peer_clocks import Expiry
+from petrelhaven.control.consensus.view import View
 from petrelhaven.runtime.clock import Clock
 from petrelhaven.runtime.errors import (
     DeadlineExceeded,
@@ -112,14 +113,14 @@
             self._require_majority()
             left = end - self._clock.now()
             try:
-                return await self._watched(attempt(view["chain"][place], left), view, end)
+                return await self._watched(attempt(view.chain[place], left), view, end)
             except _TRY_AGAIN as fault:
                 if self._clock.now() + _LOOK_US >= end or fault.more.get("final"):
                     raise
                 self._require_majority()
             await self._clock.sleep(_LOOK_US)
 
-    async def _watched(self, attempt: Awaitable[Any], view: dict[str, Any], end: int) -> Any:
+    async def _watched(self, attempt: Awaitable[Any], view: View, end: int) -> Any:
         """The outcome of one attempt; it is given up with the view, the majority or the time."""
         task = asyncio.ensure_future(attempt)
         brief = end - self._clock.now() <= ANSWER_US
@@ -155,12 +156,12 @@
         if now >= chain.confirmed and now - chain.adopted > _TRANSITION_US:
             raise NotReady("no majority of the cores answers", more={"final": True})
 
-    def _require_heard(self, view: dict[str, Any]) -> None:
+    def _require_heard(self, view: View) -> None:
         """NotReady where a core of the chain has fallen silent of late: the caller comes again sooner than the view.
 
         Once that core counts as gone, the next view is a matter of moments, and the order waits for it.
         """
-        silent = [n for n in view["chain"] if n != self._name and self._state_of(n) == "suspect"]
+        silent = [n for n in view.chain if n != self._name and self._state_of(n) == "suspect"]
         if silent:
             note = f"nothing heard from {','.join(silent)}; come again"
             raise NotReady(note, more={"final": True})
--- a/src/petrelhaven/control/resumable/planning_duty.py
+++ b/src/petrelhaven/control/resumable/planning_duty.py
@@ -97,7 +97,7 @@
         while True:
             v = self.chain.view
             if v and self.chain.head:
-                for n in v["ids"]:
+                for n in v.ids:
                     if n != self.chain.me:
                         self.tasks.spawn(self._hear(n))
             await self.clock.sleep(200_000)
@@ -314,7 +314,7 @@
             self._forcing.pop(key, None)
 
     async def _epoch(self, rec):
-        rec = {**rec, "by": self.chain.me, "view": self.chain.view["n"]}
+        rec = {**rec, "by": self.chain.me, "view": self.chain.view.number}
         await self.chain.enter(rec)
         emit(
             self.log,
--- a/src/petrelhaven/simulator/connection_sessions/control_faults.py
+++ b/src/petrelhaven/simulator/connection_sessions/control_faults.py
@@ -214,7 +214,7 @@
 
         def newest() -> int:
             views = [c.node.chain.view for c in self.f.cores if c.node and c.node.chain.view]
-            return max((v["n"] for v in views), default=0)
+            return max((v.number for v in views), default=0)
 
         was = newest()
         for _ in range(1_000):
--- a/src/petrelhaven/simulator/connection_sessions/control_fleet.py
+++ b/src/petrelhaven/simulator/connection_sessions/control_fleet.py
@@ -117,9 +117,9 @@
     def chain_order(self) -> list[SimulatedMachine]:
         """The cores in the order of the newest view's chain."""
         views = [c.node.chain.view for c in self.cores if c.node and c.node.chain.view]
-        newest = max(views, key=lambda view: view["n"], default=None)
+        newest = max(views, key=lambda view: view.number, default=None)
         by_name = {c.name: c for c in self.cores}
-        return [by_name[n] for n in (newest["chain"] if newest else ()) if n in by_name]
+        return [by_name[n] for n in (newest.chain if newest else ()) if n in by_name]
 
     def whole(self) -> bool:
         """Whether as many cores as can count are in the newest view's chain and hold all that its head holds."""
@@ -128,15 +128,15 @@
         nodes = [c.node for c in chain]
         if len(chain) != min(len(self.cores), most) or None in nodes:
             return False
-        newest = max(s.chain.view["n"] for s in nodes if s.chain.view)
+        newest = max(s.chain.view.number for s in nodes if s.chain.view)
         counted = max(
-            (s.chain.view for s in nodes if s.chain.view and s.chain.view["n"] == newest),
-            key=lambda view: view["n"],
-        )["ids"]
+            (s.chain.view for s in nodes if s.chain.view and s.chain.view.number == newest),
+            key=lambda view: view.number,
+        ).ids
         held = [s.mem.control_state.seq for s in nodes]
         return (
             len(counted) == len(chain)
-            and all(s.chain.view and s.chain.view["n"] == newest for s in nodes)
+            and all(s.chain.view and s.chain.view.number == newest for s in nodes)
             and all(s.chain.complete for s in nodes)
             and max(held) - min(held) <= _UNDER_WAY
         )
--- a/src/petrelhaven/simulator/connection_sessions/faults.py
+++ b/src/petrelhaven/simulator/connection_sessions/faults.py
@@ -123,9 +123,9 @@
 
     def _disk_may_go(self, b):
         vs = [c.node.chain.view for c in self.f.cores if c.node and c.node.chain.view]
-        v = max(vs, key=lambda v: v["n"], default=None)
+        v = max(vs, key=lambda v: v.number, default=None)
         return v is not None and all(
-            c.node and v["ids"].get(c.name) == c.node.mem.disk for c in self.f.cores if c is not b
+            c.node and v.names_disk(c.name, c.node.mem.disk) for c in self.f.cores if c is not b
         )
 
     async def _core_disk(self, r):
--- a/src/petrelhaven/simulator/resumable/scenes/cores.py
+++ b/src/petrelhaven/simulator/resumable/scenes/cores.py
@@ -99,7 +99,7 @@
                 bad.append(("a core slid back", c.name, v))
 
     for place in (0, 1, 2):
-        names = next(c.node for c in w.cores if c.node.ready).chain.view["chain"]
+        names = next(c.node for c in w.cores if c.node.ready).chain.view.chain
         b = w.net.machines[names[place]]
         await change()
         b.kill()
--- a/src/petrelhaven/simulator/resumable/storm.py
+++ b/src/petrelhaven/simulator/resumable/storm.py
@@ -90,9 +90,9 @@
     def _disk_may_go(self, b):
         """A disk is lost only while the newest view counts on every other one: of two lost, no majority is left."""
         vs = [c.node.chain.view for c in self.w.cores if c.node and c.node.chain.view]
-        v = max(vs, key=lambda v: v["n"], default=None)
+        v = max(vs, key=lambda v: v.number, default=None)
         return v is not None and all(
-            c.node and v["ids"].get(c.name) == c.node.mem.disk for c in self.w.cores if c is not b
+            c.node and v.names_disk(c.name, c.node.mem.disk) for c in self.w.cores if c is not b
         )
 
     def go(self, kind, pick):
--- a/tests/control_mutants.py
+++ b/tests/control_mutants.py
@@ -45,7 +45,7 @@
 
 def confirmed_without_majority(mp):
     def count(self, view):
-        latest = max(self._sent.get(name, 0) for name in view["ids"])
+        latest = max(self._sent.get(name, 0) for name in view.ids)
         self.confirmed = max(self.confirmed, latest + self.confirm_us)
 
     mp.setattr(chain.Chain, "_count", count)
@@ -103,12 +103,12 @@
 
 def members_changed_two_at_once(mp):
     async def recast(self, view, infos):
-        new = [n for n in infos if n not in view["ids"] and self.roster.state(n) == "alive"]
+        new = [n for n in infos if n not in view.ids and self.roster.state(n) == "alive"]
         if not new or not self.chain.active:
             return
-        ids = {n: disk for n, disk in view["ids"].items() if n in view["chain"]}
+        ids = {n: disk for n, disk in view.ids.items() if n in view.chain}
         ids[new[0]] = infos[new[0]]["disk"]
-        await self.propose(view, view["chain"] + new[:1], ids, "exchanged")
+        await self.propose(view, (*view.chain, new[0]), ids, "exchanged")
 
     mp.setattr(node.ControlNode, "recast", recast)
 
--- a/tests/model/cluster.py
+++ b/tests/model/cluster.py
@@ -76,7 +76,7 @@
         self.loop.create_task(self._watch())
         return await self.until(
             lambda: all(
-                b.node and b.node.ready and len(b.node.chain.view["ids"]) == len(self.cores)
+                b.node and b.node.ready and len(b.node.chain.view.ids) == len(self.cores)
                 for b in self.cores
             ),
             20,
@@ -176,7 +176,7 @@
 
     def _caught_up(self, node):
         newest = max(self.observer.views, default=0)
-        return node.ready and node.chain.view["n"] == newest
+        return node.ready and node.chain.view.number == newest
 
     def heal(self):
         """Ends all trouble: nothing cut, slowed, frozen or off but what was removed."""
--- a/tests/model/observer.py
+++ b/tests/model/observer.py
@@ -110,8 +110,7 @@
         if body["ids"].get(node.name) != node.mem.disk:
             self.report("no vote under an unknown identity", f"{node.name} in {body['ids']}")
 
-    def _decided(self, view):
-        text = _text(view)
+    def _decided(self, text):
         return any(
             value == text and len(voters) > len(json.loads(ids)) // 2
             for (_, value, ids), voters in self._accepts.items()
@@ -119,20 +118,20 @@
 
     def _viewed(self, node):
         view = node.chain.view
-        text = _text(view)
-        if self.views.setdefault(view["n"], text) != text:
-            self.report("one view a number", f"{node.name}: {text} and {self.views[view['n']]}")
-        if view["n"] not in self._floor:
-            self._floor[view["n"]] = self.committed
-            if not self._decided(view):
+        text = _text(view.to_document())
+        if self.views.setdefault(view.number, text) != text:
+            self.report("one view a number", f"{node.name}: {text} and {self.views[view.number]}")
+        if view.number not in self._floor:
+            self._floor[view.number] = self.committed
+            if not self._decided(text):
                 self.report("a majority decides a view", f"{node.name}: {text}")
             self._check_members(view)
 
     def _check_members(self, view):
-        former = self.views.get(view["n"] - 1)
+        former = self.views.get(view.number - 1)
         if former is None:
             return
-        old, new = json.loads(former)["ids"], view["ids"]
+        old, new = json.loads(former)["ids"], view.ids
         if len(old) // 2 + len(new) // 2 + 2 <= len({*old, *new}):
             self.report("majorities before and after a change meet", f"{former} and {view}")
 
@@ -153,15 +152,15 @@
         since = self.loop.time() - node.chain.confirm_us * DRIFT / 1e6 - _WORD_SLACK_S
         speakers = [
             name
-            for name in view["ids"]
+            for name in view.ids
             if name == node.name
             or self._words.get((node.name, name), (-1.0, 0))[0] >= since
-            and self._words[node.name, name][1] <= view["n"]
+            and self._words[node.name, name][1] <= view.number
         ]
-        if len(speakers) <= len(view["ids"]) // 2:
+        if len(speakers) <= len(view.ids) // 2:
             self.report(
                 "a majority's word within its bound",
-                f"{node.name} {what} in view {view['n']} of {sorted(view['ids'])} on the word of {speakers}",
+                f"{node.name} {what} in view {view.number} of {sorted(view.ids)} on the word of {speakers}",
             )
         return None
 
@@ -198,20 +197,20 @@
         """Checks what must hold at any moment of all cores that run."""
         running = [b.node for b in machines if b.up and not b.frozen and b.node is not None]
         active = [n for n in running if n.chain.active]
-        newest = max((n.chain.view["n"] for n in active), default=0)
+        newest = max((n.chain.view.number for n in active), default=0)
         for node in active:
             self.check_word(node, "is active")
         for node in running:
             chain = node.chain
-            if chain.ruling and chain.view["n"] < newest:
+            if chain.ruling and chain.view.number < newest:
                 self.report(
                     "no core rules an older view beside an active one",
-                    f"{node.name} in view {chain.view['n']}, one active in {newest}",
+                    f"{node.name} in view {chain.view.number}, one active in {newest}",
                 )
-            if chain.complete and chain.control_state.seq < self._floor.get(chain.view["n"], 0):
+            if chain.complete and chain.control_state.seq < self._floor.get(chain.view.number, 0):
                 self.report(
                     "a complete core holds all that was committed before its view",
-                    f"{node.name} holds {chain.control_state.seq} of {self._floor[chain.view['n']]}",
+                    f"{node.name} holds {chain.control_state.seq} of {self._floor[chain.view.number]}",
                 )
 
     def fence(self, seq, holder, begun, token):
--- a/tests/test_crash_points.py
+++ b/tests/test_crash_points.py
@@ -12,6 +12,7 @@
 from crash_disk import REFUSALS, SURVIVALS, CrashDisk, PowerCut, Refuse
 
 from petrelhaven.control.consensus.register import Proposer, Voter
+from petrelhaven.control.consensus.view import View
 from petrelhaven.control.storage import core_store, record_format, record_log
 from petrelhaven.control.storage.core_store import CoreStore
 from petrelhaven.control.storage.record_log import RecordLog
@@ -392,9 +393,9 @@
 
     async def decide(self, who, number):
         def next_view(newest):
-            if newest and newest["n"] >= number:
+            if newest and newest.number >= number:
                 return newest
-            return {"n": number, "ids": self.ids, "chain": sorted(self.stores)}
+            return View(number, tuple(sorted(self.stores)), self.ids)
 
         return await Proposer(self.stores[who], self.call).change(self.ids, next_view)
 
@@ -408,7 +409,7 @@
             if who not in trio.dead:
                 try:
                     view = await trio.decide(who, number)
-                    acked["view"] = max(acked["view"], view["n"])
+                    acked["view"] = max(acked["view"], view.number)
                     break
                 except Fault:
                     return
@@ -442,7 +443,7 @@
         assert not any(s.damaged for s in again.stores.values()), (point, survivals)
         assert all(again.ids[n] == i for n, i in was.items()), (point, survivals)
         view = await again.decide("b", 1)
-        assert view["n"] >= acked["view"], (point, survivals)
+        assert view.number >= acked["view"], (point, survivals)
         assert min(s.control_state.seq for s in again.stores.values()) >= acked["seq"]
         return len(trio.dead)
 
--- a/tests/test_disk_refusal.py
+++ b/tests/test_disk_refusal.py
@@ -17,7 +17,7 @@
     views = [b.node.chain.view for b in f.cores if b.node]
     return (
         len(views) == 3
-        and all(v and len(v["chain"]) == 3 for v in views)
+        and all(v and len(v.chain) == 3 for v in views)
         and all(b.node.chain.ruling for b in f.cores)
     )
 
@@ -42,7 +42,7 @@
         f.start_clients(5)
         await f.until(lambda: whole(f), 10, "chain whole")
         was = identities(f)
-        b = f.net.machines[f.cores[0].node.chain.view["chain"][place]]
+        b = f.net.machines[f.cores[0].node.chain.view.chain[place]]
         b.disk.full = True
         f.history.trouble(f.loop.time(), f.loop.time() + 6, "core")
         took = [await change(f, v, v) for v in range(2, 7)]
@@ -151,7 +151,7 @@
     async def go(f):
         await f.start()
         await f.until(lambda: whole(f), 10, "chain whole")
-        f.net.machines[f.cores[0].node.chain.view["chain"][0]].disk.full = True
+        f.net.machines[f.cores[0].node.chain.view.chain[0]].disk.full = True
         waiting = asyncio.ensure_future(change(f, 2))
         await asyncio.sleep(10)
         return waiting.done()
--- a/tests/test_entered_record.py
+++ b/tests/test_entered_record.py
@@ -7,6 +7,7 @@
 from test_record_log import Bytes
 
 from petrelhaven.control.consensus.chain import Chain
+from petrelhaven.control.consensus.view import View
 from petrelhaven.control.state.control_state import ControlState
 from petrelhaven.control.storage.core_store import CoreStore
 from petrelhaven.runtime.clock import BackgroundTasks, Clock
@@ -38,7 +39,7 @@
         ids = {"a": mem.disk, "b": "other", "c": "third"}
 
         def view(n, *names):
-            return {"n": n, "chain": list(names), "ids": ids, "cause": "", "by": names[0]}
+            return View(n, names, ids, "", names[0])
 
         tasks.spawn(chain.confirm())
         chain.adopt(view(1, "a", "b", "c"))
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -8,6 +8,7 @@
 from hypothesis import Phase, given, settings
 from hypothesis import strategies as st
 
+from petrelhaven.control.consensus.view import View
 from petrelhaven.control.failover.coordinator import FailoverCoordinator
 from petrelhaven.control.state.control_state import ControlState
 from petrelhaven.runtime.clock import BackgroundTasks, Clock
@@ -93,7 +94,7 @@
             head=True,
             active=True,
             enter=self.enter,
-            view={"chain": ["c1", "c2", "c3"], "ids": ["c1", "c2", "c3"]},
+            view=View(1, ("c1", "c2", "c3"), {"c1": "d1", "c2": "d2", "c3": "d3"}),
         )
         self.put({"t": "manifest", "version": 1, "text": '{"groups":[{"name":"g"}]}'})
         for i, n in enumerate(names):
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,11 +1,13 @@
 """The operator's orders while cores are cut off, frozen or replaced: acknowledged is kept, and no answer is late."""
 
 import asyncio
+import dataclasses
 from types import SimpleNamespace
 
 import pytest
 
 from petrelhaven.control.consensus.chain import Chain
+from petrelhaven.control.consensus.view import View
 from petrelhaven.control.orders import ANSWER_US
 from petrelhaven.runtime.errors import Duplicate, Fault
 from petrelhaven.simulator.connection_sessions.storm import inside
@@ -185,7 +187,7 @@
         rest = others(f, head)
         while True:
             now = [b for b in rest if b.node.chain.head and b.node.chain.active]
-            if now and now[0].node.chain.view["n"] > 1:
+            if now and now[0].node.chain.view.number > 1:
                 break
             await asyncio.sleep(0.005)
         assert not head.node.chain.active
@@ -239,18 +241,13 @@
 def test_the_wait_after_a_new_view_ends_when_no_former_core_can_rule_any_more(cores, left_us):
     chain = Chain(Now(), None, SimpleNamespace(name="a", disk="disk-a"), None, confirm_us=600_000)
     ids = {n: f"disk-{n}" for n in "abc"}
-    chain.view = {
-        "n": 8,
-        "chain": ["a", "b"],
-        "ids": {"a": "disk-a", "b": "disk-b"},
-        "before": [ids],
-    }
+    chain.view = View(8, ("a", "b"), {"a": "disk-a", "b": "disk-b"}, before=(ids,))
     now = chain.clock.now()
     chain.active_at = now + 630_000
     chain.lapse_by(cores, now)
     assert chain.active_at - now == left_us
     chain.active_at = now + 630_000
-    chain.view = {k: v for k, v in chain.view.items() if k != "before"}
+    chain.view = dataclasses.replace(chain.view, before=None)
     chain.lapse_by(cores, now)
     assert chain.active_at - now == 630_000
 
--- a/tests/test_second_loss.py
+++ b/tests/test_second_loss.py
@@ -10,7 +10,7 @@
 
 def whole(f):
     return all(
-        b.node and b.node.chain.view and len(b.node.chain.view["chain"]) == 3 for b in f.cores
+        b.node and b.node.chain.view and len(b.node.chain.view.chain) == 3 for b in f.cores
     ) and all(b.node.chain.ruling for b in f.cores)
 
 
@@ -33,23 +33,23 @@
         await f.start()
         f.start_clients(5)
         await f.until(lambda: whole(f), 10, "chain whole")
-        names = f.cores[0].node.chain.view["chain"]
+        names = f.cores[0].node.chain.view.chain
         head, middle, tail = (f.net.machines[n] for n in names)
         f.history.trouble(f.loop.time(), f.loop.time() + 40, "core")
         tail.kill()
-        await f.until(lambda: len(head.node.chain.view["chain"]) == 2, 10, "the tail is left out")
+        await f.until(lambda: len(head.node.chain.view.chain) == 2, 10, "the tail is left out")
         assert await f.apply(2) is not None
         handed_over = note_handovers(middle)
         f.boot_core(tail)
         await f.until(
             lambda: (
-                middle.node.chain.view["n"] == head.node.chain.view["n"]
-                and len(middle.node.chain.view["chain"]) == 3
+                middle.node.chain.view.number == head.node.chain.view.number
+                and len(middle.node.chain.view.chain) == 3
             ),
             10,
             "the new view is adopted",
         )
-        assert middle.node.chain.view["n"] not in handed_over
+        assert middle.node.chain.view.number not in handed_over
         head.kill()
         if lose:
             head.disk.lose()
--- a/tests/test_view_register.py
+++ b/tests/test_view_register.py
@@ -8,6 +8,7 @@
 from test_record_log import Bytes
 
 from petrelhaven.control.consensus.register import Proposer, Voter
+from petrelhaven.control.consensus.view import View
 from petrelhaven.control.storage.core_store import CoreStore
 from petrelhaven.runtime.errors import Fault, NotSent
 
@@ -46,8 +47,8 @@
                 self.ids,
                 lambda x: (
                     x
-                    if x and x["n"] >= n
-                    else {"n": n, "ids": self.ids, "by": who, "x": self.rng.random()}
+                    if x and x.number >= n
+                    else View(n, ("a", "b", "c"), self.ids, str(self.rng.random()), who)
                 ),
             )
             self.chosen.append(v)
@@ -61,6 +62,10 @@
         self.late.clear()
 
 
+def accepted(store):
+    return View.from_document(store.vote["value"])
+
+
 def outcome(seed, lose):
     """Three proposers race for view 1 and lose disks on the way; the chosen values of view 1."""
     t = Trio(seed)
@@ -73,7 +78,7 @@
             await t.deliver()
 
     asyncio.run(go())
-    return {repr(v) for v in t.chosen if v["n"] == 1}
+    return {repr(v) for v in t.chosen if v.number == 1}
 
 
 def test_racing_proposers_never_decide_two_views_under_one_number():
@@ -84,7 +89,7 @@
 def test_a_view_that_one_voter_alone_accepted_is_finished_under_the_identities_that_were_decided():
     t = Trio(7)
     ids = t.ids
-    one = {"n": 1, "ids": ids, "chain": ["a", "b", "c"]}
+    one = View(1, ("a", "b", "c"), ids)
 
     async def deaf(n, kind, body, us):
         if kind == "vote.accept" and n != "a":
@@ -96,14 +101,13 @@
         for n in "abc":
             t.mems[n].put_vote(ids=ids)
         t.mems["c"].wipe()
-        two = {"n": 2, "ids": t.ids, "chain": ["a", "b", "c"]}
+        two = View(2, ("a", "b", "c"), t.ids)
         with pytest.raises(Fault):
             await Proposer(t.mems["a"], deaf).change(ids, lambda x: two)
-        assert t.mems["a"].vote["value"] == two and t.mems["b"].vote["value"] == one
+        assert accepted(t.mems["a"]) == two and accepted(t.mems["b"]) == one
         for who in "ab":
-            assert (await Proposer(t.mems[who], t.caller(lossy=False)).change(ids, lambda x: x))[
-                "n"
-            ] == 2
+            finished = await Proposer(t.mems[who], t.caller(lossy=False)).change(ids, lambda x: x)
+            assert finished == two
 
     asyncio.run(go())
 
@@ -117,7 +121,7 @@
         return await (v.prepare(None, body) if kind == "p" else v.accept(None, body))
 
     async def go():
-        old = {"n": 1, "ids": ids, "chain": ["a", "b", "c"]}
+        old = View(1, ("a", "b", "c"), ids).to_document()
         for n in "ac":
             assert (await ask(n, "p", {"num": 1, "who": "a", "ids": ids}))["ok"]
             assert (await ask(n, "a", {"num": 1, "who": "a", "ids": ids, "value": old}))["ok"]
