--- a/src/petrelhaven/control/consensus/register.py
+++ b/src/petrelhaven/control/consensus/register.py
@@ -65,7 +65,7 @@
         best = max(got, key=lambda r: (r["num"], r["who"]), default=None)
         if len(ok) < need:
             v = View.from_optional(best["value"]) if best else None
-            raise Conflict("no majority promised", more={"value": v})
+            raise Conflict("no majority promised", details={"value": v})
         best = max(ok, key=lambda r: (r["num"], r["who"]))
         new = fn(View.from_optional(best["value"]))
         got = await self._round(
--- a/tests/test_entered_record.py
+++ b/tests/test_entered_record.py
@@ -10,8 +10,9 @@
 from petrelhaven.control.consensus.view import View
 from petrelhaven.control.state.control_state import ControlState
 from petrelhaven.control.storage.core_store import CoreStore
-from petrelhaven.runtime.clock import BackgroundTasks, Clock
+from petrelhaven.runtime.clock import Clock
 from petrelhaven.runtime.errors import NotReady, NotSent
+from petrelhaven.runtime.tasks import BackgroundTasks
 
 
 class LoopClock(Clock):
