--- a/src/petrelhaven/commands/control.py
+++ b/src/petrelhaven/commands/control.py
@@ -4,11 +4,12 @@
 import random
 import sys
 
-from petrelhaven.control.base_node import BaseControlNode
+from petrelhaven.control.base_node import NodeIdentity, NodeResources
 from petrelhaven.control.interface.control_interface import ControlInterface
 from petrelhaven.control.node import ControlNode
 from petrelhaven.control.resumable.control_interface import Platform, ResumableControlInterface
 from petrelhaven.control.resumable.member_protocol import MemberWire
+from petrelhaven.control.resumable.node import ResumableControlNode
 from petrelhaven.control.state.control_state import ControlState
 from petrelhaven.control.storage.core_store import CoreStore
 from petrelhaven.control.storage.data_folder import DataFolder
@@ -27,18 +28,11 @@
 def _make_held(d):
     s = d.set
     node = ControlNode(
-        s.name,
-        s.hall,
-        d.seeds,
-        d.clock,
-        d.tasks,
-        d.link,
-        Folder(s.data),
-        random.SystemRandom(),
+        NodeIdentity(s.name, s.hall, d.seeds),
+        NodeResources(d.clock, d.tasks, d.link, Folder(s.data), random.SystemRandom(), d.log),
         Platform(s.platform),
         MemberWire(d.clock, Wire(d.clock, d.tasks)),
         _HEARTBEAT_US,
-        d.log,
     )
     ControlInterface(node, d.http_server, lambda: node.settings(), announced=True)
     return node
@@ -48,17 +42,10 @@
     s = d.set
     if s.path == "held":
         return _make_held(d)
-    core = BaseControlNode(
-        s.name,
-        s.hall,
-        d.seeds,
-        d.clock,
-        d.tasks,
-        d.link,
-        Folder(s.data),
-        random.SystemRandom(),
+    core = ResumableControlNode(
+        NodeIdentity(s.name, s.hall, d.seeds),
+        NodeResources(d.clock, d.tasks, d.link, Folder(s.data), random.SystemRandom(), d.log),
         Platform(s.platform),
-        d.log,
     )
     ResumableControlInterface(core, d.http_server)
     return core
--- a/src/petrelhaven/control/base_node.py
+++ b/src/petrelhaven/control/base_node.py
@@ -1,499 +1,294 @@
-"""A core machine: roster, voter, chain, lease desk and the planning duty put together."""
+"""What every control node is made of: roster, view register, chain and lease table, put together.
 
-import asyncio
-import re
+`control/node.py` and `control/resumable/node.py` add what depends on how client sessions live.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping, Sequence
+from dataclasses import dataclass
+from typing import TYPE_CHECKING, Any
 
 from transitions import Machine
 
-from petrelhaven.control.configuration.document import read
 from petrelhaven.control.consensus.chain import Chain
+from petrelhaven.control.consensus.core_report import CoreReport
 from petrelhaven.control.consensus.disk_watch import DiskWatch
 from petrelhaven.control.consensus.reform import Reform
-from petrelhaven.control.consensus.register import Proposer, Voter
-from petrelhaven.control.consensus.view import View
+from petrelhaven.control.consensus.register import Voter
+from petrelhaven.control.consensus.view_maintenance import ViewMaintenance
 from petrelhaven.control.departure import Departure
-from petrelhaven.control.leases import LeaseTable
 from petrelhaven.control.storage.core_store import CoreStore
 from petrelhaven.membership.prober import Prober
 from petrelhaven.membership.roster import Roster
-from petrelhaven.runtime.errors import Duplicate, Fault, Invalid, Malformed, NotReady
-from petrelhaven.runtime.events import emit
-from petrelhaven.runtime.limits import NAME
+from petrelhaven.runtime.events import Events, emit
 from petrelhaven.transport.reach import Reach
 
-__all__ = ["BaseControlNode"]
-
-_ADDR = re.compile(r"[A-Za-z0-9.-]{1,64}:[A-Za-z0-9-]{1,32}")
-_FACTS = {
-    "member": str,
-    "group": str,
-    "hall": str,
-    "addr": str,
-    "role": str,
-    "log": int,
-    "cap": int,
-    "draining": bool,
-    "boot": str,
-    "store": str,
-    "warm": bool,
-    "term": int,
-}
+if TYPE_CHECKING:
+    import random
+
+    import logbook
+
+    from petrelhaven.control.leases import LeaseTable
+    from petrelhaven.control.storage.record_log import Disk
+    from petrelhaven.runtime.clock import Clock
+    from petrelhaven.runtime.tasks import BackgroundTasks
+    from petrelhaven.transport.channel import Channel
+    from petrelhaven.transport.link import Link
+
+__all__ = ["BaseControlNode", "NodeIdentity", "NodeResources"]
+
+_OUTSIDE, _JOINING, _CHAINED = "outside", "joining", "chained"
+
+
+_FIRST_VIEW = 1
+
+
+@dataclass(frozen=True, slots=True)
+class NodeIdentity:
+    """Which control node this is: its name, its zone, and the link addresses of the nodes it starts from."""
+
+    name: str
+    zone: str
+    seeds: list[str]
+
+
+@dataclass(frozen=True, slots=True)
+class NodeResources:
+    """What a control node is given to run on: the simulator gives other ones than the daemon."""
+
+    clock: Clock
+    tasks: BackgroundTasks
+    link: Link
+    disk: Disk
+    rng: random.Random
+    log: logbook.Logger | None = None
 
 
 class BaseControlNode:
-    """One core daemon's logic; clock, link and disk are given."""
-
-    states = ["outside", "joining", "chained"]
-    state_of = None
-    repair_interval_us, confirm_us, ask_us, probe_us, suspect_us = (
-        250_000,
-        500_000,
-        120_000,
-        200_000,
-        900_000,
-    )
-
-    def __init__(self, name, zone, seeds, clock, tasks, link, disk, rng, platform, log=None):
-        self.name, self.zone, self.seeds = name, zone, seeds
-        self.clock, self.tasks, self.link, self.rng, self.log = clock, tasks, link, rng, log
-        self.mem = CoreStore(disk, name, rng, log, state=self.state_of)
-        self.roster = Roster(clock, (name, "core", zone, link.addr, 0), log, self.suspect_us)
-        self.reach = Reach(clock, link, self.roster, rng)
-        self.prober = Prober(clock, link, tasks, rng, self.roster, seeds, self.probe_us)
-        self.chain = Chain(clock, tasks, self.mem, self.call, log, self.confirm_us, self.ask_us)
+    """One control node. A subclass gives its control state, lease table, duty and further handlers.
+
+    Attributes:
+        state: `outside` without a view, `joining` while it is not in the chain, `chained` in it.
+        state_of: Makes a control state of a snapshot; None for that of resumable sessions.
+        repair_interval_us: About how often the view is checked.
+        confirm_us: How long a majority's confirmation counts.
+        ask_us: How often it is asked for.
+        probe_us: How often a peer is probed.
+        suspect_us: How long a peer is suspected before it counts as gone.
+        settings: Returns the settings in effect, for the status document.
+    """
+
+    state: str
+    part: Callable[[], bool]
+    knock: Callable[[], bool]
+    enchain: Callable[[], bool]
+    states = (_OUTSIDE, _JOINING, _CHAINED)
+    state_of: Callable[..., Any] | None = None
+    repair_interval_us = 250_000
+    confirm_us = 500_000
+    ask_us = 120_000
+    probe_us = 200_000
+    suspect_us = 900_000
+
+    def __init__(
+        self,
+        identity: NodeIdentity,
+        resources: NodeResources,
+        platform: Any,  # noqa: ANN401 (what the duty promotes members by)
+    ) -> None:
+        """Reads what the disk remembers; `start` begins the work."""
+        self.name, self.zone, self.seeds = identity.name, identity.zone, identity.seeds
+        self.clock, self.tasks = resources.clock, resources.tasks
+        self.link, self.rng, self.log = resources.link, resources.rng, resources.log
+        self.mem = CoreStore(resources.disk, self.name, self.rng, self.log, state=self.state_of)
+        self._join_membership()
+        self.chain = Chain(
+            self.clock, self.tasks, self.mem, self.call, self.log, self.confirm_us, self.ask_us
+        )
         self.lease_table = self.make_lease_table()
         self.duty = self.make_duty(platform)
         self.voter = Voter(self.mem)
-        self._ask = Proposer(self.mem, self.call)
         self.disk_watch = DiskWatch(self)
-        self._infos = {}
-        self.undecided = False
-        self.settings = dict
-        self._alone = clock.now()
-        self.founds = True
+        self.settings: Callable[[], dict[str, Any]] = dict
+        self._make_state_machine()
+        self.chain.on_view.append(self.update_state)
+        self.views = self.make_view_maintenance()
+        for kind, handler in {**self._own_handlers(), **self.handlers()}.items():
+            self.link.on(kind, handler)
+
+    def _join_membership(self) -> None:
+        address = self.link.addr or ""
+        me = (self.name, "core", self.zone, address, 0)
+        self.roster = Roster(self.clock, me, self.log, self.suspect_us)
+        self.reach = Reach(self.clock, self.link, self.roster, self.rng)
+        self.prober = Prober(
+            self.clock, self.link, self.tasks, self.rng, self.roster, self.seeds, self.probe_us
+        )
+
+    def _make_state_machine(self) -> None:
         Machine(
             self,
-            states=self.states,
-            initial="outside",
+            states=list(self.states),
+            initial=_OUTSIDE,
             auto_transitions=False,
             transitions=[
-                {"trigger": "knock", "source": "*", "dest": "joining"},
-                {"trigger": "enchain", "source": "*", "dest": "chained"},
-                {"trigger": "part", "source": "*", "dest": "outside"},
+                {"trigger": "knock", "source": "*", "dest": _JOINING},
+                {"trigger": "enchain", "source": "*", "dest": _CHAINED},
+                {"trigger": "part", "source": "*", "dest": _OUTSIDE},
             ],
         )
-        for k, f in {
+
+    # What a subclass gives
+
+    def make_lease_table(self) -> LeaseTable:
+        """The table of the leases that this node grants."""
+        raise NotImplementedError
+
+    def make_duty(self, platform: Any) -> Any:  # noqa: ANN401 (differs between subclasses)
+        """The work that this node does while it is the head: it has `run()` and `why`."""
+        raise NotImplementedError
+
+    def make_view_maintenance(self) -> ViewMaintenance:
+        """What proposes views."""
+        return ViewMaintenance(self, self.repair_interval_us)
+
+    def handlers(self) -> dict[str, Any]:
+        """What this node answers beside the calls between control nodes, by message kind."""
+        raise NotImplementedError
+
+    async def control_state(self) -> dict[str, Any]:
+        """The document of the control state as the tail answers it."""
+        raise NotImplementedError
+
+    def status(self) -> dict[str, Any]:
+        """The belief, what this node may do now, and what its duty is waiting for."""
+        raise NotImplementedError
+
+    async def snapshots(self) -> dict[str, dict[str, Any]]:
+        """The control states that living proxies hold, by their names."""
+        raise NotImplementedError
+
+    # The node
+
+    def _own_handlers(self) -> dict[str, Any]:
+        return {
             "vote.prepare": self.voter.prepare,
             "vote.accept": self.voter.accept,
-            "view.ask": self._told,
-            "view.learn": self._learn,
-            "view.confirm": self.chain.confirmed_by,
+            "view.ask": self.views.answer,
+            "view.learn": self.views.learn,
+            "view.confirm": self.chain.confirmation.answer,
             "chain.append": self.chain.append,
-            "disk.turned": self.disk_watch.heard,
+            "disk.turned": self.disk_watch.receive,
             "chain.enter": self._enter,
             "chain.read": self._read,
             "chain.force": self.lease_table.force,
             "edge.hold": self.lease_table.hold,
             "creed.belief": self._belief,
-            **self.handlers(),
-        }.items():
-            link.on(k, f)
-        self.chain.on_view.append(self.turn)
-
-    def make_lease_table(self):
-        """The desk that lends leases to edges."""
-        return LeaseTable(self.clock, self.tasks, self.chain, self.call, self.log)
-
-    def make_duty(self, platform):
-        """The duty that this core does while it is the head."""
-        from petrelhaven.control.resumable.planning_duty import PlanningDuty
-
-        return PlanningDuty(
-            self.clock,
-            self.tasks,
-            self.chain,
-            self.lease_table,
-            self.roster,
-            self.call,
-            platform,
-            self.log,
-        )
-
-    def handlers(self):
-        """What this core answers beside the chain's own calls."""
-        return {
-            "duty.heard": self.duty.told,
-            "edge.lease": self.lease_table.lease,
-            "edge.enter": self._edge,
         }
 
-    def start(self):
-        """Starts the core's tasks."""
-        emit(self.log, 101, name=self.name, zone=self.zone, addr=self.link.addr, disk=self.mem.disk)
-        for co in (self.prober.run(), self.chain.confirm(), self._maintain_view(), self.duty.run()):
-            self.tasks.spawn(co)
+    def start(self) -> None:
+        """Starts the node's tasks."""
+        emit(
+            self.log,
+            Events.NODE_STARTED,
+            name=self.name,
+            zone=self.zone,
+            addr=self.link.addr,
+            disk=self.mem.disk,
+        )
+        self.tasks.spawn(self.prober.run())
+        self.tasks.spawn(self.chain.confirmation.run())
+        self.tasks.spawn(self.views.run())
+        self.tasks.spawn(self.duty.run())
         self.disk_watch.start()
 
-    async def call(self, name, kind, body, us):
-        """Calls another core (or this one) by name."""
+    async def call(
+        self, name: str, kind: str, body: Mapping[str, Any], timeout_us: int
+    ) -> dict[str, Any]:
+        """Calls another control node, or this one, by name."""
         if name == self.name:
-            return await self.link.handlers[kind](None, body)
-        return await self.reach.call(name, kind, body, us)
+            answer: dict[str, Any] = await self.link.handlers[kind](None, body)
+            return answer
+        return await self.reach.call(name, kind, body, timeout_us)
 
-    def turn(self):
-        """The one function that changes this core's state."""
+    def update_state(self) -> None:
+        """Follows the view; nothing else changes the state of this node."""
         view = self.chain.view
         if view is None:
-            want = "outside"
+            state, trigger = _OUTSIDE, self.part
+        elif view.position(self.name, self.mem.disk) is None:
+            state, trigger = _JOINING, self.knock
         else:
-            chained = view.position(self.name, self.mem.disk) is not None
-            want = "chained" if chained else "joining"
-        if want != self.state:
-            {"outside": self.part, "joining": self.knock, "chained": self.enchain}[want]()
-            if want == "chained":
-                emit(self.log, 304 if view.number > 1 else 102, view=view.number)
-
-    async def _told(self, ch, b):
-        return self.told()
-
-    def told(self):
-        """What this core tells the others of itself."""
-        m = self.mem
-        m.expect_identity()
-        return {
-            "name": self.name,
-            "disk": m.disk,
-            "fresh": m.fresh,
-            "view": self._view_document(),
-            "done": m.done,
-            "held": m.control_state.seq,
-            "commit": self.chain.commit,
-            "up_us": self.clock.now() - self.chain.boot,
-            "granted_us": self.chain.granted_ages(),
-        }
-
-    def _view_document(self):
-        return None if self.chain.view is None else self.chain.view.to_document()
-
-    async def _learn(self, ch, b):
-        self.chain.adopt(View.from_optional(b["view"]))
-
-    async def _maintain_view(self):
-        while True:
-            await self.rest()
-            for a in self.others():
-                self.tasks.spawn(self._info(a))
-            if self.mem.refuses:
-                continue
-            self.undecided = True
-            try:
-                await self._consider()
-                self.undecided = False
-            except Fault as e:
-                v = e.details.get("value")
-                if self.chain.view is None and v:
-                    await self._finish(v)
-
-    def others(self):
-        """Addresses of the cores to look at."""
-        return self.seeds
-
-    def news(self):
-        """What the cores looked at told last, by name."""
-        return {r["name"]: r for a, (_, r) in self._infos.items() if r and a in self.seeds}
-
-    async def rest(self):
-        """Waits between two looks at the other cores."""
-        await self.clock.sleep(self.repair_interval_us + self.rng.randrange(50_000))
-
-    async def _info(self, addr):
-        at = self.clock.now()
-        try:
-            if addr == self.link.addr:
-                r = await self._told(None, {})
-            else:
-                r = await self.link.call(addr, "view.ask", {"name": self.name}, 500_000)
-        except Fault:
-            r = None
-            for n, p in list(self.roster.peers.items()):
-                if p.addr == addr and p.state == "alive":
-                    try:
-                        r = await self.reach.call(n, "view.ask", {"name": self.name}, 500_000)
-                    except Fault:
-                        pass
-        _, before = self._infos.get(addr, (0, None))
-        self._infos[addr] = (at, r)
-        if r and (before is None or before["disk"] != r["disk"]):
-            self.wake()
-        self.informed()
-        if r and r["view"]:
-            self.chain.adopt(View.from_document(r["view"]))
-
-    def informed(self):
-        """Another core has told of itself."""
-
-    async def _finish(self, v):
-        try:
-            self.spread(await self._ask.change(self.mem.vote["ids"] or v.ids, lambda x: x or v))
-        except Fault:
-            pass
-
-    def spread(self, view):
-        """Adopts a decided view and tells the other cores of it."""
-        self.chain.adopt(view)
-        for n in view.ids:
-            if n != self.name:
-                self.tasks.spawn(self._send_view(n, view))
-
-    async def _send_view(self, n, view):
-        try:
-            await self.call(n, "view.learn", {"view": view.to_document()}, 500_000)
-        except Fault:
-            pass
-
-    async def _consider(self):
-        infos = self.news()
-        v = self.chain.view
-        now = self.clock.now()
-        if v is None:
-            if self.mem.vote["value"]:
-                return await self._finish(View.from_document(self.mem.vote["value"]))
-            blank = all(r["fresh"] and not r["view"] for r in infos.values())
-            if not self.founds or len(infos) < len(self.seeds) or not blank:
-                self._alone = now
-                return
-            if min(infos) != self.name and now - self._alone < 2_000_000:
-                return
-            ids = {n: r["disk"] for n, r in sorted(infos.items())}
-            new = View(1, tuple(sorted(ids)), ids, "first view", self.name, before=())
-            emit(self.log, 302, n=1, cause="first view")
-            self.spread(await self._ask.change(ids, lambda x: x or new))
-            return
-        newest = View.from_optional(self.mem.vote["value"])
-        if newest and newest.number > v.number and newest.is_member(self.name):
-            return await self._finish(newest)
-        await self._repair_view(v, infos)
-
-    def wake(self):
-        """Has the other cores looked at soon."""
-
-    def _there(self, n):
-        return n == self.name or self.roster.state(n) in ("alive", "suspect")
-
-    async def _repair_view(self, v, infos):
-        keep = [
-            n
-            for n in v.chain
-            if self._there(n)
-            and self.disk_watch.takes_writes(n)
-            and (n not in infos or infos[n]["disk"] == v.ids[n])
-        ]
-        if not keep or keep[0] != self.name or not self.chain.complete:
-            return
-        join = [
-            n
-            for n in sorted(infos)
-            if n not in keep
-            and self._there(n)
-            and v.is_member(n)
-            and self.disk_watch.takes_writes(n)
-        ]
-        chain = (*keep, *join)
-        ids = {**v.ids, **{n: infos[n]["disk"] for n in join}}
-        if chain == v.chain and ids == v.ids:
-            return await self.recast(v, infos)
-        if len(chain) < v.quorum:
+            state, trigger = _CHAINED, self.enchain
+        if state == self.state:
             return
-        out = [n for n in v.chain if n not in keep]
-        cause = "; ".join(
-            filter(
-                None,
-                [
-                    "lost " + ",".join(out) if out else "",
-                    "joined " + ",".join(join) if join else "",
-                ],
-            )
-        )
-        await self.propose(v, chain, ids, cause)
-
-    async def recast(self, v, infos):
-        """Takes in or lets go of cores once the chain is whole as far as it can be."""
-
-    async def propose(self, v, chain, ids, cause):
-        """Has a majority of the view's cores decide the next view."""
-        before = self.chain.former_cores()
-        new = View(v.number + 1, tuple(chain), ids, cause, self.name, before)
-        emit(self.log, 302, n=new.number, cause=cause)
-        self.spread(
-            await self._ask.change(v.ids, lambda x: new if x is None or x.number == v.number else x)
-        )
-
-    async def _edge(self, ch, b):
-        rec = {
-            "t": "edge",
-            "name": b["edge"],
-            "inc": b["inc"],
-            "state": b["state"],
-            "boot": b["boot"],
-            "hall": b["hall"],
-            "addr": b["addr"],
-            "http": b["http"],
-            "by": b["edge"],
-        }
-        try:
-            return {"seq": (await self.enter(rec, False))["seq"]}
-        except Duplicate:
-            return {"seq": 0}
-
-    async def enter(self, rec, force=True):
-        """Enters a record at the head, wherever that is; with `force`, returns once it is in force."""
-        v = self.chain.view
-        if v is None:
-            raise NotReady("no view yet")
-        if v.head == self.name:
-            return await self._enter(None, {"rec": rec, "force": force, "bound": None})
-        return await self.reach.call(
-            v.head,
-            "chain.enter",
-            {"rec": rec, "force": force, "bound": None},
-            20_000_000,
+        trigger()
+        if view is not None and state == _CHAINED:
+            event = Events.CHAIN_REJOINED if view.number > _FIRST_VIEW else Events.NODE_READY
+            emit(self.log, event, view=view.number)
+
+    def report(self) -> CoreReport:
+        """What this node reports of itself to the others.
+
+        Raises:
+            DiskRefused: its identity is not written yet.
+        """
+        store, chain = self.mem, self.chain
+        store.expect_identity()
+        return CoreReport(
+            name=self.name,
+            disk=store.disk,
+            fresh=store.fresh,
+            view=chain.view,
+            complete_in=store.done,
+            seq=store.control_state.seq,
+            commit=chain.commit,
+            up_us=self.clock.now() - chain.confirmation.boot,
+            granted_us=chain.confirmation.granted_ages_us(),
         )
 
-    async def _enter(self, ch, b):
-        seq = await self.chain.enter(b["rec"])
-        us = 0
-        if b["force"]:
-            us = await self.lease_table.in_force(seq)
-        return {"seq": seq, "forced": b["force"], "doc": {"in_force_us": us}}
+    async def _enter(self, _channel: Channel | None, body: Mapping[str, Any]) -> dict[str, Any]:
+        """Answers a `chain.enter`; with `force`, once the record is in force."""
+        seq = await self.chain.enter(body["rec"])
+        in_force_us = await self.lease_table.in_force(seq) if body["force"] else 0
+        return {"seq": seq, "forced": body["force"], "doc": {"in_force_us": in_force_us}}
 
-    async def _read(self, ch, b):
+    async def _read(self, _channel: Channel | None, _body: Mapping[str, Any]) -> dict[str, Any]:
+        """Answers a `chain.read`."""
         return {"doc": self.chain.read()}
 
-    async def control_state(self):
-        """The control state as the tail answers it."""
-        v = self.chain.view
-        if v is None:
-            raise NotReady("no view yet")
-        if v.tail == self.name:
-            return self.chain.read()
-        return (await self.reach.call(v.tail, "chain.read", {"what": None}, 2_000_000))["doc"]
-
-    async def apply(self, text, by="", retire=False):
-        """Checks and applies a manifest."""
-        m = read(text)
-        if m.embargoing or m.embargoes:
-            raise Invalid(
-                "manifest declined",
-                details={
-                    "faults": [
-                        [
-                            "embargoing",
-                            "embargoes are kept only where sessions live with their connection",
-                        ]
-                    ]
-                },
-            )
-        r = await self.enter({"t": "manifest", "text": text, "by": by, "retire": retire})
-        return {"version": m.version, "change": r["seq"], **r["doc"]}
-
-    async def set_zone_state(self, zone, state, by=""):
-        """Empties or restores a hall."""
-        r = await self.enter({"t": "hall", "hall": zone, "state": state, "by": by})
-        return {"hall": zone, "state": state, "change": r["seq"], **r["doc"]}
-
-    async def reform(self, lost, by=""):
-        """Forms the chain anew without the disks of `lost`, at the operator's word."""
+    async def reform(self, lost: Sequence[str], by: str = "") -> dict[str, Any]:
+        """Forms the chain anew without the disks of `lost`, at the operator's order."""
         return await Reform(self, self.log).run(lost, by)
 
-    async def frames(self):
-        """The control state that each living edge holds, by its name."""
+    def unconfirmed(self) -> dict[str, Any]:
+        """The control state as this node alone holds it: no majority confirms that it is the newest."""
+        document: dict[str, Any] = self.chain.control_state.doc
+        return document
 
-        async def frame(n):
-            try:
-                return n, (await self.reach.call(n, "edge.frame", {"name": self.name}, 1_500_000))[
-                    "frame"
-                ]
-            except Fault as e:
-                emit(self.log, 311, node=n, fault=e.code)
-                return n, None
-
-        return {
-            n: f
-            for n, f in await asyncio.gather(*[frame(n) for n in self.roster.living("edge")])
-            if f
-        }
-
-    def unconfirmed(self):
-        """The control state as this core alone holds it: no majority says that it is the newest."""
-        return self.chain.control_state.doc
-
-    async def drain(self):
-        """Leaves in order: returns once the others go on without this core, or cannot."""
+    async def drain(self) -> None:
+        """Leaves in order: returns once the others go on without this node, or cannot."""
         await Departure(self).run()
 
-    def announce(self, doc):
-        """Takes a member's announcement after checking it."""
-        if not isinstance(doc, dict):
-            raise Malformed("announcement must be an object")
-        for k, t in _FACTS.items():
-            if type(doc.get(k)) is not t:
-                raise Malformed(f"announcement field {k} must be {t.__name__}")
-        if type(doc.get("beat", 0)) is not int:
-            raise Malformed("announcement field beat must be int")
-        for k in ("member", "group", "hall"):
-            if not NAME.fullmatch(doc[k]):
-                raise Malformed(f"announcement field {k} must be a name")
-        if not _ADDR.fullmatch(doc["addr"]):
-            raise Malformed("announcement field addr must be an address")
-        if doc["role"] not in ("primary", "replica"):
-            raise Malformed("announcement field role must be primary or replica")
-        for k, lo, hi in (
-            ("log", 0, 1 << 53),
-            ("term", 0, 1 << 53),
-            ("cap", 1, 10_000),
-            ("beat", 0, 1 << 53),
-        ):
-            if not lo <= doc.get(k, lo) <= hi:
-                raise Malformed(f"announcement field {k} must be from {lo} to {hi}")
-        old = self.duty.heard.get(doc["member"])
-        if old and old["doc"]["group"] != doc["group"] and self.clock.now() - old["at"] < 5_000_000:
-            raise Malformed(
-                f"announcement field group must stay {old['doc']['group']} for {doc['member']}"
-            )
-        self.duty.announce(doc)
-
-    def belief(self):
-        """What this node believes."""
+    def belief(self) -> dict[str, Any]:
+        """What this node believes of the fleet, to be compared with other nodes' beliefs."""
+        view = self.chain.view
         return {
             **self.chain.control_state.belief(),
             "name": self.name,
             "role": "core",
             "state": self.state,
             "commit": self.chain.commit,
-            "view": self._view_document(),
+            "view": None if view is None else view.to_document(),
             "kith": {row[0]: row[5] for row in self.roster.full()},
         }
 
-    async def _belief(self, ch, b):
+    async def _belief(self, _channel: Channel | None, _body: Mapping[str, Any]) -> dict[str, Any]:
+        """Answers a `creed.belief`."""
         return {"doc": self.belief()}
 
-    def status(self):
-        """The belief and what the duty is waiting for."""
-        now = self.clock.now()
-        return {
-            **self.belief(),
-            "settings": self.settings(),
-            "ruling": self.chain.ruling,
-            "active": self.chain.active,
-            "head": self.chain.head,
-            "waiting": dict(self.duty.why) if self.chain.head else {},
-            "garbage": getattr(self.link, "garbage", 0),
-            "members": {
-                m: {**h["doc"], "age_us": now - h["at"]} for m, h in sorted(self.duty.heard.items())
-            },
-        }
-
     @property
-    def ready(self):
-        """Ready once chained, complete and confirmed."""
+    def ready(self) -> bool:
+        """Whether this node is in the chain, holds everything and was confirmed lately."""
         return self.chain.ruling
--- /dev/null
+++ b/src/petrelhaven/control/consensus/node_services.py
@@ -0,0 +1,55 @@
+"""What the parts of a control node use of the node that they belong to."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from typing import TYPE_CHECKING, Any, Protocol
+
+if TYPE_CHECKING:
+    import random
+
+    import logbook
+
+    from petrelhaven.control.consensus.chain import Chain
+    from petrelhaven.control.consensus.core_report import CoreReport
+    from petrelhaven.control.consensus.disk_watch import DiskWatch
+    from petrelhaven.control.consensus.view_maintenance import ViewMaintenance
+    from petrelhaven.control.storage.core_store import CoreStore
+    from petrelhaven.membership.prober import Prober
+    from petrelhaven.membership.roster import Roster
+    from petrelhaven.runtime.clock import Clock
+    from petrelhaven.runtime.tasks import BackgroundTasks
+    from petrelhaven.transport.link import Link
+    from petrelhaven.transport.reach import Reach
+
+__all__ = ["NodeServices"]
+
+
+class NodeServices(Protocol):
+    """One control node, as its parts use it."""
+
+    name: str
+    seeds: list[str]
+    clock: Clock
+    tasks: BackgroundTasks
+    link: Link
+    rng: random.Random
+    log: logbook.Logger | None
+    mem: CoreStore
+    roster: Roster
+    reach: Reach
+    prober: Prober
+    chain: Chain
+    disk_watch: DiskWatch
+    views: ViewMaintenance
+
+    async def call(
+        self, name: str, kind: str, body: Mapping[str, Any], timeout_us: int
+    ) -> dict[str, Any]:
+        """Calls another control node, or this one, by name."""
+
+    def report(self) -> CoreReport:
+        """What this node reports of itself."""
+
+    async def snapshots(self) -> dict[str, dict[str, Any]]:
+        """The control states that living proxies hold, by their names."""
--- a/src/petrelhaven/control/consensus/peer_clocks.py
+++ b/src/petrelhaven/control/consensus/peer_clocks.py
@@ -1,4 +1,4 @@
-"""What the steady clocks of the other cores show, so that a call can carry its end by the clock of whom it goes to."""
+"""Readings of the other control nodes' monotonic clocks: a call carries its deadline by the clock of its receiver."""
 
 from dataclasses import dataclass
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Expiry:
-    """A moment on the steady clock of one run of one core's process."""
+    """A moment on the monotonic clock of one run of one control node's process."""
 
     boot: int
     moment_us: int
@@ -39,17 +39,18 @@
 
 
 class PeerClocks:
-    """The last reading of each core's clock.
+    """The last reading of each control node's clock.
 
     A reading is older on arrival than it says, so what is worked out from it lies before the true moment, never after.
     """
 
     def __init__(self, clock: Clock) -> None:
+        """Has no readings yet."""
         self._clock = clock
         self._readings: dict[str, _Reading] = {}
 
     def note(self, name: str, boot: int, shown_us: int) -> None:
-        """Takes what the clock of core `name` showed when it answered just now."""
+        """Takes what the clock of node `name` showed when it answered just now."""
         self._readings[name] = _Reading(boot, shown_us, self._clock.now())
 
     def knows(self, name: str) -> bool:
@@ -58,7 +59,11 @@
         return reading is not None and self._clock.now() - reading.received_us < _FRESH_US
 
     def expiry(self, name: str, us: int) -> Expiry:
-        """The moment `us` from now on the clock of core `name`; Unsent where that core has not answered yet."""
+        """The moment `us` from now on the clock of node `name`.
+
+        Raises:
+            NotSent: that node has not answered yet.
+        """
         reading = self._readings.get(name)
         if reading is None:
             raise NotSent(f"the clock of {name} is not known")
--- a/src/petrelhaven/control/consensus/proxy_survey.py
+++ b/src/petrelhaven/control/consensus/proxy_survey.py
@@ -1,43 +1,62 @@
-"""Ledgers of edges, gathered over their ties while a core has no majority and so holds no edge."""
+"""Control states of proxies, gathered over their connections while a control node has no majority.
+
+Without a majority it grants no lease, so that no proxy holds its core connection to it: each is asked as it comes by.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any
 
 from petrelhaven.runtime.errors import Conflict, Fault
-from petrelhaven.runtime.events import emit
+from petrelhaven.runtime.events import Events, emit
+
+if TYPE_CHECKING:
+    import logbook
+
+    from petrelhaven.runtime.clock import Clock
+    from petrelhaven.transport.channel import Channel
 
 __all__ = ["ProxySurvey"]
 
 _OPEN_US = 4_000_000
-_ASK_US = 600_000
+_ASK_TIMEOUT_US = 600_000
 
 
 class ProxySurvey:
-    """While it is on, each edge that comes to this core for a tie, or still has one, is asked for what it holds."""
-
-    def __init__(self, clock, tasks, log=None):
-        self.clock, self.tasks, self.log = clock, tasks, log
-        self.on = False
-        self._got, self._asked = {}, set()
-
-    async def gather(self):
-        """Frames by edge. Long enough for an edge to leave a core that does not rule and try each of the others."""
-        if self.on:
+    """While it is open, each proxy that connects to this node, or is connected, is asked for its control state."""
+
+    def __init__(self, clock: Clock, log: logbook.Logger | None = None) -> None:
+        """Is closed at first."""
+        self._clock, self._log = clock, log
+        self.open = False
+        self._snapshots: dict[str, dict[str, Any]] = {}
+        self._asked: set[str] = set()
+
+    async def gather(self) -> dict[str, dict[str, Any]]:
+        """Control states by proxy. Open long enough for a proxy to leave a node that is not active and try the others.
+
+        Raises:
+            Conflict: a survey is open already.
+        """
+        if self.open:
             raise Conflict("edges are being asked already")
-        self.on, self._got, self._asked = True, {}, set()
+        self.open, self._snapshots, self._asked = True, {}, set()
         try:
-            await self.clock.sleep(_OPEN_US)
-            return self._got
+            await self._clock.sleep(_OPEN_US)
+            return self._snapshots
         finally:
-            self.on = False
+            self.open = False
 
-    async def meet(self, ch, edge):
-        """Asks an edge over its own connection, once."""
-        if not self.on or edge in self._asked:
+    async def ask(self, channel: Channel, proxy: str) -> None:
+        """Asks a proxy over its own connection, once a survey."""
+        if not self.open or proxy in self._asked:
             return
-        self._asked.add(edge)
+        self._asked.add(proxy)
         try:
-            f = (await ch.call("edge.frame", {"name": edge}, _ASK_US))["frame"]
-        except Fault as e:
-            self._asked.discard(edge)
-            emit(self.log, 311, node=edge, fault=e.code)
+            answer = await channel.call("edge.frame", {"name": proxy}, _ASK_TIMEOUT_US)
+        except Fault as fault:
+            self._asked.discard(proxy)
+            emit(self._log, Events.SURVEY_UNANSWERED, node=proxy, fault=fault.code)
             return
-        if f:
-            self._got[edge] = f
+        if answer["frame"]:
+            self._snapshots[proxy] = answer["frame"]
--- a/src/petrelhaven/control/consensus/reform.py
+++ b/src/petrelhaven/control/consensus/reform.py
@@ -1,89 +1,162 @@
-"""Forming the chain anew after a majority of the cores lost their disks: at the operator's word only."""
+"""Reform: the chain is formed anew after a majority of the disks was lost, at the operator's order only."""
 
-from petrelhaven.control.consensus.view import View
+from __future__ import annotations
+
+from collections.abc import Sequence
+from dataclasses import dataclass
+from typing import TYPE_CHECKING, Any
+
+from petrelhaven.control.consensus.core_report import CoreReport
+from petrelhaven.control.consensus.view import Identities, View
 from petrelhaven.runtime.errors import Conflict, Fault, Malformed, NotReady
-from petrelhaven.runtime.events import emit
+from petrelhaven.runtime.events import Events, emit
+
+if TYPE_CHECKING:
+    import logbook
+
+    from petrelhaven.control.consensus.node_services import NodeServices
 
 __all__ = ["Reform"]
 
-_GAP_SEQ = 1_000_000
-_GAP = 1_000
+_RECORD_GAP = 1_000_000
+_NUMBER_GAP = 1_000
+"""How far the numbers of records, and of views and leaderships, are raised above all known ones."""
+
+_REPORT_TRIES = 5
+_REPORT_TIMEOUT_US = 800_000
+_REPORT_PAUSE_US = 100_000
+
+
+@dataclass(frozen=True, slots=True)
+class _Source:
+    """A control state and the node that holds it."""
+
+    snapshot: dict[str, Any]
+    node: str
 
 
 class Reform:
-    """Takes the newest control state that any living node holds and puts every number above all handed out before."""
+    """Takes the newest control state that any living node holds and raises every number above all handed out before."""
+
+    def __init__(self, core: NodeServices, log: logbook.Logger | None = None) -> None:
+        """Has `core` lead the chain that is formed."""
+        self._core, self._log = core, log
 
-    def __init__(self, core, log=None):
-        self._c, self.log = core, log
+    async def run(self, lost: Sequence[str], by: str = "") -> dict[str, Any]:
+        """Forms the chain without the disks of the nodes in `lost`; returns what was formed, as a document.
 
-    async def run(self, lost, by=""):
-        """Forms the chain without the disks of the cores in `lost`; returns what was formed."""
-        c = self._c
-        v = c.chain.view or View.from_optional(c.mem.vote["value"])
-        if v is None:
+        Raises:
+            Malformed: `lost` does not name other members of the view, each once.
+            Conflict: a majority of the disks is left, or one that is said to be lost answers.
+            NotReady: no view is known here, or a node of `lost` does not answer yet.
+        """
+        core = self._core
+        view = core.chain.view or View.from_optional(core.mem.vote["value"])
+        if view is None:
             raise NotReady("this core knows no view to form anew")
-        ids = v.ids
-        odd = [n for n in lost if n not in ids]
-        if odd or not lost or c.name in lost or len(set(lost)) != len(lost):
+        self._check_order(lost, view.ids)
+        reports = await self._reports(view.ids)
+        _check_lost(lost, view.ids, reports)
+        source = await self._newest()
+        number = _highest_view(view, reports) + _NUMBER_GAP
+        _raise_numbers(source.snapshot)
+        reformed = self._view(number, view.ids, lost, reports, by)
+        seq = source.snapshot["seq"]
+        lost_names = ",".join(lost)
+        emit(self._log, Events.CHAIN_REFORMED, n=number, seq=seq, src=source.node, lost=lost_names, by=by)
+        core.mem.reset(source.snapshot, number)
+        core.views.spread(reformed)
+        return _outcome(reformed, source)
+
+    def _check_order(self, lost: Sequence[str], ids: Identities) -> None:
+        unknown = [name for name in lost if name not in ids]
+        if unknown or not lost or self._core.name in lost or len(set(lost)) != len(lost):
             raise Malformed(
                 "lost: must name other cores of the view, each once",
-                details={"faults": [["lost", f"no core {n}"] for n in odd]},
+                details={"faults": [["lost", f"no core {name}"] for name in unknown]},
             )
         if len(ids) - len(lost) > len(ids) // 2:
             raise Conflict(
                 "a majority of the disks is left; the chain mends itself",
                 details={"ids": sorted(ids)},
             )
-        infos = {}
-        for n in sorted(ids):
-            if n != c.name:
-                infos[n] = await self._info(n)
-        for n in lost:
-            if infos[n] is None:
-                raise NotReady(f"{n} does not answer; start it over an empty folder first")
-            if infos[n]["disk"] == ids[n]:
-                raise Conflict(f"{n} answers with the disk that the view names; it is not lost")
-        frame, src = await self._newest()
-        n = max([v.number] + [i["view"]["n"] for i in infos.values() if i and i["view"]]) + _GAP
-        self._above(frame)
-        new = {n2: infos[n2]["disk"] if n2 in lost else d for n2, d in ids.items()}
-        chain = [c.name] + [x for x in sorted(ids) if x != c.name and infos[x]]
-        cause = "formed anew without " + ",".join(lost)
-        view = View(n, tuple(chain), new, cause, by or c.name)
-        emit(self.log, 310, n=n, seq=frame["seq"], src=src, lost=",".join(lost), by=by)
-        c.mem.reset(frame, n)
-        c.spread(view)
-        return {
-            "view": n,
-            "chain": chain,
-            "change": frame["seq"],
-            "from": src,
-            "manifest": frame["manifest"]["version"] if frame["manifest"] else 0,
-        }
-
-    async def _info(self, n):
-        for _ in range(5):
+
+    async def _reports(self, ids: Identities) -> dict[str, CoreReport | None]:
+        """What the other members report; None for each that does not answer."""
+        others = [name for name in sorted(ids) if name != self._core.name]
+        return {name: await self._report(name) for name in others}
+
+    async def _report(self, name: str) -> CoreReport | None:
+        core = self._core
+        for _ in range(_REPORT_TRIES):
             try:
-                return await self._c.call(n, "view.ask", {"name": self._c.name}, 800_000)
+                body = await core.call(name, "view.ask", {"name": core.name}, _REPORT_TIMEOUT_US)
+                return CoreReport.from_body(body)
             except Fault:
-                await self._c.clock.sleep(100_000)
+                await core.clock.sleep(_REPORT_PAUSE_US)
         return None
 
-    async def _newest(self):
-        c = self._c
-        best, src = c.chain.control_state.frame(), c.name
-        for n, f in sorted((await c.frames()).items()):
-            if f["seq"] > best["seq"]:
-                best, src = f, n
-        return best, src
-
-    @staticmethod
-    def _above(f):
-        f["seq"] += _GAP_SEQ
-        for g, e in f["offices" if "offices" in f else "epochs"].items():
-            e["n"] += _GAP
-            e["cause"] = f"control was formed anew; before: {e['cause']}"
-            past = f["past"].setdefault(g, [])
-            past.append(
-                {**(past[-1] if past else e), "n": e["n"], "cause": e["cause"], "seq": f["seq"]}
-            )
+    async def _newest(self) -> _Source:
+        """The newest control state among this node's and those of living proxies."""
+        core = self._core
+        newest = _Source(core.chain.control_state.frame(), core.name)
+        for name, snapshot in sorted((await core.snapshots()).items()):
+            if snapshot["seq"] > newest.snapshot["seq"]:
+                newest = _Source(snapshot, name)
+        return newest
+
+    def _view(
+        self,
+        number: int,
+        ids: Identities,
+        lost: Sequence[str],
+        reports: dict[str, CoreReport | None],
+        by: str,
+    ) -> View:
+        """The view of every node that answers, with the new disks of those that lost theirs."""
+        present = {name: report for name, report in reports.items() if report}
+        others = [name for name in sorted(ids) if name in present]
+        disks = {name: present[name].disk if name in lost else disk for name, disk in ids.items()}
+        cause = "formed anew without " + ",".join(lost)
+        return View(number, (self._core.name, *others), disks, cause, by or self._core.name)
+
+
+def _check_lost(
+    lost: Sequence[str], ids: Identities, reports: dict[str, CoreReport | None]
+) -> None:
+    """Every node of `lost` must answer with another disk than the view names."""
+    for name in lost:
+        report = reports[name]
+        if report is None:
+            raise NotReady(f"{name} does not answer; start it over an empty folder first")
+        if report.disk == ids[name]:
+            raise Conflict(f"{name} answers with the disk that the view names; it is not lost")
+
+
+def _highest_view(view: View, reports: dict[str, CoreReport | None]) -> int:
+    known = [report.view.number for report in reports.values() if report and report.view]
+    return max([view.number, *known])
+
+
+def _raise_numbers(snapshot: dict[str, Any]) -> None:
+    """Raises the numbers of records and leaderships above all that may have been handed out."""
+    snapshot["seq"] += _RECORD_GAP
+    leaderships = snapshot["offices" if "offices" in snapshot else "epochs"]
+    for group, leadership in leaderships.items():
+        leadership["n"] += _NUMBER_GAP
+        leadership["cause"] = f"control was formed anew; before: {leadership['cause']}"
+        past = snapshot["past"].setdefault(group, [])
+        latest = past[-1] if past else leadership
+        raised = {"n": leadership["n"], "cause": leadership["cause"], "seq": snapshot["seq"]}
+        past.append({**latest, **raised})
+
+
+def _outcome(view: View, source: _Source) -> dict[str, Any]:
+    configuration = source.snapshot["manifest"]
+    return {
+        "view": view.number,
+        "chain": list(view.chain),
+        "change": source.snapshot["seq"],
+        "from": source.node,
+        "manifest": configuration["version"] if configuration else 0,
+    }
--- a/src/petrelhaven/control/consensus/register.py
+++ b/src/petrelhaven/control/consensus/register.py
@@ -1,94 +1,179 @@
-"""One agreed register: the view. A majority of the configured cores decides it; nobody leads and no log is kept."""
+"""The view register: a majority of the members decides each next view; nobody leads, and no log is kept.
 
-import asyncio
+Single-decree Paxos over the members' stores (docs/notes/chain-and-view.md).
+"""
+
+from __future__ import annotations
 
-from petrelhaven.control.consensus.view import View
+import asyncio
+from collections.abc import Awaitable, Callable, Mapping
+from typing import TYPE_CHECKING, Any, Protocol, TypeVar
+
+from petrelhaven.control.consensus.register_messages import (
+    AcceptAnswer,
+    AcceptRequest,
+    Ballot,
+    PrepareAnswer,
+    PrepareRequest,
+    VoteState,
+)
 from petrelhaven.runtime.errors import Conflict, Fault
 
-__all__ = ["Voter", "Proposer"]
+if TYPE_CHECKING:
+    from petrelhaven.control.consensus.view import Identities, View
+    from petrelhaven.control.storage.core_store import CoreStore
+    from petrelhaven.transport.channel import Channel
+
+__all__ = ["Call", "NoPromise", "Proposer", "Voter"]
+
+_VOTE_TIMEOUT_US = 600_000
+
+Call = Callable[[str, str, Mapping[str, Any], int], Awaitable[dict[str, Any]]]
+"""Calls a control node: name, kind, body, timeout in microseconds."""
+
+
+class NoPromise(Exception):  # noqa: N818 (an outcome of a race, no error that leaves the node)
+    """No majority promised; `accepted` is the newest view that any voter answered to have accepted."""
+
+    def __init__(self, accepted: View | None) -> None:
+        """Carries what may be left to finish."""
+        super().__init__("no majority promised")
+        self.accepted = accepted
 
 
 class Voter:
-    """The voting half. It never votes under a disk identity that the others do not know.
+    """The acceptor. It never votes under a disk identity that the others do not know.
 
     Ballots run under the identities of the newest view known to be decided; those of a view that was only accepted
     count once it is decided, or two voters that accepted different ones could wait for each other for good.
     """
 
-    def __init__(self, mem):
-        self._mem = mem
+    def __init__(self, store: CoreStore) -> None:
+        """Remembers its votes in `store`."""
+        self._store = store
+
+    def _state(self) -> VoteState:
+        return VoteState.from_document(self._store.vote)
 
-    def _fits(self, ids):
-        o = self._mem.vote
-        own = o["ids"] or (o["value"]["ids"] if o["value"] else None)
-        return ids.get(self._mem.name) == self._mem.disk and own in (None, ids)
+    def _fits(self, ids: Identities) -> bool:
+        """Whether a ballot among the members `ids` counts this very disk, and this node knows no other members."""
+        members = self._state().members
+        return ids.get(self._store.name) == self._store.disk and members in (None, ids)
 
-    async def prepare(self, ch, b):
-        """Answers a prepare."""
-        o = self._mem.vote
-        ok = self._fits(b["ids"]) and (b["num"], b["who"]) > (o["num"], o["who"])
+    async def prepare(self, _channel: Channel | None, body: Mapping[str, Any]) -> dict[str, Any]:
+        """Answers a `vote.prepare`."""
+        return self._prepare(PrepareRequest.from_body(body)).to_body()
+
+    def _prepare(self, request: PrepareRequest) -> PrepareAnswer:
+        state = self._state()
+        ok = self._fits(request.ids) and request.ballot > state.promised
         if ok:
-            self._mem.put_vote(num=b["num"], who=b["who"])
-        return {
-            "ok": ok,
-            "num": o["anum"],
-            "who": o["awho"],
-            "value": o["value"],
-            "seen": max(o["num"], o["anum"]),
-        }
-
-    async def accept(self, ch, b):
-        """Answers an accept."""
-        o = self._mem.vote
-        ok = self._fits(b["ids"]) and (b["num"], b["who"]) >= (o["num"], o["who"])
+            self._store.put_vote(num=request.ballot.number, who=request.ballot.proposer)
+        return PrepareAnswer(ok, state.accepted, state.value, state.highest_number)
+
+    async def accept(self, _channel: Channel | None, body: Mapping[str, Any]) -> dict[str, Any]:
+        """Answers a `vote.accept`."""
+        return self._accept(AcceptRequest.from_body(body)).to_body()
+
+    def _accept(self, request: AcceptRequest) -> AcceptAnswer:
+        state, ballot = self._state(), request.ballot
+        ok = self._fits(request.ids) and ballot >= state.promised
         if ok:
-            self._mem.put_vote(
-                num=b["num"], who=b["who"], anum=b["num"], awho=b["who"], value=b["value"]
+            self._store.put_vote(
+                num=ballot.number,
+                who=ballot.proposer,
+                anum=ballot.number,
+                awho=ballot.proposer,
+                value=request.value.to_document(),
             )
-        return {"ok": ok, "seen": max(o["num"], o["anum"])}
+        return AcceptAnswer(ok, state.highest_number)
 
 
-class Proposer:
-    """The asking half."""
-
-    def __init__(self, mem, call):
-        self._mem, self._call = mem, call
-        self._seen = 0
-
-    async def change(self, ids, fn):
-        """Decides `fn(newest view)`; returns the decided view, or Racing."""
-        need = len(ids) // 2 + 1
-        num = self._seen = max(self._seen, self._mem.vote["num"]) + 1
-        me = self._mem.name
-        got = await self._round(ids, "vote.prepare", {"num": num, "who": me, "ids": ids})
-        ok = [r for r in got if r["ok"]]
-        best = max(got, key=lambda r: (r["num"], r["who"]), default=None)
-        if len(ok) < need:
-            v = View.from_optional(best["value"]) if best else None
-            raise Conflict("no majority promised", details={"value": v})
-        best = max(ok, key=lambda r: (r["num"], r["who"]))
-        new = fn(View.from_optional(best["value"]))
-        got = await self._round(
-            ids, "vote.accept", {"num": num, "who": me, "ids": ids, "value": new.to_document()}
-        )
-        if sum(r["ok"] for r in got) < need:
-            raise Conflict("no majority accepted")
-        return new
+class _Answer(Protocol):
+    """What the answers to both rounds have in common."""
+
+    @property
+    def ok(self) -> bool:
+        """Whether the voter agreed."""
+
+    @property
+    def highest_number(self) -> int:
+        """The highest ballot number that the voter has seen."""
+
+
+_AnswerT = TypeVar("_AnswerT", bound=_Answer)
 
-    async def _round(self, ids, kind, body):
-        """Asks all; answers once a majority agreed, or all have spoken."""
 
-        async def one(n):
+class Proposer:
+    """Has a majority of members decide a view."""
+
+    def __init__(self, store: CoreStore, call: Call) -> None:
+        """Proposes under the name of the node that `store` belongs to; `call` reaches every member."""
+        self._store, self._call = store, call
+        self._highest_number = 0
+
+    async def change(self, ids: Identities, next_view: Callable[[View | None], View]) -> View:
+        """Decides `next_view(newest accepted view)` among the members `ids`, and returns what was decided.
+
+        Raises:
+            NoPromise: no majority promised.
+            Conflict: a majority promised, but another proposer was faster.
+        """
+        ballot = self._next_ballot()
+        accepted = await self._prepare(ids, ballot)
+        view = next_view(accepted)
+        request = AcceptRequest(ballot, ids, view)
+        answers = await self._round(ids, "vote.accept", request.to_body(), AcceptAnswer.from_body)
+        if not _is_majority(answers, ids):
+            raise Conflict("no majority accepted")
+        return view
+
+    def _next_ballot(self) -> Ballot:
+        promised = self._store.vote["num"]
+        self._highest_number = max(self._highest_number, promised) + 1
+        return Ballot(self._highest_number, self._store.name)
+
+    async def _prepare(self, ids: Identities, ballot: Ballot) -> View | None:
+        """The newest view that any voter of a promising majority has accepted."""
+        body = PrepareRequest(ballot, ids).to_body()
+        answers = await self._round(ids, "vote.prepare", body, PrepareAnswer.from_body)
+        if not _is_majority(answers, ids):
+            raise NoPromise(_newest(answers))
+        return _newest([answer for answer in answers if answer.ok])
+
+    async def _round(
+        self,
+        ids: Identities,
+        kind: str,
+        body: Mapping[str, Any],
+        read: Callable[[Mapping[str, Any]], _AnswerT],
+    ) -> list[_AnswerT]:
+        """Asks every member; returns once a majority agreed, or every one has answered or failed."""
+
+        async def ask(name: str) -> _AnswerT | None:
             try:
-                return await self._call(n, kind, body, 600_000)
+                return read(await self._call(name, kind, body, _VOTE_TIMEOUT_US))
             except Fault:
                 return None
 
-        ts = [asyncio.ensure_future(one(n)) for n in sorted(ids)]
+        tasks = [asyncio.ensure_future(ask(name)) for name in sorted(ids)]
         while True:
-            rs = [t.result() for t in ts if t.done() and t.result()]
-            if sum(r["ok"] for r in rs) > len(ids) // 2 or all(t.done() for t in ts):
+            results = [task.result() for task in tasks if task.done()]
+            answers = [answer for answer in results if answer is not None]
+            pending = [task for task in tasks if not task.done()]
+            if _is_majority(answers, ids) or not pending:
                 break
-            await asyncio.wait([t for t in ts if not t.done()], return_when=asyncio.FIRST_COMPLETED)
-        self._seen = max([self._seen] + [r["seen"] for r in rs])
-        return rs
+            await asyncio.wait(pending, return_when=asyncio.FIRST_COMPLETED)
+        seen = [answer.highest_number for answer in answers]
+        self._highest_number = max([self._highest_number, *seen])
+        return answers
+
+
+def _is_majority(answers: list[_AnswerT], ids: Identities) -> bool:
+    return sum(answer.ok for answer in answers) > len(ids) // 2
+
+
+def _newest(answers: list[PrepareAnswer]) -> View | None:
+    """The view accepted under the highest ballot."""
+    newest = max(answers, key=lambda answer: answer.accepted, default=None)
+    return None if newest is None else newest.value
--- a/src/petrelhaven/control/core_changes.py
+++ b/src/petrelhaven/control/core_changes.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
+    from petrelhaven.control.consensus.node_services import NodeServices
     from petrelhaven.control.consensus.view import View
-    from petrelhaven.control.node import ControlNode
+    from petrelhaven.control.consensus.view_maintenance import Reports
 
 __all__ = ["CoreChanges", "ViewChange"]
 
@@ -27,47 +27,48 @@
 class CoreChanges:
     """Compares a view with what this core knows of the others.
 
-    `told` is what cores told of themselves lately, by name. At most `most` cores count, which
-    follows from what may be lost at once.
+    At most `most_members` control nodes are members, which follows from what may be lost at once.
     """
 
-    def __init__(self, core: ControlNode, most: int) -> None:
+    def __init__(self, core: NodeServices, most_members: int) -> None:
         """Uses the roster, the clock and the disk watch of `core`."""
-        self._core, self._most = core, most
+        self._core, self._most_members = core, most_members
         self._born = core.clock.now()
 
-    def newcomers(self, view: View, told: Mapping[str, Any]) -> list[str]:
+    def newcomers(self, view: View, reports: Reports) -> list[str]:
         """Cores beside those of the view that could be taken in."""
         return [
             name
-            for name in sorted(told)
+            for name in sorted(reports)
             if name not in view.ids
             and self._core.roster.state(name) == "alive"
             and self._core.disk_watch.takes_writes(name)
         ]
 
-    def wiped(self, view: View, told: Mapping[str, Any]) -> list[str]:
+    def wiped(self, view: View, reports: Reports) -> list[str]:
         """Cores of the view that came back with another disk than they had in it."""
         return [
-            name for name, disk in view.ids.items() if name in told and told[name]["disk"] != disk
+            name
+            for name, disk in view.ids.items()
+            if name in reports and reports[name].disk != disk
         ]
 
-    def has_place_for_newcomer(self, view: View, told: Mapping[str, Any]) -> bool:
+    def has_place_for_newcomer(self, view: View, reports: Reports) -> bool:
         """Whether a core waits to be taken in, and one is missing in the view."""
-        missing = len(view.ids) < self._most or not view.every_member_in_chain
-        return missing and bool(self.newcomers(view, told))
+        missing = len(view.ids) < self._most_members or not view.every_member_in_chain
+        return missing and bool(self.newcomers(view, reports))
 
-    def next_change(self, view: View, told: Mapping[str, Any]) -> ViewChange | None:
+    def next_change(self, view: View, reports: Reports) -> ViewChange | None:
         """One change at a time: takes a newcomer in; while it may not, lets a lost core go.
 
         Any majority before such a change meets any majority after it.
         """
-        newcomers = self.newcomers(view, told)
+        newcomers = self.newcomers(view, reports)
         if not newcomers:
             return None
         chain, ids, newcomer = list(view.chain), dict(view.ids), newcomers[0]
-        if len(ids) < self._most:
-            ids[newcomer] = told[newcomer]["disk"]
+        if len(ids) < self._most_members:
+            ids[newcomer] = reports[newcomer].disk
             return ViewChange([*chain, newcomer], ids, f"took in {newcomer}")
         lost = [name for name in ids if name not in chain and self._is_lost(name)]
         if not lost or len(chain) <= (len(ids) - 1) // 2:
--- a/src/petrelhaven/control/orders.py
+++ b/src/petrelhaven/control/orders.py
@@ -95,14 +95,16 @@
     def check(self, bound: list[int] | None) -> None:
         """Expired where an order that another core sent has outlived the call that brought it."""
         expiry = Expiry.read(bound)
-        if expiry is not None and not expiry.stands(self._chain.boot, self._clock.now()):
+        if expiry is not None and not expiry.stands(
+            self._chain.confirmation.boot, self._clock.now()
+        ):
             raise Expired("the order came after its caller was answered")
 
     async def _expiry(self, head: str, us: int) -> Expiry:
         """The end of an order of `us` by the clock of `head`, which is asked for it where it isn't known."""
-        clocks = self._chain.peer_clocks
+        clocks = self._chain.confirmation.peer_clocks
         if not clocks.knows(head):
-            await self._chain.ask(head)
+            await self._chain.confirmation.ask(head)
         return clocks.expiry(head, us)
 
     async def _follow(self, place: int, attempt: Attempt, within_us: int) -> Any:
@@ -153,7 +155,7 @@
         chain, now = self._chain, self._clock.now()
         if chain.view is None:
             raise NotReady("no view yet")
-        if now >= chain.confirmed and now - chain.adopted > _TRANSITION_US:
+        if not chain.confirmation.is_recent and now - chain.adopted > _TRANSITION_US:
             raise NotReady("no majority of the cores answers", details={"final": True})
 
     def _require_heard(self, view: View) -> None:
@@ -171,8 +173,8 @@
 
         A request tells no time, so how long one that is read after a pause has lain here can't be known.
         """
-        self._chain.note_pause()
-        ended, stood_us = self._chain.pause
+        self._chain.confirmation.note_pause()
+        ended, stood_us = self._chain.confirmation.pause
         lately = self._clock.now() - ended < _AFTER_PAUSE_US
         if lately and stood_us > within_us * _PAUSE_SHARE:
             raise NotReady("this core stood still a moment ago; send the order again")
--- /dev/null
+++ b/src/petrelhaven/control/resumable/node.py
@@ -0,0 +1,154 @@
+"""A control node of resumable sessions: proxies are part of its control state, and it plans for them."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Mapping
+from typing import TYPE_CHECKING, Any
+
+from petrelhaven.control.base_node import BaseControlNode
+from petrelhaven.control.configuration.document import read
+from petrelhaven.control.leases import LeaseTable
+from petrelhaven.control.resumable.announcement import check_announcement
+from petrelhaven.control.resumable.planning_duty import PlanningDuty
+from petrelhaven.runtime.errors import Duplicate, Fault, Invalid, Malformed, NotReady
+from petrelhaven.runtime.events import Events, emit
+
+if TYPE_CHECKING:
+    from petrelhaven.transport.channel import Channel
+
+__all__ = ["ResumableControlNode"]
+
+_ENTER_TIMEOUT_US = 20_000_000
+_READ_TIMEOUT_US = 2_000_000
+_SNAPSHOT_TIMEOUT_US = 1_500_000
+_GROUP_FIXED_US = 5_000_000
+
+
+class ResumableControlNode(BaseControlNode):
+    """One control node of resumable sessions."""
+
+    def make_lease_table(self) -> LeaseTable:
+        """The table of the proxies' leases."""
+        return LeaseTable(self.clock, self.tasks, self.chain, self.call, self.log)
+
+    def make_duty(self, platform: Any) -> PlanningDuty:  # noqa: ANN401
+        """The duty that plans leaderships and shares."""
+        return PlanningDuty(
+            self.clock,
+            self.tasks,
+            self.chain,
+            self.lease_table,
+            self.roster,
+            self.call,
+            platform,
+            self.log,
+        )
+
+    def handlers(self) -> dict[str, Any]:
+        """What proxies ask, and the head of the other control nodes."""
+        return {
+            "duty.heard": self.duty.told,
+            "edge.lease": self.lease_table.lease,
+            "edge.enter": self._enter_proxy,
+        }
+
+    async def _enter_proxy(self, _channel: Channel, body: Mapping[str, Any]) -> dict[str, Any]:
+        """A proxy registers: its state is entered as a record."""
+        proxy = body["edge"]
+        record = {
+            "t": "edge",
+            "name": proxy,
+            "inc": body["inc"],
+            "state": body["state"],
+            "boot": body["boot"],
+            "hall": body["hall"],
+            "addr": body["addr"],
+            "http": body["http"],
+            "by": proxy,
+        }
+        try:
+            return {"seq": (await self.enter(record, False))["seq"]}
+        except Duplicate:
+            return {"seq": 0}
+
+    async def enter(self, record: dict[str, Any], force: bool = True) -> dict[str, Any]:
+        """Enters a record at the head, wherever that is; with `force`, returns once it is in force."""
+        view = self.chain.view
+        if view is None:
+            raise NotReady("no view yet")
+        body = {"rec": record, "force": force, "bound": None}
+        if view.head == self.name:
+            return await self._enter(None, body)
+        return await self.reach.call(view.head, "chain.enter", body, _ENTER_TIMEOUT_US)
+
+    async def control_state(self) -> dict[str, Any]:
+        """The document of the control state as the tail answers it."""
+        view = self.chain.view
+        if view is None:
+            raise NotReady("no view yet")
+        if view.tail == self.name:
+            return self.chain.read()
+        answer = await self.reach.call(view.tail, "chain.read", {"what": None}, _READ_TIMEOUT_US)
+        document: dict[str, Any] = answer["doc"]
+        return document
+
+    async def apply(self, text: str, by: str = "", retire: bool = False) -> dict[str, Any]:
+        """Checks and applies a configuration."""
+        configuration = read(text)
+        if configuration.embargoing or configuration.embargoes:
+            note = "embargoes are kept only where sessions live with their connection"
+            raise Invalid("manifest declined", details={"faults": [["embargoing", note]]})
+        record = {"t": "manifest", "text": text, "by": by, "retire": retire}
+        answer = await self.enter(record)
+        return {"version": configuration.version, "change": answer["seq"], **answer["doc"]}
+
+    async def set_zone_state(self, zone: str, state: str, by: str = "") -> dict[str, Any]:
+        """Evacuates or restores a zone."""
+        answer = await self.enter({"t": "hall", "hall": zone, "state": state, "by": by})
+        return {"hall": zone, "state": state, "change": answer["seq"], **answer["doc"]}
+
+    async def snapshots(self) -> dict[str, dict[str, Any]]:
+        """The control states that living proxies hold, by their names."""
+        proxies = self.roster.living("edge")
+        found = await asyncio.gather(*[self._snapshot(proxy) for proxy in proxies])
+        return {proxy: snapshot for proxy, snapshot in zip(proxies, found, strict=True) if snapshot}
+
+    async def _snapshot(self, proxy: str) -> dict[str, Any] | None:
+        try:
+            body = {"name": self.name}
+            answer = await self.reach.call(proxy, "edge.frame", body, _SNAPSHOT_TIMEOUT_US)
+        except Fault as fault:
+            emit(self.log, Events.SURVEY_UNANSWERED, node=proxy, fault=fault.code)
+            return None
+        snapshot: dict[str, Any] | None = answer["frame"]
+        return snapshot
+
+    def announce(self, document: Any) -> None:  # noqa: ANN401 (unchecked, from outside)
+        """Takes a member's announcement after checking it."""
+        check_announcement(document)
+        former = self.duty.heard.get(document["member"])
+        if former and self.clock.now() - former["at"] < _GROUP_FIXED_US:
+            group = former["doc"]["group"]
+            if document["group"] != group:
+                raise Malformed(
+                    f"announcement field group must stay {group} for {document['member']}"
+                )
+        self.duty.announce(document)
+
+    def status(self) -> dict[str, Any]:
+        """The belief, what this node may do now, and what its duty is waiting for."""
+        now = self.clock.now()
+        return {
+            **self.belief(),
+            "settings": self.settings(),
+            "ruling": self.chain.ruling,
+            "active": self.chain.active,
+            "head": self.chain.head,
+            "waiting": dict(self.duty.why) if self.chain.head else {},
+            "garbage": getattr(self.link, "garbage", 0),
+            "members": {
+                name: {**heard["doc"], "age_us": now - heard["at"]}
+                for name, heard in sorted(self.duty.heard.items())
+            },
+        }
--- a/src/petrelhaven/simulator/connection_sessions/fleet.py
+++ b/src/petrelhaven/simulator/connection_sessions/fleet.py
@@ -4,6 +4,7 @@
 import json
 import random
 
+from petrelhaven.control.base_node import NodeIdentity, NodeResources
 from petrelhaven.control.node import ControlNode
 from petrelhaven.proxy.core_connection import CoreConnection
 from petrelhaven.proxy.node import ProxyNode
@@ -121,18 +122,13 @@
         b.boot()
         try:
             b.node = ControlNode(
-                b.name,
-                b.zone,
-                self.seeds_for(b),
-                b.clock,
-                b.tasks,
-                b.link,
-                b.disk,
-                random.Random(self.rng.random()),
+                NodeIdentity(b.name, b.zone, self.seeds_for(b)),
+                NodeResources(
+                    b.clock, b.tasks, b.link, b.disk, random.Random(self.rng.random()), b.log
+                ),
                 FailoverCaller(self.net, b, self.platform),
                 SimulatedWire(self.net, b),
                 self.heartbeat_us,
-                b.log,
                 founds=self.founds(b),
                 losses=self.losses,
                 wall_clock=self.wall_clock(b),
--- a/src/petrelhaven/simulator/hollow_nodes.py
+++ b/src/petrelhaven/simulator/hollow_nodes.py
@@ -7,6 +7,7 @@
 import tempfile
 import time
 
+from petrelhaven.control.base_node import NodeIdentity, NodeResources
 from petrelhaven.control.node import ControlNode
 from petrelhaven.control.storage.disk import Folder
 from petrelhaven.proxy.core_connection import CoreConnection
@@ -95,14 +96,8 @@
         seeds = [x.addr for x in ls]
         for i, x in enumerate(ls):
             s = ControlNode(
-                f"core-{i}",
-                "abc"[i],
-                list(seeds),
-                clock,
-                tasks,
-                x,
-                Folder(f"{tmp}/{i}"),
-                random.Random(i),
+                NodeIdentity(f"core-{i}", "abc"[i], list(seeds)),
+                NodeResources(clock, tasks, x, Folder(f"{tmp}/{i}"), random.Random(i)),
                 None,
                 None,
                 1_200_000,
--- a/src/petrelhaven/simulator/resumable/world.py
+++ b/src/petrelhaven/simulator/resumable/world.py
@@ -4,7 +4,8 @@
 import json
 import random
 
-from petrelhaven.control.base_node import BaseControlNode
+from petrelhaven.control.base_node import NodeIdentity, NodeResources
+from petrelhaven.control.resumable.node import ResumableControlNode
 from petrelhaven.emulator.balancer import LoadBalancer
 from petrelhaven.emulator.platform import PlatformLogic
 from petrelhaven.emulator.store import Declined, Store, Unanswered
@@ -196,17 +197,12 @@
         """Powers a core on."""
         b.boot()
         try:
-            b.node = BaseControlNode(
-                b.name,
-                b.zone,
-                self.seeds,
-                b.clock,
-                b.tasks,
-                b.link,
-                b.disk,
-                random.Random(self.rng.random()),
+            b.node = ResumableControlNode(
+                NodeIdentity(b.name, b.zone, self.seeds),
+                NodeResources(
+                    b.clock, b.tasks, b.link, b.disk, random.Random(self.rng.random()), b.log
+                ),
                 _SimPlatform(self, b),
-                b.log,
             )
         except asyncio.CancelledError:
             if b.up:
--- a/tests/control_mutants.py
+++ b/tests/control_mutants.py
@@ -1,8 +1,9 @@
 """The guards of the control side, each taken out alone: what the model of test_control_model.py must find."""
 
 import petrelhaven.control.consensus.chain as chain
+import petrelhaven.control.consensus.confirmation as confirmation
+import petrelhaven.control.consensus.member_maintenance as member_maintenance
 import petrelhaven.control.consensus.register as register
-from petrelhaven.control import node as node
 from petrelhaven.control.state import control_state as control_state
 from petrelhaven.control.storage import core_store, documents
 from petrelhaven.runtime.errors import NotReady
@@ -24,9 +25,9 @@
     real = register.Voter.accept
 
     async def accept(self, channel, body):
-        vote = self._mem.vote
+        vote = self._store.vote
         if body["num"] < vote["num"]:
-            self._mem.vote = {**vote, "num": body["num"], "who": body["who"]}
+            self._store.vote = {**vote, "num": body["num"], "who": body["who"]}
         return await real(self, channel, body)
 
     mp.setattr(register.Voter, "accept", accept)
@@ -35,9 +36,9 @@
 def minority_decides(mp):
     real = register.Proposer._round
 
-    async def one_round(self, ids, kind, body):
-        answers = await real(self, ids, kind, body)
-        silent = {"ok": True, "num": 0, "who": "", "value": None, "seen": 0}
+    async def one_round(self, ids, kind, body, read):
+        answers = await real(self, ids, kind, body, read)
+        silent = read({"ok": True, "num": 0, "who": "", "value": None, "seen": 0})
         return answers + [silent] * (len(ids) - len(answers))
 
     mp.setattr(register.Proposer, "_round", one_round)
@@ -45,19 +46,19 @@
 
 def confirmed_without_majority(mp):
     def count(self, view):
-        latest = max(self._sent.get(name, 0) for name in view.ids)
-        self.confirmed = max(self.confirmed, latest + self.confirm_us)
+        latest = max(self._confirmed_at.get(name, 0) for name in view.ids)
+        self.until_us = max(self.until_us, latest + self._confirm_us)
 
-    mp.setattr(chain.Chain, "_count", count)
+    mp.setattr(confirmation.Confirmation, "_count", count)
 
 
 def confirms_an_older_view(mp):
-    real = chain.Chain.confirmed_by
+    real = confirmation.Confirmation.answer
 
-    async def confirmed_by(self, channel, body):
+    async def answer(self, channel, body):
         return {**await real(self, channel, body), "ok": True, "view": None}
 
-    mp.setattr(chain.Chain, "confirmed_by", confirmed_by)
+    mp.setattr(confirmation.Confirmation, "answer", answer)
 
 
 def tail_reads_while_not_active(mp):
@@ -73,7 +74,7 @@
     mp.setattr(
         chain.Chain,
         "complete",
-        property(lambda self: self.view is not None and self._at() is not None),
+        property(lambda self: self.view is not None and self._position() is not None),
     )
 
 
@@ -88,36 +89,37 @@
 
 
 def informed_by_any_core(mp):
-    def informed(self):
-        view = self.chain.view
-        if view is None:
+    def report_received(self):
+        chain = self._core.chain
+        if chain.view is None:
             return
-        told = (
-            answer for at, answer in self._infos.values() if answer and at >= self.chain.adopted
+        reports = (
+            report for at, report in self._reports.values() if report and at >= chain.adopted
         )
-        if any(answer["name"] != self.name for answer in told):
-            self.chain.active_at = self.clock.now()
+        if any(report.name != self._core.name for report in reports):
+            chain.active_at = self._core.clock.now()
 
-    mp.setattr(node.ControlNode, "informed", informed)
+    mp.setattr(member_maintenance.MemberMaintenance, "report_received", report_received)
 
 
 def members_changed_two_at_once(mp):
-    async def recast(self, view, infos):
-        new = [n for n in infos if n not in view.ids and self.roster.state(n) == "alive"]
-        if not new or not self.chain.active:
+    async def change_members(self, view, reports):
+        roster = self._core.roster
+        new = [n for n in reports if n not in view.ids and roster.state(n) == "alive"]
+        if not new or not self._core.chain.active:
             return
         ids = {n: disk for n, disk in view.ids.items() if n in view.chain}
-        ids[new[0]] = infos[new[0]]["disk"]
+        ids[new[0]] = reports[new[0]].disk
         await self.propose(view, (*view.chain, new[0]), ids, "exchanged")
 
-    mp.setattr(node.ControlNode, "recast", recast)
+    mp.setattr(member_maintenance.MemberMaintenance, "change_members", change_members)
 
 
 def acknowledged_before_commit(mp):
-    async def settled(self, seq, view):
+    async def wait_committed(self, seq, view_number):
         return
 
-    mp.setattr(chain.Chain, "settled", settled)
+    mp.setattr(chain.Chain, "wait_committed", wait_committed)
 
 
 def records_not_synced(mp):
--- a/tests/embargo_world.py
+++ b/tests/embargo_world.py
@@ -5,6 +5,7 @@
 import random
 
 from petrelhaven.control.embargo.instant import spoken
+from petrelhaven.control.base_node import NodeIdentity, NodeResources
 from petrelhaven.control.node import ControlNode
 from petrelhaven.proxy.core_connection import CoreConnection
 from petrelhaven.proxy.node import ProxyNode
@@ -359,18 +360,13 @@
     def start_core(self, n):
         b = self.cores[n].boot()
         s = ControlNode(
-            n,
-            b.zone,
-            [f"sim:{x}" for x in sorted(self.cores)],
-            b.clock,
-            b.tasks,
-            b.link,
-            b.disk,
-            random.Random(self.rng.random()),
+            NodeIdentity(n, b.zone, [f"sim:{x}" for x in sorted(self.cores)]),
+            NodeResources(
+                b.clock, b.tasks, b.link, b.disk, random.Random(self.rng.random()), b.log
+            ),
             self,
             SimWire(self, b),
             1_200_000,
-            b.log,
             wall_clock=self.walls[n],
         )
         b.node = s
--- a/tests/model/cluster.py
+++ b/tests/model/cluster.py
@@ -6,6 +6,7 @@
 
 from model.disk import ModelDisk
 from model.observer import Observer
+from petrelhaven.control.base_node import NodeIdentity, NodeResources
 from petrelhaven.control.node import ControlNode
 from petrelhaven.simulator.net import Net, SimulatedMachine
 
@@ -89,18 +90,18 @@
         machine.boot()
         try:
             machine.node = ControlNode(
-                machine.name,
-                machine.zone,
-                list(self._seeds[machine.name]),
-                machine.clock,
-                machine.tasks,
-                machine.link,
-                machine.disk,
-                random.Random(self.rng.random()),
+                NodeIdentity(machine.name, machine.zone, list(self._seeds[machine.name])),
+                NodeResources(
+                    machine.clock,
+                    machine.tasks,
+                    machine.link,
+                    machine.disk,
+                    random.Random(self.rng.random()),
+                    machine.log,
+                ),
                 None,
                 None,
                 _HEARTBEAT_US,
-                machine.log,
                 founds,
                 self.tolerated,
             )
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -310,20 +310,20 @@
 
 
 def acked_by_the_head(mp):
-    async def settled(self, seq, view):
+    async def wait_committed(self, seq, view_number):
         return
 
-    mp.setattr(chain.Chain, "settled", settled)
+    mp.setattr(chain.Chain, "wait_committed", wait_committed)
 
 
 def reform_raises_nothing(mp):
-    mp.setattr(reform, "_GAP_SEQ", 0)
-    mp.setattr(reform, "_GAP", 0)
+    mp.setattr(reform, "_RECORD_GAP", 0)
+    mp.setattr(reform, "_NUMBER_GAP", 0)
 
 
 def reform_asks_nobody(mp):
     async def newest(self):
-        return self._c.chain.control_state.frame(), self._c.name
+        return reform._Source(self._core.chain.control_state.frame(), self._core.name)
 
     mp.setattr(reform.Reform, "_newest", newest)
 
--- a/tests/test_control_days.py
+++ b/tests/test_control_days.py
@@ -5,7 +5,7 @@
 import pytest
 
 from petrelhaven.control.consensus.chain import Chain
-from petrelhaven.control.node import ControlNode
+from petrelhaven.control.consensus.member_maintenance import MemberMaintenance
 from petrelhaven.control.orders import OrderRouter
 from petrelhaven.control.state.control_state import ControlState
 from petrelhaven.control.storage import core_store
@@ -91,10 +91,10 @@
 
 
 def test_without_a_change_of_who_counts_replacements_leave_no_majority(monkeypatch):
-    async def recast(self, view, infos):
+    async def change_members(self, view, reports):
         return
 
-    monkeypatch.setattr(ControlNode, "recast", recast)
+    monkeypatch.setattr(MemberMaintenance, "change_members", change_members)
     bad = inside(scenes.replaced_unplanned_in_turn, 1, ControlFleet, losses=1)
     assert "NOT CAUGHT UP" in rules(bad[0])
 
--- a/tests/test_control_interface.py
+++ b/tests/test_control_interface.py
@@ -17,6 +17,7 @@
 from stand_in.until import until
 
 from petrelhaven.commands import ctl
+from petrelhaven.control.base_node import NodeIdentity, NodeResources
 from petrelhaven.control.configuration.defaults import BOUNDS, GROUP, ROUTE, fill
 from petrelhaven.control.configuration.document import Bounds, Group, Route
 from petrelhaven.control.interface.control_interface import ControlInterface
@@ -75,14 +76,8 @@
     link = Link(clock, tasks)
     await link.start()
     node = ControlNode(
-        "c1",
-        "a",
-        [link.addr],
-        clock,
-        tasks,
-        link,
-        Folder(str(folder)),
-        random.Random(1),
+        NodeIdentity("c1", "a", [link.addr]),
+        NodeResources(clock, tasks, link, Folder(str(folder)), random.Random(1)),
         NoMembers(),
         NoMembers(),
         1_200_000,
@@ -664,9 +659,9 @@
 
 def test_only_one_reform_gathers_edges_at_a_time(tmp_path):
     async def go(node, http_server):
-        node.proxy_survey.on = True
+        node.proxy_survey.open = True
         with pytest.raises(Fault):
-            await node.frames()
+            await node.snapshots()
         st_, d, _ = await ask(http_server, "POST", "/reform", {"lost": ["c1"]})
         assert (st_, d["fault"]) == (400, "malformed")
         for body in (b"", {"lost": 3}, {"lost": [1]}, []):
--- a/tests/test_embargoes.py
+++ b/tests/test_embargoes.py
@@ -17,7 +17,7 @@
 sys.path.insert(0, str(Path(__file__).parent.parent / "platform"))
 
 from forms import configuration_of, label  # noqa: E402
-from petrelhaven.control.base_node import BaseControlNode  # noqa: E402
+from petrelhaven.control.resumable.node import ResumableControlNode  # noqa: E402
 from petrelhaven.control.configuration.document import read  # noqa: E402
 from petrelhaven.control.embargo.instant import instant, spoken  # noqa: E402
 from petrelhaven.control.embargo.rules import Table, of_configuration, placed, rules_of, told  # noqa: E402
@@ -416,7 +416,7 @@
 def test_a_core_of_kept_sessions_takes_no_configuration_with_embargoes():
     m = {**json.loads(configuration("small")), "embargoing": ["g1"]}
     with pytest.raises(Invalid) as e:
-        asyncio.run(BaseControlNode.apply(None, json.dumps(m)))
+        asyncio.run(ResumableControlNode.apply(None, json.dumps(m)))
     assert [p for p, _ in e.value.details["faults"]] == ["embargoing"]
 
 
--- a/tests/test_entered_record.py
+++ b/tests/test_entered_record.py
@@ -42,7 +42,7 @@
         def view(n, *names):
             return View(n, names, ids, "", names[0])
 
-        tasks.spawn(chain.confirm())
+        tasks.spawn(chain.confirmation.run())
         chain.adopt(view(1, "a", "b", "c"))
         await asyncio.sleep(1)
         order = tasks.spawn(chain.enter(zone("lost")))
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -7,6 +7,7 @@
 import pytest
 
 from petrelhaven.control.consensus.chain import Chain
+from petrelhaven.control.consensus.core_report import CoreReport
 from petrelhaven.control.consensus.view import View
 from petrelhaven.control.orders import ANSWER_US
 from petrelhaven.runtime.errors import Duplicate, Fault
@@ -210,14 +211,9 @@
     assert inside(go, 1)[0] == "acknowledged"
 
 
-def told(name, view_n, up_us=10_000_000, **granted_us):
-    return {
-        "name": name,
-        "disk": f"disk-{name}",
-        "view": {"n": view_n},
-        "up_us": up_us,
-        "granted_us": granted_us,
-    }
+def report(name, view_n, up_us=10_000_000, **granted_us):
+    view = View(view_n, (), {})
+    return CoreReport(name, f"disk-{name}", False, view, 0, 0, 0, up_us, granted_us)
 
 
 class Now:
@@ -230,12 +226,12 @@
 @pytest.mark.parametrize(
     ("cores", "left_us"),
     [
-        ([told("a", 8), told("b", 8), told("c", 8)], 0),
-        ([told("a", 8, c=700_000), told("b", 8, c=900_000)], 0),
-        ([told("a", 8, c=100_000), told("b", 8, c=900_000)], 530_000),
-        ([told("a", 8, c=900_000), told("b", 8, up_us=200_000)], 430_000),
-        ([told("a", 8, c=900_000), told("b", 7, c=900_000)], 630_000),
-        ([told("a", 8, c=900_000)], 630_000),
+        ([report("a", 8), report("b", 8), report("c", 8)], 0),
+        ([report("a", 8, c=700_000), report("b", 8, c=900_000)], 0),
+        ([report("a", 8, c=100_000), report("b", 8, c=900_000)], 530_000),
+        ([report("a", 8, c=900_000), report("b", 8, up_us=200_000)], 430_000),
+        ([report("a", 8, c=900_000), report("b", 7, c=900_000)], 630_000),
+        ([report("a", 8, c=900_000)], 630_000),
     ],
 )
 def test_the_wait_after_a_new_view_ends_when_no_former_core_can_rule_any_more(cores, left_us):
@@ -244,11 +240,11 @@
     chain.view = View(8, ("a", "b"), {"a": "disk-a", "b": "disk-b"}, before=(ids,))
     now = chain.clock.now()
     chain.active_at = now + 630_000
-    chain.lapse_by(cores, now)
+    chain.shorten_wait(cores, now)
     assert chain.active_at - now == left_us
     chain.active_at = now + 630_000
     chain.view = dataclasses.replace(chain.view, before=None)
-    chain.lapse_by(cores, now)
+    chain.shorten_wait(cores, now)
     assert chain.active_at - now == 630_000
 
 
--- a/tests/test_view_register.py
+++ b/tests/test_view_register.py
@@ -7,10 +7,10 @@
 import pytest
 from test_record_log import Bytes
 
-from petrelhaven.control.consensus.register import Proposer, Voter
+from petrelhaven.control.consensus.register import NoPromise, Proposer, Voter
 from petrelhaven.control.consensus.view import View
 from petrelhaven.control.storage.core_store import CoreStore
-from petrelhaven.runtime.errors import Fault, NotSent
+from petrelhaven.runtime.errors import Conflict, Fault, NotSent
 
 
 class Trio:
@@ -52,7 +52,7 @@
                 ),
             )
             self.chosen.append(v)
-        except Fault:
+        except (Fault, NoPromise):
             pass
 
     async def deliver(self):
@@ -102,7 +102,7 @@
             t.mems[n].put_vote(ids=ids)
         t.mems["c"].wipe()
         two = View(2, ("a", "b", "c"), t.ids)
-        with pytest.raises(Fault):
+        with pytest.raises(Conflict):
             await Proposer(t.mems["a"], deaf).change(ids, lambda x: two)
         assert accepted(t.mems["a"]) == two and accepted(t.mems["b"]) == one
         for who in "ab":
