--- a/src/petrelhaven/control/base_node.py
+++ b/src/petrelhaven/control/base_node.py
@@ -17,7 +17,7 @@
 from petrelhaven.membership.prober import Prober
 from petrelhaven.membership.roster import Roster
 from petrelhaven.runtime.errors import Duplicate, Fault, Invalid, Malformed, NotReady
-from petrelhaven.runtime.events import emit
+from petrelhaven.runtime.events import Events, emit
 from petrelhaven.runtime.limits import NAME
 from petrelhaven.transport.reach import Reach
 
@@ -129,7 +129,14 @@
 
     def start(self):
         """Starts the core's tasks."""
-        emit(self.log, 101, name=self.name, zone=self.zone, addr=self.link.addr, disk=self.mem.disk)
+        emit(
+            self.log,
+            Events.NODE_STARTED,
+            name=self.name,
+            zone=self.zone,
+            addr=self.link.addr,
+            disk=self.mem.disk,
+        )
         for co in (self.prober.run(), self.chain.confirm(), self._maintain_view(), self.duty.run()):
             self.tasks.spawn(co)
         self.disk_watch.start()
@@ -151,7 +158,8 @@
         if want != self.state:
             {"outside": self.part, "joining": self.knock, "chained": self.enchain}[want]()
             if want == "chained":
-                emit(self.log, 304 if view.number > 1 else 102, view=view.number)
+                event = Events.CHAIN_REJOINED if view.number > 1 else Events.NODE_READY
+                emit(self.log, event, view=view.number)
 
     async def _told(self, ch, b):
         return self.told()
@@ -266,7 +274,7 @@
                 return
             ids = {n: r["disk"] for n, r in sorted(infos.items())}
             new = View(1, tuple(sorted(ids)), ids, "first view", self.name, before=())
-            emit(self.log, 302, n=1, cause="first view")
+            emit(self.log, Events.VIEW_PROPOSED, n=1, cause="first view")
             self.spread(await self._ask.change(ids, lambda x: x or new))
             return
         newest = View.from_optional(self.mem.vote["value"])
@@ -323,7 +331,7 @@
         """Has a majority of the view's cores decide the next view."""
         before = self.chain.former_cores()
         new = View(v.number + 1, tuple(chain), ids, cause, self.name, before)
-        emit(self.log, 302, n=new.number, cause=cause)
+        emit(self.log, Events.VIEW_PROPOSED, n=new.number, cause=cause)
         self.spread(
             await self._ask.change(v.ids, lambda x: new if x is None or x.number == v.number else x)
         )
@@ -414,7 +422,7 @@
                     "frame"
                 ]
             except Fault as e:
-                emit(self.log, 311, node=n, fault=e.code)
+                emit(self.log, Events.SURVEY_UNANSWERED, node=n, fault=e.code)
                 return n, None
 
         return {
--- a/src/petrelhaven/control/consensus/reform.py
+++ b/src/petrelhaven/control/consensus/reform.py
@@ -2,7 +2,7 @@
 
 from petrelhaven.control.consensus.view import View
 from petrelhaven.runtime.errors import Conflict, Fault, Malformed, NotReady
-from petrelhaven.runtime.events import emit
+from petrelhaven.runtime.events import Events, emit
 
 __all__ = ["Reform"]
 
@@ -50,7 +50,15 @@
         chain = [c.name] + [x for x in sorted(ids) if x != c.name and infos[x]]
         cause = "formed anew without " + ",".join(lost)
         view = View(n, tuple(chain), new, cause, by or c.name)
-        emit(self.log, 310, n=n, seq=frame["seq"], src=src, lost=",".join(lost), by=by)
+        emit(
+            self.log,
+            Events.CHAIN_REFORMED,
+            n=n,
+            seq=frame["seq"],
+            src=src,
+            lost=",".join(lost),
+            by=by,
+        )
         c.mem.reset(frame, n)
         c.spread(view)
         return {
@@ -71,7 +79,7 @@
 
     async def _newest(self):
         c = self._c
-        best, src = c.chain.control_state.frame(), c.name
+        best, src = c.chain.control_state.snapshot(), c.name
         for n, f in sorted((await c.frames()).items()):
             if f["seq"] > best["seq"]:
                 best, src = f, n
