--- a/src/petrelhaven/control/announcements.py
+++ b/src/petrelhaven/control/announcements.py
@@ -39,12 +39,12 @@
 _NO_COUNT = -1
 
 Enter = Callable[[dict[str, Any], bool, int], Awaitable[dict[str, Any]]]
-"""Enters a record at the head: record, whether to wait until it is in force, timeout in microseconds."""
+"""Enters a record at the head: record, whether to wait until it is in force, timeout in us."""
 
 
 @dataclass(frozen=True, slots=True)
 class Announcement:
-    """One heartbeat of a member. `count` rises with every one, so that an older one is known by it."""
+    """One heartbeat of a member. `count` rises with every one."""
 
     member: str
     group: str
@@ -142,9 +142,10 @@
             await self._record(gone)
 
     async def _confirm_control_state(self) -> None:
-        """Returns once all that this node holds is committed, and a majority has confirmed this node since.
+        """Returns once all that this node holds is committed and a majority confirms this node.
 
-        A head, or any node before the tail, holds records that are not committed yet and may go with it.
+        A head, or any node before the tail, holds records that are not committed yet and may go
+        with it.
         """
         chain = self._chain()
         committed = chain.wait_committed(chain.control_state.seq, chain.mem.mark)
--- a/src/petrelhaven/control/base_node.py
+++ b/src/petrelhaven/control/base_node.py
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeIdentity:
-    """Which control node this is: its name, its zone, and the link addresses of the nodes it starts from."""
+    """Name and zone of a control node, and the link addresses of the nodes that it starts from."""
 
     name: str
     zone: str
@@ -263,7 +263,7 @@
         return await Reform(self, self.log).run(lost, by)
 
     def unconfirmed(self) -> dict[str, Any]:
-        """The control state as this node alone holds it: no majority confirms that it is the newest."""
+        """The control state as this node holds it, which may not be the newest."""
         document: dict[str, Any] = self.chain.control_state.doc
         return document
 
--- a/src/petrelhaven/control/consensus/chain.py
+++ b/src/petrelhaven/control/consensus/chain.py
@@ -1,4 +1,7 @@
-"""The replication chain: records are entered at the head, synced by each node in turn and committed at the tail."""
+"""The replication chain: records are entered at the head and committed at the tail.
+
+Each node syncs a record to its disk before it sends it to its successor.
+"""
 
 from __future__ import annotations
 
@@ -71,7 +74,7 @@
         confirm_us: int = CONFIRM_US,
         ask_us: int = _ASK_US,
     ) -> None:
-        """Replicates what `mem` remembers; `call` reaches the other nodes, which are asked every `ask_us`."""
+        """Replicates what `mem` remembers; the other nodes are asked every `ask_us` by `call`."""
         self.clock, self.tasks, self.mem, self.call, self.log = clock, tasks, mem, call, log
         self.confirm_us = confirm_us
         self.view: View | None = None
@@ -114,7 +117,7 @@
 
     @property
     def complete(self) -> bool:
-        """Whether this node holds everything that was committed before its view, and takes writes."""
+        """Whether this node holds everything committed before its view, and takes writes."""
         return (
             self.view is not None
             and self.mem.done == self.view.number
@@ -148,7 +151,8 @@
         self.confirmation.reset()
         self.adopted = self.clock.now()
         self.active_at = self.adopted + self._wait_us
-        emit(self.log, Events.VIEW_ADOPTED, n=view.number, chain=",".join(view.chain), cause=view.cause)
+        chain = ",".join(view.chain)
+        emit(self.log, Events.VIEW_ADOPTED, n=view.number, chain=chain, cause=view.cause)
         self._feed_successor(view)
         for listener in self.on_view:
             listener()
@@ -165,8 +169,8 @@
     def _holds_all_of(self, view: View) -> bool:
         """Whether this node holds all that is committed by the time `view` begins.
 
-        The head of a view does, and so does a node that was complete in the view before and stays in the chain:
-        what was committed there is on every node of that chain.
+        The head of a view does, and so does a node that was complete in the view before and stays
+        in the chain: what was committed there is on every node of that chain.
         """
         if view.position(self.me, self.mem.disk) is None:
             return False
@@ -182,7 +186,10 @@
             self._feeder = self.tasks.spawn(SuccessorFeed(self, view, successor).run())
 
     def former_members(self) -> tuple[Identities, ...] | None:
-        """The members of each view that may still be in force when the next is proposed; None where not known."""
+        """The members of each view that may be in force when the next is proposed.
+
+        None where that is not known.
+        """
         if self.view is None:
             return None
         if self.clock.now() >= self.active_at:
@@ -223,9 +230,10 @@
                 listener()
 
     def holds_record(self, seq: int, view_number: int) -> bool:
-        """Whether the record that this node holds as number `seq` is the one that was entered in that view.
+        """Whether the record held here as number `seq` is the one that was entered in that view.
 
-        A number alone names no record: what a head entered and could not commit is replaced by another head's records.
+        A number alone names no record: what a head entered and could not commit is replaced by
+        another head's records.
         """
         if seq == self.control_state.seq:
             return bool(self.mem.mark == view_number)
@@ -268,7 +276,8 @@
                 head = self.view.head if self.view else None
                 raise NotHead("not the active head", details={"head": head})
             self.control_state.check(record)
-            seq, view_number = self.control_state.seq + 1, self.view.number
+            seq: int = self.control_state.seq + 1
+            view_number = self.view.number
             self.mem.put_rec(seq, view_number, record)
             self.new_records.set()
             self._commit_as_tail()
@@ -328,7 +337,7 @@
                 await self.clock.limit(self._wait_for_commit(seq), _COMMIT_WAIT_US)
 
     def _store(self, request: AppendRequest) -> None:
-        """Stores what fits; the answer says what is held, and the predecessor goes on from there."""
+        """Stores what fits; the predecessor goes on from what the answer says is held."""
         fits = (request.previous, request.previous_view) == (self.control_state.seq, self.mem.mark)
         if request.snapshot is not None:
             if not fits:
--- a/src/petrelhaven/control/consensus/chain_messages.py
+++ b/src/petrelhaven/control/consensus/chain_messages.py
@@ -1,4 +1,4 @@
-"""What control nodes of one chain send each other: records down the chain, and confirmations of the view."""
+"""Messages between the nodes of one chain: records, and confirmations of the view."""
 
 from __future__ import annotations
 
@@ -68,8 +68,8 @@
 
     Attributes:
         view_number: The view in which both nodes stand.
-        previous: Number of the record before the first of `records`, or the last in `snapshot`; -1 only asks what
-            the successor holds.
+        previous: Number of the record before the first of `records`, or the last in `snapshot`; -1
+            only asks what the successor holds.
         previous_view: The view in which record `previous` was entered.
         records: Rows of number, view and record.
         snapshot: The control state that replaces that of the successor.
@@ -109,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendAnswer:
-    """The newest record that the successor holds, the view in which it was entered, and what is committed there."""
+    """The newest record that the successor holds, the view it was entered in, and its commit."""
 
     seq: int
     entered_view: int
--- a/src/petrelhaven/control/consensus/confirmation.py
+++ b/src/petrelhaven/control/consensus/confirmation.py
@@ -1,7 +1,7 @@
 """The majority confirmation: whether most members still accept the view that this node has adopted.
 
-A node acts under its view only for `confirm_us` after it asked what a majority then confirmed; the others accept no newer
-view without this node learning it, or losing its majority first.
+A node acts under its view only for `confirm_us` after it asked what a majority then confirmed; the
+others accept no newer view without this node learning it, or losing its majority first.
 """
 
 from __future__ import annotations
@@ -32,9 +32,11 @@
 
     Attributes:
         until_us: Up to when a majority's confirmation counts, in clock microseconds.
-        asks_minority: Asks only as many members as make a majority while the view is recently confirmed.
+        asks_minority: Asks only as many members as make a majority while the view is recently
+            confirmed.
         connected_proxies: Counts the proxies connected to this node.
-        connected_proxy_counts: For each other node, when it reported its count of proxies, and the count.
+        connected_proxy_counts: For each other node, when it reported its count of proxies, and the
+            count.
         boot: The clock when this process started.
         pause: When this process last stood still, and for how long, in microseconds.
         peer_clocks: The clocks of the other nodes.
@@ -116,7 +118,10 @@
         return [others[(self._rotation + i) % len(others)] for i in range(view.quorum - 1)]
 
     def note_pause(self) -> None:
-        """Notes when this process last stood still, and for how long; it should have asked every `ask_us`."""
+        """Notes when this process last stood still, and for how long.
+
+        It should have asked every `ask_us`.
+        """
         stood_us = self._clock.now() - self._last_asked - self._ask_us
         if stood_us > _PAUSE_US:
             self.pause = (self._clock.now(), stood_us)
--- a/src/petrelhaven/control/consensus/core_report.py
+++ b/src/petrelhaven/control/consensus/core_report.py
@@ -24,7 +24,8 @@
         seq: The newest record that it holds.
         commit: The newest record that it knows to be committed.
         up_us: Since when its process runs, in microseconds.
-        granted_us: For each node, how long ago this one last confirmed a view to it, in microseconds.
+        granted_us: For each node, how long ago this one last confirmed a view to it, in
+            microseconds.
     """
 
     name: str
@@ -38,7 +39,7 @@
     granted_us: Mapping[str, int]
 
     def stands_in(self, number: int, ids: Identities) -> bool:
-        """Whether this is a member of `ids`, by its disk, that has adopted view `number` or a newer one."""
+        """Whether this is a member of `ids`, by its disk, in view `number` or a newer one."""
         is_member = ids.get(self.name) == self.disk
         return is_member and self.view is not None and self.view.number >= number
 
--- a/src/petrelhaven/control/consensus/disk_watch.py
+++ b/src/petrelhaven/control/consensus/disk_watch.py
@@ -1,4 +1,4 @@
-"""Takes a control node out of service while its disk refuses writes, and back in once it takes them."""
+"""Takes a control node out of service while its disk refuses writes."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 
 class DiskWatch:
-    """Retries a refusing disk from time to time; notifies the other control nodes, and is notified by them.
+    """Retries a refusing disk; notifies the other control nodes, and is notified by them.
 
-    A node that refuses is left out of the next view by the others, and let in again once it takes writes. One that
-    has not repeated its notice for a while is taken to write again.
+    A node that refuses is left out of the next view by the others, and let in again once it takes
+    writes. One that has not repeated its notice for a while is taken to write again.
     """
 
     def __init__(self, core: NodeServices) -> None:
--- a/src/petrelhaven/control/consensus/feed.py
+++ b/src/petrelhaven/control/consensus/feed.py
@@ -76,7 +76,7 @@
                 number,
                 previous=chain.control_state.seq,
                 previous_view=chain.mem.mark,
-                snapshot=chain.control_state.frame(),
+                snapshot=chain.control_state.snapshot(),
                 complete=True,
             )
         if not records and held.seq == self._complete_at:
--- a/src/petrelhaven/control/consensus/former_views.py
+++ b/src/petrelhaven/control/consensus/former_views.py
@@ -15,10 +15,13 @@
 def former_views_expire_at(
     view: View, reports: Iterable[CoreReport], at_us: int, wait_us: int
 ) -> int | None:
-    """The moment from which no node acts under a view before `view`; None where the reports don't show it.
+    """The moment from which no node acts under a view before `view`.
 
-    A node acts under an older view only for a while after a majority confirmed that to it. Of any majority of a
-    former view's members, one confirmed to it last; once they all hold the newer view, none will again.
+    None where the reports don't show it.
+
+    A node acts under an older view only for a while after a majority confirmed that to it. Of any
+    majority of a former view's members, one confirmed to it last; once they all hold the newer
+    view, none will again.
 
     Args:
         view: The newest view.
--- a/src/petrelhaven/control/consensus/member_maintenance.py
+++ b/src/petrelhaven/control/consensus/member_maintenance.py
@@ -1,4 +1,4 @@
-"""Views whose members change: newcomers are taken in, and lost nodes let go of once one is there to replace them."""
+"""Changes of the members: newcomers are taken in, and lost nodes replaced."""
 
 from __future__ import annotations
 
@@ -29,10 +29,13 @@
 
 
 class MemberMaintenance(ViewMaintenance):
-    """Also asks nodes beside the seeds, changes the members, and checks the more often the more there is to do."""
+    """Also asks nodes beside the seeds, and changes the members.
+
+    It checks the more often the more there is to do.
+    """
 
     def __init__(self, core: NodeServices, interval_us: int, most_members: int) -> None:
-        """Checks about every `interval_us` while a member is missing; at most `most_members` count."""
+        """Checks about every `interval_us`; at most `most_members` nodes vote."""
         super().__init__(core, interval_us)
         self._changes = CoreChanges(core, most_members)
         self._started_at = core.clock.now()
@@ -61,7 +64,10 @@
         self._woken.set()
 
     async def pause(self) -> None:
-        """Waits between two checks: briefly while there is something to decide, long while every member is there."""
+        """Waits between two checks.
+
+        Briefly while there is something to decide, long while every member is there.
+        """
         interval_us = self._interval() + self._core.rng.randrange(_CHECK_SPREAD_US)
         self._woken.clear()
         with contextlib.suppress(DeadlineExceeded):
@@ -90,7 +96,10 @@
         self._woken.set()
 
     def is_present(self, name: str) -> bool:
-        """Whether a node counts as being there; one not met since the start of this one may be starting too."""
+        """Whether a node counts as being there.
+
+        One not met since the start of this one may be starting too.
+        """
         starting = self._core.clock.now() - self._started_at < _STARTING_US
         return super().is_present(name) or starting and self._core.roster.state(name) is None
 
@@ -105,7 +114,7 @@
         chain.shorten_wait([*reports, self._core.report()], now)
 
     async def _ask_who_moved(self) -> None:
-        """Asks the others for what ends the wait after a new view, once they may have received it."""
+        """Asks for what ends the wait after a new view, once the others may have received it."""
         await self._core.clock.sleep(_VIEW_SPREAD_US)
         if self._core.chain.active_at > self._core.clock.now():
             for address in self.addresses():
--- a/src/petrelhaven/control/consensus/peer_clocks.py
+++ b/src/petrelhaven/control/consensus/peer_clocks.py
@@ -1,4 +1,7 @@
-"""Readings of the other control nodes' monotonic clocks: a call carries its deadline by the clock of its receiver."""
+"""Readings of other control nodes' monotonic clocks.
+
+A call carries its deadline by the clock of its receiver.
+"""
 
 from dataclasses import dataclass
 
@@ -41,7 +44,8 @@
 class PeerClocks:
     """The last reading of each control node's clock.
 
-    A reading is older on arrival than it says, so what is worked out from it lies before the true moment, never after.
+    A reading is older on arrival than it says, so what is worked out from it lies before the true
+    moment, never after.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -54,7 +58,7 @@
         self._readings[name] = _Reading(boot, shown_us, self._clock.now())
 
     def knows(self, name: str) -> bool:
-        """Whether there is a reading that is young enough for the drift between two clocks not to matter."""
+        """Whether there is a reading so recent that drift does not matter."""
         reading = self._readings.get(name)
         return reading is not None and self._clock.now() - reading.received_us < _FRESH_US
 
--- a/src/petrelhaven/control/consensus/proxy_survey.py
+++ b/src/petrelhaven/control/consensus/proxy_survey.py
@@ -1,6 +1,7 @@
 """Control states of proxies, gathered over their connections while a control node has no majority.
 
-Without a majority it grants no lease, so that no proxy holds its core connection to it: each is asked as it comes by.
+Without a majority it grants no lease, so that no proxy holds its core connection to it: each is
+asked as it comes by.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 
 
 class ProxySurvey:
-    """While it is open, each proxy that connects to this node, or is connected, is asked for its control state."""
+    """While it is open, each proxy connected to this node is asked for its control state."""
 
     def __init__(self, clock: Clock, log: logbook.Logger | None = None) -> None:
         """Is closed at first."""
@@ -33,7 +34,9 @@
         self._asked: set[str] = set()
 
     async def gather(self) -> dict[str, dict[str, Any]]:
-        """Control states by proxy. Open long enough for a proxy to leave a node that is not active and try the others.
+        """Control states by proxy.
+
+        Open long enough for a proxy to leave a node that is not active and try the others.
 
         Raises:
             Conflict: a survey is open already.
--- a/src/petrelhaven/control/consensus/reform.py
+++ b/src/petrelhaven/control/consensus/reform.py
@@ -1,4 +1,4 @@
-"""Reform: the chain is formed anew after a majority of the disks was lost, at the operator's order only."""
+"""Reform: the chain is formed anew after most disks were lost, at the operator's order only."""
 
 from __future__ import annotations
 
@@ -36,14 +36,17 @@
 
 
 class Reform:
-    """Takes the newest control state that any living node holds and raises every number above all handed out before."""
+    """Takes the newest control state that any living node holds.
+
+    Every number is raised above all handed out before.
+    """
 
     def __init__(self, core: NodeServices, log: logbook.Logger | None = None) -> None:
         """Has `core` lead the chain that is formed."""
         self._core, self._log = core, log
 
     async def run(self, lost: Sequence[str], by: str = "") -> dict[str, Any]:
-        """Forms the chain without the disks of the nodes in `lost`; returns what was formed, as a document.
+        """Forms the chain without the disks of `lost`; returns what was formed, as a document.
 
         Raises:
             Malformed: `lost` does not name other members of the view, each once.
@@ -63,7 +66,8 @@
         reformed = self._view(number, view.ids, lost, reports, by)
         seq = source.snapshot["seq"]
         lost_names = ",".join(lost)
-        emit(self._log, Events.CHAIN_REFORMED, n=number, seq=seq, src=source.node, lost=lost_names, by=by)
+        fields = {"n": number, "seq": seq, "src": source.node, "lost": lost_names, "by": by}
+        emit(self._log, Events.CHAIN_REFORMED, **fields)
         core.mem.reset(source.snapshot, number)
         core.views.spread(reformed)
         return _outcome(reformed, source)
@@ -99,7 +103,7 @@
     async def _newest(self) -> _Source:
         """The newest control state among this node's and those of living proxies."""
         core = self._core
-        newest = _Source(core.chain.control_state.frame(), core.name)
+        newest = _Source(core.chain.control_state.snapshot(), core.name)
         for name, snapshot in sorted((await core.snapshots()).items()):
             if snapshot["seq"] > newest.snapshot["seq"]:
                 newest = _Source(snapshot, name)
--- a/src/petrelhaven/control/consensus/register.py
+++ b/src/petrelhaven/control/consensus/register.py
@@ -1,4 +1,4 @@
-"""The view register: a majority of the members decides each next view; nobody leads, and no log is kept.
+"""The view register: a majority of the members decides each next view.
 
 Single-decree Paxos over the members' stores (docs/notes/chain-and-view.md).
 """
@@ -33,7 +33,7 @@
 
 
 class NoPromise(Exception):  # noqa: N818 (an outcome of a race, no error that leaves the node)
-    """No majority promised; `accepted` is the newest view that any voter answered to have accepted."""
+    """No majority promised; `accepted` is the newest view that any answer named."""
 
     def __init__(self, accepted: View | None) -> None:
         """Carries what may be left to finish."""
@@ -44,8 +44,9 @@
 class Voter:
     """The acceptor. It never votes under a disk identity that the others do not know.
 
-    Ballots run under the identities of the newest view known to be decided; those of a view that was only accepted
-    count once it is decided, or two voters that accepted different ones could wait for each other for good.
+    Ballots run under the identities of the newest view known to be decided; those of a view that
+    was only accepted count once it is decided, or two voters that accepted different ones could
+    wait for each other for good.
     """
 
     def __init__(self, store: CoreStore) -> None:
@@ -56,7 +57,7 @@
         return VoteState.from_document(self._store.vote)
 
     def _fits(self, ids: Identities) -> bool:
-        """Whether a ballot among the members `ids` counts this very disk, and this node knows no other members."""
+        """Whether a ballot among `ids` counts this very disk, and no other members are known."""
         members = self._state().members
         return ids.get(self._store.name) == self._store.disk and members in (None, ids)
 
@@ -108,12 +109,12 @@
     """Has a majority of members decide a view."""
 
     def __init__(self, store: CoreStore, call: Call) -> None:
-        """Proposes under the name of the node that `store` belongs to; `call` reaches every member."""
+        """Proposes under the name of the node of `store`; `call` reaches every member."""
         self._store, self._call = store, call
         self._highest_number = 0
 
     async def change(self, ids: Identities, next_view: Callable[[View | None], View]) -> View:
-        """Decides `next_view(newest accepted view)` among the members `ids`, and returns what was decided.
+        """Decides `next_view(newest accepted view)` among the members `ids`, and returns it.
 
         Raises:
             NoPromise: no majority promised.
@@ -148,7 +149,7 @@
         body: Mapping[str, Any],
         read: Callable[[Mapping[str, Any]], _AnswerT],
     ) -> list[_AnswerT]:
-        """Asks every member; returns once a majority agreed, or every one has answered or failed."""
+        """Asks every member until a majority agreed, or all have answered or failed."""
 
         async def ask(name: str) -> _AnswerT | None:
             try:
--- a/src/petrelhaven/control/consensus/register_messages.py
+++ b/src/petrelhaven/control/consensus/register_messages.py
@@ -135,7 +135,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptAnswer:
-    """Whether the voter accepted; `highest_number` is the highest ballot number that it had seen before."""
+    """Whether the voter accepted, and the highest ballot number that it had seen before."""
 
     ok: bool
     highest_number: int
--- a/src/petrelhaven/control/consensus/view.py
+++ b/src/petrelhaven/control/consensus/view.py
@@ -1,4 +1,4 @@
-"""The view: which control nodes form the replication chain, in which order, and which disks count in it."""
+"""The view: which control nodes form the chain, in which order, and which disks vote."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
         ids: The members, that is, every node that votes, with the identity of its disk.
         cause: Why the view was proposed, for operators.
         by: Who proposed it: a node, or the operator who ordered a reform.
-        before: Members of each former view that might still be in force when this one was proposed; None where that
-            is not known.
+        before: Members of each former view that might still be in force when this one was proposed;
+            None where that is not known.
     """
 
     number: int
@@ -66,7 +66,7 @@
         return self.ids.get(name) == disk
 
     def position(self, name: str, disk: str) -> int | None:
-        """The place of a node in the chain; None if it has none, or has another disk than the view names."""
+        """The place of a node in the chain; None without one, or if its disk is another."""
         if self.names_disk(name, disk) and name in self.chain:
             return self.chain.index(name)
         return None
--- a/src/petrelhaven/control/consensus/view_maintenance.py
+++ b/src/petrelhaven/control/consensus/view_maintenance.py
@@ -1,4 +1,7 @@
-"""Keeps the view in step with the nodes that are there: finds the first one, and repairs it after losses."""
+"""Keeps the view in step with the nodes that are there.
+
+It decides the first view of all, and repairs the current one after losses.
+"""
 
 from __future__ import annotations
 
@@ -152,7 +155,7 @@
             self.spread(await self._proposer.change(ids, lambda newest: newest or view))
 
     async def _found(self) -> None:
-        """Decides the first view of all, once every node of the list is there and none has ever had one."""
+        """Decides the first view once every node of the list is there and none has ever had one."""
         core, reports = self._core, self.recent_reports()
         now = core.clock.now()
         blank = all(report.fresh and not report.view for report in reports.values())
--- a/src/petrelhaven/control/departure.py
+++ b/src/petrelhaven/control/departure.py
@@ -1,8 +1,9 @@
 """Orderly departure: a control node that is to stop hands its place to a successor before it ends.
 
-While another node waits for a place, a leaver keeps its vote until the members of the view no longer name its disk. Of
-two that are to stop at once, the one nearer to the tail goes first, and the other waits until every member is in the
-chain again: with both gone at once no majority of the disks might be left.
+While another node waits for a place, a leaver keeps its vote until the members of the view no
+longer name its disk. Of two that are to stop at once, the one nearer to the tail goes first, and
+the other waits until every member is in the chain again: with both gone at once no majority of the
+disks might be left.
 """
 
 from __future__ import annotations
@@ -62,7 +63,7 @@
         ]
 
     async def _wait_for_turn(self, end: int) -> None:
-        """Waits until every member has been in the chain for as long as this node's place in it asks for."""
+        """Waits until every member was in the chain for as long as this node's place asks for."""
         complete_since = None
         while self._clock.now() < end:
             view = self._core.chain.view
--- a/src/petrelhaven/control/lease_renewal.py
+++ b/src/petrelhaven/control/lease_renewal.py
@@ -111,5 +111,5 @@
 
     @staticmethod
     def elsewhere(counts: Mapping[str, tuple[int, int]], now: int) -> int:
-        """How many are connected to other control nodes, by `counts` of (when reported, how many)."""
+        """How many are connected to other nodes, by `counts` of (when reported, how many)."""
         return sum(count for at, count in counts.values() if now - at < _CONNECTED_US)
--- a/src/petrelhaven/control/node.py
+++ b/src/petrelhaven/control/node.py
@@ -1,10 +1,10 @@
-"""A control node of connection sessions: failover of its groups, and leases over the proxies' core connections."""
+"""A control node of connection sessions: failover, and leases over core connections."""
 
 from __future__ import annotations
 
 import contextlib
 from collections.abc import Mapping
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, cast
 
 from petrelhaven.control.announcements import Announcements
 from petrelhaven.control.base_node import BaseControlNode, NodeIdentity, NodeResources
@@ -29,7 +29,7 @@
 if TYPE_CHECKING:
     from petrelhaven.control.consensus.view import View
     from petrelhaven.control.embargo.duty import EmbargoDuty
-    from petrelhaven.control.failover.interfaces import MemberWire, Platform
+    from petrelhaven.control.failover.interfaces import CoreServices, MemberWire, Platform
     from petrelhaven.runtime.wall_clock import WallClock
     from petrelhaven.transport.channel import Channel
 
@@ -56,8 +56,10 @@
         proxy_survey: Asks proxies for their control states before a reform.
         orders: Takes orders to the head and reads to the tail.
         announcements: Takes members' heartbeats.
+        heard: For each member, when its last heartbeat came, and its count.
     """
 
+    lease_table: ConnectionLeaseTable
     state_of = ControlState
     repair_interval_us = 300_000
     confirm_us = 600_000
@@ -95,6 +97,7 @@
         self.connected_proxies = ConnectedProxies()
         self.proxy_survey = ProxySurvey(resources.clock, resources.log)
         self.announcements = Announcements(resources.clock, lambda: self.chain, self.enter)
+        self.heard = self.announcements.heard
         super().__init__(identity, resources, platform)
         self.views.may_found = founds and self.link.addr in self.seeds
         self.orders = OrderRouter(self.clock, self.chain, self.reach, self.name, self.roster.state)
@@ -104,11 +107,6 @@
         self.chain.confirmation.connected_proxies = lambda: len(self.connected_proxies)
         self.chain.on_commit.append(self._committed)
 
-    @property
-    def heard(self) -> dict[str, tuple[int, int]]:
-        """For each member, when its last heartbeat came, and its count."""
-        return self.announcements.heard
-
     @property
     def embargoes(self) -> EmbargoDuty:
         """The duty of embargoes, loaded when it is first needed."""
@@ -133,7 +131,8 @@
 
     def make_duty(self, platform: Platform) -> FailoverCoordinator:
         """The duty that keeps a primary for each group."""
-        return FailoverCoordinator(self, platform)
+        # Its tasks are taken to start always: after the end of the node nothing of it runs.
+        return FailoverCoordinator(cast("CoreServices", self), platform)
 
     def make_view_maintenance(self) -> MemberMaintenance:
         """What proposes views and changes their members."""
@@ -152,7 +151,7 @@
         }
 
     async def snapshots(self) -> dict[str, dict[str, Any]]:
-        """The control states that living proxies hold, by their names; each is asked as it comes by."""
+        """The control states that living proxies hold, by name; each is asked as it comes by."""
         return await self.proxy_survey.gather()
 
     # Proxies
@@ -241,7 +240,10 @@
     async def enter(
         self, record: dict[str, Any], force: bool = True, within_us: int = _FORCED_TIMEOUT_US
     ) -> dict[str, Any]:
-        """Enters a record at the head, wherever that is or moves to; with `force`, returns once it is in force."""
+        """Enters a record at the head; with `force`, returns once it is in force.
+
+        Follows the head where it moves.
+        """
         return await self.orders.submit(
             record, force, within_us, lambda body: self._enter(None, body)
         )
@@ -251,7 +253,7 @@
         return await self.orders.read(within_us)
 
     async def _enter(self, channel: Channel | None, body: Mapping[str, Any]) -> dict[str, Any]:
-        """Answers a `chain.enter`; that a record is known already, too, only once that is committed."""
+        """Answers a `chain.enter`; that a record is known already only once that is committed."""
         self.orders.check(body["bound"])
         try:
             return await super()._enter(channel, body)
@@ -295,8 +297,8 @@
     async def elect(self, group: str, member: str, leadership: int, by: str = "") -> dict[str, Any]:
         """Records an operator's order to elect `member` although acknowledged commits may be lost.
 
-        `leadership` is the number of the waiting leadership that the operator saw: an order that was held
-        up on its way finds another number and is declined.
+        `leadership` is the number of the waiting leadership that the operator saw: an order that
+        was held up on its way finds another number and is declined.
         """
         order = {
             "t": "evidence",
--- a/src/petrelhaven/control/resumable/announcement.py
+++ b/src/petrelhaven/control/resumable/announcement.py
@@ -39,11 +39,19 @@
     """
     if not isinstance(document, dict):
         raise Malformed("announcement must be an object")
+    _check_types(document)
+    _check_values(document)
+
+
+def _check_types(document: dict[str, Any]) -> None:
     for field, kind in _FIELDS.items():
         if type(document.get(field)) is not kind:
             raise Malformed(f"announcement field {field} must be {kind.__name__}")
     if type(document.get("beat", 0)) is not int:
         raise Malformed("announcement field beat must be int")
+
+
+def _check_values(document: dict[str, Any]) -> None:
     for field in _NAMES:
         if not NAME.fullmatch(document[field]):
             raise Malformed(f"announcement field {field} must be a name")
--- a/src/petrelhaven/control/resumable/node.py
+++ b/src/petrelhaven/control/resumable/node.py
@@ -1,4 +1,4 @@
-"""A control node of resumable sessions: proxies are part of its control state, and it plans for them."""
+"""A control node of resumable sessions: proxies are part of its control state."""
 
 from __future__ import annotations
 
@@ -73,7 +73,7 @@
             return {"seq": 0}
 
     async def enter(self, record: dict[str, Any], force: bool = True) -> dict[str, Any]:
-        """Enters a record at the head, wherever that is; with `force`, returns once it is in force."""
+        """Enters a record at the head; with `force`, returns once it is in force."""
         view = self.chain.view
         if view is None:
             raise NotReady("no view yet")
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -323,7 +323,7 @@
 
 def reform_asks_nobody(mp):
     async def newest(self):
-        return reform._Source(self._core.chain.control_state.frame(), self._core.name)
+        return reform._Source(self._core.chain.control_state.snapshot(), self._core.name)
 
     mp.setattr(reform.Reform, "_newest", newest)
 
