--- a/src/petrelhaven/control/base_node.py
+++ b/src/petrelhaven/control/base_node.py
@@ -22,6 +22,7 @@
 from petrelhaven.membership.prober import Prober
 from petrelhaven.membership.roster import Roster
 from petrelhaven.runtime.events import Events, emit
+from petrelhaven.transport.message_kinds import MessageKind
 from petrelhaven.transport.reach import Reach
 
 if TYPE_CHECKING:
@@ -173,18 +174,18 @@
 
     def _own_handlers(self) -> dict[str, Any]:
         return {
-            "vote.prepare": self.voter.prepare,
-            "vote.accept": self.voter.accept,
-            "view.ask": self.views.answer,
-            "view.learn": self.views.learn,
-            "view.confirm": self.chain.confirmation.answer,
-            "chain.append": self.chain.append,
-            "disk.turned": self.disk_watch.receive,
-            "chain.enter": self._enter,
-            "chain.read": self._read,
-            "chain.force": self.lease_table.force,
-            "edge.hold": self.lease_table.hold,
-            "creed.belief": self._belief,
+            MessageKind.REGISTER_PREPARE: self.voter.prepare,
+            MessageKind.REGISTER_ACCEPT: self.voter.accept,
+            MessageKind.VIEW_READ: self.views.answer,
+            MessageKind.VIEW_LEARN: self.views.learn,
+            MessageKind.VIEW_CONFIRM: self.chain.confirmation.answer,
+            MessageKind.CHAIN_APPEND: self.chain.append,
+            MessageKind.DISK_STATE_CHANGED: self.disk_watch.receive,
+            MessageKind.CHAIN_ENTER: self._enter,
+            MessageKind.CHAIN_READ: self._read,
+            MessageKind.CHAIN_IN_FORCE: self.lease_table.force,
+            MessageKind.PROXY_CONNECT: self.lease_table.hold,
+            MessageKind.NODE_BELIEF: self._belief,
         }
 
     def start(self) -> None:
--- a/src/petrelhaven/control/consensus/confirmation.py
+++ b/src/petrelhaven/control/consensus/confirmation.py
@@ -13,6 +13,7 @@
 from petrelhaven.control.consensus.peer_clocks import PeerClocks
 from petrelhaven.control.consensus.view import View
 from petrelhaven.runtime.errors import Fault
+from petrelhaven.transport.message_kinds import MessageKind
 
 if TYPE_CHECKING:
     from petrelhaven.control.consensus.register import Call
@@ -135,7 +136,9 @@
     async def _ask(self, name: str, number: int, at: int) -> None:
         request = ConfirmRequest(self._name, number, self.connected_proxies())
         try:
-            body = await self._call(name, "view.confirm", request.to_body(), _CONFIRM_TIMEOUT_US)
+            body = await self._call(
+                name, MessageKind.VIEW_CONFIRM, request.to_body(), _CONFIRM_TIMEOUT_US
+            )
         except Fault:
             return
         answer = ConfirmAnswer.from_body(body)
--- a/src/petrelhaven/control/consensus/disk_watch.py
+++ b/src/petrelhaven/control/consensus/disk_watch.py
@@ -7,6 +7,7 @@
 from typing import TYPE_CHECKING, Any
 
 from petrelhaven.runtime.errors import DiskRefused, Fault
+from petrelhaven.transport.message_kinds import MessageKind
 
 if TYPE_CHECKING:
     from petrelhaven.control.consensus.node_services import NodeServices
@@ -68,7 +69,7 @@
     async def _notify(self, name: str) -> None:
         body = {"name": self._core.name, "refuses": self._core.mem.refuses}
         with contextlib.suppress(Fault):
-            await self._core.call(name, "disk.turned", body, _NOTIFY_TIMEOUT_US)
+            await self._core.call(name, MessageKind.DISK_STATE_CHANGED, body, _NOTIFY_TIMEOUT_US)
 
     async def receive(self, _channel: Channel | None, body: Mapping[str, Any]) -> None:
         """Another node notifies that its disk refuses writes, or takes them again."""
--- a/src/petrelhaven/control/consensus/feed.py
+++ b/src/petrelhaven/control/consensus/feed.py
@@ -6,6 +6,7 @@
 
 from petrelhaven.control.consensus.chain_messages import AppendAnswer, AppendRequest
 from petrelhaven.runtime.errors import Fault, ViewSuperseded
+from petrelhaven.transport.message_kinds import MessageKind
 
 if TYPE_CHECKING:
     from petrelhaven.control.consensus.chain import Chain
@@ -56,7 +57,7 @@
             await chain.new_records.wait()
             return
         body = await chain.call(
-            self._successor, "chain.append", request.to_body(), _APPEND_TIMEOUT_US
+            self._successor, MessageKind.CHAIN_APPEND, request.to_body(), _APPEND_TIMEOUT_US
         )
         self._held = AppendAnswer.from_body(body)
         if request.complete:
--- a/src/petrelhaven/control/consensus/proxy_survey.py
+++ b/src/petrelhaven/control/consensus/proxy_survey.py
@@ -10,6 +10,7 @@
 
 from petrelhaven.runtime.errors import Conflict, Fault
 from petrelhaven.runtime.events import Events, emit
+from petrelhaven.transport.message_kinds import MessageKind
 
 if TYPE_CHECKING:
     import logbook
@@ -56,7 +57,9 @@
             return
         self._asked.add(proxy)
         try:
-            answer = await channel.call("edge.frame", {"name": proxy}, _ASK_TIMEOUT_US)
+            answer = await channel.call(
+                MessageKind.PROXY_SNAPSHOT, {"name": proxy}, _ASK_TIMEOUT_US
+            )
         except Fault as fault:
             self._asked.discard(proxy)
             emit(self._log, Events.SURVEY_UNANSWERED, node=proxy, fault=fault.code)
--- a/src/petrelhaven/control/consensus/reform.py
+++ b/src/petrelhaven/control/consensus/reform.py
@@ -10,6 +10,7 @@
 from petrelhaven.control.consensus.view import Identities, View
 from petrelhaven.runtime.errors import Conflict, Fault, Malformed, NotReady
 from petrelhaven.runtime.events import Events, emit
+from petrelhaven.transport.message_kinds import MessageKind
 
 if TYPE_CHECKING:
     import logbook
@@ -94,7 +95,9 @@
         core = self._core
         for _ in range(_REPORT_TRIES):
             try:
-                body = await core.call(name, "view.ask", {"name": core.name}, _REPORT_TIMEOUT_US)
+                body = await core.call(
+                    name, MessageKind.VIEW_READ, {"name": core.name}, _REPORT_TIMEOUT_US
+                )
                 return CoreReport.from_body(body)
             except Fault:
                 await core.clock.sleep(_REPORT_PAUSE_US)
--- a/src/petrelhaven/control/consensus/register.py
+++ b/src/petrelhaven/control/consensus/register.py
@@ -18,6 +18,7 @@
     VoteState,
 )
 from petrelhaven.runtime.errors import Conflict, Fault
+from petrelhaven.transport.message_kinds import MessageKind
 
 if TYPE_CHECKING:
     from petrelhaven.control.consensus.view import Identities, View
@@ -124,7 +125,9 @@
         accepted = await self._prepare(ids, ballot)
         view = next_view(accepted)
         request = AcceptRequest(ballot, ids, view)
-        answers = await self._round(ids, "vote.accept", request.to_body(), AcceptAnswer.from_body)
+        answers = await self._round(
+            ids, MessageKind.REGISTER_ACCEPT, request.to_body(), AcceptAnswer.from_body
+        )
         if not _is_majority(answers, ids):
             raise Conflict("no majority accepted")
         return view
@@ -137,7 +140,9 @@
     async def _prepare(self, ids: Identities, ballot: Ballot) -> View | None:
         """The newest view that any voter of a promising majority has accepted."""
         body = PrepareRequest(ballot, ids).to_body()
-        answers = await self._round(ids, "vote.prepare", body, PrepareAnswer.from_body)
+        answers = await self._round(
+            ids, MessageKind.REGISTER_PREPARE, body, PrepareAnswer.from_body
+        )
         if not _is_majority(answers, ids):
             raise NoPromise(_newest(answers))
         return _newest([answer for answer in answers if answer.ok])
--- a/src/petrelhaven/control/consensus/view_maintenance.py
+++ b/src/petrelhaven/control/consensus/view_maintenance.py
@@ -15,6 +15,7 @@
 from petrelhaven.membership.news import ALIVE, SUSPECT
 from petrelhaven.runtime.errors import Fault
 from petrelhaven.runtime.events import Events, emit
+from petrelhaven.transport.message_kinds import MessageKind
 
 if TYPE_CHECKING:
     from petrelhaven.control.consensus.node_services import NodeServices
@@ -93,7 +94,7 @@
                 return core.report()
             body = {"name": core.name}
             return CoreReport.from_body(
-                await core.link.call(address, "view.ask", body, _REPORT_TIMEOUT_US)
+                await core.link.call(address, MessageKind.VIEW_READ, body, _REPORT_TIMEOUT_US)
             )
         except Fault:
             return await self._report_by_name(address)
@@ -106,7 +107,7 @@
                 with contextlib.suppress(Fault):
                     body = {"name": core.name}
                     report = CoreReport.from_body(
-                        await core.reach.call(name, "view.ask", body, _REPORT_TIMEOUT_US)
+                        await core.reach.call(name, MessageKind.VIEW_READ, body, _REPORT_TIMEOUT_US)
                     )
         return report
 
@@ -227,7 +228,7 @@
     async def _send(self, name: str, view: View) -> None:
         with contextlib.suppress(Fault):
             body = {"view": view.to_document()}
-            await self._core.call(name, "view.learn", body, _LEARN_TIMEOUT_US)
+            await self._core.call(name, MessageKind.VIEW_LEARN, body, _LEARN_TIMEOUT_US)
 
     async def learn(self, _channel: Channel | None, body: Mapping[str, Any]) -> None:
         """Takes a decided view that another node sends."""
--- a/src/petrelhaven/control/node.py
+++ b/src/petrelhaven/control/node.py
@@ -8,7 +8,7 @@
 
 from petrelhaven.control.announcements import Announcements
 from petrelhaven.control.base_node import BaseControlNode, NodeIdentity, NodeResources
-from petrelhaven.control.configuration.document import read
+from petrelhaven.control.configuration.parsing import parse_configuration
 from petrelhaven.control.consensus.chain import DRIFT
 from petrelhaven.control.consensus.member_maintenance import MemberMaintenance
 from petrelhaven.control.consensus.proxy_survey import ProxySurvey
@@ -25,10 +25,11 @@
 from petrelhaven.control.state.control_state import ControlState
 from petrelhaven.membership.news import ALIVE
 from petrelhaven.runtime.errors import Duplicate, Fault, NotReady, Stale
+from petrelhaven.transport.message_kinds import MessageKind
 
 if TYPE_CHECKING:
     from petrelhaven.control.consensus.view import View
-    from petrelhaven.control.embargo.duty import EmbargoDuty
+    from petrelhaven.control.embargo.service import EmbargoService
     from petrelhaven.control.failover.interfaces import CoreServices, MemberWire, Platform
     from petrelhaven.runtime.wall_clock import WallClock
     from petrelhaven.transport.channel import Channel
@@ -91,7 +92,7 @@
             wall_clock: Read for embargoes.
         """
         self._wall_clock = wall_clock
-        self._embargoes: EmbargoDuty | None = None
+        self._embargoes: EmbargoService | None = None
         self._most_members = 2 * losses + 1
         self.wire, self.heartbeat_us = wire, heartbeat_us
         self.connected_proxies = ConnectedProxies()
@@ -108,12 +109,12 @@
         self.chain.on_commit.append(self._committed)
 
     @property
-    def embargoes(self) -> EmbargoDuty:
-        """The duty of embargoes, loaded when it is first needed."""
+    def embargoes(self) -> EmbargoService:
+        """What this node does about embargoes, loaded when it is first needed."""
         if self._embargoes is None:
-            from petrelhaven.control.embargo.duty import EmbargoDuty
+            from petrelhaven.control.embargo.service import EmbargoService
 
-            self._embargoes = EmbargoDuty(self, self._wall_clock)
+            self._embargoes = EmbargoService(self, self._wall_clock)
         return self._embargoes
 
     def _committed(self) -> None:
@@ -141,13 +142,13 @@
     def handlers(self) -> dict[str, Any]:
         """What proxies and other control nodes ask."""
         return {
-            "edge.hold": self._hold_connection,
-            "chain.force": self.lease_table.force,
-            "tie.pulse": self._renew_lease,
-            "warden.doubt": self._suspected,
-            "warden.look": self.duty.answer_look,
-            "wall.read": self._read_wall_clock,
-            "tie.wall": self._true_time,
+            MessageKind.PROXY_CONNECT: self._hold_connection,
+            MessageKind.CHAIN_IN_FORCE: self.lease_table.force,
+            MessageKind.LEASE_RENEW: self._renew_lease,
+            MessageKind.MEMBER_SUSPECT: self._suspected,
+            MessageKind.MEMBER_CHECK: self.duty.answer_look,
+            MessageKind.WALL_CLOCK_READ: self._read_wall_clock,
+            MessageKind.AGREED_TIME_READ: self._true_time,
         }
 
     async def snapshots(self) -> dict[str, dict[str, Any]]:
@@ -219,7 +220,7 @@
             "how": suspicion.how,
         }
         with contextlib.suppress(Fault):
-            await self.call(view.head, "warden.doubt", body, _SUSPICION_TIMEOUT_US)
+            await self.call(view.head, MessageKind.MEMBER_SUSPECT, body, _SUSPICION_TIMEOUT_US)
 
     async def _suspected(self, _channel: Channel | None, body: Mapping[str, Any]) -> None:
         self.duty.suspect(body["group"], body["member"], body["how"])
@@ -232,7 +233,7 @@
     async def _true_time(
         self, _channel: Channel | None, _body: Mapping[str, Any]
     ) -> dict[str, Any]:
-        answer: dict[str, Any] = self.embargoes.edge_time()
+        answer: dict[str, Any] = self.embargoes.proxy_time()
         return answer
 
     # Orders
@@ -271,7 +272,7 @@
         self, text: str, by: str = "", retire: bool = True, within_us: int = _ORDER_TIMEOUT_US
     ) -> dict[str, Any]:
         """Checks and applies a configuration; returns once it is on every disk of the view."""
-        configuration = read(text)
+        configuration = parse_configuration(text)
         record: dict[str, Any] = {
             "t": "manifest",
             "text": text,
--- a/src/petrelhaven/control/resumable/node.py
+++ b/src/petrelhaven/control/resumable/node.py
@@ -7,12 +7,13 @@
 from typing import TYPE_CHECKING, Any
 
 from petrelhaven.control.base_node import BaseControlNode
-from petrelhaven.control.configuration.document import read
+from petrelhaven.control.configuration.parsing import parse_configuration
 from petrelhaven.control.leases import LeaseTable
 from petrelhaven.control.resumable.announcement import check_announcement
 from petrelhaven.control.resumable.planning_duty import PlanningDuty
 from petrelhaven.runtime.errors import Duplicate, Fault, Invalid, Malformed, NotReady
 from petrelhaven.runtime.events import Events, emit
+from petrelhaven.transport.message_kinds import MessageKind
 
 if TYPE_CHECKING:
     from petrelhaven.transport.channel import Channel
@@ -48,9 +49,9 @@
     def handlers(self) -> dict[str, Any]:
         """What proxies ask, and the head of the other control nodes."""
         return {
-            "duty.heard": self.duty.told,
-            "edge.lease": self.lease_table.lease,
-            "edge.enter": self._enter_proxy,
+            MessageKind.PLANNER_OBSERVATIONS: self.duty.told,
+            MessageKind.PROXY_LEASE: self.lease_table.lease,
+            MessageKind.PROXY_ENTER: self._enter_proxy,
         }
 
     async def _enter_proxy(self, _channel: Channel, body: Mapping[str, Any]) -> dict[str, Any]:
@@ -80,7 +81,7 @@
         body = {"rec": record, "force": force, "bound": None}
         if view.head == self.name:
             return await self._enter(None, body)
-        return await self.reach.call(view.head, "chain.enter", body, _ENTER_TIMEOUT_US)
+        return await self.reach.call(view.head, MessageKind.CHAIN_ENTER, body, _ENTER_TIMEOUT_US)
 
     async def control_state(self) -> dict[str, Any]:
         """The document of the control state as the tail answers it."""
@@ -89,13 +90,15 @@
             raise NotReady("no view yet")
         if view.tail == self.name:
             return self.chain.read()
-        answer = await self.reach.call(view.tail, "chain.read", {"what": None}, _READ_TIMEOUT_US)
+        answer = await self.reach.call(
+            view.tail, MessageKind.CHAIN_READ, {"what": None}, _READ_TIMEOUT_US
+        )
         document: dict[str, Any] = answer["doc"]
         return document
 
     async def apply(self, text: str, by: str = "", retire: bool = False) -> dict[str, Any]:
         """Checks and applies a configuration."""
-        configuration = read(text)
+        configuration = parse_configuration(text)
         if configuration.embargoing or configuration.embargoes:
             note = "embargoes are kept only where sessions live with their connection"
             raise Invalid("manifest declined", details={"faults": [["embargoing", note]]})
@@ -117,7 +120,9 @@
     async def _snapshot(self, proxy: str) -> dict[str, Any] | None:
         try:
             body = {"name": self.name}
-            answer = await self.reach.call(proxy, "edge.frame", body, _SNAPSHOT_TIMEOUT_US)
+            answer = await self.reach.call(
+                proxy, MessageKind.PROXY_SNAPSHOT, body, _SNAPSHOT_TIMEOUT_US
+            )
         except Fault as fault:
             emit(self.log, Events.SURVEY_UNANSWERED, node=proxy, fault=fault.code)
             return None
--- a/tests/test_control_interface.py
+++ b/tests/test_control_interface.py
@@ -18,7 +18,12 @@
 
 from petrelhaven.commands import ctl
 from petrelhaven.control.base_node import NodeIdentity, NodeResources
-from petrelhaven.control.configuration.defaults import BOUNDS, GROUP, ROUTE, fill
+from petrelhaven.control.configuration.defaults import (
+    BOUNDS_DEFAULTS,
+    GROUP_DEFAULTS,
+    ROUTE_DEFAULTS,
+    with_defaults,
+)
 from petrelhaven.control.configuration.document import Bounds, Group, Route
 from petrelhaven.control.interface.control_interface import ControlInterface
 from petrelhaven.control.interface.documents import why_of
@@ -410,15 +415,19 @@
 
 
 def test_blanks_are_the_configurations_own_defaults():
-    for blanks, tp in ((GROUP, Group), (ROUTE, Route), (BOUNDS, Bounds)):
+    for blanks, tp in (
+        (GROUP_DEFAULTS, Group),
+        (ROUTE_DEFAULTS, Route),
+        (BOUNDS_DEFAULTS, Bounds),
+    ):
         std = {
             f.name: f.default
             for f in dataclasses.fields(tp)
             if f.default is not dataclasses.MISSING
         }
         assert {k: std[k] for k in blanks} == blanks
-    assert set(GROUP) | {"name"} == {f.name for f in dataclasses.fields(Group)}
-    assert set(ROUTE) | {"name", "group"} == {f.name for f in dataclasses.fields(Route)}
+    assert set(GROUP_DEFAULTS) | {"name"} == {f.name for f in dataclasses.fields(Group)}
+    assert set(ROUTE_DEFAULTS) | {"name", "group"} == {f.name for f in dataclasses.fields(Route)}
 
 
 def test_leaderships_from_before_the_past_was_kept_are_told():
@@ -450,7 +459,11 @@
 
 def test_a_configuration_that_no_configuration_stands_for_harms_no_program_on_the_platform():
     sys.path.insert(0, str(ROOT / "platform"))
-    from forms import _read_configuration, origin_of, unlabel
+    from configuration_documents import (
+        _read_configuration,
+        platform_configuration,
+        platform_name,
+    )
 
     doc = json.loads(configuration("small", 1))
     doc["groups"].append({"name": "x-h1"})
@@ -459,11 +472,11 @@
         led = ControlState()
         led.apply(1, {"t": "manifest", "version": 1, "text": json.dumps(d)})
         assert _read_configuration(json.dumps(d))["groups"][-1]["name"] == "x-h1"
-        assert fill(led.configuration)["groups"][-1]["sync"] == 0
+        assert with_defaults(led.configuration)["groups"][-1]["sync"] == 0
         if not origin:
             with pytest.raises(NoRoute):
-                origin_of(json.dumps(d))
-    assert [unlabel(n) for n in ("x-", "x-zz", "x-1", "x-ff", "x-h1")] == [
+                platform_configuration(json.dumps(d))
+    assert [platform_name(n) for n in ("x-", "x-zz", "x-1", "x-ff", "x-h1")] == [
         "",
         "x-zz",
         "x-1",
