--- a/src/petrelhaven/control/base_node.py
+++ b/src/petrelhaven/control/base_node.py
@@ -81,9 +81,9 @@
     """
 
     state: str
-    part: Callable[[], bool]
-    knock: Callable[[], bool]
-    enchain: Callable[[], bool]
+    leave: Callable[[], bool]
+    join: Callable[[], bool]
+    enter_chain: Callable[[], bool]
     states = (_OUTSIDE, _JOINING, _CHAINED)
     state_of: Callable[..., Any] | None = None
     repair_interval_us = 250_000
@@ -134,9 +134,9 @@
             initial=_OUTSIDE,
             auto_transitions=False,
             transitions=[
-                {"trigger": "knock", "source": "*", "dest": _JOINING},
-                {"trigger": "enchain", "source": "*", "dest": _CHAINED},
-                {"trigger": "part", "source": "*", "dest": _OUTSIDE},
+                {"trigger": "join", "source": "*", "dest": _JOINING},
+                {"trigger": "enter_chain", "source": "*", "dest": _CHAINED},
+                {"trigger": "leave", "source": "*", "dest": _OUTSIDE},
             ],
         )
 
@@ -217,11 +217,11 @@
         """Follows the view; nothing else changes the state of this node."""
         view = self.chain.view
         if view is None:
-            state, trigger = _OUTSIDE, self.part
+            state, trigger = _OUTSIDE, self.leave
         elif view.position(self.name, self.mem.disk) is None:
-            state, trigger = _JOINING, self.knock
+            state, trigger = _JOINING, self.join
         else:
-            state, trigger = _CHAINED, self.enchain
+            state, trigger = _CHAINED, self.enter_chain
         if state == self.state:
             return
         trigger()
