--- a/src/petrelhaven/control/consensus/member_maintenance.py
+++ b/src/petrelhaven/control/consensus/member_maintenance.py
@@ -92,7 +92,7 @@
     def _peer_changed(self, peer: Peer, _former_state: str | None) -> None:
         """A peer is new here, or in another state than it was: the view is checked at once."""
         if peer.state == ALIVE:
-            self._core.link.dial_anew(peer.addr)
+            self._core.link.cancel_opening(peer.addr)
         self._woken.set()
 
     def is_present(self, name: str) -> bool:
--- a/tests/test_proxy_interface.py
+++ b/tests/test_proxy_interface.py
@@ -16,7 +16,7 @@
 from petrelhaven.proxy.proxy_interface import ProxyInterface
 from petrelhaven.runtime.clock import Clock
 from petrelhaven.runtime.tasks import BackgroundTasks
-from petrelhaven.transport.light_http import LightHttpServer, _Request
+from petrelhaven.transport.light_http import LightHttpServer, Request
 from petrelhaven.transport.link import Link
 
 DRAWN = settings(
@@ -102,7 +102,9 @@
             for r in records:
                 led.check(r)
                 led.apply(led.seq + 1, r)
-            await core_connection._push(None, {"frame": led.snapshot(), "recs": [], "commit": led.seq})
+            await core_connection._apply_push(
+                None, {"frame": led.snapshot(), "recs": [], "commit": led.seq}
+            )
         try:
             return await fn(proxy, http_server)
         finally:
@@ -112,7 +114,7 @@
 
 
 async def ask(http_server, path, verb="GET"):
-    s, b, heads = await http_server.answer(_Request(verb, path, b""))
+    s, b, heads = await http_server.answer(Request(verb, path, b""))
     return s, json.loads(b), dict(heads)
 
 
@@ -153,7 +155,7 @@
         assert (s, d["fault"]) == (400, "malformed")
         for q in ("", "&version=3"):
             s, b, heads = await http_server.answer(
-                _Request("GET", "/manifest?unconfirmed=true" + q, b"")
+                Request("GET", "/manifest?unconfirmed=true" + q, b"")
             )
             assert (s, b.decode(), dict(heads)) == (200, TEXT, {"Confirmed-By-Majority": "no"})
         assert (await ask(http_server, "/manifest?unconfirmed=true&version=2"))[0] == 404
@@ -167,14 +169,14 @@
         assert (await ask(http_server, "/ready"))[0] == 503
         assert (await ask(http_server, "/manifest?unconfirmed=true"))[0] == 404
         assert (await ask(http_server, "/why?group=g1"))[0] == 404
-        assert (await proxy.core_connection._frame(None, {}))["frame"] is None
+        assert (await proxy.core_connection._send_snapshot(None, {}))["frame"] is None
 
     on_a_gate(go, [])
 
 
 def test_an_edge_hands_its_control_state_to_a_core_that_asks():
     async def go(proxy, http_server):
-        f = (await proxy.core_connection._frame(None, {}))["frame"]
+        f = (await proxy.core_connection._send_snapshot(None, {}))["frame"]
         assert f["seq"] == 5 and f is not proxy.core_connection.control_state.doc
 
     on_a_gate(go)
@@ -241,7 +243,7 @@
         st.binary(max_size=30),
     )
     def draw(verb, path, query, body):
-        reqs.append(_Request(verb, f"{path}?{query}", body))
+        reqs.append(Request(verb, f"{path}?{query}", body))
 
     draw()
 
