--- a/src/petrelhaven/commands/control.py
+++ b/src/petrelhaven/commands/control.py
@@ -4,7 +4,7 @@
 import random
 import sys
 
-from petrelhaven.control.base_node import NodeIdentity, NodeResources
+from petrelhaven.control.base_node import ControlNodeIdentity, NodeResources
 from petrelhaven.control.interface.control_interface import ControlInterface
 from petrelhaven.control.node import ControlNode
 from petrelhaven.control.resumable.control_interface import Platform, ResumableControlInterface
@@ -28,7 +28,7 @@
 def _make_held(d):
     s = d.set
     node = ControlNode(
-        NodeIdentity(s.name, s.hall, d.seeds),
+        ControlNodeIdentity(s.name, s.hall, d.seeds),
         NodeResources(d.clock, d.tasks, d.link, Folder(s.data), random.SystemRandom(), d.log),
         Platform(s.platform),
         MemberWire(d.clock, Wire(d.clock, d.tasks)),
@@ -43,7 +43,7 @@
     if s.path == "held":
         return _make_held(d)
     core = ResumableControlNode(
-        NodeIdentity(s.name, s.hall, d.seeds),
+        ControlNodeIdentity(s.name, s.hall, d.seeds),
         NodeResources(d.clock, d.tasks, d.link, Folder(s.data), random.SystemRandom(), d.log),
         Platform(s.platform),
     )
--- a/src/petrelhaven/control/base_node.py
+++ b/src/petrelhaven/control/base_node.py
@@ -20,7 +20,7 @@
 from petrelhaven.control.departure import Departure
 from petrelhaven.control.storage.core_store import CoreStore
 from petrelhaven.membership.prober import Prober
-from petrelhaven.membership.roster import Roster
+from petrelhaven.membership.roster import NodeIdentity, Roster
 from petrelhaven.runtime.events import Events, emit
 from petrelhaven.transport.message_kinds import MessageKind
 from petrelhaven.transport.reach import Reach
@@ -37,7 +37,7 @@
     from petrelhaven.transport.channel import Channel
     from petrelhaven.transport.link import Link
 
-__all__ = ["BaseControlNode", "NodeIdentity", "NodeResources"]
+__all__ = ["BaseControlNode", "ControlNodeIdentity", "NodeResources"]
 
 _OUTSIDE, _JOINING, _CHAINED = "outside", "joining", "chained"
 
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NodeIdentity:
+class ControlNodeIdentity:
     """Name and zone of a control node, and the link addresses of the nodes that it starts from."""
 
     name: str
@@ -94,7 +94,7 @@
 
     def __init__(
         self,
-        identity: NodeIdentity,
+        identity: ControlNodeIdentity,
         resources: NodeResources,
         platform: Any,  # noqa: ANN401 (what the duty promotes members by)
     ) -> None:
@@ -119,8 +119,7 @@
             self.link.on(kind, handler)
 
     def _join_membership(self) -> None:
-        address = self.link.addr or ""
-        me = (self.name, "core", self.zone, address, 0)
+        me = NodeIdentity(self.name, "core", self.zone, self.link.addr or "", 0)
         self.roster = Roster(self.clock, me, self.log, self.suspect_us)
         self.reach = Reach(self.clock, self.link, self.roster, self.rng)
         self.prober = Prober(
@@ -282,7 +281,7 @@
             "state": self.state,
             "commit": self.chain.commit,
             "view": None if view is None else view.to_document(),
-            "kith": {row[0]: row[5] for row in self.roster.full()},
+            "kith": {row[0]: row[5] for row in self.roster.all_rows()},
         }
 
     async def _belief(self, _channel: Channel | None, _body: Mapping[str, Any]) -> dict[str, Any]:
--- a/src/petrelhaven/control/consensus/member_maintenance.py
+++ b/src/petrelhaven/control/consensus/member_maintenance.py
@@ -10,7 +10,7 @@
 from petrelhaven.control.consensus.core_report import CoreReport
 from petrelhaven.control.consensus.view_maintenance import Reports, ViewMaintenance
 from petrelhaven.control.core_changes import CoreChanges
-from petrelhaven.membership.news import ALIVE, GONE
+from petrelhaven.membership.update import ALIVE, GONE
 from petrelhaven.runtime.errors import DeadlineExceeded
 
 if TYPE_CHECKING:
@@ -40,7 +40,7 @@
         self._changes = CoreChanges(core, most_members)
         self._started_at = core.clock.now()
         self._woken = asyncio.Event()
-        core.roster.on_turn.append(self._peer_changed)
+        core.roster.on_change.append(self._peer_changed)
         core.chain.on_view.append(self._woken.set)
         core.chain.on_view.append(lambda: core.tasks.spawn(self._ask_who_moved()))
 
--- a/src/petrelhaven/control/consensus/view_maintenance.py
+++ b/src/petrelhaven/control/consensus/view_maintenance.py
@@ -12,7 +12,7 @@
 from petrelhaven.control.consensus.core_report import CoreReport
 from petrelhaven.control.consensus.register import NoPromise, Proposer
 from petrelhaven.control.consensus.view import Identities, View
-from petrelhaven.membership.news import ALIVE, SUSPECT
+from petrelhaven.membership.update import ALIVE, SUSPECT
 from petrelhaven.runtime.errors import Fault
 from petrelhaven.runtime.events import Events, emit
 from petrelhaven.transport.message_kinds import MessageKind
--- a/src/petrelhaven/control/departure.py
+++ b/src/petrelhaven/control/departure.py
@@ -10,7 +10,7 @@
 
 from typing import TYPE_CHECKING
 
-from petrelhaven.membership.news import ALIVE
+from petrelhaven.membership.update import ALIVE
 from petrelhaven.runtime.events import Events, emit
 
 if TYPE_CHECKING:
--- a/src/petrelhaven/control/node.py
+++ b/src/petrelhaven/control/node.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any, cast
 
 from petrelhaven.control.announcements import Announcements
-from petrelhaven.control.base_node import BaseControlNode, NodeIdentity, NodeResources
+from petrelhaven.control.base_node import BaseControlNode, ControlNodeIdentity, NodeResources
 from petrelhaven.control.configuration.parsing import parse_configuration
 from petrelhaven.control.connected_proxies import ConnectedProxies
 from petrelhaven.control.consensus.chain import DRIFT
@@ -17,7 +17,7 @@
 from petrelhaven.control.leases import ConnectionLeaseTable
 from petrelhaven.control.orders import OrderRouter
 from petrelhaven.control.state.control_state import ControlState
-from petrelhaven.membership.news import ALIVE
+from petrelhaven.membership.update import ALIVE
 from petrelhaven.runtime.errors import Duplicate, Fault, NotReady, Stale
 from petrelhaven.transport.message_kinds import MessageKind
 from petrelhaven.transport.proxy_messages import (
@@ -43,7 +43,7 @@
 _ORDER_TIMEOUT_US = 8_000_000
 _COMMIT_TIMEOUT_US = 5_000_000
 _SUSPICION_TIMEOUT_US = 800_000
-_QUIET_SPREADS = 12
+_SPREAD_LIMIT = 12
 _JOIN_INTERVAL_US = 6_000_000
 
 
@@ -70,7 +70,7 @@
 
     def __init__(  # noqa: PLR0913, PLR0917 (assembles the node; each is given by the daemon)
         self,
-        identity: NodeIdentity,
+        identity: ControlNodeIdentity,
         resources: NodeResources,
         platform: Platform,
         wire: MemberWire,
@@ -102,7 +102,7 @@
         super().__init__(identity, resources, platform)
         self.views.may_found = founds and self.link.addr in self.seeds
         self.orders = OrderRouter(self.clock, self.chain, self.reach, self.name, self.roster.state)
-        self.roster.quiet = _QUIET_SPREADS
+        self.roster.spread_limit = _SPREAD_LIMIT
         self.prober.join_us = _JOIN_INTERVAL_US
         self.chain.confirmation.asks_minority = True
         self.chain.confirmation.connected_proxies = lambda: len(self.connected_proxies)
--- a/src/petrelhaven/simulator/connection_sessions/fleet.py
+++ b/src/petrelhaven/simulator/connection_sessions/fleet.py
@@ -4,7 +4,7 @@
 import json
 import random
 
-from petrelhaven.control.base_node import NodeIdentity, NodeResources
+from petrelhaven.control.base_node import ControlNodeIdentity, NodeResources
 from petrelhaven.control.node import ControlNode
 from petrelhaven.proxy.core_connection import CoreConnection
 from petrelhaven.proxy.node import ProxyNode
@@ -122,7 +122,7 @@
         b.boot()
         try:
             b.node = ControlNode(
-                NodeIdentity(b.name, b.zone, self.seeds_for(b)),
+                ControlNodeIdentity(b.name, b.zone, self.seeds_for(b)),
                 NodeResources(
                     b.clock, b.tasks, b.link, b.disk, random.Random(self.rng.random()), b.log
                 ),
--- a/src/petrelhaven/simulator/resumable/world.py
+++ b/src/petrelhaven/simulator/resumable/world.py
@@ -4,7 +4,7 @@
 import json
 import random
 
-from petrelhaven.control.base_node import NodeIdentity, NodeResources
+from petrelhaven.control.base_node import ControlNodeIdentity, NodeResources
 from petrelhaven.control.resumable.node import ResumableControlNode
 from petrelhaven.emulator.balancer import LoadBalancer
 from petrelhaven.emulator.platform import PlatformLogic
@@ -198,7 +198,7 @@
         b.boot()
         try:
             b.node = ResumableControlNode(
-                NodeIdentity(b.name, b.zone, self.seeds),
+                ControlNodeIdentity(b.name, b.zone, self.seeds),
                 NodeResources(
                     b.clock, b.tasks, b.link, b.disk, random.Random(self.rng.random()), b.log
                 ),
--- a/tests/embargo_world.py
+++ b/tests/embargo_world.py
@@ -4,7 +4,7 @@
 import json
 import random
 
-from petrelhaven.control.base_node import NodeIdentity, NodeResources
+from petrelhaven.control.base_node import ControlNodeIdentity, NodeResources
 from petrelhaven.control.node import ControlNode
 from petrelhaven.proxy.core_connection import CoreConnection
 from petrelhaven.proxy.node import ProxyNode
@@ -362,7 +362,7 @@
     def start_core(self, n):
         b = self.cores[n].boot()
         s = ControlNode(
-            NodeIdentity(n, b.zone, [f"sim:{x}" for x in sorted(self.cores)]),
+            ControlNodeIdentity(n, b.zone, [f"sim:{x}" for x in sorted(self.cores)]),
             NodeResources(
                 b.clock, b.tasks, b.link, b.disk, random.Random(self.rng.random()), b.log
             ),
--- a/tests/model/cluster.py
+++ b/tests/model/cluster.py
@@ -6,7 +6,7 @@
 
 from model.disk import ModelDisk
 from model.observer import Observer
-from petrelhaven.control.base_node import NodeIdentity, NodeResources
+from petrelhaven.control.base_node import ControlNodeIdentity, NodeResources
 from petrelhaven.control.node import ControlNode
 from petrelhaven.simulator.net import Net, SimulatedMachine
 
@@ -90,7 +90,7 @@
         machine.boot()
         try:
             machine.node = ControlNode(
-                NodeIdentity(machine.name, machine.zone, list(self._seeds[machine.name])),
+                ControlNodeIdentity(machine.name, machine.zone, list(self._seeds[machine.name])),
                 NodeResources(
                     machine.clock,
                     machine.tasks,
--- a/tests/test_control_interface.py
+++ b/tests/test_control_interface.py
@@ -17,7 +17,7 @@
 from stand_in.until import until
 
 from petrelhaven.commands import ctl
-from petrelhaven.control.base_node import NodeIdentity, NodeResources
+from petrelhaven.control.base_node import ControlNodeIdentity, NodeResources
 from petrelhaven.control.configuration.defaults import (
     BOUNDS_DEFAULTS,
     GROUP_DEFAULTS,
@@ -81,7 +81,7 @@
     link = Link(clock, tasks)
     await link.start()
     node = ControlNode(
-        NodeIdentity("c1", "a", [link.addr]),
+        ControlNodeIdentity("c1", "a", [link.addr]),
         NodeResources(clock, tasks, link, Folder(str(folder)), random.Random(1)),
         NoMembers(),
         NoMembers(),
