--- a/src/petrelhaven/commands/control.py
+++ b/src/petrelhaven/commands/control.py
@@ -7,9 +7,10 @@
 from petrelhaven.control.base_node import ControlNodeIdentity, NodeResources
 from petrelhaven.control.interface.control_interface import ControlInterface
 from petrelhaven.control.node import ControlNode
-from petrelhaven.control.resumable.control_interface import Platform, ResumableControlInterface
+from petrelhaven.control.resumable.control_interface import ResumableControlInterface
 from petrelhaven.control.resumable.member_protocol import MemberWire
 from petrelhaven.control.resumable.node import ResumableControlNode
+from petrelhaven.control.resumable.platform_client import PlatformClient
 from petrelhaven.control.state.control_state import ControlState
 from petrelhaven.control.storage.core_store import CoreStore
 from petrelhaven.control.storage.data_folder import DataFolder
@@ -28,9 +29,9 @@
 def _make_held(d):
     s = d.set
     node = ControlNode(
-        ControlNodeIdentity(s.name, s.hall, d.seeds),
+        ControlNodeIdentity(s.name, s.zone, d.seeds),
         NodeResources(d.clock, d.tasks, d.link, Folder(s.data), random.SystemRandom(), d.log),
-        Platform(s.platform),
+        PlatformClient(s.platform),
         MemberWire(d.clock, Wire(d.clock, d.tasks)),
         _HEARTBEAT_US,
     )
@@ -43,9 +44,9 @@
     if s.path == "held":
         return _make_held(d)
     core = ResumableControlNode(
-        ControlNodeIdentity(s.name, s.hall, d.seeds),
+        ControlNodeIdentity(s.name, s.zone, d.seeds),
         NodeResources(d.clock, d.tasks, d.link, Folder(s.data), random.SystemRandom(), d.log),
-        Platform(s.platform),
+        PlatformClient(s.platform),
     )
     ResumableControlInterface(core, d.http_server)
     return core
--- a/src/petrelhaven/control/base_node.py
+++ b/src/petrelhaven/control/base_node.py
@@ -146,7 +146,7 @@
         raise NotImplementedError
 
     def make_duty(self, platform: Any) -> Any:  # noqa: ANN401 (differs between subclasses)
-        """The work that this node does while it is the head: it has `run()` and `why`."""
+        """The work that this node does while it is the head: it has `run()`."""
         raise NotImplementedError
 
     def make_view_maintenance(self) -> ViewMaintenance:
--- a/src/petrelhaven/control/node.py
+++ b/src/petrelhaven/control/node.py
@@ -30,7 +30,7 @@
 if TYPE_CHECKING:
     from petrelhaven.control.consensus.view import View
     from petrelhaven.control.embargo.service import EmbargoService
-    from petrelhaven.control.failover.interfaces import CoreServices, MemberWire, Platform
+    from petrelhaven.control.failover.interfaces import ControlServices, MemberWire, Platform
     from petrelhaven.runtime.wall_clock import WallClock
     from petrelhaven.transport.channel import Channel
 
@@ -133,7 +133,7 @@
     def make_duty(self, platform: Platform) -> FailoverCoordinator:
         """The duty that keeps a primary for each group."""
         # Its tasks are taken to start always: after the end of the node nothing of it runs.
-        return FailoverCoordinator(cast("CoreServices", self), platform)
+        return FailoverCoordinator(cast("ControlServices", self), platform)
 
     def make_view_maintenance(self) -> MemberMaintenance:
         """What proposes views and changes their members."""
@@ -146,7 +146,7 @@
             MessageKind.CHAIN_IN_FORCE: self.lease_table.force,
             MessageKind.LEASE_RENEW: self._renew_lease,
             MessageKind.MEMBER_SUSPECT: self._suspected,
-            MessageKind.MEMBER_CHECK: self.duty.answer_look,
+            MessageKind.MEMBER_CHECK: self.duty.answer_inspection,
             MessageKind.WALL_CLOCK_READ: self._read_wall_clock,
             MessageKind.AGREED_TIME_READ: self._true_time,
         }
@@ -343,7 +343,7 @@
             "ruling": self.chain.ruling,
             "active": self.chain.active,
             "head": self.chain.head,
-            "waiting": dict(self.duty.why),
+            "waiting": dict(self.duty.wait_reasons),
             "tied": self.connected_proxies.names(),
             "garbage": self.link.garbage,
             **({"time": embargoes.time.status()} if embargoes else {}),
--- a/src/petrelhaven/control/resumable/node.py
+++ b/src/petrelhaven/control/resumable/node.py
@@ -4,7 +4,7 @@
 
 import asyncio
 from collections.abc import Mapping
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, cast
 
 from petrelhaven.control.base_node import BaseControlNode
 from petrelhaven.control.configuration.parsing import parse_configuration
@@ -16,6 +16,7 @@
 from petrelhaven.transport.message_kinds import MessageKind
 
 if TYPE_CHECKING:
+    from petrelhaven.control.resumable.interfaces import Tasks
     from petrelhaven.transport.channel import Channel
 
 __all__ = ["ResumableControlNode"]
@@ -37,7 +38,7 @@
         """The duty that plans leaderships and shares."""
         return PlanningDuty(
             self.clock,
-            self.tasks,
+            cast("Tasks", self.tasks),
             self.chain,
             self.lease_table,
             self.roster,
@@ -49,7 +50,7 @@
     def handlers(self) -> dict[str, Any]:
         """What proxies ask, and the head of the other control nodes."""
         return {
-            MessageKind.PLANNER_OBSERVATIONS: self.duty.told,
+            MessageKind.PLANNER_OBSERVATIONS: self.duty.answer_report,
             MessageKind.PROXY_LEASE: self.lease_table.lease,
             MessageKind.PROXY_ENTER: self._enter_proxy,
         }
@@ -133,8 +134,8 @@
         """Takes a member's announcement after checking it."""
         check_announcement(document)
         former = self.duty.heard.get(document["member"])
-        if former and self.clock.now() - former["at"] < _GROUP_FIXED_US:
-            group = former["doc"]["group"]
+        if former and self.clock.now() - former.at < _GROUP_FIXED_US:
+            group = former.document["group"]
             if document["group"] != group:
                 raise Malformed(
                     f"announcement field group must stay {group} for {document['member']}"
@@ -150,10 +151,10 @@
             "ruling": self.chain.ruling,
             "active": self.chain.active,
             "head": self.chain.head,
-            "waiting": dict(self.duty.why) if self.chain.head else {},
+            "waiting": dict(self.duty.wait_reasons) if self.chain.head else {},
             "garbage": getattr(self.link, "garbage", 0),
             "members": {
-                name: {**heard["doc"], "age_us": now - heard["at"]}
+                name: {**heard.document, "age_us": now - heard.at}
                 for name, heard in sorted(self.duty.heard.items())
             },
         }
