--- a/src/petrelhaven/control/resumable/node.py
+++ b/src/petrelhaven/control/resumable/node.py
@@ -16,7 +16,7 @@
 from petrelhaven.transport.message_kinds import MessageKind
 
 if TYPE_CHECKING:
-    from petrelhaven.control.resumable.interfaces import Tasks
+    from petrelhaven.control.failover.interfaces import Tasks
     from petrelhaven.transport.channel import Channel
 
 __all__ = ["ResumableControlNode"]
