--- a/src/petrelhaven/control/embargo/service.py
+++ b/src/petrelhaven/control/embargo/service.py
@@ -4,7 +4,6 @@
 
 import asyncio
 from collections.abc import Collection
-from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any, Protocol
 
 from petrelhaven.control.embargo.agreed_time import AgreedTime
@@ -21,6 +20,7 @@
 from petrelhaven.runtime.errors import Duplicate, Fault, NotReady
 from petrelhaven.runtime.events import Events, emit
 from petrelhaven.runtime.wall_clock import WallClock
+from petrelhaven.transport.lease_messages import AcknowledgementReport
 from petrelhaven.transport.message_kinds import MessageKind
 
 if TYPE_CHECKING:
@@ -59,19 +59,6 @@
         """The control state as the tail answers it."""
 
 
-@dataclass(frozen=True, slots=True)
-class _ProxiesHeard:
-    """What one control node knows of proxies: the newest record that each has acknowledged."""
-
-    acknowledged: dict[str, int]
-    live: Collection[str]
-
-    @classmethod
-    def from_body(cls, body: dict[str, Any]) -> _ProxiesHeard:
-        """Reads an answer to `chain.force`."""
-        return cls(body["acked"], list(body["live"]))
-
-
 class EmbargoService:
     """Made by a control node when it first has to do with embargoes."""
 
@@ -146,15 +133,15 @@
         for answer in answers:
             if answer is None:
                 raise NotReady("a core does not say which edges it knows")
-            for proxy in answer.live:
+            for proxy in answer.lease_us:
                 newest.setdefault(proxy, 0)
             for proxy, acknowledged in answer.acknowledged.items():
                 newest[proxy] = max(newest.get(proxy, 0), acknowledged)
         return newest
 
-    async def _proxies_heard(self, name: str, seq: int) -> _ProxiesHeard | None:
+    async def _proxies_heard(self, name: str, seq: int) -> AcknowledgementReport | None:
         try:
-            return _ProxiesHeard.from_body(
+            return AcknowledgementReport.from_body(
                 await self._node.call(name, MessageKind.CHAIN_IN_FORCE, {"seq": seq}, _CALL_US)
             )
         except Fault:
--- a/src/petrelhaven/control/resumable/node.py
+++ b/src/petrelhaven/control/resumable/node.py
@@ -8,8 +8,8 @@
 
 from petrelhaven.control.base_node import BaseControlNode
 from petrelhaven.control.configuration.parsing import parse_configuration
-from petrelhaven.control.leases import LeaseTable
 from petrelhaven.control.resumable.announcement import check_announcement
+from petrelhaven.control.resumable.leases import ResumableLeaseTable
 from petrelhaven.control.resumable.planning_duty import PlanningDuty
 from petrelhaven.runtime.errors import Duplicate, Fault, Invalid, Malformed, NotReady
 from petrelhaven.runtime.events import Events, emit
@@ -30,9 +30,11 @@
 class ResumableControlNode(BaseControlNode):
     """One control node of resumable sessions."""
 
-    def make_lease_table(self) -> LeaseTable:
+    lease_table: ResumableLeaseTable
+
+    def make_lease_table(self) -> ResumableLeaseTable:
         """The table of the proxies' leases."""
-        return LeaseTable(self.clock, self.tasks, self.chain, self.call, self.log)
+        return ResumableLeaseTable(self.clock, self.tasks, self.chain, self.call, self.log)
 
     def make_duty(self, platform: Any) -> PlanningDuty:  # noqa: ANN401
         """The duty that plans leaderships and shares."""
@@ -51,7 +53,7 @@
         """What proxies ask, and the head of the other control nodes."""
         return {
             MessageKind.PLANNER_OBSERVATIONS: self.duty.answer_report,
-            MessageKind.PROXY_LEASE: self.lease_table.lease,
+            MessageKind.PROXY_LEASE: self.lease_table.renew,
             MessageKind.PROXY_ENTER: self._enter_proxy,
         }
 
