--- a/src/petrelhaven/control/embargo/service.py
+++ b/src/petrelhaven/control/embargo/service.py
@@ -79,7 +79,7 @@
 
     def _node_names(self) -> list[str]:
         view = self._node.chain.view
-        return sorted(view["ids"]) if view else []
+        return sorted(view.ids) if view else []
 
     def _limits(self) -> Limits | None:
         return limits_of(self._node.chain.control_state.doc)
@@ -128,7 +128,7 @@
         view = self._node.chain.view
         if view is None:
             raise NotReady("no view yet")
-        answers = await asyncio.gather(*[self._proxies_heard(name, seq) for name in view["chain"]])
+        answers = await asyncio.gather(*[self._proxies_heard(name, seq) for name in view.chain])
         newest: dict[str, int] = {}
         for answer in answers:
             if answer is None:
--- a/src/petrelhaven/control/orders.py
+++ b/src/petrelhaven/control/orders.py
@@ -12,6 +12,7 @@
 
 from petrelhaven.control.consensus.chain import Chain
 from petrelhaven.control.consensus.peer_clocks import Expiry
+from petrelhaven.control.consensus.view import View
 from petrelhaven.runtime.clock import Clock
 from petrelhaven.runtime.errors import (
     DeadlineExceeded,
@@ -95,14 +96,16 @@
     def check(self, bound: list[int] | None) -> None:
         """Expired where an order that another core sent has outlived the call that brought it."""
         expiry = Expiry.read(bound)
-        if expiry is not None and not expiry.stands(self._chain.boot, self._clock.now()):
+        if expiry is not None and not expiry.stands(
+            self._chain.confirmation.boot, self._clock.now()
+        ):
             raise Expired("the order came after its caller was answered")
 
     async def _expiry(self, head: str, us: int) -> Expiry:
         """The end of an order of `us` by the clock of `head`, which is asked for it where it isn't known."""
-        clocks = self._chain.peer_clocks
+        clocks = self._chain.confirmation.peer_clocks
         if not clocks.knows(head):
-            await self._chain.ask(head)
+            await self._chain.confirmation.ask(head)
         return clocks.expiry(head, us)
 
     async def _follow(self, place: int, attempt: Attempt, within_us: int) -> Any:
@@ -113,14 +116,14 @@
             self._require_majority()
             left = end - self._clock.now()
             try:
-                return await self._watched(attempt(view["chain"][place], left), view, end)
+                return await self._watched(attempt(view.chain[place], left), view, end)
             except _TRY_AGAIN as fault:
                 if self._clock.now() + _LOOK_US >= end or fault.details.get("final"):
                     raise
                 self._require_majority()
             await self._clock.sleep(_LOOK_US)
 
-    async def _watched(self, attempt: Awaitable[Any], view: dict[str, Any], end: int) -> Any:
+    async def _watched(self, attempt: Awaitable[Any], view: View, end: int) -> Any:
         """The outcome of one attempt; it is given up with the view, the majority or the time."""
         task = asyncio.ensure_future(attempt)
         brief = end - self._clock.now() <= ANSWER_US
@@ -153,15 +156,15 @@
         chain, now = self._chain, self._clock.now()
         if chain.view is None:
             raise NotReady("no view yet")
-        if now >= chain.confirmed and now - chain.adopted > _TRANSITION_US:
+        if not chain.confirmation.is_recent and now - chain.adopted > _TRANSITION_US:
             raise NotReady("no majority of the cores answers", details={"final": True})
 
-    def _require_heard(self, view: dict[str, Any]) -> None:
+    def _require_heard(self, view: View) -> None:
         """NotReady where a core of the chain has fallen silent of late: the caller comes again sooner than the view.
 
         Once that core counts as gone, the next view is a matter of moments, and the order waits for it.
         """
-        silent = [n for n in view["chain"] if n != self._name and self._state_of(n) == "suspect"]
+        silent = [n for n in view.chain if n != self._name and self._state_of(n) == "suspect"]
         if silent:
             note = f"nothing heard from {','.join(silent)}; come again"
             raise NotReady(note, details={"final": True})
@@ -171,8 +174,8 @@
 
         A request tells no time, so how long one that is read after a pause has lain here can't be known.
         """
-        self._chain.note_pause()
-        ended, stood_us = self._chain.pause
+        self._chain.confirmation.note_pause()
+        ended, stood_us = self._chain.confirmation.pause
         lately = self._clock.now() - ended < _AFTER_PAUSE_US
         if lately and stood_us > within_us * _PAUSE_SHARE:
             raise NotReady("this core stood still a moment ago; send the order again")
