--- a/src/petrelhaven/control/failover/interfaces.py
+++ b/src/petrelhaven/control/failover/interfaces.py
@@ -9,6 +9,7 @@
 if TYPE_CHECKING:
     import logbook
 
+    from petrelhaven.control.consensus.view import View
     from petrelhaven.control.failover.evidence import Evidence
     from petrelhaven.runtime.clock import Clock
 
@@ -106,7 +107,7 @@
         """Whether a majority has confirmed this node's view, and no older one can be in force."""
 
     @property
-    def view(self) -> Any:  # noqa: ANN401 (see control/consensus/view)
+    def view(self) -> View | None:
         """The view that this node follows, or None."""
 
     @property
--- a/src/petrelhaven/control/failover/observation.py
+++ b/src/petrelhaven/control/failover/observation.py
@@ -91,6 +91,8 @@
     async def survey(self, member: Member) -> Survey:
         """What all control nodes of the chain find, each for itself."""
         view = self._node.chain.view
+        if view is None:
+            return Survey((), 0)
         endpoint = MemberEndpoint.of(member)
         observations = await asyncio.gather(
             *[self._request_inspection(node, endpoint) for node in view.chain]
--- a/src/petrelhaven/control/resumable/interfaces.py
+++ b/src/petrelhaven/control/resumable/interfaces.py
@@ -7,6 +7,7 @@
 
 if TYPE_CHECKING:
     from petrelhaven.control.configuration.document import Configuration
+    from petrelhaven.control.consensus.view import View
 
 __all__ = ["CallNode", "Chain", "ControlState", "EpochPlatform", "LeaseTable"]
 
@@ -38,7 +39,7 @@
         """Whether a majority has confirmed this node's view, and no older one can be in force."""
 
     @property
-    def view(self) -> Any:  # noqa: ANN401 (see control/consensus/view)
+    def view(self) -> View | None:
         """The view that this node follows, or None."""
 
     @property
--- a/src/petrelhaven/control/resumable/planning_duty.py
+++ b/src/petrelhaven/control/resumable/planning_duty.py
@@ -28,7 +28,7 @@
 from petrelhaven.control.resumable.promotion import PromotionRequester
 from petrelhaven.control.resumable.proxy_watch import ProxyWatch
 from petrelhaven.control.resumable.records import EpochInForceRecord, EpochRecord
-from petrelhaven.runtime.errors import Fault, Fenced
+from petrelhaven.runtime.errors import Fault, Fenced, NotHead
 from petrelhaven.runtime.events import Events, emit
 from petrelhaven.transport.message_kinds import MessageKind
 
@@ -282,7 +282,10 @@
             self._progress.note_primary_log((group.name, number), announced_at, primary.log)
 
     async def _enter_epoch(self, planned: EpochRecord) -> None:
-        epoch = replace(planned, by=self.chain.me, view=self.chain.view.number)
+        view = self.chain.view
+        if view is None:
+            raise NotHead("no view yet")
+        epoch = replace(planned, by=self.chain.me, view=view.number)
         await self.chain.enter(epoch.to_document())
         emit(
             self.log,
