--- a/tests/test_connection_sessions_storm.py
+++ b/tests/test_connection_sessions_storm.py
@@ -254,10 +254,10 @@
 
 
 def acked_by_the_head(mp):
-    async def settled(self, seq, view):
+    async def wait_committed(self, seq, view_number):
         return
 
-    mp.setattr(chain.Chain, "settled", settled)
+    mp.setattr(chain.Chain, "wait_committed", wait_committed)
 
 
 def nothing_synced(mp):
