--- a/src/petrelhaven/emulator/main.py
+++ b/src/petrelhaven/emulator/main.py
@@ -1,11 +1,16 @@
 """petrelhaven-emulator: stand-in members and platform, for trying a fleet out."""
 
+from __future__ import annotations
+
 import argparse
 import asyncio
 import contextlib
 import sys
+from collections.abc import Sequence
+from typing import Any
 
 import aiohttp
+from aiohttp import web
 
 from petrelhaven.emulator.balancer import LoadBalancer
 from petrelhaven.emulator.member import Member
@@ -19,115 +24,134 @@
 
 __all__ = ["main"]
 
+_MEMBER_LIMIT = aiohttp.ClientTimeout(total=1)
+_READY_LIMIT_US = 500_000
+_HTTP_OK = 200
+
+Document = dict[str, Any]
+
 
-def _parser():
-    p = argparse.ArgumentParser(
+def _parser() -> argparse.ArgumentParser:
+    parser = argparse.ArgumentParser(
         prog="petrelhaven-emulator",
         description="Stand-ins: a small real database member, a platform.",
     )
-    sub = p.add_subparsers(dest="verb", required=True)
-    m = sub.add_parser("member", help="one member of a group")
-    m.add_argument("--name", required=True)
-    m.add_argument("--group", required=True)
-    m.add_argument("--hall", required=True)
-    m.add_argument("--role", choices=("primary", "replica"), default="replica")
-    m.add_argument("--source", default="", help="address of the primary to follow")
-    m.add_argument("--http", default="127.0.0.1:0")
-    m.add_argument(
+    verbs = parser.add_subparsers(dest="verb", required=True)
+    _add_member(verbs.add_parser("member", help="one member of a group"))
+    platform = verbs.add_parser("platform", help="the platform")
+    platform.add_argument("--http", default="127.0.0.1:0")
+    platform.add_argument("--took-us", type=int, default=300_000)
+    return parser
+
+
+def _add_member(parser: argparse.ArgumentParser) -> None:
+    parser.add_argument("--name", required=True)
+    parser.add_argument("--group", required=True)
+    parser.add_argument("--hall", required=True)
+    parser.add_argument("--role", choices=("primary", "replica"), default="replica")
+    parser.add_argument("--source", default="", help="address of the primary to follow")
+    parser.add_argument("--http", default="127.0.0.1:0")
+    parser.add_argument(
         "--cores", default="-", help="HTTP addresses of the cores; - reads them from standard input"
     )
-    m.add_argument("--cap", type=int, default=40)
-    m.add_argument("--lag-us", type=int, default=60_000)
-    m.add_argument("--warm-us", type=int, default=3_000_000)
-    m.add_argument("--hot", action="store_true", help="start warmed up")
-    m.add_argument("--data", help="folder of its journal")
-    f = sub.add_parser("platform", help="the platform")
-    f.add_argument("--http", default="127.0.0.1:0")
-    f.add_argument("--took-us", type=int, default=300_000)
-    return p
-
-
-async def _platform(a):
-    clock, tasks = Clock(), BackgroundTasks()
-    members = {}
-    h, p = a.http.rsplit(":", 1)
-    http_server = HttpServer(h, int(p))
-    http = aiohttp.ClientSession()
-
-    async def tell(member, verb, kw):
-        g, addr = members[member]
-        if "source" in kw:
-            kw = {**kw, "source": members[kw["source"]][1]}
+    parser.add_argument("--cap", type=int, default=40)
+    parser.add_argument("--lag-us", type=int, default=60_000)
+    parser.add_argument("--warm-us", type=int, default=3_000_000)
+    parser.add_argument("--hot", action="store_true", help="start warmed up")
+    parser.add_argument("--data", help="folder of its journal")
+
+
+class _Platform:
+    """The stand-in platform as a process: failover and load balancer behind HTTP."""
+
+    def __init__(self, address: str, took_us: int) -> None:
+        """Serves at `address`; a promotion takes `took_us` microseconds."""
+        clock = Clock()
+        host, _, port = address.rpartition(":")
+        self._http_server = HttpServer(host, int(port))
+        self._http = aiohttp.ClientSession()
+        self._members: dict[str, tuple[str, str]] = {}
+        self._edges: list[str] = []
+        self._tasks = BackgroundTasks()
+        self._logic = PlatformLogic(clock, self._tell, self._names_in, took_us)
+        self._load_balancer = LoadBalancer(
+            clock, self._tasks, lambda: self._edges, self._is_ready, None, None
+        )
+        for verb, path, handler in (
+            ("POST", "/members", self._register),
+            ("POST", "/promote", self._promote),
+            ("POST", "/feint", self._set_faults),
+            ("GET", "/calls", self._calls),
+            ("POST", "/edges", self._set_edges),
+            ("GET", "/route", self._route),
+        ):
+            self._http_server.on(verb, path, handler)
+
+    async def run(self) -> None:
+        """Serves for good."""
+        self._tasks.spawn(self._load_balancer.run())
+        print_line(f"started name=platform http={await self._http_server.start()}")
+        await self._logic.tend()
+
+    def _names_in(self, group: str) -> list[str]:
+        return [name for name, (its_group, _) in self._members.items() if its_group == group]
+
+    async def _tell(self, member: str, verb: str, fields: Document) -> None:
+        """Calls a member; `source` in `fields` is a member's name and goes out as its address."""
+        _, address = self._members[member]
+        if "source" in fields:
+            fields = {**fields, "source": self._members[fields["source"]][1]}
         try:
-            async with http.post(
-                f"http://{addr}/{verb}", json=kw, timeout=aiohttp.ClientTimeout(total=1)
-            ) as r:
-                if r.status != 200:
-                    raise Fenced((await r.json()).get("fault", "?"))
-        except (aiohttp.ClientError, OSError, asyncio.TimeoutError):
+            async with self._http.post(
+                f"http://{address}/{verb}", json=fields, timeout=_MEMBER_LIMIT
+            ) as response:
+                if response.status != _HTTP_OK:
+                    raise Fenced((await response.json()).get("fault", "?"))
+        except (TimeoutError, aiohttp.ClientError, OSError):
             raise Unreachable(member) from None
 
-    logic = PlatformLogic(
-        clock, tell, lambda g: [n for n, (x, _) in members.items() if x == g], a.took_us
-    )
+    async def _is_ready(self, address: str) -> bool:
+        await fetch(address, "GET", "/ready", us=_READY_LIMIT_US, http=self._http)
+        return True
 
-    async def register(req):
-        for n, g, addr in (await body_of(req))["members"]:
-            members[n] = (g, addr)
+    async def _register(self, request: web.Request) -> Document:
+        for name, group, address in (await body_of(request))["members"]:
+            self._members[name] = (group, address)
         return {"ok": True}
 
-    async def promote(req):
-        b = await body_of(req)
-        return await logic.promote(b["group"], b["member"], b["epoch"], b["by"])
+    async def _promote(self, request: web.Request) -> Document:
+        body = await body_of(request)
+        return await self._logic.promote(body["group"], body["member"], body["epoch"], body["by"])
 
-    async def switch(req):
-        b = await body_of(req)
-        logic.decline = bool(b.get("decline", logic.decline))
-        logic.slow_us = int(b.get("slow_us", logic.slow_us))
-        logic.unanswered = int(b.get("unanswered", logic.unanswered))
+    async def _set_faults(self, request: web.Request) -> Document:
+        body, logic = await body_of(request), self._logic
+        logic.decline = bool(body.get("decline", logic.decline))
+        logic.slow_us = int(body.get("slow_us", logic.slow_us))
+        logic.unanswered = int(body.get("unanswered", logic.unanswered))
         return {"ok": True}
 
-    async def calls(req):
-        return {"calls": logic.calls}
+    async def _calls(self, _request: web.Request) -> Document:
+        return {"calls": self._logic.calls}
 
-    edges = []
-
-    async def enroll(req):
-        edges[:] = (await body_of(req))["edges"]
+    async def _set_edges(self, request: web.Request) -> Document:
+        self._edges[:] = (await body_of(request))["edges"]
         return {"ok": True}
 
-    async def ready(addr):
-        await fetch(addr, "GET", "/ready", us=500_000, http=http)
-        return True
-
-    load_balancer = LoadBalancer(clock, tasks, lambda: edges, ready, None, None)
-    tasks.spawn(load_balancer.run())
+    async def _route(self, _request: web.Request) -> Document:
+        return {"edge": self._load_balancer.pick()}
 
-    async def route(req):
-        return {"edge": load_balancer.pick()}
 
-    for v, path, fn in (
-        ("POST", "/members", register),
-        ("POST", "/promote", promote),
-        ("POST", "/feint", switch),
-        ("GET", "/calls", calls),
-        ("POST", "/edges", enroll),
-        ("GET", "/route", route),
-    ):
-        http_server.on(v, path, fn)
-    print_line(f"started name=platform http={await http_server.start()}")
-    await logic.tend()
+async def _run(arguments: argparse.Namespace) -> None:
+    if arguments.verb == "member":
+        await Member(arguments).run()
+    else:
+        await _Platform(arguments.http, arguments.took_us).run()
 
 
-def main(argv=None):
+def main(argv: Sequence[str] | None = None) -> None:
     """Runs a stand-in until it is killed."""
-    a = _parser().parse_args(argv)
-
-    async def run():
-        await (Member(a).run() if a.verb == "member" else _platform(a))
-
     with contextlib.suppress(KeyboardInterrupt):
-        asyncio.run(run())
+        asyncio.run(_run(_parser().parse_args(argv)))
     sys.exit(0)
 
 
