--- a/src/petrelhaven/commands/control.py
+++ b/src/petrelhaven/commands/control.py
@@ -9,11 +9,12 @@
 from collections.abc import Sequence
 from typing import TYPE_CHECKING
 
-from petrelhaven.control.base_node import BaseControlNode
+from petrelhaven.control.base_node import BaseControlNode, ControlNodeIdentity, NodeResources
 from petrelhaven.control.interface.control_interface import ControlInterface
 from petrelhaven.control.node import ControlNode
 from petrelhaven.control.resumable.control_interface import ResumableControlInterface
 from petrelhaven.control.resumable.member_protocol import MemberWire
+from petrelhaven.control.resumable.node import ResumableControlNode
 from petrelhaven.control.resumable.platform_client import PlatformClient
 from petrelhaven.control.state.control_state import ControlState
 from petrelhaven.control.storage.core_store import CoreStore
@@ -40,39 +41,36 @@
     return _make_resumable_node(daemon)
 
 
-def _make_connection_node(daemon: Daemon) -> ControlNode:
-    settings = daemon.settings
-    node = ControlNode(
-        settings.name,
-        settings.zone,
-        daemon.seeds,
+def _resources(daemon: Daemon) -> NodeResources:
+    return NodeResources(
         daemon.clock,
         daemon.tasks,
         daemon.link,
-        Folder(settings.data),
+        Folder(daemon.settings.data),
         random.SystemRandom(),
+        daemon.log,
+    )
+
+
+def _make_connection_node(daemon: Daemon) -> ControlNode:
+    settings = daemon.settings
+    node = ControlNode(
+        ControlNodeIdentity(settings.name, settings.zone, daemon.seeds),
+        _resources(daemon),
         PlatformClient(settings.platform),
         MemberWire(daemon.clock, Wire(daemon.clock, daemon.tasks)),
         _HEARTBEAT_US,
-        daemon.log,
     )
     ControlInterface(node, daemon.http_server, lambda: node.settings(), announced=True)
     return node
 
 
-def _make_resumable_node(daemon: Daemon) -> BaseControlNode:
+def _make_resumable_node(daemon: Daemon) -> ResumableControlNode:
     settings = daemon.settings
-    node = BaseControlNode(
-        settings.name,
-        settings.zone,
-        daemon.seeds,
-        daemon.clock,
-        daemon.tasks,
-        daemon.link,
-        Folder(settings.data),
-        random.SystemRandom(),
+    node = ResumableControlNode(
+        ControlNodeIdentity(settings.name, settings.zone, daemon.seeds),
+        _resources(daemon),
         PlatformClient(settings.platform),
-        daemon.log,
     )
     ResumableControlInterface(node, daemon.http_server)
     return node
--- a/src/petrelhaven/control/resumable/interfaces.py
+++ b/src/petrelhaven/control/resumable/interfaces.py
@@ -25,7 +25,9 @@
 class Chain(Protocol):
     """The replication chain of the control nodes."""
 
-    me: str
+    @property
+    def me(self) -> str:
+        """The name of this node."""
 
     @property
     def head(self) -> bool:
--- a/tests/embargo_world.py
+++ b/tests/embargo_world.py
@@ -4,6 +4,7 @@
 import json
 import random
 
+from petrelhaven.control.base_node import ControlNodeIdentity, NodeResources
 from petrelhaven.control.node import ControlNode
 from petrelhaven.proxy.core_connection import CoreConnection
 from petrelhaven.proxy.node import ProxyNode
@@ -361,18 +362,13 @@
     def start_core(self, n):
         b = self.cores[n].boot()
         s = ControlNode(
-            n,
-            b.zone,
-            [f"sim:{x}" for x in sorted(self.cores)],
-            b.clock,
-            b.tasks,
-            b.link,
-            b.disk,
-            random.Random(self.rng.random()),
+            ControlNodeIdentity(n, b.zone, [f"sim:{x}" for x in sorted(self.cores)]),
+            NodeResources(
+                b.clock, b.tasks, b.link, b.disk, random.Random(self.rng.random()), b.log
+            ),
             self,
             SimWire(self, b),
             1_200_000,
-            b.log,
             wall_clock=self.walls[n],
         )
         b.node = s
--- a/tests/test_control_interface.py
+++ b/tests/test_control_interface.py
@@ -20,6 +20,7 @@
 
 from petrelhaven.commands.ctl import program
 from petrelhaven.commands.ctl.groups import print_explanation
+from petrelhaven.control.base_node import ControlNodeIdentity, NodeResources
 from petrelhaven.control.configuration.defaults import (
     BOUNDS_DEFAULTS,
     GROUP_DEFAULTS,
@@ -82,14 +83,8 @@
     link = Link(clock, tasks)
     await link.start()
     node = ControlNode(
-        "c1",
-        "a",
-        [link.addr],
-        clock,
-        tasks,
-        link,
-        Folder(str(folder)),
-        random.Random(1),
+        ControlNodeIdentity("c1", "a", [link.addr]),
+        NodeResources(clock, tasks, link, Folder(str(folder)), random.Random(1)),
         NoMembers(),
         NoMembers(),
         1_200_000,
@@ -680,9 +675,9 @@
 
 def test_only_one_reform_gathers_edges_at_a_time(tmp_path):
     async def go(node, http_server):
-        node.proxy_survey.on = True
+        node.proxy_survey.open = True
         with pytest.raises(Fault):
-            await node.frames()
+            await node.snapshots()
         st_, d, _ = await ask(http_server, "POST", "/reform", {"lost": ["c1"]})
         assert (st_, d["fault"]) == (400, "malformed")
         for body in (b"", {"lost": 3}, {"lost": [1]}, []):
--- a/tests/test_embargoes.py
+++ b/tests/test_embargoes.py
@@ -17,12 +17,12 @@
 sys.path.insert(0, str(Path(__file__).parent.parent / "platform"))
 
 from configuration_documents import configuration_text, internal_name  # noqa: E402
-from petrelhaven.control.base_node import BaseControlNode  # noqa: E402
 from petrelhaven.control.configuration.parsing import parse_configuration  # noqa: E402
 from petrelhaven.control.embargo.calls import parse_call  # noqa: E402
 from petrelhaven.control.embargo.records import Rule, configuration_fields, rules_of  # noqa: E402
 from petrelhaven.control.embargo.rules import report  # noqa: E402
 from petrelhaven.control.embargo.table import RuleTable  # noqa: E402
+from petrelhaven.control.resumable.node import ResumableControlNode  # noqa: E402
 from petrelhaven.control.state.control_state import ControlState  # noqa: E402
 from petrelhaven.proxy.session.statement import Statement  # noqa: E402
 from petrelhaven.runtime.errors import Conflict, Duplicate, Invalid, Stale, TooLarge  # noqa: E402
@@ -425,7 +425,7 @@
 def test_a_core_of_kept_sessions_takes_no_configuration_with_embargoes():
     m = {**json.loads(configuration("small")), "embargoing": ["g1"]}
     with pytest.raises(Invalid) as e:
-        asyncio.run(BaseControlNode.apply(None, json.dumps(m)))
+        asyncio.run(ResumableControlNode.apply(None, json.dumps(m)))
     assert [p for p, _ in e.value.details["faults"]] == ["embargoing"]
 
 
