--- a/tests/test_boot_watch.py
+++ b/tests/test_boot_watch.py
@@ -348,6 +348,8 @@
         )
         core, log = f.machines["core-a-1"], f.folder / "core-a-1" / "control.log"
         with socket.socket() as taken:
+            # connections of an earlier test may still be in TIME_WAIT here; a listener is taken all the same
+            taken.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             taken.bind((core.ip, 7581))
             taken.listen()
             try:
