--- a/src/petrelhaven/control/orders.py
+++ b/src/petrelhaven/control/orders.py
@@ -1,18 +1,19 @@
-"""Orders and reads at any core: taken to the head or the tail, and answered while the caller still waits.
+"""Orders and reads at any control node: sent to the head or tail, answered while callers wait.
 
-A caller that hears nothing for a second goes to another core, so an order is answered before that: acknowledged, or
-declined with the time after which to come again. Until then it follows the head from view to view. Nothing goes on
-after its answer, since the caller may have ordered the contrary elsewhere by then. For the same reason an order that
-is sent to another core carries the moment at which it ends there, by that core's own clock.
+A caller that hears nothing for a second goes to another node, so an order is answered before that:
+acknowledged, or declined with the time after which to come again. Until then it follows the head
+from view to view. Nothing goes on after its answer, since the caller may have ordered the contrary
+elsewhere by then. For the same reason an order that is sent to another node carries the moment at
+which it ends there, by that node's own clock.
 """
 
+from __future__ import annotations
+
 import asyncio
 from collections.abc import Awaitable, Callable
-from typing import Any, TypeAlias
+from typing import TYPE_CHECKING, Any, TypeAlias, TypeVar
 
-from petrelhaven.control.consensus.chain import Chain
-from petrelhaven.control.consensus.peer_clocks import Expiry
-from petrelhaven.runtime.clock import Clock
+from petrelhaven.control.order_messages import EnterAnswer, EnterRequest
 from petrelhaven.runtime.errors import (
     DeadlineExceeded,
     Duplicate,
@@ -23,7 +24,13 @@
     ViewSuperseded,
 )
 from petrelhaven.transport.message_kinds import MessageKind
-from petrelhaven.transport.reach import Reach
+
+if TYPE_CHECKING:
+    from petrelhaven.control.consensus.chain import Chain
+    from petrelhaven.control.consensus.peer_clocks import Expiry
+    from petrelhaven.control.consensus.view import View
+    from petrelhaven.runtime.clock import Clock
+    from petrelhaven.transport.reach import Reach
 
 __all__ = ["ANSWER_US", "OrderRouter"]
 
@@ -31,148 +38,206 @@
 """How long a call of the operator or of a member may take here; its caller waits for a second."""
 
 _ENTER_US = 1_000_000
-_LOOK_US = 50_000
+_POLL_US = 50_000
 _TRANSITION_US = 1_000_000
+"""How long a node goes on after a new view without a majority's confirmation."""
 _PAUSE_SHARE = 0.7
 _AFTER_PAUSE_US = 300_000
-_TRY_AGAIN = (NotHead, NotReady, ViewSuperseded, Expired, Unreachable, DeadlineExceeded)
+_RETRIED = (NotHead, NotReady, ViewSuperseded, Expired, Unreachable, DeadlineExceeded)
+
+_HEAD, _TAIL = 0, -1
+_FINAL = {"final": True}
+"""Details of errors that are answered at once and not retried here."""
 
 Document: TypeAlias = dict[str, Any]
-Attempt: TypeAlias = Callable[[str, int], Awaitable[Any]]
+_Answer = TypeVar("_Answer")
+Attempt: TypeAlias = Callable[[str, int], Awaitable[_Answer]]
+"""Asks the node of this name, within this many microseconds."""
 StateOf: TypeAlias = Callable[[str], str | None]
-Enter: TypeAlias = Callable[[Document], Awaitable[Document]]
+Enter: TypeAlias = Callable[[EnterRequest], Awaitable[EnterAnswer]]
 
 
 class OrderRouter:
-    """Takes orders to the head and reads to the tail of the view."""
+    """Sends orders to the head and reads to the tail of the view."""
 
     def __init__(
         self, clock: Clock, chain: Chain, reach: Reach, name: str, state_of: StateOf
     ) -> None:
-        self._clock, self._chain, self._reach, self._name = clock, chain, reach, name
+        """Routes for one control node.
+
+        Args:
+            clock: the node's monotonic clock.
+            chain: its place in the chain.
+            reach: calls other nodes by name.
+            name: its own name.
+            state_of: answers what membership knows of a node: alive, suspect, gone or None.
+        """
+        self._clock = clock
+        self._chain = chain
+        self._reach = reach
+        self._name = name
         self._state_of = state_of
 
-    async def submit(self, record: Document, force: bool, within_us: int, enter: Enter) -> Document:
-        """Has the head enter `record`; `enter` does so where this core is the head itself."""
+    async def submit(
+        self, record: Document, force: bool, within_us: int, enter: Enter
+    ) -> EnterAnswer:
+        """Has the head enter a record.
+
+        Args:
+            record: the record's document.
+            force: whether to wait until it is in force at every proxy.
+            within_us: when the order has to be answered.
+            enter: enters it where this node is the head itself.
+
+        Raises:
+            NotReady: no majority answers, or a node of the chain may be lost; to be sent again.
+            DeadlineExceeded: it is not confirmed yet; to be sent again.
+            Fault: what the head declined it with.
+        """
         self._decline_after_pause(within_us)
+        attempts = 0
 
-        tries = 0
-
-        async def attempt(head: str, us: int) -> Document:
-            nonlocal tries
-            tries += 1
+        async def attempt(head: str, timeout_us: int) -> EnterAnswer:
+            nonlocal attempts
+            attempts += 1
             try:
-                return await once(head, us)
+                return await self._enter_at(head, record, force, timeout_us, enter)
             except Duplicate:
-                if tries == 1:
+                if attempts == 1:
                     raise
-                # what an earlier try of this very call has entered
-                return {
-                    "seq": self._chain.control_state.seq,
-                    "forced": force,
-                    "doc": {"in_force_us": 0},
-                }
-
-        async def once(head: str, us: int) -> Document:
-            if head == self._name:
-                return await enter({"rec": record, "force": force, "bound": None})
-            expiry = await self._expiry(head, min(us, _ENTER_US))
-            body = {"rec": record, "force": force, "bound": expiry.document()}
-            return await self._reach.call(head, MessageKind.CHAIN_ENTER, body, us)
-
-        return await self._follow(0, attempt, within_us)
+                # what an earlier attempt of this very call has entered
+                return EnterAnswer(self._chain.control_state.seq, force)
+
+        return await self._follow(_HEAD, attempt, within_us)
+
+    async def _enter_at(
+        self, head: str, record: Document, force: bool, timeout_us: int, enter: Enter
+    ) -> EnterAnswer:
+        if head == self._name:
+            return await enter(EnterRequest(record, force))
+        expiry = await self._expiry(head, min(timeout_us, _ENTER_US))
+        request = EnterRequest(record, force, expiry)
+        return EnterAnswer.from_body(
+            await self._reach.call(head, MessageKind.CHAIN_ENTER, request.to_body(), timeout_us)
+        )
 
     async def read(self, within_us: int) -> Document:
-        """The control state as the tail answers it."""
+        """The control state as the tail answers it, within a time in microseconds.
 
-        async def attempt(tail: str, us: int) -> Document:
+        Raises:
+            NotReady: no majority answers, or a node of the chain may be lost; to be sent again.
+            DeadlineExceeded: the tail has not answered.
+        """
+
+        async def attempt(tail: str, timeout_us: int) -> Document:
             if tail == self._name:
-                return self._chain.read()
-            return (await self._reach.call(tail, MessageKind.CHAIN_READ, {"what": None}, us))["doc"]
+                own: Document = self._chain.read()
+                return own
+            answer = await self._reach.call(
+                tail, MessageKind.CHAIN_READ, {"what": None}, timeout_us
+            )
+            document: Document = answer["doc"]
+            return document
+
+        return await self._follow(_TAIL, attempt, within_us)
 
-        return await self._follow(-1, attempt, within_us)
+    def check(self, expiry: Expiry | None) -> None:
+        """Checks an order that has come to this node as the head.
 
-    def check(self, bound: list[int] | None) -> None:
-        """Expired where an order that another core sent has outlived the call that brought it."""
-        expiry = Expiry.read(bound)
-        if expiry is not None and not expiry.stands(self._chain.boot, self._clock.now()):
+        Raises:
+            Expired: it has outlived the call that brought it to another node.
+        """
+        boot = self._chain.confirmation.boot
+        if expiry is not None and not expiry.stands(boot, self._clock.now()):
             raise Expired("the order came after its caller was answered")
 
-    async def _expiry(self, head: str, us: int) -> Expiry:
-        """The end of an order of `us` by the clock of `head`, which is asked for it where it isn't known."""
-        clocks = self._chain.peer_clocks
+    async def _expiry(self, head: str, timeout_us: int) -> Expiry:
+        """The end of an order by the head's clock, which is asked for where it isn't known."""
+        clocks = self._chain.confirmation.peer_clocks
         if not clocks.knows(head):
-            await self._chain.ask(head)
-        return clocks.expiry(head, us)
+            await self._chain.confirmation.ask(head)
+        return clocks.expiry(head, timeout_us)
 
-    async def _follow(self, place: int, attempt: Attempt, within_us: int) -> Any:
-        """What `attempt` answers at the core at `place` of the chain, through changes of the view."""
-        end = self._clock.now() + within_us
+    async def _follow(self, place: int, attempt: Attempt[_Answer], within_us: int) -> _Answer:
+        """What the node at `place` of the chain answers, through changes of the view."""
+        end_us = self._clock.now() + within_us
         while True:
-            view = self._chain.view
-            self._require_majority()
-            left = end - self._clock.now()
+            view = self._require_view()
+            left_us = end_us - self._clock.now()
             try:
-                return await self._watched(attempt(view["chain"][place], left), view, end)
-            except _TRY_AGAIN as fault:
-                if self._clock.now() + _LOOK_US >= end or fault.details.get("final"):
+                return await self._watched(attempt(view.chain[place], left_us), view, end_us)
+            except _RETRIED as fault:
+                if self._clock.now() + _POLL_US >= end_us or fault.details.get("final"):
                     raise
                 self._require_majority()
-            await self._clock.sleep(_LOOK_US)
+            await self._clock.sleep(_POLL_US)
 
-    async def _watched(self, attempt: Awaitable[Any], view: dict[str, Any], end: int) -> Any:
+    async def _watched(self, attempt: Awaitable[_Answer], view: View, end_us: int) -> _Answer:
         """The outcome of one attempt; it is given up with the view, the majority or the time."""
         task = asyncio.ensure_future(attempt)
-        brief = end - self._clock.now() <= ANSWER_US
+        is_brief = end_us - self._clock.now() <= ANSWER_US
         try:
             while not task.done():
-                if self._clock.now() >= end:
+                if self._clock.now() >= end_us:
                     raise DeadlineExceeded("not confirmed yet; the order may be sent again")
                 if self._chain.view is not view:
                     raise NotReady("the view changed")
                 self._require_majority()
-                await self._glance(task)
-                if not task.done() and brief:
-                    self._require_heard(view)
+                await self._wait_briefly(task)
+                if not task.done() and is_brief:
+                    self._require_no_suspects(view)
             return task.result()
         finally:
             task.cancel()
 
-    async def _glance(self, task: asyncio.Future) -> None:
+    async def _wait_briefly(self, task: asyncio.Future[Any]) -> None:
         """Waits a moment, or until the attempt has ended."""
-        ticked = asyncio.Event()
-        timer = self._clock.later(_LOOK_US, ticked.set)
-        task.add_done_callback(lambda _: ticked.set())
+        over = asyncio.Event()
+        timer = self._clock.later(_POLL_US, over.set)
+        task.add_done_callback(lambda _: over.set())
         try:
-            await ticked.wait()
+            await over.wait()
         finally:
             timer.cancel()
 
+    def _require_view(self) -> View:
+        """The view; NotReady without one, or without a majority."""
+        self._require_majority()
+        view = self._chain.view
+        if view is None:
+            raise NotReady("no view yet")
+        return view
+
     def _require_majority(self) -> None:
-        """NotReady at once where no majority of the cores has confirmed this one's view lately."""
-        chain, now = self._chain, self._clock.now()
+        """NotReady where no majority of the nodes has confirmed this one's view lately."""
+        chain = self._chain
         if chain.view is None:
             raise NotReady("no view yet")
-        if now >= chain.confirmed and now - chain.adopted > _TRANSITION_US:
-            raise NotReady("no majority of the cores answers", details={"final": True})
+        in_transition = self._clock.now() - chain.adopted <= _TRANSITION_US
+        if not chain.confirmation.is_recent and not in_transition:
+            raise NotReady("no majority of the cores answers", details=dict(_FINAL))
 
-    def _require_heard(self, view: dict[str, Any]) -> None:
-        """NotReady where a core of the chain has fallen silent of late: the caller comes again sooner than the view.
+    def _require_no_suspects(self, view: View) -> None:
+        """NotReady where nothing is heard of a node of the chain, which would outlast the caller.
 
-        Once that core counts as gone, the next view is a matter of moments, and the order waits for it.
+        Once that node counts as gone, the next view is a matter of moments, and the order waits
+        for it.
         """
-        silent = [n for n in view["chain"] if n != self._name and self._state_of(n) == "suspect"]
-        if silent:
-            note = f"nothing heard from {','.join(silent)}; come again"
-            raise NotReady(note, details={"final": True})
+        suspects = [
+            name for name in view.chain if name != self._name and self._state_of(name) == "suspect"
+        ]
+        if suspects:
+            note = f"nothing heard from {','.join(suspects)}; come again"
+            raise NotReady(note, details=dict(_FINAL))
 
     def _decline_after_pause(self, within_us: int) -> None:
-        """NotReady where this process has just stood still for so long that callers may have gone meanwhile.
+        """NotReady where this process has just stood still: callers may have gone meanwhile.
 
-        A request tells no time, so how long one that is read after a pause has lain here can't be known.
+        A request tells no time, so how long one that is read after a pause has lain here can't be
+        known.
         """
-        self._chain.note_pause()
-        ended, stood_us = self._chain.pause
-        lately = self._clock.now() - ended < _AFTER_PAUSE_US
-        if lately and stood_us > within_us * _PAUSE_SHARE:
+        self._chain.confirmation.note_pause()
+        ended_us, paused_us = self._chain.confirmation.pause
+        is_recent = self._clock.now() - ended_us < _AFTER_PAUSE_US
+        if is_recent and paused_us > within_us * _PAUSE_SHARE:
             raise NotReady("this core stood still a moment ago; send the order again")
--- a/tests/model/cluster.py
+++ b/tests/model/cluster.py
@@ -6,6 +6,7 @@
 
 from model.disk import ModelDisk
 from model.observer import Observer
+from petrelhaven.control.base_node import ControlNodeIdentity, NodeResources
 from petrelhaven.control.node import ControlNode
 from petrelhaven.simulator.net import Net, SimulatedMachine
 
@@ -76,7 +77,7 @@
         self.loop.create_task(self._watch())
         return await self.until(
             lambda: all(
-                b.node and b.node.ready and len(b.node.chain.view["ids"]) == len(self.cores)
+                b.node and b.node.ready and len(b.node.chain.view.ids) == len(self.cores)
                 for b in self.cores
             ),
             20,
@@ -89,18 +90,18 @@
         machine.boot()
         try:
             machine.node = ControlNode(
-                machine.name,
-                machine.zone,
-                list(self._seeds[machine.name]),
-                machine.clock,
-                machine.tasks,
-                machine.link,
-                machine.disk,
-                random.Random(self.rng.random()),
+                ControlNodeIdentity(machine.name, machine.zone, list(self._seeds[machine.name])),
+                NodeResources(
+                    machine.clock,
+                    machine.tasks,
+                    machine.link,
+                    machine.disk,
+                    random.Random(self.rng.random()),
+                    machine.log,
+                ),
                 None,
                 None,
                 _HEARTBEAT_US,
-                machine.log,
                 founds,
                 self.tolerated,
             )
@@ -176,7 +177,7 @@
 
     def _caught_up(self, node):
         newest = max(self.observer.views, default=0)
-        return node.ready and node.chain.view["n"] == newest
+        return node.ready and node.chain.view.number == newest
 
     def heal(self):
         """Ends all trouble: nothing cut, slowed, frozen or off but what was removed."""
