--- a/src/petrelhaven/control/base_node.py
+++ b/src/petrelhaven/control/base_node.py
@@ -183,8 +183,8 @@
             MessageKind.DISK_STATE_CHANGED: self.disk_watch.receive,
             MessageKind.CHAIN_ENTER: self._enter,
             MessageKind.CHAIN_READ: self._read,
-            MessageKind.CHAIN_IN_FORCE: self.lease_table.force,
-            MessageKind.PROXY_CONNECT: self.lease_table.hold,
+            MessageKind.CHAIN_IN_FORCE: self.lease_table.report,
+            MessageKind.PROXY_CONNECT: self.lease_table.subscribe,
             MessageKind.NODE_BELIEF: self._belief,
         }
 
--- a/src/petrelhaven/control/node.py
+++ b/src/petrelhaven/control/node.py
@@ -10,11 +10,10 @@
 from petrelhaven.control.base_node import BaseControlNode, ControlNodeIdentity, NodeResources
 from petrelhaven.control.configuration.parsing import parse_configuration
 from petrelhaven.control.connected_proxies import ConnectedProxies
-from petrelhaven.control.consensus.chain import DRIFT
 from petrelhaven.control.consensus.member_maintenance import MemberMaintenance
 from petrelhaven.control.consensus.proxy_survey import ProxySurvey
 from petrelhaven.control.failover.coordinator import FailoverCoordinator
-from petrelhaven.control.leases import ConnectionLeaseTable
+from petrelhaven.control.leases import ConnectionLeaseTable, expiry_us
 from petrelhaven.control.order_messages import EnterAnswer, EnterRequest
 from petrelhaven.control.orders import OrderRouter
 from petrelhaven.control.state.control_state import ControlState
@@ -126,9 +125,9 @@
 
     def make_lease_table(self) -> ConnectionLeaseTable:
         """The table of the leases over core connections."""
-        expiry_us = int((CONNECTION_LEASE_US + self.confirm_us) * DRIFT)
+        certain_expiry_us = expiry_us(CONNECTION_LEASE_US, self.confirm_us)
         return ConnectionLeaseTable(
-            self.clock, self.tasks, self.chain, self.call, self.log, expiry_us
+            self.clock, self.tasks, self.chain, self.call, self.log, certain_expiry_us
         )
 
     def make_duty(self, platform: Platform) -> FailoverCoordinator:
@@ -144,7 +143,7 @@
         """What proxies and other control nodes ask."""
         return {
             MessageKind.PROXY_CONNECT: self._hold_connection,
-            MessageKind.CHAIN_IN_FORCE: self.lease_table.force,
+            MessageKind.CHAIN_IN_FORCE: self.lease_table.report,
             MessageKind.LEASE_RENEW: self._renew_lease,
             MessageKind.MEMBER_SUSPECT: self._suspected,
             MessageKind.MEMBER_CHECK: self.duty.answer_inspection,
@@ -164,13 +163,12 @@
             await self.proxy_survey.ask(channel, body["edge"])
             return {"ok": False, "note": "not confirmed by a majority"}
         self._note_applied(body["edge"], body["applied"])
-        answer: dict[str, Any] = await self.lease_table.hold(channel, body)
+        answer: dict[str, Any] = await self.lease_table.subscribe(channel, body)
         return answer
 
     def _note_applied(self, proxy: str, seq: int) -> None:
         """A proxy reports what it has applied, also what another node pushed to it."""
-        acked = self.lease_table.acked
-        acked[proxy] = max(acked.get(proxy, 0), seq)
+        self.lease_table.acknowledge(proxy, seq)
 
     async def _renew_lease(self, channel: Channel, body: Mapping[str, Any]) -> dict[str, Any]:
         """Answers a `tie.pulse`."""
