--- a/src/petrelhaven/commands/control.py
+++ b/src/petrelhaven/commands/control.py
@@ -1,10 +1,15 @@
-"""petrelhaven-control: the core daemon."""
+"""petrelhaven-control: the control daemon."""
 
+from __future__ import annotations
+
+import contextlib
 import os
 import random
 import sys
+from collections.abc import Sequence
+from typing import TYPE_CHECKING
 
-from petrelhaven.control.base_node import ControlNodeIdentity, NodeResources
+from petrelhaven.control.base_node import BaseControlNode, ControlNodeIdentity, NodeResources
 from petrelhaven.control.interface.control_interface import ControlInterface
 from petrelhaven.control.node import ControlNode
 from petrelhaven.control.resumable.control_interface import ResumableControlInterface
@@ -20,91 +25,117 @@
 from petrelhaven.runtime.errors import Damaged, WrongNode
 from petrelhaven.transport.light_http import LightHttpServer
 
-__all__ = ["main"]
+if TYPE_CHECKING:
+    from petrelhaven.transport.http_server import HttpServer
 
+__all__ = ["main"]
 
 _HEARTBEAT_US = 1_200_000
+_CONNECTION_SESSIONS, _RESUMABLE_SESSIONS = "held", "kept"
+"""Values of the setting `path`: which kind of sessions the node is for."""
+
+
+def _make_node(daemon: Daemon) -> BaseControlNode:
+    if daemon.settings.path == _CONNECTION_SESSIONS:
+        return _make_connection_node(daemon)
+    return _make_resumable_node(daemon)
 
 
-def _make_held(d):
-    s = d.settings
+def _resources(daemon: Daemon) -> NodeResources:
+    return NodeResources(
+        daemon.clock,
+        daemon.tasks,
+        daemon.link,
+        Folder(daemon.settings.data),
+        random.SystemRandom(),
+        daemon.log,
+    )
+
+
+def _make_connection_node(daemon: Daemon) -> ControlNode:
+    settings = daemon.settings
     node = ControlNode(
-        ControlNodeIdentity(s.name, s.zone, d.seeds),
-        NodeResources(d.clock, d.tasks, d.link, Folder(s.data), random.SystemRandom(), d.log),
-        PlatformClient(s.platform),
-        MemberWire(d.clock, Wire(d.clock, d.tasks)),
+        ControlNodeIdentity(settings.name, settings.zone, daemon.seeds),
+        _resources(daemon),
+        PlatformClient(settings.platform),
+        MemberWire(daemon.clock, Wire(daemon.clock, daemon.tasks)),
         _HEARTBEAT_US,
     )
-    ControlInterface(node, d.http_server, lambda: node.settings(), announced=True)
+    ControlInterface(node, daemon.http_server, lambda: node.settings(), announced=True)
     return node
 
 
-def _make(d):
-    s = d.settings
-    if s.path == "held":
-        return _make_held(d)
-    core = ResumableControlNode(
-        ControlNodeIdentity(s.name, s.zone, d.seeds),
-        NodeResources(d.clock, d.tasks, d.link, Folder(s.data), random.SystemRandom(), d.log),
-        PlatformClient(s.platform),
+def _make_resumable_node(daemon: Daemon) -> ResumableControlNode:
+    settings = daemon.settings
+    node = ResumableControlNode(
+        ControlNodeIdentity(settings.name, settings.zone, daemon.seeds),
+        _resources(daemon),
+        PlatformClient(settings.platform),
     )
-    ResumableControlInterface(core, d.http_server)
-    return core
+    ResumableControlInterface(node, daemon.http_server)
+    return node
 
 
-async def _leave(core):
-    await core.drain()
+async def _leave(node: BaseControlNode) -> None:
+    await node.drain()
 
 
 class _ControlDaemon(Daemon):
-    def make_http_server(self, host, port):
-        """The face of the path that this core runs."""
-        return (
-            LightHttpServer(host, port, log=self.log)
-            if self.settings.path == "held"
-            else super().make_http_server(host, port)
-        )
-
-    def prepare(self):
-        """Looks into the data folder before listening; another node's folder, or another path's, is declined."""
-        try:
+    @property
+    def _serves_connection_sessions(self) -> bool:
+        return bool(self.settings.path == _CONNECTION_SESSIONS)
+
+    def make_http_server(  # type: ignore[override]  # both kinds serve the same calls
+        self, host: str, port: int
+    ) -> HttpServer | LightHttpServer:
+        """The HTTP server for the kind of sessions that this node is for."""
+        if self._serves_connection_sessions:
+            return LightHttpServer(host, port, log=self.log)
+        return super().make_http_server(host, port)
+
+    def prepare(self) -> None:
+        """Opens the data folder once before listening.
+
+        Raises:
+            WrongNode: it belongs to another node, or to one for the other kind of sessions.
+        """
+        with contextlib.suppress(Damaged):  # the node comes back as an empty one
             self.check()
-        except Damaged:
-            pass  # the core comes back as an empty one
-        f = Folder(self.settings.data)
-        CoreStore(
-            f,
-            self.settings.name,
-            random.SystemRandom(),
-            self.log,
-            state=ControlState if self.settings.path == "held" else None,
-        )
-        f.close()
-
-    def check(self):
-        """Looks into the data folder, if there is one, without writing."""
-        if os.path.isdir(self.settings.data):
-            folder = DataFolder(self.settings.data)
-            if folder.name not in (None, self.settings.name):
-                raise WrongNode(f"the data folder belongs to {folder.name}, not {self.settings.name}")
-            path = "held" if isinstance(folder.control_state, ControlState) else "kept"
-            if folder.name and path != self.settings.path:
-                raise WrongNode(
-                    f"the data folder holds control state of the path {path}, not {self.settings.path}"
-                )
-
-
-def main(argv=None):
-    """Runs a core until it is told to stop."""
-    sys.exit(
-        _ControlDaemon(
-            "petrelhaven-control",
-            "Core daemon: keeps the manifest, the epochs and the leases.",
-            True,
-            _make,
-            _leave,
-        ).main(argv)
+        folder = Folder(self.settings.data)
+        state_class = ControlState if self._serves_connection_sessions else None
+        CoreStore(folder, self.settings.name, random.SystemRandom(), self.log, state=state_class)
+        folder.close()
+
+    def check(self) -> None:
+        """Reads the data folder, if there is one, without writing.
+
+        Raises:
+            Damaged: the folder can't be read.
+            WrongNode: as for `prepare`.
+        """
+        if not os.path.isdir(self.settings.data):
+            return
+        folder = DataFolder(self.settings.data)
+        if folder.name not in (None, self.settings.name):
+            raise WrongNode(f"the data folder belongs to {folder.name}, not {self.settings.name}")
+        is_connection_state = isinstance(folder.control_state, ControlState)
+        path = _CONNECTION_SESSIONS if is_connection_state else _RESUMABLE_SESSIONS
+        if folder.name and path != self.settings.path:
+            raise WrongNode(
+                f"the data folder holds control state of the path {path}, not {self.settings.path}"
+            )
+
+
+def main(argv: Sequence[str] | None = None) -> None:
+    """Runs a control node until it is told to stop."""
+    daemon = _ControlDaemon(
+        "petrelhaven-control",
+        "Core daemon: keeps the manifest, the epochs and the leases.",
+        True,
+        _make_node,
+        _leave,
     )
+    sys.exit(daemon.main(argv))
 
 
 if __name__ == "__main__":
--- a/src/petrelhaven/control/interface/contracts.py
+++ b/src/petrelhaven/control/interface/contracts.py
@@ -47,7 +47,10 @@
     chain: Chain
     lease_table: Any
     duty: Any
-    heard: Mapping[str, tuple[int, int]]
+
+    @property
+    def heard(self) -> Mapping[str, tuple[int, int]]:
+        """For each member, when its last heartbeat came, and its count."""
 
     @property
     def embargoes(self) -> EmbargoService:
--- /dev/null
+++ b/tests/test_terms.py
@@ -0,0 +1,135 @@
+"""Modules that have been gone through use the terms of docs/glossary.md: no withdrawn word stands in an identifier."""
+
+import io
+import keyword
+import re
+import tokenize
+from pathlib import Path
+
+import pytest
+
+ROOT = Path(__file__).parent.parent
+
+WITHDRAWN = frozenset(
+    "nest hall realm manifest office seat heir told tie desk strand doubt visitor usher vault lent tide "
+    "herald muster mend relic trader troop stock plight whole held kept word sight news look looked "
+    "say said tell rest lull twin mute dark quiet sure floor turn mark box".split()
+)
+
+# Modules that have not been gone through; the list only shrinks, and nothing is added to it.
+NOT_YET = frozenset(
+    {
+        "platform/client_connection.py",
+        "platform/configuration_documents.py",
+        "platform/member_connections.py",
+        "platform/statements.py",
+        "src/petrelhaven/commands/ctl/embargoes.py",
+        "src/petrelhaven/commands/ctl/groups.py",
+        "src/petrelhaven/commands/ctl/zones.py",
+        "src/petrelhaven/control/base_node.py",
+        "src/petrelhaven/control/consensus/chain.py",
+        "src/petrelhaven/control/consensus/disk_watch.py",
+        "src/petrelhaven/control/core_changes.py",
+        "src/petrelhaven/control/departure.py",
+        "src/petrelhaven/control/failover/leader_change.py",
+        "src/petrelhaven/control/failover/promotion.py",
+        "src/petrelhaven/control/node.py",
+        "src/petrelhaven/control/orders.py",
+        "src/petrelhaven/control/resumable/plan.py",
+        "src/petrelhaven/control/state/base.py",
+        "src/petrelhaven/control/storage/core_store.py",
+        "src/petrelhaven/control/storage/disk.py",
+        "src/petrelhaven/control/storage/documents.py",
+        "src/petrelhaven/control/storage/record_log.py",
+        "src/petrelhaven/control/storage/set_aside.py",
+        "src/petrelhaven/emulator/balancer.py",
+        "src/petrelhaven/emulator/main.py",
+        "src/petrelhaven/emulator/member.py",
+        "src/petrelhaven/emulator/platform.py",
+        "src/petrelhaven/emulator/store.py",
+        "src/petrelhaven/proxy/embargo.py",
+        "src/petrelhaven/proxy/node.py",
+        "src/petrelhaven/proxy/resumable/connection_pool.py",
+        "src/petrelhaven/proxy/resumable/control_client.py",
+        "src/petrelhaven/proxy/resumable/delivery.py",
+        "src/petrelhaven/proxy/resumable/handover.py",
+        "src/petrelhaven/proxy/resumable/member_group.py",
+        "src/petrelhaven/proxy/resumable/node.py",
+        "src/petrelhaven/proxy/resumable/sender.py",
+        "src/petrelhaven/proxy/resumable/session.py",
+        "src/petrelhaven/proxy/resumable/session_keeper.py",
+        "src/petrelhaven/proxy/resumable/session_replicas.py",
+        "src/petrelhaven/proxy/resumable/state_follower.py",
+        "src/petrelhaven/proxy/resumable/statement_flow.py",
+        "src/petrelhaven/proxy/resumable/transactions.py",
+        "src/petrelhaven/proxy/resumable/value_changes.py",
+        "src/petrelhaven/proxy/resumable/verbs.py",
+        "src/petrelhaven/proxy/resumable/writes.py",
+        "src/petrelhaven/proxy/routing/transaction_path.py",
+        "src/petrelhaven/proxy/session/client_session.py",
+        "src/petrelhaven/proxy/session/immediate_reply.py",
+        "src/petrelhaven/runtime/settings.py",
+        "src/petrelhaven/simulator/connection_sessions/client.py",
+        "src/petrelhaven/simulator/connection_sessions/connection.py",
+        "src/petrelhaven/simulator/connection_sessions/control_faults.py",
+        "src/petrelhaven/simulator/connection_sessions/control_fleet.py",
+        "src/petrelhaven/simulator/connection_sessions/control_scenes.py",
+        "src/petrelhaven/simulator/connection_sessions/control_storm.py",
+        "src/petrelhaven/simulator/connection_sessions/embargo.py",
+        "src/petrelhaven/simulator/connection_sessions/faults.py",
+        "src/petrelhaven/simulator/connection_sessions/fleet.py",
+        "src/petrelhaven/simulator/connection_sessions/front.py",
+        "src/petrelhaven/simulator/connection_sessions/group.py",
+        "src/petrelhaven/simulator/connection_sessions/heartbeats.py",
+        "src/petrelhaven/simulator/connection_sessions/judge.py",
+        "src/petrelhaven/simulator/connection_sessions/line.py",
+        "src/petrelhaven/simulator/connection_sessions/member.py",
+        "src/petrelhaven/simulator/connection_sessions/member_connection.py",
+        "src/petrelhaven/simulator/connection_sessions/storm.py",
+        "src/petrelhaven/simulator/connection_sessions/wire.py",
+        "src/petrelhaven/simulator/embargo_cost.py",
+        "src/petrelhaven/simulator/fleet.py",
+        "src/petrelhaven/simulator/hollow_nodes.py",
+        "src/petrelhaven/simulator/load_client.py",
+        "src/petrelhaven/simulator/main.py",
+        "src/petrelhaven/simulator/measure.py",
+        "src/petrelhaven/simulator/resumable/partition.py",
+        "src/petrelhaven/simulator/resumable/scenes/cores.py",
+        "src/petrelhaven/simulator/resumable/scenes/edges.py",
+        "src/petrelhaven/simulator/resumable/scenes/zones.py",
+        "src/petrelhaven/simulator/resumable/storm.py",
+        "src/petrelhaven/simulator/resumable/world.py",
+        "src/petrelhaven/simulator/soak.py",
+        "src/petrelhaven/transport/contracts.py",
+    }
+)
+
+WORD = re.compile(r"[A-Z]+(?![a-z])|[A-Z]?[a-z]+|\d+")
+
+
+def withdrawn_words(text):
+    """The identifiers of a module that contain a withdrawn word, with their lines."""
+    return [
+        (token.start[0], token.string)
+        for token in tokenize.generate_tokens(io.StringIO(text).readline)
+        if token.type == tokenize.NAME
+        and not keyword.iskeyword(token.string)
+        and any(word.lower() in WITHDRAWN for word in WORD.findall(token.string))
+    ]
+
+
+def test_no_withdrawn_word_is_in_an_identifier():
+    modules = [*(ROOT / "src").rglob("*.py"), *(ROOT / "platform").rglob("*.py")]
+    assert len(modules) > 100
+    found = {str(p.relative_to(ROOT)): withdrawn_words(p.read_text()) for p in modules}
+    assert {p: words for p, words in found.items() if words and p not in NOT_YET} == {}
+
+
+@pytest.mark.parametrize("name", ["Nest", "LeaseDesk", "_held", "told_at", "HALL", "sightOf"])
+def test_a_withdrawn_word_is_found_in_any_spelling(name):
+    assert withdrawn_words(f"x = {name}") == [(1, name)]
+
+
+@pytest.mark.parametrize("name", ["password", "nested", "remark", "restart", "turnover", "keyword"])
+def test_a_word_that_only_contains_a_withdrawn_one_is_free(name):
+    assert withdrawn_words(f"x = {name}") == []
