--- a/src/petrelhaven/control/embargo/service.py
+++ b/src/petrelhaven/control/embargo/service.py
@@ -29,6 +29,7 @@
     from petrelhaven.control.configuration.document import Configuration
     from petrelhaven.control.consensus.chain import Chain
     from petrelhaven.control.embargo.records import Limits
+    from petrelhaven.control.order_messages import EnterAnswer
     from petrelhaven.control.state.record import Document
     from petrelhaven.runtime.clock import Clock
     from petrelhaven.runtime.tasks import BackgroundTasks
@@ -52,7 +53,7 @@
     async def call(self, name: str, kind: str, body: dict[str, Any], us: int) -> dict[str, Any]:
         """Calls a control node by its name."""
 
-    async def enter(self, rec: Document, force: bool) -> dict[str, Any]:
+    async def enter(self, record: Document, force: bool) -> EnterAnswer:
         """Enters a record at the head."""
 
     async def control_state(self) -> Document:
@@ -79,7 +80,7 @@
 
     def _node_names(self) -> list[str]:
         view = self._node.chain.view
-        return sorted(view["ids"]) if view else []
+        return sorted(view.ids) if view else []
 
     def _limits(self) -> Limits | None:
         return limits_of(self._node.chain.control_state.doc)
@@ -128,7 +129,7 @@
         view = self._node.chain.view
         if view is None:
             raise NotReady("no view yet")
-        answers = await asyncio.gather(*[self._proxies_heard(name, seq) for name in view["chain"]])
+        answers = await asyncio.gather(*[self._proxies_heard(name, seq) for name in view.chain])
         newest: dict[str, int] = {}
         for answer in answers:
             if answer is None:
@@ -147,7 +148,7 @@
         except Fault:
             return None
 
-    async def apply(self, configuration: Configuration, record: Document) -> dict[str, Any]:
+    async def apply(self, configuration: Configuration, record: Document) -> EnterAnswer:
         """Enters a configuration with embargoes.
 
         Args:
@@ -178,13 +179,13 @@
             fault.details["in_force"] = True
             raise
         written = "-" if record.release is None else record.release.written
-        self._log_change(record, seq=answer["seq"], until=written)
+        self._log_change(record, seq=answer.seq, until=written)
         return {
             "do": record.action,
             "name": record.name,
-            "change": answer["seq"],
+            "change": answer.seq,
             "until": 0 if record.release is None else record.release.until_us,
-            **answer["doc"],
+            "in_force_us": answer.in_force_us,
         }
 
     def _log_change(self, record: EmbargoRecord, **fields: object) -> None:
--- a/src/petrelhaven/control/leases.py
+++ b/src/petrelhaven/control/leases.py
@@ -129,7 +129,7 @@
             if view is None:
                 raise NotReady("no view yet")
             event = self._changed.event
-            reports = await asyncio.gather(*[self._ask(name, seq) for name in view["chain"]])
+            reports = await asyncio.gather(*[self._ask(name, seq) for name in view.chain])
             waited_us = self._clock.now() - start
             if self._chain.view is view and self._is_in_force(reports, seq, all_expired_at):
                 emit(self._log, Events.RECORD_IN_FORCE, seq=seq, us=waited_us)
--- a/src/petrelhaven/control/resumable/control_interface.py
+++ b/src/petrelhaven/control/resumable/control_interface.py
@@ -19,7 +19,7 @@
 from petrelhaven.transport.http_server import HttpServer, body_of
 
 if TYPE_CHECKING:
-    from petrelhaven.control.base_node import BaseControlNode
+    from petrelhaven.control.resumable.node import ResumableControlNode
 
 __all__ = ["ResumableControlInterface"]
 
@@ -31,7 +31,7 @@
 class ResumableControlInterface:
     """The routes; what they mean is in docs/http.md."""
 
-    def __init__(self, node: BaseControlNode, http_server: HttpServer) -> None:
+    def __init__(self, node: ResumableControlNode, http_server: HttpServer) -> None:
         """Puts the routes of `node` on `http_server`."""
         self._node = node
         self._event_feed = EventFeed(node.chain)
--- a/src/petrelhaven/control/resumable/planning_duty.py
+++ b/src/petrelhaven/control/resumable/planning_duty.py
@@ -142,7 +142,7 @@
         while True:
             view = self.chain.view
             if view and self.chain.head:
-                for node in view["ids"]:
+                for node in view.ids:
                     if node != self.chain.me:
                         self.tasks.spawn(self._request_report(node))
             await self.clock.sleep(_REPORT_INTERVAL_US)
@@ -282,7 +282,7 @@
             self._progress.note_primary_log((group.name, number), announced_at, primary.log)
 
     async def _enter_epoch(self, planned: EpochRecord) -> None:
-        epoch = replace(planned, by=self.chain.me, view=self.chain.view["n"])
+        epoch = replace(planned, by=self.chain.me, view=self.chain.view.number)
         await self.chain.enter(epoch.to_document())
         emit(
             self.log,
