--- a/src/petrelhaven/control/node.py
+++ b/src/petrelhaven/control/node.py
@@ -14,6 +14,7 @@
 from petrelhaven.control.consensus.proxy_survey import ProxySurvey
 from petrelhaven.control.failover.coordinator import FailoverCoordinator
 from petrelhaven.control.leases import ConnectionLeaseTable, expiry_us
+from petrelhaven.control.order_messages import EnterAnswer, EnterRequest
 from petrelhaven.control.orders import OrderRouter
 from petrelhaven.control.state.control_state import ControlState
 from petrelhaven.membership.update import ALIVE
@@ -240,31 +241,29 @@
 
     async def enter(
         self, record: dict[str, Any], force: bool = True, within_us: int = _FORCED_TIMEOUT_US
-    ) -> dict[str, Any]:
+    ) -> EnterAnswer:
         """Enters a record at the head; with `force`, returns once it is in force.
 
         Follows the head where it moves.
         """
-        return await self.orders.submit(
-            record, force, within_us, lambda body: self._enter(None, body)
-        )
+        return await self.orders.submit(record, force, within_us, self.enter_as_head)
 
     async def control_state(self, within_us: int = _ORDER_TIMEOUT_US) -> dict[str, Any]:
         """The document of the control state as the tail answers it."""
         return await self.orders.read(within_us)
 
-    async def _enter(self, channel: Channel | None, body: Mapping[str, Any]) -> dict[str, Any]:
-        """Answers a `chain.enter`; that a record is known already only once that is committed."""
-        self.orders.check(body["bound"])
+    async def enter_as_head(self, request: EnterRequest) -> EnterAnswer:
+        """Enters a record; answers that it is known already only once that is committed."""
+        self.orders.check(request.expiry)
         try:
-            return await super()._enter(channel, body)
+            return await super().enter_as_head(request)
         except (Duplicate, Stale) as fault:
             seq = self.chain.control_state.seq
             committed = self.chain.wait_committed(seq, self.chain.mem.mark)
             await self.clock.limit(committed, _COMMIT_TIMEOUT_US)
             if not self.chain.active:
                 raise NotReady("not the active head any more") from None
-            if body["force"] and isinstance(fault, Duplicate):
+            if request.force and isinstance(fault, Duplicate):
                 await self.lease_table.in_force(seq)
             raise
 
@@ -285,7 +284,7 @@
             answer = await self.embargoes.apply(configuration, record)
         else:
             answer = await self.enter(record, False, within_us)
-        return {"version": configuration.version, "change": answer["seq"]}
+        return {"version": configuration.version, "change": answer.seq}
 
     async def set_zone_state(
         self, zone: str, state: str, by: str = "", within_us: int = _ORDER_TIMEOUT_US
@@ -293,7 +292,7 @@
         """Evacuates or restores a zone."""
         record = {"t": "hall", "hall": zone, "state": state, "by": by}
         answer = await self.enter(record, False, within_us)
-        return {"hall": zone, "state": state, "change": answer["seq"]}
+        return {"hall": zone, "state": state, "change": answer.seq}
 
     async def elect(self, group: str, member: str, leadership: int, by: str = "") -> dict[str, Any]:
         """Records an operator's order to elect `member` although acknowledged commits may be lost.
@@ -310,7 +309,7 @@
             "by": by or "operator",
         }
         answer = await self.enter(order, False)
-        return {"group": group, "member": member, "change": answer["seq"]}
+        return {"group": group, "member": member, "change": answer.seq}
 
     async def announce(self, document: Mapping[str, Any]) -> None:
         """Takes a member's heartbeat; what it changes is committed before this returns."""
