--- a/src/petrelhaven/control/base_node.py
+++ b/src/petrelhaven/control/base_node.py
@@ -18,6 +18,7 @@
 from petrelhaven.control.consensus.register import Voter
 from petrelhaven.control.consensus.view_maintenance import ViewMaintenance
 from petrelhaven.control.departure import Departure
+from petrelhaven.control.order_messages import EnterAnswer, EnterRequest
 from petrelhaven.control.storage.core_store import CoreStore
 from petrelhaven.membership.prober import Prober
 from petrelhaven.membership.roster import NodeIdentity, Roster
@@ -249,10 +250,14 @@
         )
 
     async def _enter(self, _channel: Channel | None, body: Mapping[str, Any]) -> dict[str, Any]:
-        """Answers a `chain.enter`; with `force`, once the record is in force."""
-        seq = await self.chain.enter(body["rec"])
-        in_force_us = await self.lease_table.in_force(seq) if body["force"] else 0
-        return {"seq": seq, "forced": body["force"], "doc": {"in_force_us": in_force_us}}
+        """Answers a `chain.enter`."""
+        return (await self.enter_as_head(EnterRequest.from_body(body))).to_body()
+
+    async def enter_as_head(self, request: EnterRequest) -> EnterAnswer:
+        """Enters a record as the head; with `force`, returns once it is in force."""
+        seq = await self.chain.enter(request.record)
+        in_force_us = await self.lease_table.in_force(seq) if request.force else 0
+        return EnterAnswer(seq, request.force, in_force_us)
 
     async def _read(self, _channel: Channel | None, _body: Mapping[str, Any]) -> dict[str, Any]:
         """Answers a `chain.read`."""
--- a/src/petrelhaven/control/embargo/service.py
+++ b/src/petrelhaven/control/embargo/service.py
@@ -29,6 +29,7 @@
     from petrelhaven.control.configuration.document import Configuration
     from petrelhaven.control.consensus.chain import Chain
     from petrelhaven.control.embargo.records import Limits
+    from petrelhaven.control.order_messages import EnterAnswer
     from petrelhaven.control.state.record import Document
     from petrelhaven.runtime.clock import Clock
     from petrelhaven.runtime.tasks import BackgroundTasks
@@ -52,7 +53,7 @@
     async def call(self, name: str, kind: str, body: dict[str, Any], us: int) -> dict[str, Any]:
         """Calls a control node by its name."""
 
-    async def enter(self, rec: Document, force: bool) -> dict[str, Any]:
+    async def enter(self, record: Document, force: bool) -> EnterAnswer:
         """Enters a record at the head."""
 
     async def control_state(self) -> Document:
@@ -147,7 +148,7 @@
         except Fault:
             return None
 
-    async def apply(self, configuration: Configuration, record: Document) -> dict[str, Any]:
+    async def apply(self, configuration: Configuration, record: Document) -> EnterAnswer:
         """Enters a configuration with embargoes.
 
         Args:
@@ -178,13 +179,13 @@
             fault.details["in_force"] = True
             raise
         written = "-" if record.release is None else record.release.written
-        self._log_change(record, seq=answer["seq"], until=written)
+        self._log_change(record, seq=answer.seq, until=written)
         return {
             "do": record.action,
             "name": record.name,
-            "change": answer["seq"],
+            "change": answer.seq,
             "until": 0 if record.release is None else record.release.until_us,
-            **answer["doc"],
+            "in_force_us": answer.in_force_us,
         }
 
     def _log_change(self, record: EmbargoRecord, **fields: object) -> None:
--- a/src/petrelhaven/control/resumable/node.py
+++ b/src/petrelhaven/control/resumable/node.py
@@ -8,6 +8,7 @@
 
 from petrelhaven.control.base_node import BaseControlNode
 from petrelhaven.control.configuration.parsing import parse_configuration
+from petrelhaven.control.order_messages import EnterAnswer, EnterRequest
 from petrelhaven.control.resumable.announcement import check_announcement
 from petrelhaven.control.resumable.leases import ResumableLeaseTable
 from petrelhaven.control.resumable.planning_duty import PlanningDuty
@@ -72,19 +73,22 @@
             "by": proxy,
         }
         try:
-            return {"seq": (await self.enter(record, False))["seq"]}
+            return {"seq": (await self.enter(record, False)).seq}
         except Duplicate:
             return {"seq": 0}
 
-    async def enter(self, record: dict[str, Any], force: bool = True) -> dict[str, Any]:
+    async def enter(self, record: dict[str, Any], force: bool = True) -> EnterAnswer:
         """Enters a record at the head; with `force`, returns once it is in force."""
         view = self.chain.view
         if view is None:
             raise NotReady("no view yet")
-        body = {"rec": record, "force": force, "bound": None}
+        request = EnterRequest(record, force)
         if view.head == self.name:
-            return await self._enter(None, body)
-        return await self.reach.call(view.head, MessageKind.CHAIN_ENTER, body, _ENTER_TIMEOUT_US)
+            return await self.enter_as_head(request)
+        answer = await self.reach.call(
+            view.head, MessageKind.CHAIN_ENTER, request.to_body(), _ENTER_TIMEOUT_US
+        )
+        return EnterAnswer.from_body(answer)
 
     async def control_state(self) -> dict[str, Any]:
         """The document of the control state as the tail answers it."""
@@ -107,12 +111,12 @@
             raise Invalid("manifest declined", details={"faults": [["embargoing", note]]})
         record = {"t": "manifest", "text": text, "by": by, "retire": retire}
         answer = await self.enter(record)
-        return {"version": configuration.version, "change": answer["seq"], **answer["doc"]}
+        return {"version": configuration.version, **_change(answer)}
 
     async def set_zone_state(self, zone: str, state: str, by: str = "") -> dict[str, Any]:
         """Evacuates or restores a zone."""
         answer = await self.enter({"t": "hall", "hall": zone, "state": state, "by": by})
-        return {"hall": zone, "state": state, "change": answer["seq"], **answer["doc"]}
+        return {"hall": zone, "state": state, **_change(answer)}
 
     async def snapshots(self) -> dict[str, dict[str, Any]]:
         """The control states that living proxies hold, by their names."""
@@ -160,3 +164,8 @@
                 for name, heard in sorted(self.duty.heard.items())
             },
         }
+
+
+def _change(answer: EnterAnswer) -> dict[str, Any]:
+    """What an operator is answered about a record that is in force."""
+    return {"change": answer.seq, "in_force_us": answer.in_force_us}
