--- a/src/petrelhaven/control/state/rows.py
+++ b/src/petrelhaven/control/state/rows.py
@@ -22,6 +22,7 @@
     SWITCHOVER = "swap"
     """The primary serves until a candidate replaces it."""
 
+
 @dataclass(frozen=True, slots=True)
 class Member:
     """A member as it announced itself last.
--- a/src/petrelhaven/proxy/resumable/handover.py
+++ b/src/petrelhaven/proxy/resumable/handover.py
@@ -57,7 +57,13 @@
                         self.e.deliver.at[s.sid] = k.split("/")[0]
                         return
                 except Fault as f:
-                    emit(self.e.log, Events.SESSION_REPLICATION_DELAYED, sid=s.sid, fault=f.code, note=f.note)
+                    emit(
+                        self.e.log,
+                        Events.SESSION_REPLICATION_DELAYED,
+                        sid=s.sid,
+                        fault=f.code,
+                        note=f.note,
+                    )
                 await self.e.clock.sleep(100_000)
             if s.state == "moving":
                 s.stay()
@@ -86,7 +92,12 @@
 
     async def drain(self, us=9_000_000):
         """Leaves: tells control, hands every session over, waits until nothing is kept here and control has heard."""
-        emit(self.e.log, Events.NODE_LEAVING, sessions=len(self.e.homes), kept=len(self.e.session_replicas.kept))
+        emit(
+            self.e.log,
+            Events.NODE_LEAVING,
+            sessions=len(self.e.homes),
+            kept=len(self.e.session_replicas.kept),
+        )
         self.e.leave()
         end = self.e.clock.now() + us
         self.e.tasks.spawn(self._say("leaving", us))
--- a/src/petrelhaven/proxy/resumable/session_keeper.py
+++ b/src/petrelhaven/proxy/resumable/session_keeper.py
@@ -48,7 +48,13 @@
     def _proxy_survey(self, s):
         ks = [k for k in s.keepers if self.control.lives(k)]
         if len(ks) < len(s.keepers):
-            emit(self.log, Events.SESSION_KEEPER_CHANGED, sid=s.sid, was=",".join(s.keepers), left=",".join(ks))
+            emit(
+                self.log,
+                Events.SESSION_KEEPER_CHANGED,
+                sid=s.sid,
+                was=",".join(s.keepers),
+                left=",".join(ks),
+            )
         while len(ks) < self.bounds().keepers:
             k = self.elect(ks, s.release)
             if k is None:
@@ -122,7 +128,10 @@
             while self.control.lives(k):
                 try:
                     await self.reach.call(
-                        k.split("/")[0], MessageKind.REPLICA_DROP, {"sid": s.sid, "epoch": s.epoch}, 500_000
+                        k.split("/")[0],
+                        MessageKind.REPLICA_DROP,
+                        {"sid": s.sid, "epoch": s.epoch},
+                        500_000,
                     )
                     break
                 except Fault:
--- a/src/petrelhaven/proxy/resumable/session_replicas.py
+++ b/src/petrelhaven/proxy/resumable/session_replicas.py
@@ -276,7 +276,9 @@
     async def ask(self, n, sids, us=800_000):
         """What edge `n` is to these sessions: rows of (session, role, epoch), or None."""
         try:
-            return (await self.reach.call(n, MessageKind.REPLICA_VERSIONS, {"rows": sids}, us))["rows"]
+            return (await self.reach.call(n, MessageKind.REPLICA_VERSIONS, {"rows": sids}, us))[
+                "rows"
+            ]
         except Fault:
             return None
 
--- a/src/petrelhaven/simulator/load_client.py
+++ b/src/petrelhaven/simulator/load_client.py
@@ -89,7 +89,9 @@
                     raise
                 if e.status in (400, 404, 409, 422):
                     raise
-                await asyncio.sleep(min((e.retry_after_us or 200_000) / 1e6, 1.0) * (0.5 + self.rng.random()))
+                await asyncio.sleep(
+                    min((e.retry_after_us or 200_000) / 1e6, 1.0) * (0.5 + self.rng.random())
+                )
         return {"outcome": "unknown", "gave_up": True}
 
     async def run(self):
--- a/src/petrelhaven/simulator/resumable/partition.py
+++ b/src/petrelhaven/simulator/resumable/partition.py
@@ -42,7 +42,9 @@
         else:
             _CUT.clear()
             _CUT.update(rest[0].split(",") if rest else ())
-        daemon.print_line(f"{ {'cut': 'cut', 'heal': 'healed', 'far': 'far'}[verb] } from={self.addr}")
+        daemon.print_line(
+            f"{ {'cut': 'cut', 'heal': 'healed', 'far': 'far'}[verb] } from={self.addr}"
+        )
 
     async def start(self):
         """Listens, to standard input too once the seeds are read."""
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -221,7 +221,9 @@
 def no_second_opinion(mp):
     real = probe.Prober.__init__
     mp.setattr(
-        probe.Prober, "__init__", lambda self, *a, **kw: real(self, *a, **{**kw, "second_opinions": 0})
+        probe.Prober,
+        "__init__",
+        lambda self, *a, **kw: real(self, *a, **{**kw, "second_opinions": 0}),
     )
 
 
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -98,9 +98,9 @@
 def test_every_call_site_names_a_declared_kind_and_none_says_how_often():
     named = set()
     for path, node in calls():
-        assert path == "control/embargo/service.py" or "again" not in [k.arg for k in node.keywords], (
-            path
-        )
+        assert path == "control/embargo/service.py" or "again" not in [
+            k.arg for k in node.keywords
+        ], path
         method = getattr(node.func, "attr", "")
         if method in ("call", "_call", "send_datagram", "on"):
             for arg in node.args[:3]:
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -263,7 +263,11 @@
     async def until(self, ok, s=20):
         end = self.clock.now() + s * 1_000_000
         while not ok():
-            assert self.clock.now() < end, (self.trace[-12:], self.coordinator.wait_reasons, self.leadership)
+            assert self.clock.now() < end, (
+                self.trace[-12:],
+                self.coordinator.wait_reasons,
+                self.leadership,
+            )
             await asyncio.sleep(0.01)
 
     @property
--- a/tests/test_failover_evidence.py
+++ b/tests/test_failover_evidence.py
@@ -245,7 +245,9 @@
 
 
 def without_unproven(evidence, *rest):
-    return decide(Evidence(lower_bound=evidence.lower_bound, counted_out=evidence.counted_out), *rest)
+    return decide(
+        Evidence(lower_bound=evidence.lower_bound, counted_out=evidence.counted_out), *rest
+    )
 
 
 def with_those_heard(evidence, primary, replicas, rows):
@@ -314,7 +316,12 @@
     [
         (Evidence(), {"a": row((1, 5))}, "not heard: b", False),
         (Evidence(unproven=("z",)), {"a": row((1, 5)), "b": row((1, 4))}, "z left", True),
-        (Evidence(lower_bound=(2, 1)), {"a": row((1, 5)), "b": row((1, 4))}, "nobody holds 2.1", True),
+        (
+            Evidence(lower_bound=(2, 1)),
+            {"a": row((1, 5)), "b": row((1, 4))},
+            "nobody holds 2.1",
+            True,
+        ),
     ],
 )
 def test_without_proof_the_reason_is_told(evidence, rows, reason, lost):
@@ -336,4 +343,6 @@
     record = {"t": "evidence", "group": "g", "what": "bounded", "pos": [1, 9]}
     newer.apply(newer.seq + 1, {**record, "members": ["unrecorded-1"]})
     assert newer.evidence("g") == Evidence(lower_bound=(1, 9)) and newer.doc["sizes"]["g"] == 2
-    assert ControlState(json.loads(json.dumps(newer.snapshot()))).evidence("g") == newer.evidence("g")
+    assert ControlState(json.loads(json.dumps(newer.snapshot()))).evidence("g") == newer.evidence(
+        "g"
+    )
--- a/tests/test_interface_compatibility.py
+++ b/tests/test_interface_compatibility.py
@@ -25,7 +25,11 @@
 def fault_values():
     """HTTP status, retry-after and the wider codes of every fault, by its code."""
     return {
-        code: {"status": fault.status, "retry_after_us": fault.retry_after_us, "codes": _codes(fault)}
+        code: {
+            "status": fault.status,
+            "retry_after_us": fault.retry_after_us,
+            "codes": _codes(fault),
+        }
         for code, fault in sorted(REGISTRY.items())
     }
 
--- a/tests/test_light_http.py
+++ b/tests/test_light_http.py
@@ -345,7 +345,9 @@
         assert tr.out == b"" and not tr.closed
         c.held.set_result(None)
         await asyncio.sleep(1)
-        assert [x[0] for x in answers(tr.out)] == [200] and tr.closed and not c.http_server.connections
+        assert (
+            [x[0] for x in answers(tr.out)] == [200] and tr.closed and not c.http_server.connections
+        )
 
     talk(go)
 
