--- a/src/petrelhaven/control/storage/core_store.py
+++ b/src/petrelhaven/control/storage/core_store.py
@@ -30,7 +30,7 @@
 
 
 def _file_size(name: str) -> int:
-    """Cores differ in the size of their files, so that they don't all turn them at the same record."""
+    """Nodes differ in it, so that they don't all switch files at the same record."""
     return FILE_SIZE - zlib.crc32(name.encode()) % _SIZE_STEPS * _SIZE_STEP
 
 
@@ -54,11 +54,12 @@
 class CoreStore:
     """Every change is written and synced first, and taken over only if that succeeded.
 
-    A change that the disk refuses raises `DiskRefused` and leaves everything as it was; from then on `refuses` is
-    True, until a later change or `recover` has succeeded. A core that refuses takes part in nothing.
+    A change that the disk refuses raises `DiskRefused` and leaves everything as it was; from then
+    on `refuses` is True, until a later change or `recover` has succeeded. A control node that
+    refuses takes part in nothing.
     """
 
-    def __init__(  # noqa: PLR0913
+    def __init__(  # noqa: PLR0913, PLR0917 (what a node stores with; programs and tests give it)
         self,
         disk: Disk,
         name: str,
@@ -67,6 +68,7 @@
         keep: bool = False,
         state: Callable[..., Any] | None = None,
     ) -> None:
+        """Reads what `disk` has of node `name`; `keep` takes over whatever name is stored there."""
         self.name, self.log = name, log
         self._rng, self._any_name = rng, keep
         self._state = state or _default_state
@@ -87,7 +89,7 @@
             self.damaged = True
             return False
         if not documents:
-            self._clear()  # a second draw: recorded seeds of storms go on naming the same storms
+            self._clear()  # a second draw, so that recorded seeds go on naming the same storms
             return False
         for document in documents:
             self._replay(from_document(document))
@@ -109,7 +111,7 @@
             self._guarded(lambda: self._log.confirm(self._snapshot_document))
 
     def _begin(self, snapshot: Snapshot) -> None:
-        """Writes the first snapshot of an identity; what a damaged log still holds is copied first."""
+        """Writes the first snapshot of an identity; copies what a damaged log still has before."""
         if self.damaged:
             self._set_aside()
         self._log.begin(to_document(snapshot))
@@ -124,7 +126,7 @@
 
     def _clear(self) -> None:
         """Nothing is remembered; the identity drawn here counts unless one is read."""
-        self.disk = "%016x" % self._rng.getrandbits(64)
+        self.disk = f"{self._rng.getrandbits(64):016x}"
         self.vote: dict[str, Any] = no_vote()
         self.done = 0
         self._forget_state(self._state(), 0)
@@ -136,7 +138,7 @@
 
     def wipe(self) -> None:
         """Forgets everything; the core goes on as an empty one with another disk identity."""
-        disk = "%016x" % self._rng.getrandbits(64)
+        disk = f"{self._rng.getrandbits(64):016x}"
         empty = Snapshot(disk, self.name, no_vote(), 0, self._state().snapshot(), 0)
         self._guarded(lambda: self._log.begin(to_document(empty)))
         self.disk, self.vote, self.done = disk, no_vote(), 0
@@ -220,7 +222,7 @@
         del self.recs[:count]
 
     def put_vote(self, done: int | None = None, **changes: Any) -> None:  # noqa: ANN401
-        """Remembers a promise or an accepted view; with `done`, also that everything of view `done` is held here."""
+        """Stores a promise or an accepted view; `done` is a view all of which is here."""
         vote = {**self.vote, **changes}
         self._keep(Vote(vote, done))
         self.vote = vote
--- a/src/petrelhaven/control/storage/data_folder.py
+++ b/src/petrelhaven/control/storage/data_folder.py
@@ -19,6 +19,7 @@
     """A folder that is only read; what would be written is dropped."""
 
     def __init__(self, path: str) -> None:
+        """Reads files of the folder `path`."""
         self._path = path
 
     def read(self, name: str) -> bytes:
@@ -40,6 +41,7 @@
     """Name, disk identity and control state of a folder; `name` is None for an empty one."""
 
     def __init__(self, path: str) -> None:
+        """Reads the folder `path`; raises Damaged if its log is damaged."""
         store = CoreStore(_ReadOnly(path), "", _NoChance(), keep=True, state=_state)
         if store.damaged:
             raise Damaged(f"{path}: the ring is damaged")
--- a/src/petrelhaven/control/storage/disk.py
+++ b/src/petrelhaven/control/storage/disk.py
@@ -33,6 +33,7 @@
     """Files under one data folder."""
 
     def __init__(self, path: str) -> None:
+        """Makes the folder `path` if it isn't there."""
         self._path = path
         self._descriptors: dict[str, int] = {}
         _make_folder(path)
--- a/src/petrelhaven/control/storage/documents.py
+++ b/src/petrelhaven/control/storage/documents.py
@@ -1,4 +1,4 @@
-"""What a core writes to its log: typed entries, and their one translation to and from JSON documents."""
+"""What a control node writes to its log: typed entries and their JSON documents."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Vote:
-    """The promise and the view accepted last; with `done`, everything of that view is held here too."""
+    """The promise and the view accepted last; with `done`, all of that view is here too."""
 
     vote: dict[str, Any]
     done: int | None = None
--- a/src/petrelhaven/control/storage/record_format.py
+++ b/src/petrelhaven/control/storage/record_format.py
@@ -80,7 +80,7 @@
 
 
 def holds_record(raw: bytes, start: int, lap: int, least_number: int = 0) -> bool:
-    """Whether a complete record of `lap`, numbered `least_number` or more, begins at `start` or later."""
+    """Whether a record of `lap`, numbered `least_number` or more, begins at `start` or later."""
     pattern = _NUMBER.pack(lap)
     at = raw.find(pattern, start + _LAP_OFFSET)
     while at >= 0:
--- a/src/petrelhaven/control/storage/record_log.py
+++ b/src/petrelhaven/control/storage/record_log.py
@@ -68,16 +68,19 @@
 class RecordLog:
     """Every file opens with a snapshot of the state, so that older files may be written over.
 
-    A record counts once its write and its sync have succeeded. One that the disk refuses changes neither number nor
-    place: the next one is written over what it left. After a loss of power the last write may be there, missing or
-    torn in any part and is dropped unless it is intact. A bad record is damage only where a later record proves that
-    it had been synced; damage is raised, never read past.
-
-    A switch to the next file writes zeros, then the snapshot, then the lead, each synced before the next. Until the
-    lead is intact the file before it holds everything; once a switch has begun, nothing more goes to the file before.
+    A record counts once its write and its sync have succeeded. One that the disk refuses changes
+    neither number nor place: the next one is written over what it left. After a loss of power the
+    last write may be there, missing or torn in any part and is dropped unless it is intact. A bad
+    record is damage only where a later record proves that it had been synced; damage is raised,
+    never read past.
+
+    A switch to the next file writes zeros, then the snapshot, then the lead, each synced before
+    the next. Until the lead is intact the file before it holds everything; once a switch has
+    begun, nothing more goes to the file before.
     """
 
     def __init__(self, disk: Disk, count: int = FILE_COUNT, size: int = FILE_SIZE) -> None:
+        """Writes to `count` files of `size` bytes each; reads nothing before `load`."""
         self._disk, self._size = disk, size
         self._names = log_file_names(count)
         self._lap = self._offset = self._number = 0
@@ -89,7 +92,10 @@
 
     @property
     def unconfirmed(self) -> bool:
-        """True from `load` until what was read is known to be synced: the process may have died before its sync."""
+        """True from `load` until what was read is known to be synced.
+
+        The process that wrote it may have died before its sync.
+        """
         return self._unconfirmed
 
     def load(self) -> list[dict[str, Any]]:
@@ -118,7 +124,7 @@
             raise Damaged("no whole lead")
 
     def _expect_no_later_lap(self, files: list[bytes]) -> None:
-        """A record behind the snapshot of the next lap proves that the next lap's lead had been synced."""
+        """A record behind the next lap's snapshot proves that its lead had been synced."""
         later = self._lap + 1
         if any(holds_record(raw, LEAD_SIZE + 1, later) for raw in files):
             self._lap = later
@@ -138,7 +144,10 @@
         self._unconfirmed = True
 
     def append(self, document: dict[str, Any], snapshot: Callable[[], dict[str, Any]]) -> None:
-        """Adds `document`; a full file is left first, and the next opens with `snapshot()`, the state before it."""
+        """Adds `document`.
+
+        A full file is left first; the next one opens with `snapshot()`, the state before it.
+        """
         body = _encode(document)
         raw = encode_record(self._lap, self._number + 1, body)
         if self._lap == 0 or self._turning or self._offset + len(raw) + _SLACK > self._size:
@@ -154,13 +163,13 @@
         self._number += 1
 
     def begin(self, snapshot: dict[str, Any]) -> None:
-        """Starts anew with `snapshot` in the next file; what was there before stays in the older ones for a while."""
+        """Starts anew with `snapshot` in the next file; older files stay for a while."""
         if self._lap == 0:
             self._clear()
         self._turn(snapshot, 0)
 
     def confirm(self, snapshot: Callable[[], dict[str, Any]]) -> None:
-        """Has exactly what is remembered on the disk: finishes a switch of files, or writes the last record anew."""
+        """Syncs what is known: finishes a switch of files, or writes the last record anew."""
         if self._turning:
             self._turn(snapshot(), 0)
             return
--- a/src/petrelhaven/control/storage/set_aside.py
+++ b/src/petrelhaven/control/storage/set_aside.py
@@ -14,11 +14,12 @@
     """At most one set of copies; an older set is never written over by a newer one."""
 
     def __init__(self, disk: Disk) -> None:
+        """Finds out whether `disk` has copies."""
         self._disk = disk
         self.present = disk.read(_MARK) == _COMPLETE
 
     def keep(self) -> None:
-        """Copies the log's files; whoever empties the log afterwards loses nothing that could be read."""
+        """Copies the log's files, so that emptying the log loses nothing that could be read."""
         if self.present:
             return
         for name in log_file_names():
