--- a/src/petrelhaven/control/announcements.py
+++ b/src/petrelhaven/control/announcements.py
@@ -38,7 +38,7 @@
 _NEVER_US = -1 << 60
 _NO_COUNT = -1
 
-Enter = Callable[[dict[str, Any], bool, int], Awaitable[dict[str, Any]]]
+Enter = Callable[[dict[str, Any], bool, int], Awaitable[object]]
 """Enters a record at the head: record, whether to wait until it is in force, timeout in us."""
 
 
