--- a/src/petrelhaven/control/announcements.py
+++ b/src/petrelhaven/control/announcements.py
@@ -48,7 +48,7 @@
 
     member: str
     group: str
-    hall: str
+    zone: str
     addr: str
     role: str
     state: str
@@ -84,7 +84,7 @@
             "t": "member",
             "name": self.member,
             "group": self.group,
-            "hall": self.hall,
+            "hall": self.zone,
             "addr": self.addr,
             "role": self.role,
             "state": self.state,
@@ -148,7 +148,7 @@
         with it.
         """
         chain = self._chain()
-        committed = chain.wait_committed(chain.control_state.seq, chain.mem.mark)
+        committed = chain.wait_committed(chain.control_state.seq, chain.store.entered_view)
         await self._clock.limit(committed, ANSWER_US)
         if not chain.ruling:
             raise NotReady("not confirmed by a majority")
--- a/src/petrelhaven/control/base_node.py
+++ b/src/petrelhaven/control/base_node.py
@@ -103,14 +103,14 @@
         self.name, self.zone, self.seeds = identity.name, identity.zone, identity.seeds
         self.clock, self.tasks = resources.clock, resources.tasks
         self.link, self.rng, self.log = resources.link, resources.rng, resources.log
-        self.mem = CoreStore(resources.disk, self.name, self.rng, self.log, state=self.state_of)
+        self.store = CoreStore(resources.disk, self.name, self.rng, self.log, state=self.state_of)
         self._join_membership()
         self.chain = Chain(
-            self.clock, self.tasks, self.mem, self.call, self.log, self.confirm_us, self.ask_us
+            self.clock, self.tasks, self.store, self.call, self.log, self.confirm_us, self.ask_us
         )
         self.lease_table = self.make_lease_table()
         self.duty = self.make_duty(platform)
-        self.voter = Voter(self.mem)
+        self.voter = Voter(self.store)
         self.disk_watch = DiskWatch(self)
         self.settings: Callable[[], dict[str, Any]] = dict
         self._make_state_machine()
@@ -196,7 +196,7 @@
             name=self.name,
             zone=self.zone,
             addr=self.link.addr,
-            disk=self.mem.disk,
+            disk=self.store.disk,
         )
         self.tasks.spawn(self.prober.run())
         self.tasks.spawn(self.chain.confirmation.run())
@@ -218,7 +218,7 @@
         view = self.chain.view
         if view is None:
             state, trigger = _OUTSIDE, self.leave
-        elif view.position(self.name, self.mem.disk) is None:
+        elif view.position(self.name, self.store.disk) is None:
             state, trigger = _JOINING, self.join
         else:
             state, trigger = _CHAINED, self.enter_chain
@@ -235,7 +235,7 @@
         Raises:
             DiskRefused: its identity is not written yet.
         """
-        store, chain = self.mem, self.chain
+        store, chain = self.store, self.chain
         store.expect_identity()
         return CoreReport(
             name=self.name,
--- a/src/petrelhaven/control/consensus/chain.py
+++ b/src/petrelhaven/control/consensus/chain.py
@@ -68,21 +68,21 @@
         self,
         clock: Clock,
         tasks: BackgroundTasks,
-        mem: CoreStore,
+        store: CoreStore,
         call: Call,
         log: logbook.Logger | None = None,
         confirm_us: int = CONFIRM_US,
         ask_us: int = _ASK_US,
     ) -> None:
-        """Replicates what `mem` remembers; the other nodes are asked every `ask_us` by `call`."""
-        self.clock, self.tasks, self.mem, self.call, self.log = clock, tasks, mem, call, log
+        """Replicates what `store` remembers; the other nodes are asked every `ask_us` by `call`."""
+        self.clock, self.tasks, self.store, self.call, self.log = clock, tasks, store, call, log
         self.confirm_us = confirm_us
         self.view: View | None = None
         self.adopted = 0
         self.active_at = 0
         self.commit = 0
         self.confirmation = Confirmation(
-            clock, tasks, mem, call, lambda: self.view, self.adopt, confirm_us, ask_us
+            clock, tasks, store, call, lambda: self.view, self.adopt, confirm_us, ask_us
         )
         self.new_records = asyncio.Event()
         self.on_commit: list[Callable[[], object]] = []
@@ -94,16 +94,16 @@
     @property
     def me(self) -> str:
         """The name of this node."""
-        return self.mem.name
+        return self.store.name
 
     @property
     def control_state(self) -> Any:  # noqa: ANN401 (of either way of sessions)
         """The control state as this node holds it, committed or not."""
-        return self.mem.control_state
+        return self.store.control_state
 
     def _position(self) -> int | None:
         """The place of this node in the chain, if it has one."""
-        return self.view.position(self.me, self.mem.disk) if self.view else None
+        return self.view.position(self.me, self.store.disk) if self.view else None
 
     @property
     def head(self) -> bool:
@@ -120,9 +120,9 @@
         """Whether this node holds everything committed before its view, and takes writes."""
         return (
             self.view is not None
-            and self.mem.done == self.view.number
+            and self.store.done == self.view.number
             and self._position() is not None
-            and not self.mem.refuses
+            and not self.store.refuses
         )
 
     @property
@@ -161,10 +161,10 @@
         self._commit_as_tail()
 
     def _remember(self, view: View) -> None:
-        accepted = self.mem.vote["value"]
+        accepted = self.store.vote["value"]
         newer = {} if accepted and accepted["n"] >= view.number else {"value": view.to_document()}
         complete_in = view.number if self._holds_all_of(view) else None
-        self.mem.put_vote(done=complete_in, ids=dict(view.ids), **newer)
+        self.store.put_vote(done=complete_in, ids=dict(view.ids), **newer)
 
     def _holds_all_of(self, view: View) -> bool:
         """Whether this node holds all that is committed by the time `view` begins.
@@ -172,9 +172,9 @@
         The head of a view does, and so does a node that was complete in the view before and stays
         in the chain: what was committed there is on every node of that chain.
         """
-        if view.position(self.me, self.mem.disk) is None:
+        if view.position(self.me, self.store.disk) is None:
             return False
-        return view.head == self.me or self.mem.done == view.number - 1
+        return view.head == self.me or self.store.done == view.number - 1
 
     def _feed_successor(self, view: View) -> None:
         if self._feeder:
@@ -236,10 +236,10 @@
         another head's records.
         """
         if seq == self.control_state.seq:
-            return bool(self.mem.mark == view_number)
+            return bool(self.store.entered_view == view_number)
         return any(
             number == seq and entered == view_number
-            for number, entered, _ in reversed(self.mem.recs)
+            for number, entered, _ in reversed(self.store.recs)
         )
 
     async def wait_committed(self, seq: int, view_number: int) -> None:
@@ -278,7 +278,7 @@
             self.control_state.check(record)
             seq: int = self.control_state.seq + 1
             view_number = self.view.number
-            self.mem.put_rec(seq, view_number, record)
+            self.store.put_rec(seq, view_number, record)
             self.new_records.set()
             self._commit_as_tail()
         await self.clock.limit(self.wait_committed(seq, view_number), timeout_us)
@@ -292,7 +292,7 @@
         """Waits until this node may confirm what it entered in that view."""
         while not self.active:
             superseded = self.view is None or self.view.number != view_number
-            if self.mem.refuses or superseded and not self.head:
+            if self.store.refuses or superseded and not self.head:
                 raise NotReady("the view changed; read back to see the outcome")
             await self.clock.sleep(_ACTIVE_POLL_US)
 
@@ -317,19 +317,19 @@
         self._check_predecessor(request)
         if not request.only_asks:
             await self._take(request)
-        return AppendAnswer(self.control_state.seq, self.mem.mark, self.commit).to_body()
+        return AppendAnswer(self.control_state.seq, self.store.entered_view, self.commit).to_body()
 
     def _check_predecessor(self, request: AppendRequest) -> None:
         number = self.view.number if self.view else 0
         if number != request.view_number or not self._position():
             raise ViewSuperseded(f"view {number}")
-        if self.mem.refuses:
+        if self.store.refuses:
             raise DiskRefused("the disk of this core refuses writes")
 
     async def _take(self, request: AppendRequest) -> None:
         self._store(request)
         if request.complete:
-            self.mem.put_done(request.view_number)
+            self.store.put_done(request.view_number)
         seq = self.control_state.seq
         self._commit_as_tail()
         if not self.tail and request.complete:
@@ -338,11 +338,14 @@
 
     def _store(self, request: AppendRequest) -> None:
         """Stores what fits; the predecessor goes on from what the answer says is held."""
-        fits = (request.previous, request.previous_view) == (self.control_state.seq, self.mem.mark)
+        fits = (request.previous, request.previous_view) == (
+            self.control_state.seq,
+            self.store.entered_view,
+        )
         if request.snapshot is not None:
             if not fits:
-                self.mem.reset(request.snapshot, request.previous_view)
+                self.store.reset(request.snapshot, request.previous_view)
                 self._wake()
         elif fits:
             for seq, view_number, record in request.records:
-                self.mem.put_rec(seq, view_number, record)
+                self.store.put_rec(seq, view_number, record)
--- a/src/petrelhaven/control/consensus/feed.py
+++ b/src/petrelhaven/control/consensus/feed.py
@@ -28,7 +28,7 @@
     """The sender's place in the chain, as the feed uses it."""
 
     clock: Clock
-    mem: CoreStore
+    store: CoreStore
     view: View | None
     new_records: asyncio.Event
 
@@ -99,12 +99,12 @@
         number = self._view.number
         if held is None:
             return AppendRequest(number)
-        records = chain.mem.since(held.seq, held.entered_view)
+        records = chain.store.since(held.seq, held.entered_view)
         if records is None:
             return AppendRequest(
                 number,
                 previous=chain.control_state.seq,
-                previous_view=chain.mem.mark,
+                previous_view=chain.store.entered_view,
                 snapshot=chain.control_state.snapshot(),
                 complete=True,
             )
--- a/src/petrelhaven/control/consensus/node_services.py
+++ b/src/petrelhaven/control/consensus/node_services.py
@@ -51,7 +51,7 @@
     link: Link
     rng: random.Random
     log: logbook.Logger | None
-    mem: CoreStore
+    store: CoreStore
     roster: Roster
     reach: Reach
     prober: Prober
--- a/src/petrelhaven/control/consensus/reform.py
+++ b/src/petrelhaven/control/consensus/reform.py
@@ -55,7 +55,7 @@
             NotReady: no view is known here, or a node of `lost` does not answer yet.
         """
         core = self._core
-        view = core.chain.view or View.from_optional(core.mem.vote["value"])
+        view = core.chain.view or View.from_optional(core.store.vote["value"])
         if view is None:
             raise NotReady("this core knows no view to form anew")
         self._check_order(lost, view.ids)
@@ -69,7 +69,7 @@
         lost_names = ",".join(lost)
         fields = {"n": number, "seq": seq, "src": source.node, "lost": lost_names, "by": by}
         emit(self._log, Events.CHAIN_REFORMED, **fields)
-        core.mem.reset(source.snapshot, number)
+        core.store.reset(source.snapshot, number)
         core.views.spread(reformed)
         return _outcome(reformed, source)
 
--- a/src/petrelhaven/control/consensus/view_maintenance.py
+++ b/src/petrelhaven/control/consensus/view_maintenance.py
@@ -45,7 +45,7 @@
     def __init__(self, core: NodeServices, interval_us: int) -> None:
         """Checks the view of `core` about every `interval_us`."""
         self._core, self._interval_us = core, interval_us
-        self._proposer = Proposer(core.mem, core.call)
+        self._proposer = Proposer(core.store, core.call)
         self._reports: dict[str, tuple[int, CoreReport | None]] = {}
         self._alone_since = core.clock.now()
         self.may_found = True
@@ -119,7 +119,7 @@
             await self.pause()
             for address in self.addresses():
                 self._core.tasks.spawn(self.request_report(address))
-            if not self._core.mem.refuses:
+            if not self._core.store.refuses:
                 await self._check()
 
     async def pause(self) -> None:
@@ -141,7 +141,7 @@
         """Finishes what was begun, decides the first view or repairs the current one."""
         core = self._core
         view = core.chain.view
-        accepted = View.from_optional(core.mem.vote["value"])
+        accepted = View.from_optional(core.store.vote["value"])
         if view is None:
             await (self._finish(accepted) if accepted else self._found())
         elif accepted and accepted.number > view.number and accepted.is_member(core.name):
@@ -151,7 +151,7 @@
 
     async def _finish(self, view: View) -> None:
         """Has a view decided that may have been accepted by some only."""
-        ids = self._core.mem.vote["ids"] or view.ids
+        ids = self._core.store.vote["ids"] or view.ids
         with contextlib.suppress(Fault, NoPromise):
             self.spread(await self._proposer.change(ids, lambda newest: newest or view))
 
--- a/src/petrelhaven/control/node.py
+++ b/src/petrelhaven/control/node.py
@@ -259,7 +259,7 @@
             return await super().enter_as_head(request)
         except (Duplicate, Stale) as fault:
             seq = self.chain.control_state.seq
-            committed = self.chain.wait_committed(seq, self.chain.mem.mark)
+            committed = self.chain.wait_committed(seq, self.chain.store.entered_view)
             await self.clock.limit(committed, _COMMIT_TIMEOUT_US)
             if not self.chain.active:
                 raise NotReady("not the active head any more") from None
--- a/src/petrelhaven/control/state/base.py
+++ b/src/petrelhaven/control/state/base.py
@@ -76,11 +76,11 @@
 
     def belief(self) -> Document:
         """What `petrelhaven-diff` compares of this state."""
-        manifest = self.doc["manifest"]
+        accepted = self.doc["manifest"]
         return {
             "seq": self.seq,
-            "manifest": manifest["version"] if manifest else 0,
-            "digest": manifest["digest"] if manifest else "",
+            "manifest": accepted["version"] if accepted else 0,
+            "digest": accepted["digest"] if accepted else "",
             "halls": self.doc["halls"],
             **self._belief_of_groups(),
         }
--- a/src/petrelhaven/control/storage/core_store.py
+++ b/src/petrelhaven/control/storage/core_store.py
@@ -131,8 +131,8 @@
         self.done = 0
         self._forget_state(self._state(), 0)
 
-    def _forget_state(self, control_state: Any, mark: int) -> None:  # noqa: ANN401
-        self.control_state, self.mark = control_state, mark
+    def _forget_state(self, control_state: Any, entered_view: int) -> None:  # noqa: ANN401
+        self.control_state, self.entered_view = control_state, entered_view
         self.recs: list[list[Any]] = []
         self._text_bytes = 0
 
@@ -156,7 +156,12 @@
 
     def _snapshot(self) -> Snapshot:
         return Snapshot(
-            self.disk, self.name, self.vote, self.done, self.control_state.snapshot(), self.mark
+            self.disk,
+            self.name,
+            self.vote,
+            self.done,
+            self.control_state.snapshot(),
+            self.entered_view,
         )
 
     def _snapshot_document(self) -> dict[str, Any]:
@@ -190,13 +195,13 @@
 
     def _replay(self, entry: Entry | None) -> None:
         match entry:
-            case Snapshot(disk, name, vote, done, control_state, mark):
+            case Snapshot(disk, name, vote, done, control_state, entered_view):
                 if self._any_name:
                     self.name = name
                 elif name != self.name:
                     raise WrongNode(f"the data folder belongs to {name}, not {self.name}")
                 self.disk, self.vote, self.done = disk, vote, done
-                self._forget_state(self._state(control_state), mark)
+                self._forget_state(self._state(control_state), entered_view)
             case Vote(vote, done):
                 self.vote = vote
                 self.done = self.done if done is None else done
@@ -204,13 +209,13 @@
                 self.done = view
             case ChainRecord(seq, view, record):
                 self._take(seq, view, record)
-            case Reset(control_state, mark):
-                self._forget_state(self._state(control_state), mark)
+            case Reset(control_state, entered_view):
+                self._forget_state(self._state(control_state), entered_view)
 
     def _take(self, seq: int, view: int, record: dict[str, Any]) -> None:
         self.control_state.apply(seq, record)
         self.recs.append([seq, view, record])
-        self.mark = view
+        self.entered_view = view
         self._text_bytes += len(record.get("text", ""))
         if len(self.recs) > 2 * _LEAST_RECORDS:
             self._trim(len(self.recs) - _LEAST_RECORDS)
@@ -255,19 +260,19 @@
         self._keep(ChainRecord(seq, view, record))
         self._take(seq, view, record)
 
-    def reset(self, control_state: dict[str, Any], mark: int) -> None:
+    def reset(self, control_state: dict[str, Any], entered_view: int) -> None:
         """Replaces the control state by another node's snapshot."""
         state = self._state(control_state)
-        self._keep(Reset(control_state, mark))
-        self._forget_state(state, mark)
+        self._keep(Reset(control_state, entered_view))
+        self._forget_state(state, entered_view)
 
-    def since(self, seq: int, mark: int | None = None) -> list[list[Any]] | None:
-        """Records after `seq`, or None if they are no longer kept (or `mark` does not fit)."""
+    def since(self, seq: int, entered_view: int | None = None) -> list[list[Any]] | None:
+        """Records after `seq`; None if they are no longer kept or `entered_view` does not fit."""
         if seq == self.control_state.seq:
-            return [] if mark in (None, self.mark) else None
+            return [] if entered_view in (None, self.entered_view) else None
         if seq == 0 and self.recs and self.recs[0][0] == 1:
             return list(self.recs)
-        for i, (s, v, _) in enumerate(self.recs):
+        for i, (s, view, _) in enumerate(self.recs):
             if s == seq:
-                return self.recs[i + 1 :] if mark in (None, v) else None
+                return self.recs[i + 1 :] if entered_view in (None, view) else None
         return None
--- a/src/petrelhaven/control/storage/documents.py
+++ b/src/petrelhaven/control/storage/documents.py
@@ -25,7 +25,7 @@
     vote: dict[str, Any]
     done: int
     control_state: dict[str, Any]
-    mark: int
+    entered_view: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,7 +57,7 @@
     """The control state was replaced by that of another core."""
 
     control_state: dict[str, Any]
-    mark: int
+    entered_view: int
 
 
 Entry = Snapshot | Vote | HandedOver | ChainRecord | Reset
@@ -71,7 +71,7 @@
 def to_document(entry: Entry) -> dict[str, Any]:
     """The JSON document of an entry."""
     match entry:
-        case Snapshot(disk, name, vote, done, control_state, mark):
+        case Snapshot(disk, name, vote, done, control_state, entered_view):
             return {
                 "t": "frame",
                 "disk": disk,
@@ -79,7 +79,7 @@
                 "vote": vote,
                 "done": done,
                 "realm": control_state,
-                "mark": mark,
+                "mark": entered_view,
             }
         case Vote(vote, None):
             return {"t": "vote", "vote": vote}
@@ -89,8 +89,8 @@
             return {"t": "done", "n": view}
         case ChainRecord(seq, view, record):
             return {"t": "rec", "seq": seq, "view": view, "rec": record}
-        case Reset(control_state, mark):
-            return {"t": "reset", "realm": control_state, "mark": mark}
+        case Reset(control_state, entered_view):
+            return {"t": "reset", "realm": control_state, "mark": entered_view}
     raise TypeError(type(entry).__name__)
 
 
--- a/src/petrelhaven/simulator/connection_sessions/control_storm.py
+++ b/src/petrelhaven/simulator/connection_sessions/control_storm.py
@@ -87,7 +87,7 @@
         (
             c.name,
             c.node and c.node.state,
-            c.node and c.node.mem.control_state.seq,
+            c.node and c.node.store.control_state.seq,
             c.node.chain.view,
         )
         for c in fleet.cores
--- a/src/petrelhaven/simulator/connection_sessions/fleet.py
+++ b/src/petrelhaven/simulator/connection_sessions/fleet.py
@@ -293,11 +293,11 @@
                 if (
                     b.node is None
                     or b in self.cores
-                    and b.node.chain.commit < b.node.mem.control_state.seq
+                    and b.node.chain.commit < b.node.store.control_state.seq
                 ):
                     continue
                 d = (
-                    b.node.mem.control_state
+                    b.node.store.control_state
                     if b in self.cores
                     else b.node.core_connection.control_state
                 ).doc
--- a/src/petrelhaven/simulator/resumable/world.py
+++ b/src/petrelhaven/simulator/resumable/world.py
@@ -399,7 +399,7 @@
         """Epochs as the core with the newest state holds them."""
         cs = [c.node for c in self.cores if c.node]
         return (
-            max(cs, key=lambda n: n.mem.control_state.seq).mem.control_state.doc["epochs"]
+            max(cs, key=lambda n: n.store.control_state.seq).store.control_state.doc["epochs"]
             if cs
             else {}
         )
@@ -458,7 +458,7 @@
             for b in self.cores + self.edges:
                 if b.node is None:
                     continue
-                r = b.node.mem.control_state if b in self.cores else b.node.control.control_state
+                r = b.node.store.control_state if b in self.cores else b.node.control.control_state
                 v = r.doc["manifest"]["version"] if r.doc["manifest"] else 0
                 k = (b.name, b.life)
                 if v < self.seen.get(k, 0):
