--- a/tests/test_control_interface.py
+++ b/tests/test_control_interface.py
@@ -212,7 +212,7 @@
     on_a_node(tmp_path, go)
 
 
-def test_zones_leaderships_events_and_status_are_told_as_tenet_prints_them(tmp_path):
+def test_zones_leaderships_events_and_status_are_told_as_ctl_prints_them(tmp_path):
     async def go(node, http_server):
         assert (await ask(http_server, "POST", "/halls/a/evacuate"))[1]["fault"] == "invalid"
         m = {**json.loads(configuration("small", 1)), "halls": ["a", "b"]}
@@ -732,7 +732,7 @@
     return p, (await p.stdout.readline()).decode().split("link=")[1].strip()
 
 
-def test_cores_run_the_held_path_without_the_users_platform(tmp_path):
+def test_control_nodes_run_connection_sessions_without_the_users_platform(tmp_path):
     async def go():
         ps = [await start_control(tmp_path, f"c{i}", "--path", "held") for i in (1, 2, 3)]
         try:
--- a/tests/test_programs.py
+++ b/tests/test_programs.py
@@ -130,7 +130,7 @@
     fleet(go)
 
 
-def test_operators_drive_it_by_tenet_and_compare_by_rift(fleet, tmp_path):
+def test_operators_drive_it_by_ctl_and_compare_by_diff(fleet, tmp_path):
     async def go(f):
         cs = ",".join(f.cores)
         p = tmp_path / "m.json"
@@ -154,6 +154,7 @@
         assert rc == 0 and "head" in out and "g1: epoch" in out
         rc, out, _ = await tool("commands.diff", f.procs["e1"].facts["http"], f.cores[2])
         assert rc == 0 and "agree: manifest 2" in out, out
+        before = (await f.head())["epochs"]["g1"]["n"]
         rc, out, _ = await tool("commands.ctl", "--core", cs, "evacuate", "a")
         assert rc == 0 and "hall a is emptied" in out
 
@@ -167,12 +168,14 @@
 
         await passes_within(f, 10, moved)
         rc, out, _ = await tool("commands.ctl", "--core", cs, "why", "g1")
-        assert (
-            rc == 0
-            and "hall emptied"
-            in out + (await tool("commands.ctl", "--core", cs, "why", "g1", "--epoch", "3"))[1]
-            and "replaced: epoch" in out
-        )
+        assert rc == 0 and "replaced: epoch" in out
+        # a busy machine has epochs of other causes before and after that of the evacuation
+        after = (await f.head())["epochs"]["g1"]["n"]
+        causes = [
+            (await tool("commands.ctl", "--core", cs, "why", "g1", "--epoch", str(n)))[1]
+            for n in range(before + 1, after + 1)
+        ]
+        assert any("hall emptied" in cause for cause in causes), causes
         evs = await fetch(f.cores[1], "GET", "/events?after=0")
         assert [int(e["id"]) for e in evs] == list(range(1, len(evs) + 1))
         assert {
