--- a/src/petrelhaven/commands/control.py
+++ b/src/petrelhaven/commands/control.py
@@ -17,9 +17,9 @@
 from petrelhaven.control.resumable.node import ResumableControlNode
 from petrelhaven.control.resumable.platform_client import PlatformClient
 from petrelhaven.control.state.control_state import ControlState
-from petrelhaven.control.storage.core_store import CoreStore
 from petrelhaven.control.storage.data_folder import DataFolder
-from petrelhaven.control.storage.disk import Folder
+from petrelhaven.control.storage.disk import FolderDisk
+from petrelhaven.control.storage.node_store import ControlNodeStore
 from petrelhaven.proxy.resumable.member_protocol import Wire
 from petrelhaven.runtime.daemon import Daemon
 from petrelhaven.runtime.errors import Damaged, WrongNode
@@ -46,7 +46,7 @@
         daemon.clock,
         daemon.tasks,
         daemon.link,
-        Folder(daemon.settings.data),
+        FolderDisk(daemon.settings.data),
         random.SystemRandom(),
         daemon.log,
     )
@@ -101,9 +101,11 @@
         """
         with contextlib.suppress(Damaged):  # the node comes back as an empty one
             self.check()
-        folder = Folder(self.settings.data)
+        folder = FolderDisk(self.settings.data)
         state_class = ControlState if self._serves_connection_sessions else None
-        CoreStore(folder, self.settings.name, random.SystemRandom(), self.log, state=state_class)
+        ControlNodeStore(
+            folder, self.settings.name, random.SystemRandom(), self.log, state=state_class
+        )
         folder.close()
 
     def check(self) -> None:
--- a/src/petrelhaven/control/base_node.py
+++ b/src/petrelhaven/control/base_node.py
@@ -19,7 +19,7 @@
 from petrelhaven.control.consensus.view_maintenance import ViewMaintenance
 from petrelhaven.control.departure import Departure
 from petrelhaven.control.order_messages import EnterAnswer, EnterRequest
-from petrelhaven.control.storage.core_store import CoreStore
+from petrelhaven.control.storage.node_store import ControlNodeStore
 from petrelhaven.membership.prober import Prober
 from petrelhaven.membership.roster import NodeIdentity, Roster
 from petrelhaven.runtime.events import Events, emit
@@ -103,7 +103,9 @@
         self.name, self.zone, self.seeds = identity.name, identity.zone, identity.seeds
         self.clock, self.tasks = resources.clock, resources.tasks
         self.link, self.rng, self.log = resources.link, resources.rng, resources.log
-        self.store = CoreStore(resources.disk, self.name, self.rng, self.log, state=self.state_of)
+        self.store = ControlNodeStore(
+            resources.disk, self.name, self.rng, self.log, state=self.state_of
+        )
         self._join_membership()
         self.chain = Chain(
             self.clock, self.tasks, self.store, self.call, self.log, self.confirm_us, self.ask_us
@@ -196,7 +198,7 @@
             name=self.name,
             zone=self.zone,
             addr=self.link.addr,
-            disk=self.store.disk,
+            disk=self.store.disk_id,
         )
         self.tasks.spawn(self.prober.run())
         self.tasks.spawn(self.chain.confirmation.run())
@@ -218,7 +220,7 @@
         view = self.chain.view
         if view is None:
             state, trigger = _OUTSIDE, self.leave
-        elif view.position(self.name, self.store.disk) is None:
+        elif view.position(self.name, self.store.disk_id) is None:
             state, trigger = _JOINING, self.join
         else:
             state, trigger = _CHAINED, self.enter_chain
@@ -236,13 +238,13 @@
             DiskRefused: its identity is not written yet.
         """
         store, chain = self.store, self.chain
-        store.expect_identity()
+        store.require_identity()
         return CoreReport(
             name=self.name,
-            disk=store.disk,
+            disk=store.disk_id,
             fresh=store.fresh,
             view=chain.view,
-            complete_in=store.done,
+            complete_in=store.complete_view,
             seq=store.control_state.seq,
             commit=chain.commit,
             up_us=self.clock.now() - chain.confirmation.boot,
--- a/src/petrelhaven/control/consensus/chain.py
+++ b/src/petrelhaven/control/consensus/chain.py
@@ -29,7 +29,7 @@
     from petrelhaven.control.consensus.core_report import CoreReport
     from petrelhaven.control.consensus.register import Call
     from petrelhaven.control.consensus.view import Identities, View
-    from petrelhaven.control.storage.core_store import CoreStore
+    from petrelhaven.control.storage.node_store import ControlNodeStore
     from petrelhaven.runtime.clock import Clock
     from petrelhaven.runtime.tasks import BackgroundTasks
     from petrelhaven.transport.channel import Channel
@@ -68,7 +68,7 @@
         self,
         clock: Clock,
         tasks: BackgroundTasks,
-        store: CoreStore,
+        store: ControlNodeStore,
         call: Call,
         log: logbook.Logger | None = None,
         confirm_us: int = CONFIRM_US,
@@ -103,7 +103,7 @@
 
     def _position(self) -> int | None:
         """The place of this node in the chain, if it has one."""
-        return self.view.position(self.me, self.store.disk) if self.view else None
+        return self.view.position(self.me, self.store.disk_id) if self.view else None
 
     @property
     def head(self) -> bool:
@@ -120,9 +120,9 @@
         """Whether this node holds everything committed before its view, and takes writes."""
         return (
             self.view is not None
-            and self.store.done == self.view.number
+            and self.store.complete_view == self.view.number
             and self._position() is not None
-            and not self.store.refuses
+            and not self.store.refuses_writes
         )
 
     @property
@@ -164,7 +164,7 @@
         accepted = self.store.vote["value"]
         newer = {} if accepted and accepted["n"] >= view.number else {"value": view.to_document()}
         complete_in = view.number if self._holds_all_of(view) else None
-        self.store.put_vote(done=complete_in, ids=dict(view.ids), **newer)
+        self.store.save_vote(done=complete_in, ids=dict(view.ids), **newer)
 
     def _holds_all_of(self, view: View) -> bool:
         """Whether this node holds all that is committed by the time `view` begins.
@@ -172,9 +172,9 @@
         The head of a view does, and so does a node that was complete in the view before and stays
         in the chain: what was committed there is on every node of that chain.
         """
-        if view.position(self.me, self.store.disk) is None:
+        if view.position(self.me, self.store.disk_id) is None:
             return False
-        return view.head == self.me or self.store.done == view.number - 1
+        return view.head == self.me or self.store.complete_view == view.number - 1
 
     def _feed_successor(self, view: View) -> None:
         if self._feeder:
@@ -239,7 +239,7 @@
             return bool(self.store.entered_view == view_number)
         return any(
             number == seq and entered == view_number
-            for number, entered, _ in reversed(self.store.recs)
+            for number, entered, _ in reversed(self.store.recent_records)
         )
 
     async def wait_committed(self, seq: int, view_number: int) -> None:
@@ -278,7 +278,7 @@
             self.control_state.check(record)
             seq: int = self.control_state.seq + 1
             view_number = self.view.number
-            self.store.put_rec(seq, view_number, record)
+            self.store.append_record(seq, view_number, record)
             self.new_records.set()
             self._commit_as_tail()
         await self.clock.limit(self.wait_committed(seq, view_number), timeout_us)
@@ -292,7 +292,7 @@
         """Waits until this node may confirm what it entered in that view."""
         while not self.active:
             superseded = self.view is None or self.view.number != view_number
-            if self.store.refuses or superseded and not self.head:
+            if self.store.refuses_writes or superseded and not self.head:
                 raise NotReady("the view changed; read back to see the outcome")
             await self.clock.sleep(_ACTIVE_POLL_US)
 
@@ -323,13 +323,13 @@
         number = self.view.number if self.view else 0
         if number != request.view_number or not self._position():
             raise ViewSuperseded(f"view {number}")
-        if self.store.refuses:
+        if self.store.refuses_writes:
             raise DiskRefused("the disk of this core refuses writes")
 
     async def _take(self, request: AppendRequest) -> None:
         self._store(request)
         if request.complete:
-            self.store.put_done(request.view_number)
+            self.store.mark_view_complete(request.view_number)
         seq = self.control_state.seq
         self._commit_as_tail()
         if not self.tail and request.complete:
@@ -348,4 +348,4 @@
                 self._wake()
         elif fits:
             for seq, view_number, record in request.records:
-                self.store.put_rec(seq, view_number, record)
+                self.store.append_record(seq, view_number, record)
--- a/src/petrelhaven/control/consensus/confirmation.py
+++ b/src/petrelhaven/control/consensus/confirmation.py
@@ -17,7 +17,7 @@
 
 if TYPE_CHECKING:
     from petrelhaven.control.consensus.register import Call
-    from petrelhaven.control.storage.core_store import CoreStore
+    from petrelhaven.control.storage.node_store import ControlNodeStore
     from petrelhaven.runtime.clock import Clock
     from petrelhaven.runtime.tasks import BackgroundTasks
     from petrelhaven.transport.channel import Channel
@@ -47,7 +47,7 @@
         self,
         clock: Clock,
         tasks: BackgroundTasks,
-        store: CoreStore,
+        store: ControlNodeStore,
         call: Call,
         view: Callable[[], View | None],
         adopt: Callable[[View], None],
@@ -170,8 +170,8 @@
         ok = (
             accepted is not None
             and accepted.number == request.view_number
-            and accepted.names_disk(self._name, self._store.disk)
-            and not self._store.refuses
+            and accepted.names_disk(self._name, self._store.disk_id)
+            and not self._store.refuses_writes
         )
         if ok:
             self._granted_at[request.name] = now
--- a/src/petrelhaven/control/consensus/disk_watch.py
+++ b/src/petrelhaven/control/consensus/disk_watch.py
@@ -32,23 +32,23 @@
         """Watches the store of `core`."""
         self._core = core
         self._refused_at: dict[str, int] = {}
-        core.store.on_turn.append(self._changed)
+        core.store.on_refusal_change.append(self._changed)
 
     def start(self) -> None:
         """Begins to try again if the disk refused already when the node started."""
-        if self._core.store.refuses:
+        if self._core.store.refuses_writes:
             self._core.tasks.spawn(self._retry())
 
     def takes_writes(self, name: str) -> bool:
         """Whether the disk of control node `name` takes writes, as far as is known."""
         if name == self._core.name:
-            return not self._core.store.refuses
+            return not self._core.store.refuses_writes
         at = self._refused_at.get(name)
         return at is None or self._core.clock.now() - at > _REPORT_LIFETIME_US
 
     async def _retry(self) -> None:
         wait_us = _FIRST_RETRY_US
-        while self._core.store.refuses:
+        while self._core.store.refuses_writes:
             self._notify_all()
             await self._core.clock.sleep(wait_us)
             wait_us = min(2 * wait_us, _LAST_RETRY_US)
@@ -56,7 +56,7 @@
                 self._core.store.recover()
 
     def _changed(self) -> None:
-        if self._core.store.refuses:
+        if self._core.store.refuses_writes:
             self.start()
         else:
             self._notify_all()
@@ -67,7 +67,7 @@
                 self._core.tasks.spawn(self._notify(name))
 
     async def _notify(self, name: str) -> None:
-        body = {"name": self._core.name, "refuses": self._core.store.refuses}
+        body = {"name": self._core.name, "refuses": self._core.store.refuses_writes}
         with contextlib.suppress(Fault):
             await self._core.call(name, MessageKind.DISK_STATE_CHANGED, body, _NOTIFY_TIMEOUT_US)
 
--- a/src/petrelhaven/control/consensus/feed.py
+++ b/src/petrelhaven/control/consensus/feed.py
@@ -12,7 +12,7 @@
 
 if TYPE_CHECKING:
     from petrelhaven.control.consensus.view import View
-    from petrelhaven.control.storage.core_store import CoreStore
+    from petrelhaven.control.storage.node_store import ControlNodeStore
     from petrelhaven.runtime.clock import Clock
 
 __all__ = ["SuccessorFeed"]
@@ -28,7 +28,7 @@
     """The sender's place in the chain, as the feed uses it."""
 
     clock: Clock
-    store: CoreStore
+    store: ControlNodeStore
     view: View | None
     new_records: asyncio.Event
 
@@ -99,7 +99,7 @@
         number = self._view.number
         if held is None:
             return AppendRequest(number)
-        records = chain.store.since(held.seq, held.entered_view)
+        records = chain.store.records_since(held.seq, held.entered_view)
         if records is None:
             return AppendRequest(
                 number,
--- a/src/petrelhaven/control/consensus/node_services.py
+++ b/src/petrelhaven/control/consensus/node_services.py
@@ -13,7 +13,7 @@
     from petrelhaven.control.consensus.chain import Chain
     from petrelhaven.control.consensus.core_report import CoreReport
     from petrelhaven.control.consensus.view import View
-    from petrelhaven.control.storage.core_store import CoreStore
+    from petrelhaven.control.storage.node_store import ControlNodeStore
     from petrelhaven.membership.prober import Prober
     from petrelhaven.membership.roster import Roster
     from petrelhaven.runtime.clock import Clock
@@ -51,7 +51,7 @@
     link: Link
     rng: random.Random
     log: logbook.Logger | None
-    store: CoreStore
+    store: ControlNodeStore
     roster: Roster
     reach: Reach
     prober: Prober
--- a/src/petrelhaven/control/consensus/register.py
+++ b/src/petrelhaven/control/consensus/register.py
@@ -25,7 +25,7 @@
 
 if TYPE_CHECKING:
     from petrelhaven.control.consensus.view import Identities, View
-    from petrelhaven.control.storage.core_store import CoreStore
+    from petrelhaven.control.storage.node_store import ControlNodeStore
     from petrelhaven.transport.channel import Channel
 
 __all__ = ["Call", "NoPromise", "Proposer", "Voter", "is_joint_quorum"]
@@ -53,7 +53,7 @@
     wait for each other for good.
     """
 
-    def __init__(self, store: CoreStore) -> None:
+    def __init__(self, store: ControlNodeStore) -> None:
         """Remembers its votes in `store`."""
         self._store = store
 
@@ -63,7 +63,7 @@
     def _fits(self, ids: Identities) -> bool:
         """Whether a ballot among `ids` counts this very disk, and no other members are known."""
         members = self._state().members
-        return ids.get(self._store.name) == self._store.disk and members in (None, ids)
+        return ids.get(self._store.name) == self._store.disk_id and members in (None, ids)
 
     async def prepare(self, _channel: Channel | None, body: Mapping[str, Any]) -> dict[str, Any]:
         """Answers a `vote.prepare`."""
@@ -73,7 +73,7 @@
         state = self._state()
         ok = self._fits(request.ids) and request.ballot > state.promised
         if ok:
-            self._store.put_vote(num=request.ballot.number, who=request.ballot.proposer)
+            self._store.save_vote(num=request.ballot.number, who=request.ballot.proposer)
         return PrepareAnswer(ok, state.accepted, state.value, state.highest_number)
 
     async def accept(self, _channel: Channel | None, body: Mapping[str, Any]) -> dict[str, Any]:
@@ -84,7 +84,7 @@
         state, ballot = self._state(), request.ballot
         ok = self._fits(request.ids) and ballot >= state.promised
         if ok:
-            self._store.put_vote(
+            self._store.save_vote(
                 num=ballot.number,
                 who=ballot.proposer,
                 anum=ballot.number,
@@ -112,7 +112,7 @@
 class Proposer:
     """Has a majority of members decide a view."""
 
-    def __init__(self, store: CoreStore, call: Call) -> None:
+    def __init__(self, store: ControlNodeStore, call: Call) -> None:
         """Proposes under the name of the node of `store`; `call` reaches every member."""
         self._store, self._call = store, call
         self._highest_number = 0
--- a/src/petrelhaven/control/consensus/view_maintenance.py
+++ b/src/petrelhaven/control/consensus/view_maintenance.py
@@ -119,7 +119,7 @@
             await self.pause()
             for address in self.addresses():
                 self._core.tasks.spawn(self.request_report(address))
-            if not self._core.store.refuses:
+            if not self._core.store.refuses_writes:
                 await self._check()
 
     async def pause(self) -> None:
--- a/src/petrelhaven/control/interface/control_interface.py
+++ b/src/petrelhaven/control/interface/control_interface.py
@@ -112,7 +112,7 @@
         if in_force and in_force["version"] == version:
             return in_force
         chain = self._node.chain
-        for seq, _view, record in reversed(chain.store.recs):
+        for seq, _view, record in reversed(chain.store.recent_records):
             is_committed = seq <= chain.commit
             if record["t"] != "manifest" or (is_confirmed and not is_committed):
                 continue
--- a/src/petrelhaven/control/state_push.py
+++ b/src/petrelhaven/control/state_push.py
@@ -115,7 +115,7 @@
     def _next_body(self, applied: int) -> dict[str, Any] | None:
         """What follows record `applied`; None if that is a snapshot with uncommitted records."""
         commit, control_state = self._chain.commit, self._chain.control_state
-        rows = self._chain.store.since(applied) if applied >= 0 else None
+        rows = self._chain.store.records_since(applied) if applied >= 0 else None
         if rows is None or applied == 0:
             if commit != control_state.seq:
                 return None
--- a/src/petrelhaven/control/storage/set_aside.py
+++ b/src/petrelhaven/control/storage/damaged_files.py
@@ -4,17 +4,17 @@
 
 from petrelhaven.control.storage.record_log import Disk, log_file_names, readable_documents
 
-__all__ = ["SetAside"]
+__all__ = ["DamagedFileCopies"]
 
 _MARK = "aside"
 _COMPLETE = b"complete"
 
 
-class SetAside:
+class DamagedFileCopies:
     """At most one set of copies; an older set is never written over by a newer one."""
 
     def __init__(self, disk: Disk) -> None:
-        """Finds out whether `disk` has copies."""
+        """Finds out whether `disk_id` has copies."""
         self._disk = disk
         self.present = disk.read(_MARK) == _COMPLETE
 
--- a/src/petrelhaven/control/storage/data_folder.py
+++ b/src/petrelhaven/control/storage/data_folder.py
@@ -6,10 +6,10 @@
 
 from petrelhaven.control.resumable.control_state import ResumableControlState
 from petrelhaven.control.state.control_state import ControlState
-from petrelhaven.control.storage.core_store import CoreStore, replayed
+from petrelhaven.control.storage.damaged_files import DamagedFileCopies
 from petrelhaven.control.storage.documents import Snapshot, from_document
+from petrelhaven.control.storage.node_store import ControlNodeStore, replay
 from petrelhaven.control.storage.record_log import log_file_names, readable_documents
-from petrelhaven.control.storage.set_aside import SetAside
 from petrelhaven.runtime.errors import Damaged
 
 __all__ = ["DataFolder", "Salvage", "salvage"]
@@ -42,12 +42,12 @@
 
     def __init__(self, path: str) -> None:
         """Reads the folder `path`; raises Damaged if its log is damaged."""
-        store = CoreStore(_ReadOnly(path), "", _NoChance(), keep=True, state=_state)
+        store = ControlNodeStore(_ReadOnly(path), "", _NoChance(), keep=True, state=_state)
         if store.damaged:
             raise Damaged(f"{path}: the ring is damaged")
-        self.name, self.disk, self.control_state = (
+        self.name, self.disk_id, self.control_state = (
             store.name or None,
-            store.disk,
+            store.disk_id,
             store.control_state,
         )
 
@@ -64,7 +64,10 @@
     """Reads the log's files and the copies that were set aside, up to the first damage in each."""
     disk = _ReadOnly(path)
     log_files = [disk.read(name) for name in log_file_names()]
-    found = [_salvaged(readable_documents(log_files)), _salvaged(SetAside(disk).documents())]
+    found = [
+        _salvaged(readable_documents(log_files)),
+        _salvaged(DamagedFileCopies(disk).documents()),
+    ]
     readable = [state for state in found if state is not None]
     if not readable:
         raise Damaged(f"{path}: nothing in it can be read")
@@ -77,7 +80,7 @@
     first = from_document(documents[0])
     if not isinstance(first, Snapshot):
         return None
-    return Salvage(first.name, replayed(documents, _state))
+    return Salvage(first.name, replay(documents, _state))
 
 
 def _state(document: dict[str, Any] | None = None) -> ControlState | ResumableControlState:
--- a/src/petrelhaven/control/storage/disk.py
+++ b/src/petrelhaven/control/storage/disk.py
@@ -4,7 +4,7 @@
 import errno
 import os
 
-__all__ = ["Folder"]
+__all__ = ["FolderDisk"]
 
 _FILE_MODE = 0o640
 
@@ -29,7 +29,7 @@
     _sync_folder(parent)
 
 
-class Folder:
+class FolderDisk:
     """Files under one data folder."""
 
     def __init__(self, path: str) -> None:
--- a/src/petrelhaven/control/storage/documents.py
+++ b/src/petrelhaven/control/storage/documents.py
@@ -6,12 +6,12 @@
 __all__ = [
     "ChainRecord",
     "Entry",
-    "HandedOver",
-    "Reset",
+    "ViewCompleted",
+    "StateReplaced",
     "Snapshot",
     "Vote",
     "from_document",
-    "no_vote",
+    "empty_vote",
     "to_document",
 ]
 
@@ -30,14 +30,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Vote:
-    """The promise and the view accepted last; with `done`, all of that view is here too."""
+    """The highest promise and the last accepted view of this node."""
 
     vote: dict[str, Any]
     done: int | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class HandedOver:
+class ViewCompleted:
     """Everything of a view was handed over to this core."""
 
     view: int
@@ -53,17 +53,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reset:
+class StateReplaced:
     """The control state was replaced by that of another core."""
 
     control_state: dict[str, Any]
     entered_view: int
 
 
-Entry = Snapshot | Vote | HandedOver | ChainRecord | Reset
+Entry = Snapshot | Vote | ViewCompleted | ChainRecord | StateReplaced
 
 
-def no_vote() -> dict[str, Any]:
+def empty_vote() -> dict[str, Any]:
     """The vote of a core that has neither promised nor accepted anything."""
     return {"num": 0, "who": "", "anum": 0, "awho": "", "value": None, "ids": None}
 
@@ -85,11 +85,11 @@
             return {"t": "vote", "vote": vote}
         case Vote(vote, done):
             return {"t": "vote", "vote": vote, "done": done}
-        case HandedOver(view):
+        case ViewCompleted(view):
             return {"t": "done", "n": view}
         case ChainRecord(seq, view, record):
             return {"t": "rec", "seq": seq, "view": view, "rec": record}
-        case Reset(control_state, entered_view):
+        case StateReplaced(control_state, entered_view):
             return {"t": "reset", "realm": control_state, "mark": entered_view}
     raise TypeError(type(entry).__name__)
 
@@ -101,17 +101,17 @@
             return Snapshot(
                 document["disk"],
                 document["name"],
-                {**no_vote(), **document["vote"]},
+                {**empty_vote(), **document["vote"]},
                 document["done"],
                 document["realm"],
                 document["mark"],
             )
         case {"t": "vote"}:
-            return Vote({**no_vote(), **document["vote"]}, document.get("done"))
+            return Vote({**empty_vote(), **document["vote"]}, document.get("done"))
         case {"t": "done"}:
-            return HandedOver(document["n"])
+            return ViewCompleted(document["n"])
         case {"t": "rec"}:
             return ChainRecord(document["seq"], document["view"], document["rec"])
         case {"t": "reset"}:
-            return Reset(document["realm"], document["mark"])
+            return StateReplaced(document["realm"], document["mark"])
     return None
--- a/src/petrelhaven/control/storage/core_store.py
+++ b/src/petrelhaven/control/storage/node_store.py
@@ -5,33 +5,33 @@
 from collections.abc import Callable
 from typing import Any
 
+from petrelhaven.control.storage.damaged_files import DamagedFileCopies
 from petrelhaven.control.storage.documents import (
     ChainRecord,
     Entry,
-    HandedOver,
-    Reset,
     Snapshot,
+    StateReplaced,
+    ViewCompleted,
     Vote,
+    empty_vote,
     from_document,
-    no_vote,
     to_document,
 )
-from petrelhaven.control.storage.record_log import FILE_SIZE, Disk, RecordLog
-from petrelhaven.control.storage.set_aside import SetAside
+from petrelhaven.control.storage.record_log import LOG_FILE_BYTES, Disk, RecordLog
 from petrelhaven.runtime.errors import Damaged, DiskRefused, WrongNode
 from petrelhaven.runtime.events import Events, emit
 
-__all__ = ["CoreStore", "replayed"]
+__all__ = ["ControlNodeStore", "replay"]
 
-_LEAST_RECORDS = 400
+_MIN_KEPT_RECORDS = 400
 _MOST_TEXT_BYTES = 2 << 20
 _SIZE_STEPS = 8
 _SIZE_STEP = 16 << 10
 
 
-def _file_size(name: str) -> int:
+def _log_file_bytes(name: str) -> int:
     """Nodes differ in it, so that they don't all switch files at the same record."""
-    return FILE_SIZE - zlib.crc32(name.encode()) % _SIZE_STEPS * _SIZE_STEP
+    return LOG_FILE_BYTES - zlib.crc32(name.encode()) % _SIZE_STEPS * _SIZE_STEP
 
 
 def _default_state(document: dict[str, Any] | None = None) -> Any:  # noqa: ANN401
@@ -40,23 +40,22 @@
     return ResumableControlState(document)
 
 
-def replayed(documents: list[dict[str, Any]], state: Callable[..., Any]) -> Any:  # noqa: ANN401
+def replay(documents: list[dict[str, Any]], state: Callable[..., Any]) -> Any:  # noqa: ANN401
     """The control state that `documents` add up to; None if there are none."""
     control_state: Any = None
     for entry in map(from_document, documents):
-        if isinstance(entry, Snapshot | Reset):
+        if isinstance(entry, Snapshot | StateReplaced):
             control_state = state(entry.control_state)
         elif isinstance(entry, ChainRecord):
             control_state.apply(entry.seq, entry.record)
     return control_state
 
 
-class CoreStore:
+class ControlNodeStore:
     """Every change is written and synced first, and taken over only if that succeeded.
 
     A change that the disk refuses raises `DiskRefused` and leaves everything as it was; from then
-    on `refuses` is True, until a later change or `recover` has succeeded. A control node that
-    refuses takes part in nothing.
+    on `refuses_writes` is True until a later change or `recover` succeeds.
     """
 
     def __init__(  # noqa: PLR0913, PLR0917 (what a node stores with; programs and tests give it)
@@ -68,14 +67,14 @@
         keep: bool = False,
         state: Callable[..., Any] | None = None,
     ) -> None:
-        """Reads what `disk` has of node `name`; `keep` takes over whatever name is stored there."""
+        """Loads the state of node `name` from `disk`."""
         self.name, self.log = name, log
         self._rng, self._any_name = rng, keep
         self._state = state or _default_state
-        self._log = RecordLog(disk, size=_file_size(name))
-        self._aside = SetAside(disk)
-        self.damaged = self.refuses = self._without_identity = self._reported_refusal = False
-        self.on_turn: list[Callable[[], None]] = []
+        self._log = RecordLog(disk, size=_log_file_bytes(name))
+        self._damaged_copies = DamagedFileCopies(disk)
+        self.damaged = self.refuses_writes = self._without_identity = self._reported_refusal = False
+        self.on_refusal_change: list[Callable[[], None]] = []
         self._clear()
         self._without_identity = not self._load()
         self._start()
@@ -92,59 +91,59 @@
             self._clear()  # a second draw, so that recorded seeds go on naming the same storms
             return False
         for document in documents:
-            self._replay(from_document(document))
+            self._apply_entry(from_document(document))
         emit(self.log, Events.STATE_LOADED, seq=self.control_state.seq, torn=self._log.torn)
         return True
 
     def _start(self) -> None:
-        self.refuses = True
+        self.refuses_writes = True
         with contextlib.suppress(DiskRefused):
             self.recover()
 
     def recover(self) -> None:
         """Tries whether the disk takes writes; does nothing unless an earlier one was refused."""
-        if not self.refuses:
+        if not self.refuses_writes:
             return
         if self._without_identity:
             self._guarded(lambda: self._begin(self._snapshot()))
         else:
-            self._guarded(lambda: self._log.confirm(self._snapshot_document))
+            self._guarded(lambda: self._log.ensure_synced(self._snapshot_document))
 
     def _begin(self, snapshot: Snapshot) -> None:
         """Writes the first snapshot of an identity; copies what a damaged log still has before."""
         if self.damaged:
-            self._set_aside()
-        self._log.begin(to_document(snapshot))
+            self._copy_damaged_files()
+        self._log.restart(to_document(snapshot))
         self._without_identity = False
 
-    def _set_aside(self) -> None:
+    def _copy_damaged_files(self) -> None:
         try:
-            self._aside.keep()
+            self._damaged_copies.keep()
         except OSError as error:
             raise DiskRefused(f"copies of the damaged files: {error.strerror}") from error
         emit(self.log, Events.DAMAGED_FILES_COPIED, name=self.name)
 
     def _clear(self) -> None:
         """Nothing is remembered; the identity drawn here counts unless one is read."""
-        self.disk = f"{self._rng.getrandbits(64):016x}"
-        self.vote: dict[str, Any] = no_vote()
-        self.done = 0
+        self.disk_id = f"{self._rng.getrandbits(64):016x}"
+        self.vote: dict[str, Any] = empty_vote()
+        self.complete_view = 0
         self._forget_state(self._state(), 0)
 
     def _forget_state(self, control_state: Any, entered_view: int) -> None:  # noqa: ANN401
         self.control_state, self.entered_view = control_state, entered_view
-        self.recs: list[list[Any]] = []
+        self.recent_records: list[list[Any]] = []
         self._text_bytes = 0
 
     def wipe(self) -> None:
         """Forgets everything; the core goes on as an empty one with another disk identity."""
         disk = f"{self._rng.getrandbits(64):016x}"
-        empty = Snapshot(disk, self.name, no_vote(), 0, self._state().snapshot(), 0)
-        self._guarded(lambda: self._log.begin(to_document(empty)))
-        self.disk, self.vote, self.done = disk, no_vote(), 0
+        empty = Snapshot(disk, self.name, empty_vote(), 0, self._state().snapshot(), 0)
+        self._guarded(lambda: self._log.restart(to_document(empty)))
+        self.disk_id, self.vote, self.complete_view = disk, empty_vote(), 0
         self._forget_state(self._state(), 0)
 
-    def expect_identity(self) -> None:
+    def require_identity(self) -> None:
         """Raises DiskRefused while the identity of this core has not been written yet."""
         if self._without_identity:
             raise DiskRefused("the identity of this core is not written yet")
@@ -156,10 +155,10 @@
 
     def _snapshot(self) -> Snapshot:
         return Snapshot(
-            self.disk,
+            self.disk_id,
             self.name,
             self.vote,
-            self.done,
+            self.complete_view,
             self.control_state.snapshot(),
             self.entered_view,
         )
@@ -167,7 +166,7 @@
     def _snapshot_document(self) -> dict[str, Any]:
         return to_document(self._snapshot())
 
-    def _keep(self, entry: Entry) -> None:
+    def _write_entry(self, entry: Entry) -> None:
         """Writes an entry; only then may the caller remember it."""
         if self._without_identity:
             self.recover()
@@ -182,97 +181,99 @@
         self._set_refuses(False)
 
     def _set_refuses(self, refuses: bool, note: str = "") -> None:
-        self.refuses = refuses
+        self.refuses_writes = refuses
         if self._reported_refusal == refuses:
             return
         self._reported_refusal = refuses
         if refuses:
             emit(self.log, Events.DISK_REFUSES_WRITES, note=note)
         else:
-            emit(self.log, Events.DISK_TAKES_WRITES, disk=self.disk)
-        for listener in self.on_turn:
+            emit(self.log, Events.DISK_TAKES_WRITES, disk=self.disk_id)
+        for listener in self.on_refusal_change:
             listener()
 
-    def _replay(self, entry: Entry | None) -> None:
+    def _apply_entry(self, entry: Entry | None) -> None:
         match entry:
             case Snapshot(disk, name, vote, done, control_state, entered_view):
                 if self._any_name:
                     self.name = name
                 elif name != self.name:
                     raise WrongNode(f"the data folder belongs to {name}, not {self.name}")
-                self.disk, self.vote, self.done = disk, vote, done
+                self.disk_id, self.vote, self.complete_view = disk, vote, done
                 self._forget_state(self._state(control_state), entered_view)
             case Vote(vote, done):
                 self.vote = vote
-                self.done = self.done if done is None else done
-            case HandedOver(view):
-                self.done = view
+                self.complete_view = self.complete_view if done is None else done
+            case ViewCompleted(view):
+                self.complete_view = view
             case ChainRecord(seq, view, record):
                 self._take(seq, view, record)
-            case Reset(control_state, entered_view):
+            case StateReplaced(control_state, entered_view):
                 self._forget_state(self._state(control_state), entered_view)
 
     def _take(self, seq: int, view: int, record: dict[str, Any]) -> None:
         self.control_state.apply(seq, record)
-        self.recs.append([seq, view, record])
+        self.recent_records.append([seq, view, record])
         self.entered_view = view
         self._text_bytes += len(record.get("text", ""))
-        if len(self.recs) > 2 * _LEAST_RECORDS:
-            self._trim(len(self.recs) - _LEAST_RECORDS)
-        while self._text_bytes > _MOST_TEXT_BYTES and len(self.recs) > 2:  # noqa: PLR2004
-            self._trim(len(self.recs) // 2)
+        if len(self.recent_records) > 2 * _MIN_KEPT_RECORDS:
+            self._trim(len(self.recent_records) - _MIN_KEPT_RECORDS)
+        while self._text_bytes > _MOST_TEXT_BYTES and len(self.recent_records) > 2:  # noqa: PLR2004
+            self._trim(len(self.recent_records) // 2)
 
     def _trim(self, count: int) -> None:
-        self._text_bytes -= sum(len(record.get("text", "")) for _, _, record in self.recs[:count])
-        del self.recs[:count]
+        self._text_bytes -= sum(
+            len(record.get("text", "")) for _, _, record in self.recent_records[:count]
+        )
+        del self.recent_records[:count]
 
-    def put_vote(self, done: int | None = None, **changes: Any) -> None:  # noqa: ANN401
-        """Stores a promise or an accepted view; `done` is a view all of which is here."""
+    def save_vote(self, done: int | None = None, **changes: Any) -> None:  # noqa: ANN401
+        """Stores a promise or an accepted view; `complete_view` is a view all of which is here."""
         vote = {**self.vote, **changes}
-        self._keep(Vote(vote, done))
+        self._write_entry(Vote(vote, done))
         self.vote = vote
         if done is not None:
-            self.done = done
+            self.complete_view = done
 
-    def put_done(self, view: int) -> None:
+    def mark_view_complete(self, view: int) -> None:
         """Remembers that everything of `view` was handed over to this core."""
-        if self.done != view:
-            self._keep(HandedOver(view))
-            self.done = view
-        if self._aside.present:
-            self._release_aside()
+        if self.complete_view != view:
+            self._write_entry(ViewCompleted(view))
+            self.complete_view = view
+        if self._damaged_copies.present:
+            self._release_damaged_copies()
 
-    def _release_aside(self) -> None:
+    def _release_damaged_copies(self) -> None:
         """Drops the copies of damaged files once this core has been fed at least what they hold."""
         try:
-            held = replayed(self._aside.documents(), self._state)
+            held = replay(self._damaged_copies.documents(), self._state)
             if held is not None and self.control_state.seq < held.seq:
                 return
-            self._aside.drop()
+            self._damaged_copies.drop()
         except OSError:
             return
         emit(self.log, Events.DAMAGED_COPIES_REMOVED, seq=held.seq if held else 0)
 
-    def put_rec(self, seq: int, view: int, record: dict[str, Any]) -> None:
+    def append_record(self, seq: int, view: int, record: dict[str, Any]) -> None:
         """Adds a numbered record."""
         if seq != self.control_state.seq + 1:
             raise AssertionError(f"record {seq} does not follow {self.control_state.seq}")
-        self._keep(ChainRecord(seq, view, record))
+        self._write_entry(ChainRecord(seq, view, record))
         self._take(seq, view, record)
 
     def reset(self, control_state: dict[str, Any], entered_view: int) -> None:
         """Replaces the control state by another node's snapshot."""
         state = self._state(control_state)
-        self._keep(Reset(control_state, entered_view))
+        self._write_entry(StateReplaced(control_state, entered_view))
         self._forget_state(state, entered_view)
 
-    def since(self, seq: int, entered_view: int | None = None) -> list[list[Any]] | None:
+    def records_since(self, seq: int, entered_view: int | None = None) -> list[list[Any]] | None:
         """Records after `seq`; None if they are no longer kept or `entered_view` does not fit."""
         if seq == self.control_state.seq:
             return [] if entered_view in (None, self.entered_view) else None
-        if seq == 0 and self.recs and self.recs[0][0] == 1:
-            return list(self.recs)
-        for i, (s, view, _) in enumerate(self.recs):
+        if seq == 0 and self.recent_records and self.recent_records[0][0] == 1:
+            return list(self.recent_records)
+        for i, (s, view, _) in enumerate(self.recent_records):
             if s == seq:
-                return self.recs[i + 1 :] if entered_view in (None, view) else None
+                return self.recent_records[i + 1 :] if entered_view in (None, view) else None
         return None
--- a/src/petrelhaven/control/storage/record_format.py
+++ b/src/petrelhaven/control/storage/record_format.py
@@ -5,12 +5,12 @@
 from dataclasses import dataclass
 
 __all__ = [
-    "LEAD_SIZE",
+    "FILE_HEADER_BYTES",
     "LogRecord",
-    "encode_lead",
+    "encode_file_header",
     "encode_record",
-    "holds_record",
-    "read_lead",
+    "contains_record",
+    "read_file_header",
     "read_record",
 ]
 
@@ -23,42 +23,42 @@
 _END = b"\xa5"
 _LAP_OFFSET = 8
 
-LEAD_SIZE = _LEAD.size
+FILE_HEADER_BYTES = _LEAD.size
 
 
 @dataclass(frozen=True, slots=True)
 class LogRecord:
     """One complete record of a file: `offset` is its first byte, `end` the byte after it."""
 
-    lap: int
+    generation: int
     number: int
     body: bytes
     offset: int
     end: int
 
 
-def encode_lead(lap: int) -> bytes:
+def encode_file_header(generation: int) -> bytes:
     """The first bytes of a file; they are written last and say that its first record is synced."""
-    lead = struct.pack(">8sQ", _MAGIC, lap)
+    lead = struct.pack(">8sQ", _MAGIC, generation)
     return lead + _CHECKSUM.pack(zlib.crc32(lead))
 
 
-def read_lead(raw: bytes) -> int | None:
+def read_file_header(raw: bytes) -> int | None:
     """The lap that the file's lead names; None if the lead is missing, torn or damaged."""
-    if len(raw) < LEAD_SIZE:
+    if len(raw) < FILE_HEADER_BYTES:
         return None
     magic: bytes
-    lap: int
+    generation: int
     checksum: int
-    magic, lap, checksum = _LEAD.unpack(raw[:LEAD_SIZE])
-    if magic != _MAGIC or zlib.crc32(raw[: LEAD_SIZE - _CHECKSUM.size]) != checksum:
+    magic, generation, checksum = _LEAD.unpack(raw[:FILE_HEADER_BYTES])
+    if magic != _MAGIC or zlib.crc32(raw[: FILE_HEADER_BYTES - _CHECKSUM.size]) != checksum:
         return None
-    return lap
+    return generation
 
 
-def encode_record(lap: int, number: int, body: bytes) -> bytes:
+def encode_record(generation: int, number: int, body: bytes) -> bytes:
     """The bytes of a record."""
-    header = _CHECKED.pack(len(body), zlib.crc32(body), lap, number)
+    header = _CHECKED.pack(len(body), zlib.crc32(body), generation, number)
     return header + _CHECKSUM.pack(zlib.crc32(header)) + body + _END
 
 
@@ -67,7 +67,7 @@
     start = offset + _HEADER.size
     if offset < 0 or start > len(raw):
         return None
-    length, body_checksum, lap, number, checksum = _HEADER.unpack(raw[offset:start])
+    length, body_checksum, generation, number, checksum = _HEADER.unpack(raw[offset:start])
     if zlib.crc32(raw[offset : start - _CHECKSUM.size]) != checksum:
         return None
     end = start + length
@@ -76,16 +76,16 @@
     body = raw[start:end]
     if zlib.crc32(body) != body_checksum:
         return None
-    return LogRecord(lap, number, body, offset, end + 1)
+    return LogRecord(generation, number, body, offset, end + 1)
 
 
-def holds_record(raw: bytes, start: int, lap: int, least_number: int = 0) -> bool:
-    """Whether a record of `lap`, numbered `least_number` or more, begins at `start` or later."""
-    pattern = _NUMBER.pack(lap)
+def contains_record(raw: bytes, start: int, generation: int, least_number: int = 0) -> bool:
+    """Returns whether a record of `generation` begins at `start` or later."""
+    pattern = _NUMBER.pack(generation)
     at = raw.find(pattern, start + _LAP_OFFSET)
     while at >= 0:
         record = read_record(raw, at - _LAP_OFFSET)
-        if record and record.lap == lap and record.number >= least_number:
+        if record and record.generation == generation and record.number >= least_number:
             return True
         at = raw.find(pattern, at + 1)
     return False
--- a/src/petrelhaven/control/storage/record_log.py
+++ b/src/petrelhaven/control/storage/record_log.py
@@ -5,20 +5,20 @@
 from typing import Any, Protocol
 
 from petrelhaven.control.storage.record_format import (
-    LEAD_SIZE,
+    FILE_HEADER_BYTES,
     LogRecord,
-    encode_lead,
+    contains_record,
+    encode_file_header,
     encode_record,
-    holds_record,
-    read_lead,
+    read_file_header,
     read_record,
 )
 from petrelhaven.runtime.errors import Damaged, DiskRefused
 
 __all__ = ["Disk", "RecordLog", "log_file_names", "readable_documents"]
 
-FILE_COUNT = 4
-FILE_SIZE = 1 << 20
+LOG_FILE_COUNT = 4
+LOG_FILE_BYTES = 1 << 20
 _SLACK = 64
 
 
@@ -35,7 +35,7 @@
         """Removes a file; a removal may come undone at a loss of power."""
 
 
-def log_file_names(count: int = FILE_COUNT) -> list[str]:
+def log_file_names(count: int = LOG_FILE_COUNT) -> list[str]:
     """The names of a log's files."""
     return [f"ring-{index}" for index in range(count)]
 
@@ -44,12 +44,12 @@
     return json.dumps(document, separators=(",", ":")).encode()
 
 
-def _scan(raw: bytes, lap: int) -> list[LogRecord]:
+def _scan(raw: bytes, generation: int) -> list[LogRecord]:
     """The intact records of a file from its first on, up to the first that is not intact."""
     records: list[LogRecord] = []
-    offset = LEAD_SIZE
+    offset = FILE_HEADER_BYTES
     while record := read_record(raw, offset):
-        if record.lap != lap or records and record.number != records[-1].number + 1:
+        if record.generation != generation or records and record.number != records[-1].number + 1:
             break
         records.append(record)
         offset = record.end
@@ -58,11 +58,13 @@
 
 def readable_documents(files: list[bytes]) -> list[dict[str, Any]]:
     """What can still be read of damaged files: the newest readable state, oldest record first."""
-    firsts = [(record.lap, raw) for raw in files if (record := read_record(raw, LEAD_SIZE))]
+    firsts = [
+        (record.generation, raw) for raw in files if (record := read_record(raw, FILE_HEADER_BYTES))
+    ]
     if not firsts:
         return []
-    lap, raw = max(firsts, key=lambda first: first[0])
-    return [json.loads(record.body) for record in _scan(raw, lap)]
+    generation, raw = max(firsts, key=lambda first: first[0])
+    return [json.loads(record.body) for record in _scan(raw, generation)]
 
 
 class RecordLog:
@@ -79,38 +81,44 @@
     begun, nothing more goes to the file before.
     """
 
-    def __init__(self, disk: Disk, count: int = FILE_COUNT, size: int = FILE_SIZE) -> None:
+    def __init__(self, disk: Disk, count: int = LOG_FILE_COUNT, size: int = LOG_FILE_BYTES) -> None:
         """Writes to `count` files of `size` bytes each; reads nothing before `load`."""
         self._disk, self._size = disk, size
         self._names = log_file_names(count)
-        self._lap = self._offset = self._number = 0
+        self._generation = self._offset = self._number = 0
         self._last, self._last_offset = b"", 0
-        self._leftover = 0
-        self._turning = False
-        self._unconfirmed = False
+        self._leftover_bytes = 0
+        self._switching = False
+        self._may_be_unsynced = False
         self.torn = False
 
     @property
-    def unconfirmed(self) -> bool:
+    def may_be_unsynced(self) -> bool:
         """True from `load` until what was read is known to be synced.
 
         The process that wrote it may have died before its sync.
         """
-        return self._unconfirmed
+        return self._may_be_unsynced
 
     def load(self) -> list[dict[str, Any]]:
         """The documents since the newest intact snapshot, oldest first; empty for a new disk."""
         files = [self._read(name) for name in self._names]
-        laps = {lap: index for index, raw in enumerate(files) if (lap := read_lead(raw))}
-        if not laps:
+        index_by_generation = {
+            generation: index
+            for index, raw in enumerate(files)
+            if (generation := read_file_header(raw))
+        }
+        if not index_by_generation:
             self._expect_unused(files)
             return []
-        self._lap = max(laps)
-        raw = files[laps[self._lap]]
-        if self._index(self._lap) != laps[self._lap]:
-            raise Damaged(f"{self._names[laps[self._lap]]}: lead of another file")
+        self._generation = max(index_by_generation)
+        raw = files[index_by_generation[self._generation]]
+        if self._index(self._generation) != index_by_generation[self._generation]:
+            raise Damaged(
+                f"{self._names[index_by_generation[self._generation]]}: lead of another file"
+            )
         self._expect_no_later_lap(files)
-        records = _scan(raw, self._lap)
+        records = _scan(raw, self._generation)
         if not records:
             raise Damaged(f"{self._name()}: first record")
         self._take(raw, records)
@@ -118,30 +126,34 @@
 
     def _expect_unused(self, files: list[bytes]) -> None:
         """Files without any lead are new, or left by a first start that was cut short."""
-        firsts = [record.lap for raw in files if (record := read_record(raw, LEAD_SIZE))]
-        if any(any(raw) for raw in files[1:]) or holds_record(files[0], LEAD_SIZE + 1, 1):
-            self._lap = max(firsts, default=0)
+        firsts = [
+            record.generation for raw in files if (record := read_record(raw, FILE_HEADER_BYTES))
+        ]
+        if any(any(raw) for raw in files[1:]) or contains_record(
+            files[0], FILE_HEADER_BYTES + 1, 1
+        ):
+            self._generation = max(firsts, default=0)
             raise Damaged("no whole lead")
 
     def _expect_no_later_lap(self, files: list[bytes]) -> None:
         """A record behind the next lap's snapshot proves that its lead had been synced."""
-        later = self._lap + 1
-        if any(holds_record(raw, LEAD_SIZE + 1, later) for raw in files):
-            self._lap = later
+        later = self._generation + 1
+        if any(contains_record(raw, FILE_HEADER_BYTES + 1, later) for raw in files):
+            self._generation = later
             raise Damaged(f"{self._name()}: lead")
 
     def _take(self, raw: bytes, records: list[LogRecord]) -> None:
         last = records[-1]
-        if holds_record(raw, last.end, self._lap):
+        if contains_record(raw, last.end, self._generation):
             raise Damaged(f"{self._name()}: record at {last.end}")
         self._size = max(self._size, len(raw))
         self._number, self._offset = last.number, last.end
         first = len(records) == 1
         self._last_offset = 0 if first else last.offset
-        self._last = raw[:LEAD_SIZE] if first else raw[last.offset : last.end]
-        self._leftover = len(raw[last.end :].rstrip(b"\0"))
-        self.torn = self._leftover > 0
-        self._unconfirmed = True
+        self._last = raw[:FILE_HEADER_BYTES] if first else raw[last.offset : last.end]
+        self._leftover_bytes = len(raw[last.end :].rstrip(b"\0"))
+        self.torn = self._leftover_bytes > 0
+        self._may_be_unsynced = True
 
     def append(self, document: dict[str, Any], snapshot: Callable[[], dict[str, Any]]) -> None:
         """Adds `document`.
@@ -149,50 +161,54 @@
         A full file is left first; the next one opens with `snapshot()`, the state before it.
         """
         body = _encode(document)
-        raw = encode_record(self._lap, self._number + 1, body)
-        if self._lap == 0 or self._turning or self._offset + len(raw) + _SLACK > self._size:
-            self._turn(snapshot(), len(raw))
-            raw = encode_record(self._lap, self._number + 1, body)
-        elif self._unconfirmed:
-            self.confirm(snapshot)
-        self._leftover = max(self._leftover, len(raw))
+        raw = encode_record(self._generation, self._number + 1, body)
+        if (
+            self._generation == 0
+            or self._switching
+            or self._offset + len(raw) + _SLACK > self._size
+        ):
+            self._switch_file(snapshot(), len(raw))
+            raw = encode_record(self._generation, self._number + 1, body)
+        elif self._may_be_unsynced:
+            self.ensure_synced(snapshot)
+        self._leftover_bytes = max(self._leftover_bytes, len(raw))
         self._write(self._name(), self._offset, raw)
         self._last, self._last_offset = raw, self._offset
-        self._leftover -= len(raw)
+        self._leftover_bytes -= len(raw)
         self._offset += len(raw)
         self._number += 1
 
-    def begin(self, snapshot: dict[str, Any]) -> None:
+    def restart(self, snapshot: dict[str, Any]) -> None:
         """Starts anew with `snapshot` in the next file; older files stay for a while."""
-        if self._lap == 0:
+        if self._generation == 0:
             self._clear()
-        self._turn(snapshot, 0)
+        self._switch_file(snapshot, 0)
 
-    def confirm(self, snapshot: Callable[[], dict[str, Any]]) -> None:
+    def ensure_synced(self, snapshot: Callable[[], dict[str, Any]]) -> None:
         """Syncs what is known: finishes a switch of files, or writes the last record anew."""
-        if self._turning:
-            self._turn(snapshot(), 0)
+        if self._switching:
+            self._switch_file(snapshot(), 0)
             return
-        if self._leftover:
-            self._write(self._name(), self._offset, bytes(self._leftover))
-            self._leftover = 0
+        if self._leftover_bytes:
+            self._write(self._name(), self._offset, bytes(self._leftover_bytes))
+            self._leftover_bytes = 0
         self._write(self._name(), self._last_offset, self._last)
-        self._unconfirmed = False
+        self._may_be_unsynced = False
 
-    def _turn(self, snapshot: dict[str, Any], room: int) -> None:
-        self._turning = True
-        lap, number = self._lap + 1, self._number + 1
-        raw = encode_record(lap, number, _encode(snapshot))
-        lead = encode_lead(lap)
+    def _switch_file(self, snapshot: dict[str, Any], room: int) -> None:
+        self._switching = True
+        generation, number = self._generation + 1, self._number + 1
+        raw = encode_record(generation, number, _encode(snapshot))
+        lead = encode_file_header(generation)
         size = max(self._size, 2 * (len(raw) + room))
-        name = self._names[self._index(lap)]
+        name = self._names[self._index(generation)]
         self._write(name, 0, bytes(max(size, len(self._read(name)))))
-        self._write(name, LEAD_SIZE, raw)
+        self._write(name, FILE_HEADER_BYTES, raw)
         self._write(name, 0, lead)
-        self._lap, self._number, self._size = lap, number, size
-        self._offset = LEAD_SIZE + len(raw)
-        self._last, self._last_offset, self._leftover = lead, 0, 0
-        self._turning = self._unconfirmed = False
+        self._generation, self._number, self._size = generation, number, size
+        self._offset = FILE_HEADER_BYTES + len(raw)
+        self._last, self._last_offset, self._leftover_bytes = lead, 0, 0
+        self._switching = self._may_be_unsynced = False
 
     def _clear(self) -> None:
         """Zeroes what a first start that was cut short, or files without any lead, have left."""
@@ -201,11 +217,11 @@
             if any(raw):
                 self._write(name, 0, bytes(len(raw)))
 
-    def _index(self, lap: int) -> int:
-        return (lap - 1) % len(self._names)
+    def _index(self, generation: int) -> int:
+        return (generation - 1) % len(self._names)
 
     def _name(self) -> str:
-        return self._names[self._index(self._lap)]
+        return self._names[self._index(self._generation)]
 
     def _read(self, name: str) -> bytes:
         try:
--- a/tests/control_mutants.py
+++ b/tests/control_mutants.py
@@ -5,16 +5,16 @@
 import petrelhaven.control.consensus.member_maintenance as member_maintenance
 import petrelhaven.control.consensus.register as register
 from petrelhaven.control.state import control_state as control_state
-from petrelhaven.control.storage import core_store, documents
+from petrelhaven.control.storage import documents, node_store
 from petrelhaven.runtime.errors import NotReady
 
 
 def vote_not_kept(mp):
-    def put_vote(self, done=None, **changes):
+    def save_vote(self, done=None, **changes):
         self.vote = {**self.vote, **changes}
-        self.done = self.done if done is None else done
+        self.complete_view = self.complete_view if done is None else done
 
-    mp.setattr(core_store.CoreStore, "put_vote", put_vote)
+    mp.setattr(node_store.ControlNodeStore, "save_vote", save_vote)
 
 
 def votes_under_any_identity(mp):
@@ -119,10 +119,10 @@
 
 
 def records_not_synced(mp):
-    real = core_store.CoreStore._keep
+    real = node_store.ControlNodeStore._write_entry
     mp.setattr(
-        core_store.CoreStore,
-        "_keep",
+        node_store.ControlNodeStore,
+        "_write_entry",
         lambda self, entry: None if isinstance(entry, documents.ChainRecord) else real(self, entry),
     )
 
@@ -131,14 +131,14 @@
     def reset(self, control_state, entered_view):
         self.entered_view = entered_view
 
-    mp.setattr(core_store.CoreStore, "reset", reset)
+    mp.setattr(node_store.ControlNodeStore, "reset", reset)
 
 
 def reset_not_synced(mp):
     def reset(self, control_state, entered_view):
         self._forget_state(self._state(control_state), entered_view)
 
-    mp.setattr(core_store.CoreStore, "reset", reset)
+    mp.setattr(node_store.ControlNodeStore, "reset", reset)
 
 
 def versions_not_checked(mp):
--- a/tests/model/observer.py
+++ b/tests/model/observer.py
@@ -87,7 +87,7 @@
         if not answer["ok"]:
             return
         self._check_identity(node, body)
-        disk, ballot = node.store.disk, (body["num"], body["who"])
+        disk, ballot = node.store.disk_id, (body["num"], body["who"])
         if ballot <= self._promised.get(disk, (0, "")):
             self.report("a vote is never forgotten", f"{node.name} promised {ballot} again")
         self._promised[disk] = ballot
@@ -99,7 +99,7 @@
         if not answer["ok"]:
             return
         self._check_identity(node, body)
-        disk, ballot = node.store.disk, (body["num"], body["who"])
+        disk, ballot = node.store.disk_id, (body["num"], body["who"])
         if ballot < self._promised.get(disk, (0, "")):
             self.report("a vote is never forgotten", f"{node.name} accepted {ballot} below promise")
         self._promised[disk] = self._accepted[disk] = ballot
@@ -107,7 +107,7 @@
         voters.add(disk)
 
     def _check_identity(self, node, body):
-        if body["ids"].get(node.name) != node.store.disk:
+        if body["ids"].get(node.name) != node.store.disk_id:
             self.report("no vote under an unknown identity", f"{node.name} in {body['ids']}")
 
     def _decided(self, text):
@@ -176,7 +176,7 @@
         return None
 
     def _committed(self, node):
-        chain, recent = node.chain, node.store.recs
+        chain, recent = node.chain, node.store.recent_records
         for seq, _, record in recent:
             if self._checked[node.name] < seq <= chain.commit:
                 self._same(self._records, seq, _text(record), "one record a number", node.name)
--- a/tests/model/schedule.py
+++ b/tests/model/schedule.py
@@ -10,7 +10,6 @@
 from model.cluster import Cluster, Shape
 from model.disk import OUTCOMES
 from model.operators import Operators
-from petrelhaven.control.storage import core_store
 from petrelhaven.simulator.virtual_time import WarpLoop, end_all
 
 __all__ = ["KINDS", "Result", "Step", "play", "play_to_the_end", "schedules", "shapes", "shrunk"]
@@ -223,8 +222,8 @@
 
 @contextlib.contextmanager
 def _sizes(shape):
-    sizes = {"_file_size": lambda name: shape.file_bytes, "_LEAST_RECORDS": shape.tail}
-    with mock.patch.multiple(core_store, **sizes):
+    sizes = {"_log_file_bytes": lambda name: shape.file_bytes, "_MIN_KEPT_RECORDS": shape.tail}
+    with mock.patch.multiple(node_store, **sizes):
         yield
 
 
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -5,7 +5,7 @@
 import petrelhaven.control.leases as lease_table
 import petrelhaven.control.resumable.plan as plan
 import petrelhaven.control.resumable.planning_duty as duty
-import petrelhaven.control.storage.core_store as core_store
+import petrelhaven.control.storage.node_store as node_store
 import petrelhaven.emulator.balancer as load_balancer
 import petrelhaven.membership.prober as probe
 import petrelhaven.membership.roster as roster
@@ -151,10 +151,10 @@
 
 
 def nothing_synced(mp):
-    real = core_store.CoreStore._keep
+    real = node_store.ControlNodeStore._write_entry
     mp.setattr(
-        core_store.CoreStore,
-        "_keep",
+        node_store.ControlNodeStore,
+        "_write_entry",
         lambda self, entry: None if isinstance(entry, ChainRecord) else real(self, entry),
     )
 
@@ -289,14 +289,18 @@
 
 
 def handed_over_stale(mp):
-    real = core_store.CoreStore.put_rec
-
-    def put_rec(self, seq, view, rec):
-        if rec["t"] == "manifest" and view > self.done and self.control_state.doc["manifest"]:
+    real = node_store.ControlNodeStore.append_record
+
+    def append_record(self, seq, view, rec):
+        if (
+            rec["t"] == "manifest"
+            and view > self.complete_view
+            and self.control_state.doc["manifest"]
+        ):
             rec = {**rec, "text": self.control_state.doc["manifest"]["text"]}
         real(self, seq, view, rec)
 
-    mp.setattr(core_store.CoreStore, "put_rec", put_rec)
+    mp.setattr(node_store.ControlNodeStore, "append_record", append_record)
 
 
 def slow_suspicion(mp):
--- a/tests/test_connection_sessions_storm.py
+++ b/tests/test_connection_sessions_storm.py
@@ -11,7 +11,7 @@
 from petrelhaven.control.failover.leader_change import LeaderChange
 from petrelhaven.control.failover.member_access import MemberHandle
 from petrelhaven.control.state.control_state import ControlState
-from petrelhaven.control.storage import core_store
+from petrelhaven.control.storage import node_store
 from petrelhaven.control.storage.documents import ChainRecord
 from petrelhaven.proxy import core_connection as core_connection
 from petrelhaven.proxy.pool import member_connection as member_connection
@@ -281,9 +281,9 @@
 
 
 def nothing_synced(mp):
-    real = core_store.CoreStore._keep
+    real = node_store.ControlNodeStore._keep
     mp.setattr(
-        core_store.CoreStore,
+        node_store.ControlNodeStore,
         "_keep",
         lambda self, entry: None if isinstance(entry, ChainRecord) else real(self, entry),
     )
--- a/tests/test_control_days.py
+++ b/tests/test_control_days.py
@@ -8,7 +8,7 @@
 from petrelhaven.control.consensus.member_maintenance import MemberMaintenance
 from petrelhaven.control.orders import OrderRouter
 from petrelhaven.control.state.control_state import ControlState
-from petrelhaven.control.storage import core_store
+from petrelhaven.control.storage import node_store
 from petrelhaven.simulator.connection_sessions import control_scenes as scenes
 from petrelhaven.simulator.connection_sessions import control_storm as storm
 from petrelhaven.simulator.connection_sessions.control_fleet import ControlFleet
@@ -118,13 +118,15 @@
     losses, wiped, monkeypatch
 ):
     if wiped:
-        monkeypatch.setattr(core_store, "_LEAST_RECORDS", 100)
+        monkeypatch.setattr(node_store, "_MIN_KEPT_RECORDS", 100)
     assert played(scenes.hundreds_of_changes, losses, wiped=wiped) == []
 
 
 def test_without_the_whole_state_a_core_that_missed_more_than_is_kept_never_catches_up(monkeypatch):
-    monkeypatch.setattr(core_store, "_LEAST_RECORDS", 100)
-    monkeypatch.setattr(core_store.CoreStore, "reset", lambda self, control_state, mark: None)
+    monkeypatch.setattr(node_store, "_MIN_KEPT_RECORDS", 100)
+    monkeypatch.setattr(
+        node_store.ControlNodeStore, "reset", lambda self, control_state, mark: None
+    )
     assert "NOT CAUGHT UP" in rules(played(scenes.hundreds_of_changes, 1, wiped=True))
 
 
--- a/tests/test_control_interface.py
+++ b/tests/test_control_interface.py
@@ -34,7 +34,7 @@
 from petrelhaven.control.resumable.member_protocol import MemberWire
 from petrelhaven.control.state.control_state import ControlState
 from petrelhaven.control.storage.data_folder import DataFolder
-from petrelhaven.control.storage.disk import Folder
+from petrelhaven.control.storage.disk import FolderDisk
 from petrelhaven.runtime.errors import (
     DeadlineExceeded,
     Fault,
@@ -84,7 +84,7 @@
     await link.start()
     node = ControlNode(
         ControlNodeIdentity("c1", "a", [link.addr]),
-        NodeResources(clock, tasks, link, Folder(str(folder)), random.Random(1)),
+        NodeResources(clock, tasks, link, FolderDisk(str(folder)), random.Random(1)),
         NoMembers(),
         NoMembers(),
         1_200_000,
--- a/tests/test_crash_points.py
+++ b/tests/test_crash_points.py
@@ -13,8 +13,8 @@
 
 from petrelhaven.control.consensus.register import NoPromise, Proposer, Voter
 from petrelhaven.control.consensus.view import View
-from petrelhaven.control.storage import core_store, record_format, record_log
-from petrelhaven.control.storage.core_store import CoreStore
+from petrelhaven.control.storage import node_store, record_format, record_log
+from petrelhaven.control.storage.node_store import ControlNodeStore
 from petrelhaven.control.storage.record_log import RecordLog
 from petrelhaven.runtime.errors import DiskRefused, Fault, NotSent
 
@@ -22,7 +22,7 @@
 @pytest.fixture(autouse=True)
 def small_files(monkeypatch):
     """Files so small that the scenario turns them several times."""
-    monkeypatch.setattr(core_store, "_file_size", lambda name: 1100)
+    monkeypatch.setattr(node_store, "_log_file_bytes", lambda name: 1100)
 
 
 class Tiny:
@@ -52,29 +52,37 @@
 
 
 def start(disk, chance=None):
-    return CoreStore(disk, "a", chance or Chance(), state=Tiny)
+    return ControlNodeStore(disk, "a", chance or Chance(), state=Tiny)
 
 
 def state_of(store):
     return json.dumps(
-        [store.disk, store.vote, store.done, store.control_state.doc, store.entered_view],
+        [
+            store.disk_id,
+            store.vote,
+            store.complete_view,
+            store.control_state.doc,
+            store.entered_view,
+        ],
         sort_keys=True,
     )
 
 
 def record(number, pad=0):
     def op(store, chance):
-        store.put_rec(store.control_state.seq + 1, 1, {"t": "x", "x": number, "pad": "p" * pad})
+        store.append_record(
+            store.control_state.seq + 1, 1, {"t": "x", "x": number, "pad": "p" * pad}
+        )
 
     return op
 
 
 def vote(number):
-    return lambda store, chance: store.put_vote(num=number, who="a")
+    return lambda store, chance: store.save_vote(num=number, who="a")
 
 
 def done(view):
-    return lambda store, chance: store.put_done(view)
+    return lambda store, chance: store.mark_view_complete(view)
 
 
 def reset(seq, pad=0):
@@ -212,9 +220,9 @@
             try:
                 op(store, chance)
             except DiskRefused:
-                assert state_of(store) == STATES[i] and store.refuses, (point, name)
+                assert state_of(store) == STATES[i] and store.refuses_writes, (point, name)
                 op(store, chance)
-            assert state_of(store) == STATES[i + 1] and not store.refuses, (point, name)
+            assert state_of(store) == STATES[i + 1] and not store.refuses_writes, (point, name)
         again = start(disk.after_power_loss(SURVIVALS["missing"]))
         assert state_of(again) == STATES[-1] and not again.damaged, (point, name)
 
@@ -248,7 +256,7 @@
                 count += 1
         except DiskRefused:
             store.recover()
-        assert not store.refuses
+        assert not store.refuses_writes
         for left in (disk.restarted(), disk.after_power_loss(SURVIVALS["present"])):
             again = start(left)
             assert state_of(again) == STATES[count] and not again.damaged, (point, name)
@@ -264,7 +272,7 @@
             for op in OPERATIONS:
                 op(store, chance)
         except DiskRefused:
-            store.put_vote(num=77, who="a")
+            store.save_vote(num=77, who="a")
         told = state_of(store)
         for how, survives in SURVIVALS.items():
             again = start(disk.after_power_loss(survives))
@@ -292,26 +300,26 @@
 def test_a_core_that_cannot_write_at_its_start_takes_part_in_nothing_until_it_can():
     disk = CrashDisk({i: Refuse(0.0) for i in range(1, 4)})
     store = start(disk)
-    assert store.refuses and disk.durable == {}
+    assert store.refuses_writes and disk.durable == {}
     with pytest.raises(DiskRefused):
-        store.put_vote(num=1, who="a")
+        store.save_vote(num=1, who="a")
     assert store.vote["num"] == 0
     with pytest.raises(DiskRefused):
         store.recover()
     store.recover()
-    assert not store.refuses
-    assert start(disk.after_power_loss(SURVIVALS["missing"])).disk == store.disk
+    assert not store.refuses_writes
+    assert start(disk.after_power_loss(SURVIVALS["missing"])).disk == store.disk_id
 
 
 def test_the_issue_a_refused_write_then_space_again_four_records_and_a_restart():
     disk, chance = CrashDisk({4: Refuse(0.0)}), Chance()
     store = start(disk, chance)
     with pytest.raises((DiskRefused, OSError)):
-        store.put_rec(1, 1, {"t": "x", "x": 1})
+        store.append_record(1, 1, {"t": "x", "x": 1})
     for _ in range(4):
         record(1)(store, chance)
     again = start(disk.restarted(), Chance(9))
-    assert (again.damaged, again.control_state.seq, again.disk) == (False, 4, store.disk)
+    assert (again.damaged, again.control_state.seq, again.disk_id) == (False, 4, store.disk_id)
 
 
 def test_damage_is_copied_before_the_core_starts_anew_and_dropped_once_it_was_fed():
@@ -328,15 +336,15 @@
             pass
         left = left.restarted()
         again = start(left, Chance(5))
-        assert again.disk == f"{5:016x}" and again.fresh
-        kept = core_store.replayed(again._aside.documents(), Tiny)
+        assert again.disk_id == f"{5:016x}" and again.fresh
+        kept = node_store.replay(again._damaged_copies.documents(), Tiny)
         assert kept.seq == 2
         again.reset({"seq": 1, "sum": 1}, 1)
-        again.put_done(1)
-        assert again._aside.present
+        again.mark_view_complete(1)
+        assert again._damaged_copies.present
         again.reset({"seq": 3, "sum": 1}, 1)
-        again.put_done(2)
-        assert not again._aside.present
+        again.mark_view_complete(2)
+        assert not again._damaged_copies.present
         assert not [n for n in left.seen if n.startswith("aside")]
 
 
@@ -349,9 +357,9 @@
     left = disk.restarted({i: Refuse(0.3) for i in range(1, 5)})
     was = bytes(left.seen["ring-0"])
     again = start(left, Chance(5))
-    assert again.refuses and bytes(left.seen["ring-0"]) == was
+    assert again.refuses_writes and bytes(left.seen["ring-0"]) == was
     again = start(left.restarted(), Chance(6))
-    assert again.damaged and not again.refuses and again._aside.present
+    assert again.damaged and not again.refuses_writes and again._damaged_copies.present
 
 
 class Trio:
@@ -366,7 +374,7 @@
 
     @staticmethod
     def _start(name, disk, life):
-        return CoreStore(disk, name, Chance(life), state=Tiny)
+        return ControlNodeStore(disk, name, Chance(life), state=Tiny)
 
     def _on(self, name, fn):
         if name in self.dead:
@@ -390,7 +398,7 @@
 
     @property
     def ids(self):
-        return {n: s.disk for n, s in self.stores.items() if s}
+        return {n: s.disk_id for n, s in self.stores.items() if s}
 
     async def decide(self, who, number):
         def next_view(newest):
@@ -419,7 +427,9 @@
             for n in sorted(trio.stores):
                 if n not in trio.dead and trio.stores[n].control_state.seq == seq - 1:
                     rec = {"t": "x", "x": seq, "pad": "p" * 90}
-                    trio._on(n, lambda n=n, s=seq, r=rec: trio.stores[n].put_rec(s, number, r))
+                    trio._on(
+                        n, lambda n=n, s=seq, r=rec: trio.stores[n].append_record(s, number, r)
+                    )
                     held += n not in trio.dead
             if held == 3:
                 acked["seq"] = seq
@@ -461,13 +471,13 @@
 
 
 def remembered_before_it_is_written(mp):
-    real = CoreStore.put_vote
+    real = ControlNodeStore.save_vote
 
-    def put_vote(self, done=None, **changes):
+    def save_vote(self, done=None, **changes):
         self.vote = {**self.vote, **changes}
         real(self, done, **changes)
 
-    mp.setattr(CoreStore, "put_vote", put_vote)
+    mp.setattr(ControlNodeStore, "save_vote", save_vote)
 
 
 def numbered_before_it_is_written(mp):
@@ -485,43 +495,43 @@
 
 
 def what_a_start_has_read_is_not_written_anew(mp):
-    def confirm(self, frame):
-        self._unconfirmed = False
+    def ensure_synced(self, frame):
+        self._may_be_unsynced = False
 
-    mp.setattr(RecordLog, "confirm", confirm)
+    mp.setattr(RecordLog, "ensure_synced", ensure_synced)
 
 
 def an_unfinished_turn_is_forgotten(mp):
     off = property(lambda self: False, lambda self, value: None)
-    mp.setattr(RecordLog, "_turning", off, raising=False)
+    mp.setattr(RecordLog, "_switching", off, raising=False)
 
 
 def what_a_refused_write_left_stays(mp):
     none = property(lambda self: 0, lambda self, value: None)
-    mp.setattr(RecordLog, "_leftover", none, raising=False)
+    mp.setattr(RecordLog, "_leftover_bytes", none, raising=False)
 
 
 def any_byte_behind_a_bad_record_is_damage(mp):
-    mp.setattr(record_log, "holds_record", lambda raw, start, lap, number=0: any(raw[start:]))
+    mp.setattr(record_log, "contains_record", lambda raw, start, lap, number=0: any(raw[start:]))
 
 
 def the_lead_goes_first(mp):
     real = RecordLog._write
 
     def write(self, name, offset, data):
-        if self._turning and offset == record_format.LEAD_SIZE:
-            real(self, name, 0, record_format.encode_lead(self._lap + 1))
+        if self._switching and offset == record_format.FILE_HEADER_BYTES:
+            real(self, name, 0, record_format.encode_file_header(self._generation + 1))
         real(self, name, offset, data)
 
     mp.setattr(RecordLog, "_write", write)
 
 
 def no_copies_of_damaged_files(mp):
-    mp.setattr(CoreStore, "_set_aside", lambda self: None)
+    mp.setattr(ControlNodeStore, "_copy_damaged_files", lambda self: None)
 
 
 def copies_dropped_before_the_core_was_fed(mp):
-    mp.setattr(core_store, "replayed", lambda documents, state: None)
+    mp.setattr(node_store, "replay", lambda documents, state: None)
 
 
 GUARDS = [
--- a/tests/test_disk_refusal.py
+++ b/tests/test_disk_refusal.py
@@ -10,7 +10,7 @@
 
 
 def identities(f):
-    return {b.name: b.node.store.disk for b in f.cores if b.node}
+    return {b.name: b.node.store.disk_id for b in f.cores if b.node}
 
 
 def whole(f):
@@ -47,7 +47,7 @@
         f.history.trouble(f.loop.time(), f.loop.time() + 6, "core")
         took = [await change(f, v, v) for v in range(2, 7)]
         assert max(took) < 2.5, took
-        assert b.node.store.refuses and not b.node.chain.ruling
+        assert b.node.store.refuses_writes and not b.node.chain.ruling
         b.disk.full = False
         await f.until(lambda: whole(f), 10, "chain whole again")
         assert identities(f) == was
@@ -128,7 +128,7 @@
         f.history.trouble(f.loop.time(), f.loop.time() + 10, "core")
         f.boot_core(b)
         await change(f, 2)
-        assert b.node.store.refuses
+        assert b.node.store.refuses_writes
         b.disk.full = False
         await f.until(lambda: whole(f), 10, "chain whole again")
         assert identities(f) == was
--- a/tests/test_entered_record.py
+++ b/tests/test_entered_record.py
@@ -9,7 +9,7 @@
 from petrelhaven.control.consensus.chain import Chain
 from petrelhaven.control.consensus.view import View
 from petrelhaven.control.state.control_state import ControlState
-from petrelhaven.control.storage.core_store import CoreStore
+from petrelhaven.control.storage.node_store import ControlNodeStore
 from petrelhaven.runtime.clock import Clock
 from petrelhaven.runtime.errors import NotReady, NotSent
 from petrelhaven.runtime.tasks import BackgroundTasks
@@ -34,10 +34,10 @@
 
 def test_a_deposed_head_that_rejoins_does_not_confirm_what_was_thrown_away(warp):
     async def go():
-        store = CoreStore(Bytes(), "a", random.Random(1), state=ControlState)
+        store = ControlNodeStore(Bytes(), "a", random.Random(1), state=ControlState)
         tasks = BackgroundTasks()
         chain = Chain(LoopClock(), tasks, store, _others_confirm)
-        ids = {"a": store.disk, "b": "other", "c": "third"}
+        ids = {"a": store.disk_id, "b": "other", "c": "third"}
 
         def view(n, *names):
             return View(n, names, ids, "", names[0])
--- a/tests/test_record_log.py
+++ b/tests/test_record_log.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from petrelhaven.control.storage import core_store, record_format
-from petrelhaven.control.storage.core_store import CoreStore
+from petrelhaven.control.storage import node_store, record_format
 from petrelhaven.control.storage.data_folder import salvage
-from petrelhaven.control.storage.disk import Folder
+from petrelhaven.control.storage.disk import FolderDisk
+from petrelhaven.control.storage.node_store import ControlNodeStore
 from petrelhaven.control.storage.record_log import RecordLog
 from petrelhaven.runtime.errors import Damaged, WrongNode
 from petrelhaven.simulator.resumable.world import configuration
@@ -98,14 +98,14 @@
 
 def test_a_core_with_a_damaged_disk_rejoins_as_empty_under_another_identity(tmp_path):
     rng = random.Random(1)
-    f = Folder(str(tmp_path))
-    m = CoreStore(f, "c1", rng)
-    m.put_vote(num=3, who="c1")
-    m.put_rec(1, 1, {"t": "manifest", "text": configuration("small")})
+    f = FolderDisk(str(tmp_path))
+    m = ControlNodeStore(f, "c1", rng)
+    m.save_vote(num=3, who="c1")
+    m.append_record(1, 1, {"t": "manifest", "text": configuration("small")})
     f.close()
-    again = CoreStore(Folder(str(tmp_path)), "c1", rng)
-    assert (again.disk, again.control_state.seq, again.vote["num"], again.damaged) == (
-        m.disk,
+    again = ControlNodeStore(FolderDisk(str(tmp_path)), "c1", rng)
+    assert (again.disk_id, again.control_state.seq, again.vote["num"], again.damaged) == (
+        m.disk_id,
         1,
         3,
         False,
@@ -113,18 +113,18 @@
     raw = bytearray((tmp_path / "ring-0").read_bytes())
     raw[60] ^= 255
     (tmp_path / "ring-0").write_bytes(raw)
-    bad = CoreStore(Folder(str(tmp_path)), "c1", rng)
-    assert bad.damaged and bad.fresh and bad.disk != m.disk
+    bad = ControlNodeStore(FolderDisk(str(tmp_path)), "c1", rng)
+    assert bad.damaged and bad.fresh and bad.disk_id != m.disk_id
 
 
 def test_another_nodes_data_folder_is_declined(tmp_path):
-    CoreStore(Folder(str(tmp_path)), "c1", random.Random(1))
+    ControlNodeStore(FolderDisk(str(tmp_path)), "c1", random.Random(1))
     with pytest.raises(WrongNode):
-        CoreStore(Folder(str(tmp_path)), "c2", random.Random(1))
+        ControlNodeStore(FolderDisk(str(tmp_path)), "c2", random.Random(1))
 
 
 def test_a_short_write_goes_on_and_a_refused_one_is_raised(tmp_path, monkeypatch):
-    folder = Folder(str(tmp_path / "a" / "b"))
+    folder = FolderDisk(str(tmp_path / "a" / "b"))
     real = os.pwrite
     monkeypatch.setattr(os, "pwrite", lambda fd, data, off: real(fd, bytes(data[:3]), off))
     folder.write("x", 0, b"0123456789")
@@ -135,7 +135,7 @@
 
 
 def test_a_new_file_counts_only_once_its_folder_was_synced(tmp_path, monkeypatch):
-    folder = Folder(str(tmp_path / "a"))
+    folder = FolderDisk(str(tmp_path / "a"))
     synced = []
     real = os.fsync
 
@@ -157,7 +157,7 @@
     monkeypatch.setattr(
         os, "fsync", lambda fd: (synced.append(os.readlink(f"/proc/self/fd/{fd}")), real(fd))[1]
     )
-    Folder(str(tmp_path / "a" / "b"))
+    FolderDisk(str(tmp_path / "a" / "b"))
     assert synced == [str(tmp_path), str(tmp_path / "a")]
 
 
@@ -169,7 +169,7 @@
         "name": "c1",
         "vote": {"num": 3, "who": "c1", "anum": 0, "awho": "", "value": None},
         "done": 0,
-        "realm": core_store._default_state().snapshot(),
+        "realm": node_store._default_state().snapshot(),
         "mark": 0,
     }
     vote = {**frame["vote"], "num": 4, "ids": None}
@@ -177,26 +177,26 @@
         record_format.encode_record(1, n, json.dumps(doc).encode())
         for n, doc in enumerate([frame, {"t": "vote", "vote": vote}, {"t": "done", "n": 2}], 1)
     )
-    raw = record_format.encode_lead(1) + records
+    raw = record_format.encode_file_header(1) + records
     (tmp_path / "ring-0").write_bytes(raw.ljust(1 << 20, b"\0"))
-    store = CoreStore(Folder(str(tmp_path)), "c1", random.Random(1))
-    assert (store.disk, store.vote["num"], store.done) == ("0123456789abcdef", 4, 2)
+    store = ControlNodeStore(FolderDisk(str(tmp_path)), "c1", random.Random(1))
+    assert (store.disk_id, store.vote["num"], store.complete_view) == ("0123456789abcdef", 4, 2)
 
 
 def test_what_can_be_read_of_a_damaged_folder_is_salvaged_before_and_after_the_core_started_anew(
     tmp_path,
 ):
-    folder = Folder(str(tmp_path))
-    store = CoreStore(folder, "c1", random.Random(1))
-    store.put_rec(1, 1, {"t": "manifest", "text": configuration("small")})
-    store.put_vote(num=3, who="c1")
-    store.put_vote(num=4, who="c1")
+    folder = FolderDisk(str(tmp_path))
+    store = ControlNodeStore(folder, "c1", random.Random(1))
+    store.append_record(1, 1, {"t": "manifest", "text": configuration("small")})
+    store.save_vote(num=3, who="c1")
+    store.save_vote(num=4, who="c1")
     folder.close()
     raw = bytearray((tmp_path / "ring-0").read_bytes())
     raw[store._log._last_offset - 5] ^= 255
     (tmp_path / "ring-0").write_bytes(raw)
     assert salvage(str(tmp_path)).control_state.seq == 1
-    again = CoreStore(Folder(str(tmp_path)), "c1", random.Random(2))
+    again = ControlNodeStore(FolderDisk(str(tmp_path)), "c1", random.Random(2))
     assert again.damaged and again.fresh
     found = salvage(str(tmp_path))
     assert (found.name, found.control_state.seq) == ("c1", 1)
--- a/tests/test_stored_data_compatibility.py
+++ b/tests/test_stored_data_compatibility.py
@@ -12,9 +12,9 @@
 from petrelhaven.control.embargo.calls import parse_call
 from petrelhaven.control.resumable.control_state import ResumableControlState
 from petrelhaven.control.state.control_state import ControlState
-from petrelhaven.control.storage.core_store import CoreStore
 from petrelhaven.control.storage.data_folder import DataFolder, salvage
-from petrelhaven.control.storage.disk import Folder
+from petrelhaven.control.storage.disk import FolderDisk
+from petrelhaven.control.storage.node_store import ControlNodeStore
 from petrelhaven.runtime.errors import Fault
 
 CONTROL_STATES = {"ledger": ControlState, "realm": ResumableControlState}
@@ -47,8 +47,8 @@
         self.store = self._opened()
 
     def _opened(self):
-        self._disk = Folder(str(self._path))
-        return CoreStore(self._disk, self._name, self._rng, state=self._state)
+        self._disk = FolderDisk(str(self._path))
+        return ControlNodeStore(self._disk, self._name, self._rng, state=self._state)
 
     def run(self, script):
         """Carries out every change in turn."""
@@ -60,13 +60,15 @@
         self._disk.close()
 
     def _vote(self, changes, done):
-        self.store.put_vote(done, **changes)
+        self.store.save_vote(done, **changes)
 
     def _done(self, view):
-        self.store.put_done(view)
+        self.store.mark_view_complete(view)
 
     def _record(self, view, record):
-        self.store.put_rec(self.store.control_state.seq + 1, view, json.loads(json.dumps(record)))
+        self.store.append_record(
+            self.store.control_state.seq + 1, view, json.loads(json.dumps(record))
+        )
 
     def _padded(self, view, record, length):
         """A record whose operator has a name of `length` letters: it fills a file."""
@@ -97,17 +99,17 @@
     return plain(
         {
             "name": store.name,
-            "disk": store.disk,
+            "disk": store.disk_id,
             "vote": store.vote,
-            "done": store.done,
+            "done": store.complete_view,
             "mark": store.entered_view,
             "seq": store.control_state.seq,
             "document": store.control_state.doc,
             "belief": store.control_state.belief(),
             "damaged": store.damaged,
-            "refuses": store.refuses,
-            "kept_records": len(store.recs),
-            "kept_records_digest": digest(json.dumps(store.recs).encode()),
+            "refuses": store.refuses_writes,
+            "kept_records": len(store.recent_records),
+            "kept_records_digest": digest(json.dumps(store.recent_records).encode()),
         }
     )
 
@@ -120,7 +122,7 @@
     return plain(
         {
             "name": folder.name,
-            "disk": folder.disk,
+            "disk": folder.disk_id,
             "seq": folder.control_state.seq,
             "document": folder.control_state.doc,
             "kind": type_name(folder.control_state),
--- a/tests/test_tenant_bounds.py
+++ b/tests/test_tenant_bounds.py
@@ -138,7 +138,9 @@
     control_state = ControlState()
     control_state.apply(1, record)
     chain = SimpleNamespace(
-        store=SimpleNamespace(recs=[(1, 1, record)]), commit=1, control_state=control_state
+        store=SimpleNamespace(recent_records=[(1, 1, record)]),
+        commit=1,
+        control_state=control_state,
     )
     events = EventFeed(chain).since(0)
     assert len(events) == 1 and KEY not in json.dumps(events)
--- a/tests/test_view_register.py
+++ b/tests/test_view_register.py
@@ -9,7 +9,7 @@
 
 from petrelhaven.control.consensus.register import NoPromise, Proposer, Voter
 from petrelhaven.control.consensus.view import View
-from petrelhaven.control.storage.core_store import CoreStore
+from petrelhaven.control.storage.node_store import ControlNodeStore
 from petrelhaven.runtime.errors import Conflict, Fault, NotSent
 
 
@@ -18,13 +18,13 @@
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
-        self.mems = {n: CoreStore(Bytes(), n, random.Random(f"{seed}{n}")) for n in "abc"}
+        self.mems = {n: ControlNodeStore(Bytes(), n, random.Random(f"{seed}{n}")) for n in "abc"}
         self.late = []
         self.chosen = []
 
     @property
     def ids(self):
-        return {n: m.disk for n, m in self.mems.items()}
+        return {n: m.disk_id for n, m in self.mems.items()}
 
     def caller(self, lossy=True):
         async def call(n, kind, body, us):
@@ -99,7 +99,7 @@
     async def go():
         assert await Proposer(t.mems["a"], t.caller(lossy=False)).change(ids, lambda x: one) == one
         for n in "abc":
-            t.mems[n].put_vote(ids=ids)
+            t.mems[n].save_vote(ids=ids)
         t.mems["c"].wipe()
         two = View(2, ("a", "b", "c"), t.ids)
         with pytest.raises(Conflict):
