--- a/src/petrelhaven/control/base_node.py
+++ b/src/petrelhaven/control/base_node.py
@@ -278,11 +278,11 @@
         """Leaves in order: returns once the others go on without this node, or cannot."""
         await Departure(self).run()
 
-    def belief(self) -> dict[str, Any]:
+    def reported_state(self) -> dict[str, Any]:
         """What this node believes of the fleet, to be compared with other nodes' beliefs."""
         view = self.chain.view
         return {
-            **self.chain.control_state.belief(),
+            **self.chain.control_state.reported_state(),
             "name": self.name,
             "role": "core",
             "state": self.state,
@@ -292,8 +292,8 @@
         }
 
     async def _belief(self, _channel: Channel | None, _body: Mapping[str, Any]) -> dict[str, Any]:
-        """Answers a `creed.belief`."""
-        return {"doc": self.belief()}
+        """Answers a `creed.reported_state`."""
+        return {"doc": self.reported_state()}
 
     @property
     def ready(self) -> bool:
--- a/src/petrelhaven/control/embargo/records.py
+++ b/src/petrelhaven/control/embargo/records.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any, ClassVar, Literal, NamedTuple, cast
 
-from petrelhaven.control.state.record import KIND, Document
+from petrelhaven.control.state.record import KIND_KEY, Document
 from petrelhaven.runtime.instant import parse_instant
 
 if TYPE_CHECKING:
@@ -220,7 +220,7 @@
         elif self.release is not None:
             fields = self.release.to_document()
         return {
-            KIND: self.kind,
+            KIND_KEY: self.kind,
             "do": self.action,
             "name": self.name,
             **fields,
--- a/src/petrelhaven/control/failover/context.py
+++ b/src/petrelhaven/control/failover/context.py
@@ -71,7 +71,7 @@
 
     def members(self, group: str) -> dict[str, Member]:
         """The members of a group that are not gone, by name."""
-        rows = self.node.chain.control_state.group(group)
+        rows = self.node.chain.control_state.group_members(group)
         return {name: Member.from_row(name, row) for name, row in rows.items()}
 
     def evidence(self, group: str) -> Evidence:
@@ -80,7 +80,7 @@
 
     def is_open(self, zone: str) -> bool:
         """Whether a zone is open, that is, not evacuated."""
-        return self.node.chain.control_state.zone(zone) == _OPEN
+        return self.node.chain.control_state.zone_state(zone) == _OPEN
 
     def staying_replicas(self, group: str, primary: str) -> list[str]:
         """Replicas that may take over from `primary`: ready, in an open zone."""
--- a/src/petrelhaven/control/failover/departures.py
+++ b/src/petrelhaven/control/failover/departures.py
@@ -16,7 +16,7 @@
 from petrelhaven.control.failover.counting_out import CountingOut
 from petrelhaven.control.failover.group_state import MemberEndpoint, draining_members
 from petrelhaven.control.failover.observation import REFUSED, UNREACHABLE
-from petrelhaven.control.state.evidence_records import BoundedRecord
+from petrelhaven.control.state.evidence_records import LogBoundRecord
 from petrelhaven.control.state.records import DepartureRecord
 from petrelhaven.control.state.rows import LeadershipPhase, Member
 from petrelhaven.runtime.errors import Fault
@@ -211,7 +211,7 @@
 
     async def _bound(self, group: str, ended: list[str], position: Position) -> None:
         """Records that the logs of ended members are at or below `position`."""
-        record = BoundedRecord(group, tuple(ended), position)
+        record = LogBoundRecord(group, tuple(ended), position)
         await self._node.chain.enter(record.to_document())
         names = ",".join(ended)
         emit(self._node.log, Events.DEPARTED_LOG_BOUNDED, group=group, members=names, pos=position)
--- a/src/petrelhaven/control/failover/interfaces.py
+++ b/src/petrelhaven/control/failover/interfaces.py
@@ -85,13 +85,13 @@
     def configuration(self) -> Any:  # noqa: ANN401 (a JSON document)
         """The configuration in force, or None."""
 
-    def group(self, name: str, /) -> Mapping[str, Mapping[str, Any]]:
+    def group_members(self, name: str, /) -> Mapping[str, Mapping[str, Any]]:
         """The rows of the members of a group that are not gone, by their names."""
 
     def evidence(self, group: str) -> Evidence:
         """What is recorded about the logs of a group's members."""
 
-    def zone(self, name: str, /) -> str:
+    def zone_state(self, name: str, /) -> str:
         """The state of a zone."""
 
 
--- a/src/petrelhaven/control/interface/contracts.py
+++ b/src/petrelhaven/control/interface/contracts.py
@@ -88,7 +88,7 @@
     async def announce(self, doc: Document) -> None:
         """Takes a member's announcement."""
 
-    def belief(self) -> Document:
+    def reported_state(self) -> Document:
         """What this node believes."""
 
     def status(self) -> Document:
--- a/src/petrelhaven/control/interface/control_interface.py
+++ b/src/petrelhaven/control/interface/control_interface.py
@@ -20,7 +20,7 @@
     query_number,
     ready_answer,
 )
-from petrelhaven.control.state.base import EVACUATED, OPEN
+from petrelhaven.control.state.base import ZONE_EVACUATED, ZONE_OPEN
 from petrelhaven.runtime.errors import Malformed, NoRoute
 
 if TYPE_CHECKING:
@@ -122,10 +122,10 @@
         return None
 
     async def _evacuate(self, request: Request, zone: str) -> Document:
-        return await self._set_zone_state(request, unquote(zone), EVACUATED)
+        return await self._set_zone_state(request, unquote(zone), ZONE_EVACUATED)
 
     async def _restore(self, request: Request, zone: str) -> Document:
-        return await self._set_zone_state(request, unquote(zone), OPEN)
+        return await self._set_zone_state(request, unquote(zone), ZONE_OPEN)
 
     async def _set_zone_state(self, request: Request, zone: str, state: str) -> Document:
         control_state = self._node.chain.control_state
@@ -134,8 +134,10 @@
         if zone not in zones:
             message = f"no hall {zone[:_ZONE_SHOWN]}"
             raise declined(message, [ConfigurationFault("hall", message)])
-        others_open = any(other != zone and control_state.zone(other) == OPEN for other in zones)
-        if state == EVACUATED and not others_open:
+        others_open = any(
+            other != zone and control_state.zone_state(other) == ZONE_OPEN for other in zones
+        )
+        if state == ZONE_EVACUATED and not others_open:
             fault = ConfigurationFault("hall", "the last open hall can't be emptied")
             raise declined("last open hall", [fault])
         answer = await self._node.set_zone_state(
@@ -174,7 +176,7 @@
         return {**answer, "evidence": state["evidence"].get(group)}
 
     async def _belief(self, _request: Request) -> Document:
-        return self._node.belief()
+        return self._node.reported_state()
 
     async def _ready(self, _request: Request) -> Document:
         return ready_answer(self._node.ready)
--- a/src/petrelhaven/control/leases.py
+++ b/src/petrelhaven/control/leases.py
@@ -17,7 +17,7 @@
 from typing import TYPE_CHECKING, Any
 
 from petrelhaven.control.consensus.chain import DRIFT
-from petrelhaven.control.state.record import kind_of
+from petrelhaven.control.state.record import record_kind
 from petrelhaven.control.state.records import ConfigurationRecord, SupersededConfiguration
 from petrelhaven.control.state_push import ChangeSignal, StatePusher
 from petrelhaven.runtime.errors import DeadlineExceeded, Fault, NotReady
@@ -202,4 +202,4 @@
 
 
 def _is_configuration(record: Mapping[str, Any]) -> bool:
-    return kind_of(record) == ConfigurationRecord.kind
+    return record_kind(record) == ConfigurationRecord.kind
--- a/src/petrelhaven/control/node.py
+++ b/src/petrelhaven/control/node.py
@@ -362,7 +362,7 @@
         """The belief, what this node may do now, and what its duty is waiting for."""
         embargoes = self._embargoes
         return {
-            **self.belief(),
+            **self.reported_state(),
             "ruling": self.chain.ruling,
             "active": self.chain.active,
             "head": self.chain.head,
--- a/src/petrelhaven/control/resumable/control_interface.py
+++ b/src/petrelhaven/control/resumable/control_interface.py
@@ -14,7 +14,7 @@
     ready_answer,
 )
 from petrelhaven.control.interface.event_feed import EventFeed
-from petrelhaven.control.state.base import EVACUATED, OPEN
+from petrelhaven.control.state.base import ZONE_EVACUATED, ZONE_OPEN
 from petrelhaven.runtime.errors import Malformed, NoRoute
 from petrelhaven.transport.http_server import HttpServer, body_of
 
@@ -25,7 +25,7 @@
 
 Document = dict[str, Any]
 
-_ZONE_STATES = {"evacuate": EVACUATED, "restore": OPEN}
+_ZONE_STATES = {"evacuate": ZONE_EVACUATED, "restore": ZONE_OPEN}
 
 
 class ResumableControlInterface:
@@ -118,7 +118,7 @@
         return leadership_answer(past, index, reason)
 
     async def _belief(self, _request: web.Request) -> Document:
-        belief: Document = self._node.belief()
+        belief: Document = self._node.reported_state()
         return belief
 
     async def _ready(self, _request: web.Request) -> Document:
--- a/src/petrelhaven/control/resumable/control_state.py
+++ b/src/petrelhaven/control/resumable/control_state.py
@@ -13,7 +13,12 @@
     ResumableRecord,
     from_document,
 )
-from petrelhaven.control.state.base import EVACUATED, OPEN, BaseControlState, digest_of
+from petrelhaven.control.state.base import (
+    ZONE_EVACUATED,
+    ZONE_OPEN,
+    BaseControlState,
+    configuration_digest,
+)
 from petrelhaven.control.state.record import Document
 from petrelhaven.control.state.records import ConfigurationRecord, ZoneRecord
 from petrelhaven.control.state.rows import AcceptedConfiguration
@@ -117,7 +122,7 @@
             return
         version, in_force = configuration.version, accepted["version"]
         if version == in_force:
-            if digest_of(record.text) == accepted["digest"]:
+            if configuration_digest(record.text) == accepted["digest"]:
                 raise Duplicate(
                     f"version {version} is in force already", details={"version": version}
                 )
@@ -147,7 +152,7 @@
         if self.doc["manifest"]:
             self.doc["old"] = (self.doc["old"] + [self.doc["manifest"]])[-_MOST_OLD:]
         accepted = AcceptedConfiguration(
-            configuration.version, record.text, record.by, digest_of(record.text)
+            configuration.version, record.text, record.by, configuration_digest(record.text)
         )
         self.doc["manifest"] = accepted.to_row()
         self._configuration = configuration
@@ -163,8 +168,10 @@
                 f"no hall {record.zone}", [ConfigurationFault("hall", f"no hall {record.zone}")]
             )
         super()._check_zone(record)
-        others = [zone for zone in zones if zone != record.zone and self.zone(zone) == OPEN]
-        if record.state == EVACUATED and not others:
+        others = [
+            zone for zone in zones if zone != record.zone and self.zone_state(zone) == ZONE_OPEN
+        ]
+        if record.state == ZONE_EVACUATED and not others:
             raise declined(
                 "last open hall",
                 [ConfigurationFault("hall", "the last open hall can't be emptied")],
@@ -237,7 +244,7 @@
         if not epoch or epoch["n"] != record.number or epoch["settled"]:
             raise Conflict("epoch moved on")
 
-    def _belief_of_groups(self) -> Document:
+    def _reported_groups(self) -> Document:
         """What differs between the kinds of sessions in what `petrelhaven-diff` compares."""
         epochs = sorted(self.doc["epochs"].items())
         proxies = sorted(self.doc["edges"].items())
--- a/src/petrelhaven/control/resumable/node.py
+++ b/src/petrelhaven/control/resumable/node.py
@@ -155,7 +155,7 @@
         """The belief, what this node may do now, and what its duty is waiting for."""
         now = self.clock.now()
         return {
-            **self.belief(),
+            **self.reported_state(),
             "settings": self.settings(),
             "ruling": self.chain.ruling,
             "active": self.chain.active,
--- a/src/petrelhaven/control/resumable/records.py
+++ b/src/petrelhaven/control/resumable/records.py
@@ -9,7 +9,13 @@
 from dataclasses import dataclass, field
 from typing import Any, ClassVar
 
-from petrelhaven.control.state.record import KIND, Document, kind_of, present, row_of
+from petrelhaven.control.state.record import (
+    KIND_KEY,
+    Document,
+    record_kind,
+    stored_row,
+    without_none,
+)
 from petrelhaven.control.state.records import (
     ConfigurationRecord,
     ZoneRecord,
@@ -76,11 +82,11 @@
             "by": self.by,
         }
         return {
-            KIND: self.kind,
+            KIND_KEY: self.kind,
             "name": self.name,
             "inc": self.incarnation,
             "state": self.state,
-            **present(optional),
+            **without_none(optional),
         }
 
 
@@ -99,7 +105,7 @@
 
     def to_document(self) -> Document:
         """The record as plain JSON values."""
-        return {KIND: self.kind, "name": self.name, "inc": self.incarnation}
+        return {KIND_KEY: self.kind, "name": self.name, "inc": self.incarnation}
 
 
 @dataclass(frozen=True, slots=True)
@@ -170,13 +176,13 @@
             previous=document.get("was"),
             by=document.get("by"),
             view=document.get("view"),
-            row=row_of(document),
+            row=stored_row(document),
         )
 
     def to_document(self) -> Document:
         """The record as plain JSON values; `was` is null for the first epoch of a group."""
         return {
-            KIND: self.kind,
+            KIND_KEY: self.kind,
             "group": self.group,
             "n": self.number,
             "phase": self.phase,
@@ -193,7 +199,7 @@
             "cause": self.cause,
             "evidence": self.evidence,
             "was": self.previous,
-            **present({"by": self.by, "view": self.view}),
+            **without_none({"by": self.by, "view": self.view}),
         }
 
 
@@ -212,7 +218,7 @@
 
     def to_document(self) -> Document:
         """The record as plain JSON values."""
-        return {KIND: self.kind, "group": self.group, "n": self.number}
+        return {KIND_KEY: self.kind, "group": self.group, "n": self.number}
 
 
 ResumableRecord = (
@@ -239,4 +245,4 @@
     Raises:
         KeyError: The kind of the record is not known, or one of its fields is missing.
     """
-    return _READERS[kind_of(document)](document)
+    return _READERS[record_kind(document)](document)
--- a/src/petrelhaven/control/state/base.py
+++ b/src/petrelhaven/control/state/base.py
@@ -17,16 +17,16 @@
 from petrelhaven.control.state.records import ZoneRecord
 from petrelhaven.runtime.errors import Duplicate
 
-__all__ = ["EVACUATED", "OPEN", "BaseControlState", "digest_of"]
+__all__ = ["ZONE_EVACUATED", "ZONE_OPEN", "BaseControlState", "configuration_digest"]
 
-OPEN = "open"
-EVACUATED = "emptied"
+ZONE_OPEN = "open"
+ZONE_EVACUATED = "emptied"
 
 ConfigurationT = TypeVar("ConfigurationT")
 RecordT = TypeVar("RecordT")
 
 
-def digest_of(text: str) -> str:
+def configuration_digest(text: str) -> str:
     """The digest by which nodes compare configurations."""
     return hashlib.sha256(text.encode()).hexdigest()
 
@@ -69,12 +69,12 @@
         self._apply(self._read_record(document))
         self.seq = self.doc["seq"] = seq
 
-    def zone(self, name: str) -> str:
+    def zone_state(self, name: str) -> str:
         """Whether a zone is open or evacuated."""
-        state: str = self.doc["halls"].get(name, OPEN)
+        state: str = self.doc["halls"].get(name, ZONE_OPEN)
         return state
 
-    def belief(self) -> Document:
+    def reported_state(self) -> Document:
         """What `petrelhaven-diff` compares of this state."""
         accepted = self.doc["manifest"]
         return {
@@ -82,7 +82,7 @@
             "manifest": accepted["version"] if accepted else 0,
             "digest": accepted["digest"] if accepted else "",
             "halls": self.doc["halls"],
-            **self._belief_of_groups(),
+            **self._reported_groups(),
         }
 
     def read_configuration(self, text: str) -> ConfigurationT:
@@ -101,14 +101,14 @@
         """Changes the document; `seq` is still the number of the record before."""
         raise NotImplementedError
 
-    def _belief_of_groups(self) -> Mapping[str, Any]:
+    def _reported_groups(self) -> Mapping[str, Any]:
         """What differs between the kinds of sessions in what `petrelhaven-diff` compares."""
         raise NotImplementedError
 
     def _check_zone(self, record: ZoneRecord) -> None:
-        if record.state not in (OPEN, EVACUATED):
+        if record.state not in (ZONE_OPEN, ZONE_EVACUATED):
             raise declined("hall state", [ConfigurationFault("state", "must be open or emptied")])
-        if self.zone(record.zone) == record.state:
+        if self.zone_state(record.zone) == record.state:
             raise Duplicate(f"hall {record.zone} is {record.state} already")
 
     def _apply_zone(self, record: ZoneRecord) -> None:
--- a/src/petrelhaven/control/state/control_state.py
+++ b/src/petrelhaven/control/state/control_state.py
@@ -8,13 +8,13 @@
 
 from petrelhaven.control.configuration.faults import ConfigurationFault, declined
 from petrelhaven.control.failover.evidence import NO_POSITION, ElectionOrder, Evidence
-from petrelhaven.control.state.base import BaseControlState, digest_of
+from petrelhaven.control.state.base import BaseControlState, configuration_digest
 from petrelhaven.control.state.counting_record import CountingRecord, CountingStart
 from petrelhaven.control.state.evidence_records import (
-    BoundedRecord,
     CountedOutRecord,
     ElectionOrderRecord,
     EvidenceRecord,
+    LogBoundRecord,
     UnknownEvidenceRecord,
 )
 from petrelhaven.control.state.record import Document
@@ -41,7 +41,7 @@
 
 __all__ = ["ControlState"]
 
-GONE = "gone"
+MEMBER_GONE = "gone"
 _READY = "ready"
 _MOST_GONE_MEMBERS = 64
 _MOST_PAST_LEADERSHIPS = 16
@@ -94,12 +94,12 @@
         """The last beginning of each node that began to count tenants without a past."""
         return {node: CountingStart(*row) for node, row in self.doc.get("counting", {}).items()}
 
-    def group(self, group: str) -> dict[str, Document]:
-        """The rows of the members of `group` that are not gone, by name and in its order."""
+    def group_members(self, group: str) -> dict[str, Document]:
+        """Returns the rows of the group's present members, sorted by name."""
         return {
             name: row
             for name, row in sorted(self.doc["members"].items())
-            if row["group"] == group and row["state"] != GONE
+            if row["group"] == group and row["state"] != MEMBER_GONE
         }
 
     def evidence(self, group: str) -> Evidence:
@@ -128,7 +128,7 @@
                 self._check_leadership(record)
             case (
                 CountedOutRecord()
-                | BoundedRecord()
+                | LogBoundRecord()
                 | ElectionOrderRecord()
                 | UnknownEvidenceRecord()
             ):
@@ -157,7 +157,7 @@
                 self._apply_leadership(record)
             case (
                 CountedOutRecord()
-                | BoundedRecord()
+                | LogBoundRecord()
                 | ElectionOrderRecord()
                 | UnknownEvidenceRecord()
             ):
@@ -179,7 +179,7 @@
             check_configuration(self.doc, record.embargo)
         digest = self._accepted_digest(record.version)
         if digest is not None and (
-            digest == digest_of(record.text) or _has_origin_of(record, accepted)
+            digest == configuration_digest(record.text) or _has_origin_of(record, accepted)
         ):
             state = "in force" if record.version == accepted.version else "accepted"
             raise Duplicate(
@@ -220,7 +220,11 @@
 
     def _apply_configuration(self, record: ConfigurationRecord) -> None:
         accepted = AcceptedConfiguration(
-            record.version, record.text, record.by, digest_of(record.text), record.embargo
+            record.version,
+            record.text,
+            record.by,
+            configuration_digest(record.text),
+            record.embargo,
         )
         self.doc["manifest"] = accepted.to_row()
         self.doc["accepted"].append([accepted.version, accepted.digest])
@@ -251,16 +255,16 @@
                 self._succeed(name, row, record.group)
         members.pop(record.name, None)
         members[record.name] = dict(record.row)
-        gone = [name for name, row in members.items() if row["state"] == GONE]
+        gone = [name for name, row in members.items() if row["state"] == MEMBER_GONE]
         for name in gone[: max(0, len(gone) - _MOST_GONE_MEMBERS)]:
             del members[name]
         sizes = self.doc["sizes"]
         group = record.group
-        sizes[group] = max(sizes.get(group, 0), len(self.group(group)))
+        sizes[group] = max(sizes.get(group, 0), len(self.group_members(group)))
 
     def _check_departure(self, record: DepartureRecord) -> None:
         row = self.doc["members"].get(record.name)
-        if row is None or row["state"] == GONE:
+        if row is None or row["state"] == MEMBER_GONE:
             raise Duplicate(f"member {record.name} is gone")
 
     def _apply_departure(self, record: DepartureRecord) -> None:
@@ -269,7 +273,7 @@
     def _depart(self, name: str) -> None:
         """A member signed off: its copy is gone with it."""
         row = self.doc["members"][name]
-        row["state"] = GONE
+        row["state"] = MEMBER_GONE
         group = row["group"]
         leadership = self.leadership(group)
         moving = leadership is not None and not leadership.is_serving
@@ -280,8 +284,8 @@
 
     def _succeed(self, name: str, row: Document, group: str) -> None:
         """A member of `group` came to the address of member `name`."""
-        was_gone = row["state"] == GONE
-        row["state"] = GONE
+        was_gone = row["state"] == MEMBER_GONE
+        row["state"] = MEMBER_GONE
         if row["group"] != group:
             if not was_gone:
                 self._depart(name)
@@ -293,7 +297,7 @@
 
     def _shrink(self, group: str) -> None:
         """One copy fewer has to be known for a proof."""
-        least = len(self.group(group)) + len(self.evidence(group).unproven)
+        least = len(self.group_members(group)) + len(self.evidence(group).unproven)
         self.doc["sizes"][group] = max(least, self.doc["sizes"].get(group, 0) - 1)
 
     def _put_evidence(self, group: str, evidence: Evidence) -> None:
@@ -302,7 +306,7 @@
     def _evidence_of_older_version(self) -> None:
         """A version without evidence knew only how many members a group ever had at once."""
         for group, size in self.doc["sizes"].items():
-            missing = size - len(self.group(group))
+            missing = size - len(self.group_members(group))
             if missing > 0:
                 names = tuple(f"unrecorded-{i + 1}" for i in range(missing))
                 self._put_evidence(group, Evidence(unproven=names))
@@ -313,7 +317,7 @@
         leadership = self.leadership(group)
         if leadership is None:
             raise NoRoute(f"no group {group[:_NAME_LENGTH]} is served")
-        if isinstance(record, CountedOutRecord) and record.member not in self.group(group):
+        if isinstance(record, CountedOutRecord) and record.member not in self.group_members(group):
             raise Stale(f"member {record.member} is gone")
         if isinstance(record, ElectionOrderRecord):
             self._check_order(record, leadership)
@@ -325,7 +329,7 @@
             raise declined("no election is waited for", [ConfigurationFault("group", served)])
         if record.number != leadership.number:
             raise Conflict(f"office {leadership.number} of {group} waits, not {record.number}")
-        if member not in self.group(record.group):
+        if member not in self.group_members(record.group):
             missing = f"no member {member[:_NAME_LENGTH]} in group {group}"
             raise declined("no such member", [ConfigurationFault("member", missing)])
         order = self.evidence(record.group).order
@@ -338,14 +342,14 @@
         match record:
             case CountedOutRecord():
                 evidence = evidence.with_counted_out(record.member, record.position)
-            case BoundedRecord():
+            case LogBoundRecord():
                 self._apply_bound(record, evidence)
                 return
             case ElectionOrderRecord():
                 evidence = evidence.with_order(ElectionOrder(record.member, record.by))
         self._put_evidence(group, evidence)
 
-    def _apply_bound(self, record: BoundedRecord, evidence: Evidence) -> None:
+    def _apply_bound(self, record: LogBoundRecord, evidence: Evidence) -> None:
         resolved = len(set(record.members) & set(evidence.unproven))
         self._put_evidence(record.group, evidence.with_bound(record.members, record.position))
         for _ in range(resolved):
@@ -373,14 +377,14 @@
         del past[:-_MOST_PAST_LEADERSHIPS]
 
     def _check_counting(self, record: CountingRecord) -> None:
-        if not record.settles:
+        if not record.settled_seq:
             return
         start = self.counting_starts.get(record.node)
-        if start is None or start.is_settled or start.seq != record.settles:
+        if start is None or start.is_settled or start.seq != record.settled_seq:
             raise Stale(f"node {record.node} began anew since, or is settled")
 
     def _apply_counting(self, record: CountingRecord) -> None:
-        start = record.start_after(self.counting_starts.get(record.node), self.seq + 1)
+        start = record.next_start(self.counting_starts.get(record.node), self.seq + 1)
         self.doc.setdefault("counting", {})[record.node] = list(start)
 
     def _check_embargo(self, record: EmbargoRecord) -> None:
@@ -393,7 +397,7 @@
 
         apply(self.doc, record, self.seq + 1)
 
-    def _belief_of_groups(self) -> Document:
+    def _reported_groups(self) -> Document:
         """What differs between the kinds of sessions in what `petrelhaven-diff` compares."""
         members = sorted(self.doc["members"].items())
         return {
--- a/src/petrelhaven/control/state/counting_record.py
+++ b/src/petrelhaven/control/state/counting_record.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import ClassVar, NamedTuple
 
-from petrelhaven.control.state.record import KIND, Document
+from petrelhaven.control.state.record import KIND_KEY, Document
 
 __all__ = ["CountingRecord", "CountingStart"]
 
@@ -28,12 +28,12 @@
 
 @dataclass(frozen=True, slots=True)
 class CountingRecord:
-    """A node begins to count in a view, or its beginning by record `settles` is over."""
+    """A node begins to count in a view, or its beginning by record `settled_seq` is over."""
 
     kind: ClassVar[str] = "counting"
     node: str
     view_number: int
-    settles: int = 0
+    settled_seq: int = 0
 
     @classmethod
     def from_document(cls, document: Document) -> CountingRecord:
@@ -43,15 +43,15 @@
     def to_document(self) -> Document:
         """The record as plain JSON values."""
         return {
-            KIND: self.kind,
+            KIND_KEY: self.kind,
             "node": self.node,
             "view": self.view_number,
-            "settles": self.settles,
+            "settles": self.settled_seq,
         }
 
-    def start_after(self, before: CountingStart | None, seq: int) -> CountingStart:
+    def next_start(self, before: CountingStart | None, seq: int) -> CountingStart:
         """The node's last beginning after this record, which is number `seq`."""
-        if self.settles and before is not None:
+        if self.settled_seq and before is not None:
             return before._replace(is_settled=True)
         if before is None:
             return CountingStart(seq, self.view_number, self.view_number, False)
--- a/src/petrelhaven/control/state/evidence_records.py
+++ b/src/petrelhaven/control/state/evidence_records.py
@@ -9,10 +9,10 @@
 from dataclasses import dataclass
 from typing import ClassVar
 
-from petrelhaven.control.state.record import KIND, Document, Position, position_of
+from petrelhaven.control.state.record import KIND_KEY, Document, Position, parse_position
 
 __all__ = [
-    "BoundedRecord",
+    "LogBoundRecord",
     "CountedOutRecord",
     "ElectionOrderRecord",
     "EvidenceRecord",
@@ -34,12 +34,12 @@
     @classmethod
     def from_document(cls, document: Document) -> CountedOutRecord:
         """Reads what `to_document` made."""
-        return cls(document["group"], document["member"], position_of(document["pos"]))
+        return cls(document["group"], document["member"], parse_position(document["pos"]))
 
     def to_document(self) -> Document:
         """The record as plain JSON values."""
         return {
-            KIND: self.kind,
+            KIND_KEY: self.kind,
             "group": self.group,
             "what": self.what,
             "member": self.member,
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BoundedRecord:
+class LogBoundRecord:
     """Evidence: the logs of `members`, which have ended, are at or below `position`."""
 
     kind: ClassVar[str] = "evidence"
@@ -58,7 +58,7 @@
     position: Position
 
     @classmethod
-    def from_document(cls, document: Document) -> BoundedRecord:
+    def from_document(cls, document: Document) -> LogBoundRecord:
         """Reads what `to_document` made."""
         first, second = document["pos"]
         return cls(document["group"], tuple(document["members"]), (first, second))
@@ -66,7 +66,7 @@
     def to_document(self) -> Document:
         """The record as plain JSON values."""
         return {
-            KIND: self.kind,
+            KIND_KEY: self.kind,
             "group": self.group,
             "what": self.what,
             "members": list(self.members),
@@ -96,7 +96,7 @@
     def to_document(self) -> Document:
         """The record as plain JSON values."""
         return {
-            KIND: self.kind,
+            KIND_KEY: self.kind,
             "group": self.group,
             "what": self.what,
             "member": self.member,
@@ -120,13 +120,13 @@
 
     def to_document(self) -> Document:
         """The record as plain JSON values."""
-        return {KIND: self.kind, "group": self.group, "what": self.what}
+        return {KIND_KEY: self.kind, "group": self.group, "what": self.what}
 
 
-EvidenceRecord = CountedOutRecord | BoundedRecord | ElectionOrderRecord | UnknownEvidenceRecord
+EvidenceRecord = CountedOutRecord | LogBoundRecord | ElectionOrderRecord | UnknownEvidenceRecord
 _READERS: Mapping[str, Callable[[Document], EvidenceRecord]] = {
     CountedOutRecord.what: CountedOutRecord.from_document,
-    BoundedRecord.what: BoundedRecord.from_document,
+    LogBoundRecord.what: LogBoundRecord.from_document,
     ElectionOrderRecord.what: ElectionOrderRecord.from_document,
 }
 
--- a/src/petrelhaven/control/state/record.py
+++ b/src/petrelhaven/control/state/record.py
@@ -5,11 +5,20 @@
 from collections.abc import Mapping
 from typing import Any, ClassVar, Protocol
 
-__all__ = ["KIND", "Document", "Position", "Record", "kind_of", "position_of", "present", "row_of"]
+__all__ = [
+    "KIND_KEY",
+    "Document",
+    "Position",
+    "Record",
+    "record_kind",
+    "parse_position",
+    "without_none",
+    "stored_row",
+]
 
 Document = dict[str, Any]
 Position = tuple[int, int]
-KIND = "t"
+KIND_KEY = "t"
 
 
 class Record(Protocol):
@@ -21,26 +30,26 @@
         """The record as plain JSON values."""
 
 
-def kind_of(document: Mapping[str, Any]) -> str:
+def record_kind(document: Mapping[str, Any]) -> str:
     """The stored kind of a record: `manifest`, `hall`, `office`, ..."""
-    kind: str = document[KIND]
+    kind: str = document[KIND_KEY]
     return kind
 
 
-def row_of(document: Mapping[str, Any], *keys: str) -> Document:
+def stored_row(document: Mapping[str, Any], *keys: str) -> Document:
     """What the control state stores of a record: all of it but its kind and `keys`.
 
     Rows are taken from the document itself, so fields that this version doesn't know are stored
     like all others and nodes of two versions store the same.
     """
-    return {key: value for key, value in document.items() if key != KIND and key not in keys}
+    return {key: value for key, value in document.items() if key != KIND_KEY and key not in keys}
 
 
-def present(optional: Document) -> Document:
+def without_none(optional: Document) -> Document:
     """The fields that are not None; the others are left out of a document."""
     return {key: value for key, value in optional.items() if value is not None}
 
 
-def position_of(value: list[int] | None) -> Position | None:
+def parse_position(value: list[int] | None) -> Position | None:
     """A log position as stored (term and index); None if there is none."""
     return (value[0], value[1]) if value else None
--- a/src/petrelhaven/control/state/records.py
+++ b/src/petrelhaven/control/state/records.py
@@ -17,13 +17,13 @@
 from petrelhaven.control.state.counting_record import CountingRecord
 from petrelhaven.control.state.evidence_records import EvidenceRecord, evidence_from_document
 from petrelhaven.control.state.record import (
-    KIND,
+    KIND_KEY,
     Document,
     Position,
-    kind_of,
-    position_of,
-    present,
-    row_of,
+    parse_position,
+    record_kind,
+    stored_row,
+    without_none,
 )
 
 if TYPE_CHECKING:
@@ -78,11 +78,11 @@
         version = {"version": self.version} if self.version else {}
         optional = {"retire": self.retire, "embargo": self.embargo}
         return {
-            KIND: self.kind,
+            KIND_KEY: self.kind,
             "text": self.text,
             **version,
             "by": self.by,
-            **present(optional),
+            **without_none(optional),
         }
 
 
@@ -99,7 +99,7 @@
 
     def to_document(self) -> Document:
         """The record as plain JSON values."""
-        return {KIND: self.kind}
+        return {KIND_KEY: self.kind}
 
 
 @dataclass(frozen=True, slots=True)
@@ -118,7 +118,7 @@
 
     def to_document(self) -> Document:
         """The record as plain JSON values."""
-        return {KIND: self.kind, "hall": self.zone, "state": self.state, "by": self.by}
+        return {KIND_KEY: self.kind, "hall": self.zone, "state": self.state, "by": self.by}
 
 
 @dataclass(frozen=True, slots=True)
@@ -158,13 +158,13 @@
             state=document["state"],
             slots=document["slots"],
             count=document["count"],
-            row=row_of(document, "name"),
+            row=stored_row(document, "name"),
         )
 
     def to_document(self) -> Document:
         """The record as plain JSON values."""
         return {
-            KIND: self.kind,
+            KIND_KEY: self.kind,
             "name": self.name,
             "group": self.group,
             "hall": self.zone,
@@ -191,7 +191,7 @@
 
     def to_document(self) -> Document:
         """The record as plain JSON values."""
-        return {KIND: self.kind, "name": self.name, "state": _GONE, "addr": self.address}
+        return {KIND_KEY: self.kind, "name": self.name, "state": _GONE, "addr": self.address}
 
 
 @dataclass(frozen=True, slots=True)
@@ -237,10 +237,10 @@
             cause=document.get("cause", ""),
             by=document.get("by", ""),
             stuck=document.get("stuck", False),
-            position=position_of(document.get("pos")),
+            position=parse_position(document.get("pos")),
             accepted_loss=document.get("accepted_loss", ""),
             requested=tuple(document.get("requested", ())),
-            row=row_of(document, "group"),
+            row=stored_row(document, "group"),
         )
 
     def to_document(self) -> Document:
@@ -251,7 +251,7 @@
             "requested": list(self.requested) or None,
         }
         return {
-            KIND: self.kind,
+            KIND_KEY: self.kind,
             "group": self.group,
             "n": self.number,
             "phase": self.phase,
@@ -260,7 +260,7 @@
             "cause": self.cause,
             "by": self.by,
             "stuck": self.stuck,
-            **present(optional),
+            **without_none(optional),
         }
 
 
@@ -306,4 +306,4 @@
     Raises:
         KeyError: The kind of the record is not known, or one of its fields is missing.
     """
-    return _READERS[kind_of(document)](document)
+    return _READERS[record_kind(document)](document)
--- a/src/petrelhaven/control/state/rows.py
+++ b/src/petrelhaven/control/state/rows.py
@@ -7,7 +7,7 @@
 from enum import StrEnum
 from typing import Any
 
-from petrelhaven.control.state.record import Position, position_of
+from petrelhaven.control.state.record import Position, parse_position
 
 __all__ = ["AcceptedConfiguration", "Leadership", "LeadershipPhase", "Member"]
 
@@ -118,7 +118,7 @@
             by=row.get("by", ""),
             stuck=bool(row.get("stuck")),
             since=row.get("since", row["n"]),
-            position=position_of(row.get("pos")),
+            position=parse_position(row.get("pos")),
             requested=tuple(row.get("requested", ())),
         )
 
--- a/src/petrelhaven/proxy/node.py
+++ b/src/petrelhaven/proxy/node.py
@@ -408,7 +408,7 @@
         """What this proxy believes and counts."""
         groups = sorted(self.groups.items())
         return {
-            **self.core_connection.control_state.belief(),
+            **self.core_connection.control_state.reported_state(),
             "name": self.name,
             "state": self.state,
             "ready": self.ready,
--- a/src/petrelhaven/proxy/proxy_interface.py
+++ b/src/petrelhaven/proxy/proxy_interface.py
@@ -37,16 +37,16 @@
             settings: Makes the part of the status that tells which settings are in force.
         """
         self._proxy, self._settings = proxy, settings
-        serve_state(http_server, proxy, self.status, self.belief)
+        serve_state(http_server, proxy, self.status, self.reported_state)
         http_server.on("GET", "/realm", self._show_control_state)
         http_server.on("GET", "/why", self._show_leadership)
         http_server.on("GET", "/manifest", self._show_configuration)
 
-    def belief(self) -> dict[str, Any]:
+    def reported_state(self) -> dict[str, Any]:
         """What this proxy believes of the control state, in the form that all nodes share."""
         control_state = self._proxy.core_connection.control_state
         return {
-            **control_state.belief(),
+            **control_state.reported_state(),
             "name": self._proxy.name,
             "role": "edge",
             "state": self._proxy.state,
@@ -59,7 +59,7 @@
         core_connection = self._proxy.core_connection
         return {
             **self._proxy.status(),
-            **self.belief(),
+            **self.reported_state(),
             "settings": self._settings(),
             "joined": core_connection.joined,
             "lease_us": max(0, core_connection.lease_until - self._proxy.clock.now()),
--- a/src/petrelhaven/proxy/resumable/handover.py
+++ b/src/petrelhaven/proxy/resumable/handover.py
@@ -22,7 +22,7 @@
             for k in s.keepers
             if self.e.control.lives(k)
             and es[k.split("/")[0]]["state"] == "up"
-            and self.e.control.control_state.zone(es[k.split("/")[0]]["hall"]) == "open"
+            and self.e.control.control_state.zone_state(es[k.split("/")[0]]["hall"]) == "open"
         ]
         return ks[0] if ks else self.e.keeper.elect([], s.release)
 
--- a/src/petrelhaven/proxy/resumable/node.py
+++ b/src/petrelhaven/proxy/resumable/node.py
@@ -244,11 +244,11 @@
             else SessionMoving("the session lives elsewhere now")
         )
 
-    def belief(self):
+    def reported_state(self):
         """What this node believes."""
         r = self.control.control_state
         return {
-            **r.belief(),
+            **r.reported_state(),
             "name": self.name,
             "role": "edge",
             "state": self.state,
@@ -258,7 +258,7 @@
         }
 
     async def _belief(self, ch, b):
-        return {"doc": self.belief()}
+        return {"doc": self.reported_state()}
 
     async def drain(self, us=9_000_000):
         """Leaves: hands every session over and ends."""
@@ -268,7 +268,7 @@
         """The belief, the lease, the sessions and the clocks' counts."""
         now = self.clock.now()
         return {
-            **self.belief(),
+            **self.reported_state(),
             "settings": self.settings(),
             "ready": self.ready,
             "lease_us": max(0, self.control.lease - now),
--- a/src/petrelhaven/proxy/resumable/proxy_interface.py
+++ b/src/petrelhaven/proxy/resumable/proxy_interface.py
@@ -25,7 +25,7 @@
         http_server.on("POST", "/sessions", self._open)
         http_server.on("POST", "/sessions/{sid}", self._run_statement)
         http_server.on("DELETE", "/sessions/{sid}", self._close)
-        serve_state(http_server, proxy, proxy.status, proxy.belief)
+        serve_state(http_server, proxy, proxy.status, proxy.reported_state)
 
     async def _open(self, _request: web.Request) -> dict[str, Any]:
         return await self._proxy.open_session()
--- a/src/petrelhaven/proxy/resumable/session_keeper.py
+++ b/src/petrelhaven/proxy/resumable/session_keeper.py
@@ -22,7 +22,7 @@
         return {es[k.split("/")[0]]["hall"] for k in ks if k.split("/")[0] in es}
 
     def _open(self, zone):
-        return zone != self.zone and self.control.control_state.zone(zone) == "open"
+        return zone != self.zone and self.control.control_state.zone_state(zone) == "open"
 
     def elect(self, ks, but=()):
         """One more keeper beside `ks`: a hall not used yet first, then any other hall, then any other edge."""
@@ -33,7 +33,7 @@
             (
                 not self._open(e["hall"]) or e["hall"] in used,
                 e["hall"] == self.zone,
-                self.control.control_state.zone(e["hall"]) != "open",
+                self.control.control_state.zone_state(e["hall"]) != "open",
                 n,
             )
             for n, e in sorted(es.items())
--- a/src/petrelhaven/proxy/resumable/state_follower.py
+++ b/src/petrelhaven/proxy/resumable/state_follower.py
@@ -40,7 +40,7 @@
         r = self.e.control.control_state
         if self.e.state in ("leaving", "left") or r.configuration is None:
             return
-        if r.zone(self.e.zone) != "open":
+        if r.zone_state(self.e.zone) != "open":
             if self.e.state != "emptied":
                 self.e.empty()
                 self.e.tasks.spawn(self.e.move.hand_all())
@@ -65,7 +65,7 @@
         for p in t.enter_epoch(
             e,
             lambda n: self.e.control.control_state.share(g, self.e.name, n),
-            self.e.control.control_state.zone,
+            self.e.control.control_state.zone_state,
         ):
             self.e.clock.later(p.stop_at - self.e.clock.now(), lambda p=p, t=t: self._stop(t, p))
         calm = [
--- a/src/petrelhaven/proxy/routing/group.py
+++ b/src/petrelhaven/proxy/routing/group.py
@@ -120,7 +120,7 @@
 
         `fresh` tells that the whole state was handed over: how old its changes are is not known.
         """
-        rows = control_state.group(self.name)
+        rows = control_state.group_members(self.name)
         self.size = control_state.doc["sizes"].get(self.name, 0)
         self.lower_bound = control_state.evidence(self.name).lower_bound
         for name, row in rows.items():
@@ -145,7 +145,7 @@
         share = (self.connection_cap - _RESERVED_CONNECTIONS) // proxies - 1
         member.pool.max_size = max(1, share)
         draining = member.state == "draining"
-        evacuated = control_state.zone(member.zone) != "open"
+        evacuated = control_state.zone_state(member.zone) != "open"
         if not draining and not evacuated:
             member.stop_at = None
         elif member.stop_at is None:
--- a/src/petrelhaven/simulator/resumable/storm.py
+++ b/src/petrelhaven/simulator/resumable/storm.py
@@ -492,13 +492,13 @@
     for n in ns[1:]:
         d = [
             x
-            for x in differences(ns[0].belief(), n.belief())
+            for x in differences(ns[0].reported_state(), n.reported_state())
             if x[0] != "view" and not x[0].startswith("kith")
         ]
         if d:
             out.append(("beliefs differ", ns[0].name, n.name, d[:3]))
     top = max([v for _, v in s.acked], default=1)
-    have = ns[0].belief()["manifest"]
+    have = ns[0].reported_state()["manifest"]
     if have < top:
         out.append(("acknowledged manifest lost", top, have))
     return out
--- a/tests/model/schedule.py
+++ b/tests/model/schedule.py
@@ -10,6 +10,7 @@
 from model.cluster import Cluster, Shape
 from model.disk import OUTCOMES
 from model.operators import Operators
+from petrelhaven.control.storage import node_store
 from petrelhaven.simulator.virtual_time import WarpLoop, end_all
 
 __all__ = ["KINDS", "Result", "Step", "play", "play_to_the_end", "schedules", "shapes", "shrunk"]
--- a/tests/test_control_state.py
+++ b/tests/test_control_state.py
@@ -148,9 +148,11 @@
         assert here == model.here
         assert {g: o["n"] for g, o in led.doc["offices"].items()} == model.leaderships
         assert (led.doc["manifest"] or {"version": 0})["version"] == model.version
-        assert {h: led.zone(h) for h in "ab"} == {"a": "open", "b": "open", **model.zones}
+        assert {h: led.zone_state(h) for h in "ab"} == {"a": "open", "b": "open", **model.zones}
         for g in "gh":
-            assert set(led.group(g)) == {n for n, m in model.here.items() if m["group"] == g}
+            assert set(led.group_members(g)) == {
+                n for n, m in model.here.items() if m["group"] == g
+            }
 
 
 @DRAWN
@@ -169,7 +171,7 @@
     assert (
         state(b) == state(led)
         and state(a) == at
-        and b.belief() == led.belief()
+        and b.reported_state() == led.reported_state()
         and b.configuration == led.configuration
     )
 
@@ -206,7 +208,7 @@
     for seq in (1, 3, 0):
         with pytest.raises(AssertionError):
             led.apply(seq, zone("a", "open"))
-    assert led.seq == led.doc["seq"] == 1 and led.zone("a") == "emptied"
+    assert led.seq == led.doc["seq"] == 1 and led.zone_state("a") == "emptied"
 
 
 def test_a_version_taken_stands_once():
@@ -287,8 +289,10 @@
         member("m3", addr="1.1.1.1:1"),
     ):
         assert enter(led, r)
-    assert set(led.group("g")) == {"m2", "m3"}
-    assert enter(led, member("m3", "gone", addr="1.1.1.1:1")) and set(led.group("g")) == {"m2"}
+    assert set(led.group_members("g")) == {"m2", "m3"}
+    assert enter(led, member("m3", "gone", addr="1.1.1.1:1")) and set(led.group_members("g")) == {
+        "m2"
+    }
 
 
 def test_a_late_word_that_a_member_is_gone_does_not_touch_the_one_at_its_address():
@@ -296,7 +300,7 @@
     for r in (member("m1", addr="1.1.1.1:1"), member("m2", addr="1.1.1.1:2")):
         assert enter(led, r)
     led.apply(3, member("m1", "gone", addr="1.1.1.1:2"))
-    assert set(led.group("g")) == {"m2"}
+    assert set(led.group_members("g")) == {"m2"}
 
 
 def test_the_members_that_are_gone_are_forgotten_in_the_end():
@@ -305,7 +309,7 @@
         assert enter(led, member(f"m{i}"))
         if i >= 3:
             assert enter(led, member(f"m{i}", "gone"))
-    assert len(led.doc["members"]) < 80 and set(led.group("g")) == {"m0", "m1", "m2"}
+    assert len(led.doc["members"]) < 80 and set(led.group_members("g")) == {"m0", "m1", "m2"}
 
 
 def test_a_frame_is_a_copy():
@@ -314,4 +318,4 @@
     f = led.snapshot()
     f["members"]["m1"]["state"] = "gone"
     f["halls"]["a"] = "emptied"
-    assert set(led.group("g")) == {"m1"} and led.zone("a") == "open"
+    assert set(led.group_members("g")) == {"m1"} and led.zone_state("a") == "open"
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -238,7 +238,7 @@
 
     def announce(self):
         """Members tell a change of their role at once."""
-        for n, m in self.chain.control_state.group("g").items():
+        for n, m in self.chain.control_state.group_members("g").items():
             if self.members[n].runs and self.members[n].role != m["role"]:
                 self.put(
                     {
@@ -1002,7 +1002,7 @@
                     e.member(n, state)
             elif what in ("empty", "open"):
                 state = "emptied" if what == "empty" else "open"
-                if e.chain.control_state.zone("b") != state:
+                if e.chain.control_state.zone_state("b") != state:
                     e.put({"t": "hall", "hall": "b", "state": state, "by": "op"})
             elif what == "doubt":
                 e.coordinator.suspect("g", e.leadership["primary"], "mute")
--- a/tests/test_held_up_orders.py
+++ b/tests/test_held_up_orders.py
@@ -36,7 +36,7 @@
 
 
 def zone_of(node):
-    return node.chain.control_state.zone("a")
+    return node.chain.control_state.zone_state("a")
 
 
 @pytest.mark.parametrize("leave_after", [0, 0.02])
--- a/tests/test_interface_compatibility.py
+++ b/tests/test_interface_compatibility.py
@@ -106,7 +106,7 @@
     return {
         role: {
             "/status": shape(node.status(), names),
-            "/belief": shape(node.belief(), names),
+            "/belief": shape(node.reported_state(), names),
         }
         for role, node in nodes.items()
     }
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -53,10 +53,10 @@
         for zone, state in (("b", "emptied"), ("b", "open"), ("c", "emptied")):
             assert await outcome(other.node.set_zone_state(zone, state)) == "acknowledged"
         await asyncio.sleep(6.5)
-        assert head.node.chain.control_state.zone("c") == "emptied", (
+        assert head.node.chain.control_state.zone_state("c") == "emptied", (
             "the core that was cut off has caught up"
         )
-        return lost.result(), head.node.chain.control_state.zone("a")
+        return lost.result(), head.node.chain.control_state.zone_state("a")
 
     for seed in range(4):
         (answer, state), _ = inside(go, seed)
@@ -156,7 +156,7 @@
         await asyncio.sleep(0.9)
         assert await outcome(far.node.set_zone_state("a", "open")) == "acknowledged"
         await asyncio.sleep(3)
-        return held.result(), head.node.chain.control_state.zone("a")
+        return held.result(), head.node.chain.control_state.zone_state("a")
 
     for seed in range(3):
         assert inside(go, seed)[0] == ("expired", "open")
@@ -175,7 +175,7 @@
 
         begin = near.tasks.spawn(f.net.trip(f.out, head, there, 20_000_000))
         await asyncio.sleep(4)
-        return begin.result(), near.node.chain.control_state.zone("a")
+        return begin.result(), near.node.chain.control_state.zone_state("a")
 
     assert inside(go, 2)[0] == ("not-ready", "open")
 
--- a/tests/test_stored_data_compatibility.py
+++ b/tests/test_stored_data_compatibility.py
@@ -105,7 +105,7 @@
             "mark": store.entered_view,
             "seq": store.control_state.seq,
             "document": store.control_state.doc,
-            "belief": store.control_state.belief(),
+            "belief": store.control_state.reported_state(),
             "damaged": store.damaged,
             "refuses": store.refuses_writes,
             "kept_records": len(store.recent_records),
@@ -239,7 +239,7 @@
             state.check(plain(record))
         state.apply(state.seq + 1, plain(record))
         assert plain(state.doc) == step["document"], record
-        assert plain(state.belief()) == step["belief"], record
+        assert plain(state.reported_state()) == step["belief"], record
 
 
 @pytest.mark.parametrize("kind", sorted(CONTROL_STATES))
