--- a/src/petrelhaven/control/announcements.py
+++ b/src/petrelhaven/control/announcements.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from petrelhaven.control.orders import ANSWER_US
+from petrelhaven.control.request_router import ANSWER_TIMEOUT_US
 from petrelhaven.runtime.errors import Duplicate, Malformed, NotReady, Stale
 from petrelhaven.runtime.limits import NAME
 
@@ -103,7 +103,7 @@
     def __init__(self, clock: Clock, chain: Callable[[], Chain], enter: Enter) -> None:
         """Compares with the control state of `chain` and enters changes by `enter`."""
         self._clock, self._chain, self._enter = clock, chain, enter
-        self.heard: dict[str, tuple[int, int]] = {}
+        self.last_heartbeats: dict[str, tuple[int, int]] = {}
 
     def _recorded(self, member: str) -> dict[str, Any] | None:
         row: dict[str, Any] | None = self._chain().control_state.doc["members"].get(member)
@@ -119,7 +119,7 @@
         announcement = Announcement.from_document(document)
         if self._is_overtaken(announcement):
             return
-        self.heard[announcement.member] = (self._clock.now(), announcement.count)
+        self.last_heartbeats[announcement.member] = (self._clock.now(), announcement.count)
         recorded, record = self._recorded(announcement.member), announcement.to_record()
         if recorded and all(recorded.get(field) == record[field] for field in _RECORDED):
             await self._confirm_control_state()
@@ -128,13 +128,13 @@
 
     def _is_overtaken(self, announcement: Announcement) -> bool:
         """Whether a later heartbeat came before this one."""
-        at, count = self.heard.get(announcement.member, (_NEVER_US, _NO_COUNT))
+        at, count = self.last_heartbeats.get(announcement.member, (_NEVER_US, _NO_COUNT))
         return announcement.count < count and self._clock.now() - at < _REORDERED_US
 
-    async def depart(self, member: str) -> None:
+    async def deregister_member(self, member: str) -> None:
         """A member announces that it ends."""
         recorded = self._recorded(member)
-        self.heard.pop(member, None)
+        self.last_heartbeats.pop(member, None)
         if recorded is None or recorded["state"] == "gone":
             await self._confirm_control_state()
         else:
@@ -149,10 +149,10 @@
         """
         chain = self._chain()
         committed = chain.wait_committed(chain.control_state.seq, chain.store.entered_view)
-        await self._clock.limit(committed, ANSWER_US)
+        await self._clock.limit(committed, ANSWER_TIMEOUT_US)
         if not chain.ruling:
             raise NotReady("not confirmed by a majority")
 
     async def _record(self, record: dict[str, Any]) -> None:
         with contextlib.suppress(Duplicate, Stale):
-            await self._enter(record, False, ANSWER_US)
+            await self._enter(record, False, ANSWER_TIMEOUT_US)
--- a/src/petrelhaven/control/base_node.py
+++ b/src/petrelhaven/control/base_node.py
@@ -18,8 +18,8 @@
 from petrelhaven.control.consensus.register import Voter
 from petrelhaven.control.consensus.view_maintenance import ViewMaintenance
 from petrelhaven.control.departure import Departure
-from petrelhaven.control.order_messages import EnterAnswer, EnterRequest
 from petrelhaven.control.storage.node_store import ControlNodeStore
+from petrelhaven.control.submit_messages import SubmitAnswer, SubmitRequest
 from petrelhaven.membership.prober import Prober
 from petrelhaven.membership.roster import NodeIdentity, Roster
 from petrelhaven.runtime.events import Events, emit
@@ -86,12 +86,12 @@
     join: Callable[[], bool]
     enter_chain: Callable[[], bool]
     states = (_OUTSIDE, _JOINING, _CHAINED)
-    state_of: Callable[..., Any] | None = None
+    control_state_type: Callable[..., Any] | None = None
     repair_interval_us = 250_000
-    confirm_us = 500_000
-    ask_us = 120_000
-    probe_us = 200_000
-    suspect_us = 900_000
+    confirmation_validity_us = 500_000
+    confirmation_interval_us = 120_000
+    probe_interval_us = 200_000
+    suspicion_timeout_us = 900_000
 
     def __init__(
         self,
@@ -104,11 +104,17 @@
         self.clock, self.tasks = resources.clock, resources.tasks
         self.link, self.rng, self.log = resources.link, resources.rng, resources.log
         self.store = ControlNodeStore(
-            resources.disk, self.name, self.rng, self.log, state=self.state_of
+            resources.disk, self.name, self.rng, self.log, state=self.control_state_type
         )
         self._join_membership()
         self.chain = Chain(
-            self.clock, self.tasks, self.store, self.call, self.log, self.confirm_us, self.ask_us
+            self.clock,
+            self.tasks,
+            self.store,
+            self.call,
+            self.log,
+            self.confirmation_validity_us,
+            self.confirmation_interval_us,
         )
         self.lease_table = self.make_lease_table()
         self.duty = self.make_duty(platform)
@@ -123,10 +129,16 @@
 
     def _join_membership(self) -> None:
         me = NodeIdentity(self.name, "core", self.zone, self.link.addr or "", 0)
-        self.roster = Roster(self.clock, me, self.log, self.suspect_us)
+        self.roster = Roster(self.clock, me, self.log, self.suspicion_timeout_us)
         self.reach = Reach(self.clock, self.link, self.roster, self.rng)
         self.prober = Prober(
-            self.clock, self.link, self.tasks, self.rng, self.roster, self.seeds, self.probe_us
+            self.clock,
+            self.link,
+            self.tasks,
+            self.rng,
+            self.roster,
+            self.seeds,
+            self.probe_interval_us,
         )
 
     def _make_state_machine(self) -> None:
@@ -253,13 +265,13 @@
 
     async def _enter(self, _channel: Channel | None, body: Mapping[str, Any]) -> dict[str, Any]:
         """Answers a `chain.enter`."""
-        return (await self.enter_as_head(EnterRequest.from_body(body))).to_body()
+        return (await self.append_as_head(SubmitRequest.from_body(body))).to_body()
 
-    async def enter_as_head(self, request: EnterRequest) -> EnterAnswer:
+    async def append_as_head(self, request: SubmitRequest) -> SubmitAnswer:
         """Enters a record as the head; with `force`, returns once it is in force."""
         seq = await self.chain.enter(request.record)
-        in_force_us = await self.lease_table.in_force(seq) if request.force else 0
-        return EnterAnswer(seq, request.force, in_force_us)
+        in_force_us = await self.lease_table.wait_in_force(seq) if request.force else 0
+        return SubmitAnswer(seq, request.force, in_force_us)
 
     async def _read(self, _channel: Channel | None, _body: Mapping[str, Any]) -> dict[str, Any]:
         """Answers a `chain.read`."""
@@ -269,7 +281,7 @@
         """Forms the chain anew without the disks of `lost`, at the operator's order."""
         return await Reform(self, self.log).run(lost, by)
 
-    def unconfirmed(self) -> dict[str, Any]:
+    def unconfirmed_state(self) -> dict[str, Any]:
         """The control state as this node holds it, which may not be the newest."""
         document: dict[str, Any] = self.chain.control_state.doc
         return document
--- a/src/petrelhaven/control/connected_proxies.py
+++ b/src/petrelhaven/control/connected_proxies.py
@@ -24,7 +24,7 @@
         """Their names, sorted."""
         return sorted(self._renewed_at)
 
-    def renewed(self, proxy: str, now: int) -> None:
+    def record_renewal(self, proxy: str, now: int) -> None:
         """Notes a renewal, and forgets who has not renewed for a while."""
         self._renewed_at[proxy] = now
         for name, at in list(self._renewed_at.items()):
@@ -32,6 +32,6 @@
                 del self._renewed_at[name]
 
     @staticmethod
-    def elsewhere(counts: Mapping[str, tuple[int, int]], now: int) -> int:
+    def count_elsewhere(counts: Mapping[str, tuple[int, int]], now: int) -> int:
         """How many are connected to other nodes, by `counts` of (when reported, how many)."""
         return sum(count for at, count in counts.values() if now - at < _CONNECTED_US)
--- a/src/petrelhaven/control/counting/contracts.py
+++ b/src/petrelhaven/control/counting/contracts.py
@@ -13,7 +13,7 @@
     import logbook
 
     from petrelhaven.control.consensus.chain import Chain
-    from petrelhaven.control.order_messages import EnterAnswer
+    from petrelhaven.control.submit_messages import SubmitAnswer
     from petrelhaven.runtime.clock import Clock
     from petrelhaven.runtime.tasks import BackgroundTasks
 
@@ -42,7 +42,7 @@
     ) -> dict[str, Any]:
         """Calls another control node by name."""
 
-    async def enter(
+    async def submit_record(
         self, record: dict[str, Any], force: bool = ..., within_us: int = ...
-    ) -> EnterAnswer:
+    ) -> SubmitAnswer:
         """Enters a record at the head."""
--- a/src/petrelhaven/control/counting/service.py
+++ b/src/petrelhaven/control/counting/service.py
@@ -350,7 +350,7 @@
                 regime = decide(starts, self._node.name, view_number)
                 self._fresh_start = FreshStart(view_number, regime)
             record = CountingRecord(self._node.name, view_number)
-            await self._node.enter(record.to_document(), False, _RECORD_LIMIT_US)
+            await self._node.submit_record(record.to_document(), False, _RECORD_LIMIT_US)
             start = self._fresh_start
             if start is not None and start.view_number == view_number:
                 until = self._clock.now() + self._table.terms.quarantine_us
@@ -378,7 +378,7 @@
 
     async def _settle(self, record: CountingRecord) -> None:
         try:
-            await self._node.enter(record.to_document(), False, _RECORD_LIMIT_US)
+            await self._node.submit_record(record.to_document(), False, _RECORD_LIMIT_US)
         except Fault:
             pass
         finally:
--- a/src/petrelhaven/control/embargo/service.py
+++ b/src/petrelhaven/control/embargo/service.py
@@ -29,8 +29,8 @@
     from petrelhaven.control.configuration.document import Configuration
     from petrelhaven.control.consensus.chain import Chain
     from petrelhaven.control.embargo.records import Limits
-    from petrelhaven.control.order_messages import EnterAnswer
     from petrelhaven.control.state.record import Document
+    from petrelhaven.control.submit_messages import SubmitAnswer
     from petrelhaven.runtime.clock import Clock
     from petrelhaven.runtime.tasks import BackgroundTasks
 
@@ -53,7 +53,7 @@
     async def call(self, name: str, kind: str, body: dict[str, Any], us: int) -> dict[str, Any]:
         """Calls a control node by its name."""
 
-    async def enter(self, record: Document, force: bool) -> EnterAnswer:
+    async def submit_record(self, record: Document, force: bool) -> SubmitAnswer:
         """Enters a record at the head."""
 
     async def control_state(self) -> Document:
@@ -148,7 +148,7 @@
         except Fault:
             return None
 
-    async def apply(self, configuration: Configuration, record: Document) -> EnterAnswer:
+    async def apply(self, configuration: Configuration, record: Document) -> SubmitAnswer:
         """Enters a configuration with embargoes.
 
         Args:
@@ -159,7 +159,9 @@
             The head's answer, once the record is in force and every proxy is aware of embargoes.
         """
         try:
-            answer = await self._node.enter({**record, **configuration_fields(configuration)}, True)
+            answer = await self._node.submit_record(
+                {**record, **configuration_fields(configuration)}, True
+            )
         except Duplicate:
             await self.require_aware_proxies()
             raise
@@ -173,7 +175,7 @@
         if record.action != "lift":
             await self.require_aware_proxies(call.gone_proxies)
         try:
-            answer = await self._node.enter(record.to_document(), True)
+            answer = await self._node.submit_record(record.to_document(), True)
         except Duplicate as fault:
             self._log_change(record, again=True)
             fault.details["in_force"] = True
--- a/src/petrelhaven/control/failover/failover.py
+++ b/src/petrelhaven/control/failover/failover.py
@@ -67,7 +67,7 @@
     async def _announce(self, candidate: MemberHandle) -> None:
         """Records who is to be promoted; returns once every proxy knows of the failover."""
         await self._requests.announce(candidate.name)
-        await self._context.node.lease_table.in_force(self._requests.change_number)
+        await self._context.node.lease_table.wait_in_force(self._requests.change_number)
 
     async def _confirm(self, candidate: MemberHandle, survey: GroupSurvey) -> ChangeStep:
         """Whether the proof still holds after the wait for the proxies."""
--- a/src/petrelhaven/control/failover/heartbeats.py
+++ b/src/petrelhaven/control/failover/heartbeats.py
@@ -26,7 +26,7 @@
 
     def check(self) -> None:
         """Reports the members that are unresponsive now, primaries first."""
-        unresponsive = [name for name in self._node.heard if self._is_unresponsive(name)]
+        unresponsive = [name for name in self._node.last_heartbeats if self._is_unresponsive(name)]
         if not unresponsive:
             return
         leaderships = self._context.leaderships()
@@ -40,7 +40,7 @@
 
     def _is_unresponsive(self, name: str) -> bool:
         """Whether heartbeats are missing, but not for so long that this was dealt with."""
-        last_heartbeat, _count = self._node.heard[name]
+        last_heartbeat, _count = self._node.last_heartbeats[name]
         silent_us = self._node.clock.now() - last_heartbeat
         interval_us = self._node.heartbeat_us
         return _MISSED_HEARTBEATS * interval_us < silent_us < _FORGOTTEN_HEARTBEATS * interval_us
@@ -60,5 +60,5 @@
                 self._report(member.group, name)
 
     def _report(self, group: str, name: str) -> None:
-        self._node.heard.pop(name, None)
+        self._node.last_heartbeats.pop(name, None)
         self._node.tasks.spawn(self._node.suspect(group, name, _REASON))
--- a/src/petrelhaven/control/failover/interfaces.py
+++ b/src/petrelhaven/control/failover/interfaces.py
@@ -128,7 +128,7 @@
 class LeaseTable(Protocol):
     """The leases of the proxies."""
 
-    async def in_force(self, seq: int) -> object:
+    async def wait_in_force(self, seq: int) -> object:
         """Returns once every proxy has acknowledged record `seq`, or its lease has expired."""
 
 
@@ -149,7 +149,7 @@
     chain: Chain
     reach: Reach
     lease_table: LeaseTable
-    heard: dict[str, tuple[int, int]]
+    last_heartbeats: dict[str, tuple[int, int]]
     heartbeat_us: int
 
     async def suspect(self, group: str, member: str, how: str) -> None:
--- a/src/petrelhaven/control/failover/switchover.py
+++ b/src/petrelhaven/control/failover/switchover.py
@@ -61,7 +61,7 @@
         if obstacle is not None:
             return obstacle
         await self._requests.announce(candidate.name)
-        await self._context.node.lease_table.in_force(self._requests.change_number)
+        await self._context.node.lease_table.wait_in_force(self._requests.change_number)
         if not await self._is_confirmed(candidate, others, survey):
             return Wait(PAUSE_LOST)
         return Promote(candidate)
--- a/src/petrelhaven/control/interface/contracts.py
+++ b/src/petrelhaven/control/interface/contracts.py
@@ -54,7 +54,7 @@
     duty: Any
 
     @property
-    def heard(self) -> Mapping[str, tuple[int, int]]:
+    def last_heartbeats(self) -> Mapping[str, tuple[int, int]]:
         """For each member, when its last heartbeat came, and its count."""
 
     @property
@@ -73,7 +73,9 @@
     ) -> Document:
         """Evacuates or restores a zone."""
 
-    async def elect(self, group: str, member: str, leadership: int, by: str = "") -> Document:
+    async def record_election_order(
+        self, group: str, member: str, leadership: int, by: str = ""
+    ) -> Document:
         """Orders the election of a member although acknowledged commits may be lost."""
 
     async def reform(self, lost: list[str], by: str = "") -> Document:
@@ -82,7 +84,7 @@
     async def control_state(self) -> Document:
         """The control state as the tail answers it."""
 
-    def unconfirmed(self) -> Document:
+    def unconfirmed_state(self) -> Document:
         """The control state as this node has it."""
 
     async def announce(self, doc: Document) -> None:
--- a/src/petrelhaven/control/interface/control_interface.py
+++ b/src/petrelhaven/control/interface/control_interface.py
@@ -89,14 +89,17 @@
 
     async def _in_force(self, answer: Document) -> Document:
         """An order's answer, once what it entered is in force at every proxy."""
-        return {**answer, "in_force_us": await self._node.lease_table.in_force(answer["change"])}
+        return {
+            **answer,
+            "in_force_us": await self._node.lease_table.wait_in_force(answer["change"]),
+        }
 
     async def _show_configuration(self, request: Request) -> RawAnswer:
         is_confirmed = request.query.get("unconfirmed") != "true"
         if is_confirmed:
             state = await self._node.control_state()
         else:
-            state = self._node.unconfirmed()
+            state = self._node.unconfirmed_state()
         configuration = state["manifest"]
         version = query_number(request.query, "version")
         if version is not None:
@@ -154,14 +157,16 @@
         if request.query.get("accept_loss") != "true":
             fault = ConfigurationFault("accept_loss", "must be true")
             raise declined("acknowledged commits may be lost", [fault])
-        return await self._node.elect(unquote(group), member, leadership, _caller(request))
+        return await self._node.record_election_order(
+            unquote(group), member, leadership, _caller(request)
+        )
 
     async def _reform(self, request: Request) -> Document:
         return await self._node.reform(lost_nodes(request.doc()), _caller(request))
 
     async def _status(self, _request: Request) -> Document:
         now_us = self._node.clock.now()
-        heard = sorted(self._node.heard.items())
+        heard = sorted(self._node.last_heartbeats.items())
         return {
             **self._node.status(),
             "settings": self._settings(),
--- a/src/petrelhaven/control/leases.py
+++ b/src/petrelhaven/control/leases.py
@@ -33,7 +33,7 @@
     from petrelhaven.runtime.tasks import BackgroundTasks
     from petrelhaven.transport.channel import Channel
 
-__all__ = ["ConnectionLeaseTable", "LeaseTable", "expiry_us"]
+__all__ = ["ConnectionLeaseTable", "LeaseTable", "lease_expiry_us"]
 
 _IN_FORCE_TIMEOUT_US = 15_000_000
 _REPORT_US = 500_000
@@ -43,7 +43,7 @@
 Reports = Sequence[AcknowledgementReport | None]
 
 
-def expiry_us(lease_us: int, confirm_us: int) -> int:
+def lease_expiry_us(lease_us: int, confirm_us: int) -> int:
     """After how long a lease has certainly expired, whatever the clocks of the machines drift.
 
     Args:
@@ -71,7 +71,7 @@
         log: logbook.Logger | None,
         certain_expiry_us: int,
     ) -> None:
-        """Takes the parts of a control node; `certain_expiry_us` is that of `expiry_us`."""
+        """Takes the parts of a control node; `certain_expiry_us` is that of `lease_expiry_us`."""
         self._clock, self._chain, self._call, self._log = clock, chain, call, log
         self._expiry_us = certain_expiry_us
         self.lease_ends: dict[str, int] = {}
@@ -108,7 +108,7 @@
         )
         return report.to_body()
 
-    async def in_force(
+    async def wait_in_force(
         self, seq: int, grace_us: int = 0, timeout_us: int = _IN_FORCE_TIMEOUT_US
     ) -> int:
         """Waits until record `seq` is in force; returns how long that took, in microseconds.
--- a/src/petrelhaven/control/node.py
+++ b/src/petrelhaven/control/node.py
@@ -14,10 +14,10 @@
 from petrelhaven.control.consensus.proxy_survey import ProxySurvey
 from petrelhaven.control.counting.service import CountingService
 from petrelhaven.control.failover.coordinator import FailoverCoordinator
-from petrelhaven.control.leases import ConnectionLeaseTable, expiry_us
-from petrelhaven.control.order_messages import EnterAnswer, EnterRequest
-from petrelhaven.control.orders import OrderRouter
+from petrelhaven.control.leases import ConnectionLeaseTable, lease_expiry_us
+from petrelhaven.control.request_router import RequestRouter
 from petrelhaven.control.state.control_state import ControlState
+from petrelhaven.control.submit_messages import SubmitAnswer, SubmitRequest
 from petrelhaven.membership.update import ALIVE
 from petrelhaven.runtime.errors import Duplicate, Fault, NotReady, Stale
 from petrelhaven.transport.message_kinds import MessageKind
@@ -66,12 +66,12 @@
     """
 
     lease_table: ConnectionLeaseTable
-    state_of = ControlState
+    control_state_type = ControlState
     repair_interval_us = 300_000
-    confirm_us = 600_000
-    ask_us = 200_000
-    probe_us = 200_000
-    suspect_us = 500_000
+    confirmation_validity_us = 600_000
+    confirmation_interval_us = 200_000
+    probe_interval_us = 200_000
+    suspicion_timeout_us = 500_000
 
     def __init__(  # noqa: PLR0913, PLR0917 (assembles the node; each is given by the daemon)
         self,
@@ -80,7 +80,7 @@
         platform: Platform,
         wire: MemberWire,
         heartbeat_us: int,
-        founds: bool = True,
+        may_decide_first_view: bool = True,
         losses: int = 1,
         wall_clock: WallClock | None = None,
     ) -> None:
@@ -92,7 +92,7 @@
             platform: Promotes members.
             wire: Opens connections to members.
             heartbeat_us: How often members announce themselves.
-            founds: Whether it may take part in deciding the first view, if it is one of the seeds.
+            may_decide_first_view: Whether this node, if it is a seed, may help decide the first view.
             losses: How many control nodes may be lost at once.
             wall_clock: Read for embargoes.
         """
@@ -103,13 +103,15 @@
         self.connected_proxies = ConnectedProxies()
         self.proxy_survey = ProxySurvey(resources.clock, resources.log)
         self.configuration_parser = ParserLoader()
-        self.announcements = Announcements(resources.clock, lambda: self.chain, self.enter)
-        self.heard = self.announcements.heard
+        self.announcements = Announcements(resources.clock, lambda: self.chain, self.submit_record)
+        self.last_heartbeats = self.announcements.last_heartbeats
         self.clock, self.tasks, self.name = resources.clock, resources.tasks, identity.name
         self.counting = CountingService(self, lambda: resources.rng.getrandbits(_LIFE_BITS))
         super().__init__(identity, resources, platform)
-        self.views.may_found = founds and self.link.addr in self.seeds
-        self.orders = OrderRouter(self.clock, self.chain, self.reach, self.name, self.roster.state)
+        self.views.may_found = may_decide_first_view and self.link.addr in self.seeds
+        self.request_router = RequestRouter(
+            self.clock, self.chain, self.reach, self.name, self.roster.state
+        )
         self.roster.spread_limit = _SPREAD_LIMIT
         self.prober.join_us = _JOIN_INTERVAL_US
         self.chain.confirmation.asks_minority = True
@@ -135,7 +137,7 @@
 
     def make_lease_table(self) -> ConnectionLeaseTable:
         """The table of the leases over core connections."""
-        certain_expiry_us = expiry_us(CONNECTION_LEASE_US, self.confirm_us)
+        certain_expiry_us = lease_expiry_us(CONNECTION_LEASE_US, self.confirmation_validity_us)
         return ConnectionLeaseTable(
             self.clock, self.tasks, self.chain, self.call, self.log, certain_expiry_us
         )
@@ -189,7 +191,7 @@
         request = LeaseRenewal.from_body(dict(body))
         now = self.clock.now()
         self._note_applied(request.proxy, request.applied_seq)
-        self.connected_proxies.renewed(request.proxy, now)
+        self.connected_proxies.record_renewal(request.proxy, now)
         if self.proxy_survey.open:
             self.tasks.spawn(self.proxy_survey.ask(channel, request.proxy))
         for suspicion in request.suspicions:
@@ -205,7 +207,7 @@
             confirmation_age_us=self.chain.confirmation.age_us(),
             required_seq=self.chain.control_state.seq,
             view_number=view.number if view else 0,
-            proxy_count=len(self.connected_proxies) + ConnectedProxies.elsewhere(counts, now),
+            proxy_count=len(self.connected_proxies) + ConnectedProxies.count_elsewhere(counts, now),
             control_nodes=self._addresses(view)
             if view and request.view_number != view.number
             else (),
@@ -253,24 +255,26 @@
 
     # Orders
 
-    async def enter(
+    async def submit_record(
         self, record: dict[str, Any], force: bool = True, within_us: int = _FORCED_TIMEOUT_US
-    ) -> EnterAnswer:
+    ) -> SubmitAnswer:
         """Enters a record at the head; with `force`, returns once it is in force.
 
         Follows the head where it moves.
         """
-        return await self.orders.submit(record, force, within_us, self.enter_as_head)
+        return await self.request_router.submit_record(
+            record, force, within_us, self.append_as_head
+        )
 
     async def control_state(self, within_us: int = _ORDER_TIMEOUT_US) -> dict[str, Any]:
         """The document of the control state as the tail answers it."""
-        return await self.orders.read(within_us)
+        return await self.request_router.read_control_state(within_us)
 
-    async def enter_as_head(self, request: EnterRequest) -> EnterAnswer:
+    async def append_as_head(self, request: SubmitRequest) -> SubmitAnswer:
         """Enters a record; answers that it is known already only once that is committed."""
-        self.orders.check(request.expiry)
+        self.request_router.check_expiry(request.expiry)
         try:
-            return await super().enter_as_head(request)
+            return await super().append_as_head(request)
         except (Duplicate, Stale) as fault:
             seq = self.chain.control_state.seq
             committed = self.chain.wait_committed(seq, self.chain.store.entered_view)
@@ -278,7 +282,7 @@
             if not self.chain.active:
                 raise NotReady("not the active head any more") from None
             if request.force and isinstance(fault, Duplicate):
-                await self.lease_table.in_force(seq)
+                await self.lease_table.wait_in_force(seq)
             raise
 
     async def apply(
@@ -297,7 +301,7 @@
         if configuration.embargoing or configuration.embargoes:
             answer = await self.embargoes.apply(configuration, record)
         else:
-            answer = await self.enter(record, False, within_us)
+            answer = await self.submit_record(record, False, within_us)
         return {"version": configuration.version, "change": answer.seq}
 
     async def set_zone_state(
@@ -314,13 +318,15 @@
         """
         if delivery is not None:
             began = self.clock.now()
-            await self.orders.require_awaited(delivery)
+            await self.request_router.require_waiting_caller(delivery)
             within_us -= self.clock.now() - began
         record = {"t": "hall", "hall": zone, "state": state, "by": by}
-        answer = await self.enter(record, False, within_us)
+        answer = await self.submit_record(record, False, within_us)
         return {"hall": zone, "state": state, "change": answer.seq}
 
-    async def elect(self, group: str, member: str, leadership: int, by: str = "") -> dict[str, Any]:
+    async def record_election_order(
+        self, group: str, member: str, leadership: int, by: str = ""
+    ) -> dict[str, Any]:
         """Records an operator's order to elect `member` although acknowledged commits may be lost.
 
         `leadership` is the number of the waiting leadership that the operator saw: an order that
@@ -334,20 +340,20 @@
             "n": leadership,
             "by": by or "operator",
         }
-        answer = await self.enter(order, False)
+        answer = await self.submit_record(order, False)
         return {"group": group, "member": member, "change": answer.seq}
 
     async def announce(self, document: Mapping[str, Any]) -> None:
         """Takes a member's heartbeat; what it changes is committed before this returns."""
         await self.announcements.announce(document)
 
-    async def depart(self, member: str) -> None:
+    async def deregister_member(self, member: str) -> None:
         """A member announces that it ends."""
-        await self.announcements.depart(member)
+        await self.announcements.deregister_member(member)
 
     # Reports
 
-    def core_near(self, zone: str) -> str | None:
+    def control_node_near(self, zone: str) -> str | None:
         """The link address of the control node in `zone`, if one is in the view and alive."""
         view = self.chain.view
         for name in view.chain if view else ():
--- a/src/petrelhaven/control/orders.py
+++ b/src/petrelhaven/control/request_router.py
@@ -13,7 +13,7 @@
 from collections.abc import Awaitable, Callable
 from typing import TYPE_CHECKING, Any, TypeAlias, TypeVar
 
-from petrelhaven.control.order_messages import EnterAnswer, EnterRequest
+from petrelhaven.control.submit_messages import SubmitAnswer, SubmitRequest
 from petrelhaven.runtime.errors import (
     DeadlineExceeded,
     Duplicate,
@@ -33,9 +33,9 @@
     from petrelhaven.transport.delivery import Delivery
     from petrelhaven.transport.reach import Reach
 
-__all__ = ["ANSWER_US", "OrderRouter"]
+__all__ = ["ANSWER_TIMEOUT_US", "RequestRouter"]
 
-ANSWER_US = 850_000
+ANSWER_TIMEOUT_US = 850_000
 """How long a call of the operator or of a member may take here; its caller waits for a second."""
 
 _ENTER_US = 1_000_000
@@ -59,10 +59,10 @@
 Attempt: TypeAlias = Callable[[str, int], Awaitable[_Answer]]
 """Asks the node of this name, within this many microseconds."""
 StateOf: TypeAlias = Callable[[str], str | None]
-Enter: TypeAlias = Callable[[EnterRequest], Awaitable[EnterAnswer]]
+Enter: TypeAlias = Callable[[SubmitRequest], Awaitable[SubmitAnswer]]
 
 
-class OrderRouter:
+class RequestRouter:
     """Sends orders to the head and reads to the tail of the view."""
 
     def __init__(
@@ -83,9 +83,9 @@
         self._name = name
         self._state_of = state_of
 
-    async def submit(
+    async def submit_record(
         self, record: Document, force: bool, within_us: int, enter: Enter
-    ) -> EnterAnswer:
+    ) -> SubmitAnswer:
         """Has the head enter a record.
 
         Args:
@@ -102,7 +102,7 @@
         self._decline_after_pause(within_us)
         attempts = 0
 
-        async def attempt(head: str, timeout_us: int) -> EnterAnswer:
+        async def attempt(head: str, timeout_us: int) -> SubmitAnswer:
             nonlocal attempts
             attempts += 1
             try:
@@ -111,22 +111,22 @@
                 if attempts == 1:
                     raise
                 # what an earlier attempt of this very call has entered
-                return EnterAnswer(self._chain.control_state.seq, force)
+                return SubmitAnswer(self._chain.control_state.seq, force)
 
         return await self._follow(_HEAD, attempt, within_us)
 
     async def _enter_at(
         self, head: str, record: Document, force: bool, timeout_us: int, enter: Enter
-    ) -> EnterAnswer:
+    ) -> SubmitAnswer:
         if head == self._name:
-            return await enter(EnterRequest(record, force))
+            return await enter(SubmitRequest(record, force))
         expiry = await self._expiry(head, min(timeout_us, _ENTER_US))
-        request = EnterRequest(record, force, expiry)
-        return EnterAnswer.from_body(
+        request = SubmitRequest(record, force, expiry)
+        return SubmitAnswer.from_body(
             await self._reach.call(head, MessageKind.CHAIN_ENTER, request.to_body(), timeout_us)
         )
 
-    async def read(self, within_us: int) -> Document:
+    async def read_control_state(self, within_us: int) -> Document:
         """The control state as the tail answers it, within a time in microseconds.
 
         Raises:
@@ -146,7 +146,7 @@
 
         return await self._follow(_TAIL, attempt, within_us)
 
-    async def require_awaited(self, delivery: Delivery) -> None:
+    async def require_waiting_caller(self, delivery: Delivery) -> None:
         """Checks that an order's caller still waits, for orders that no version protects.
 
         One that was held up on its way, and given up, may be the contrary of what was acknowledged
@@ -161,7 +161,7 @@
         if delivery.has_caller_left():
             raise NotReady("whoever sent the order waits for no answer")
 
-    def check(self, expiry: Expiry | None) -> None:
+    def check_expiry(self, expiry: Expiry | None) -> None:
         """Checks an order that has come to this node as the head.
 
         Raises:
@@ -195,7 +195,7 @@
     async def _watched(self, attempt: Awaitable[_Answer], view: View, end_us: int) -> _Answer:
         """The outcome of one attempt; it is given up with the view, the majority or the time."""
         task = asyncio.ensure_future(attempt)
-        is_brief = end_us - self._clock.now() <= ANSWER_US
+        is_brief = end_us - self._clock.now() <= ANSWER_TIMEOUT_US
         try:
             while not task.done():
                 if self._clock.now() >= end_us:
--- a/src/petrelhaven/control/resumable/control_interface.py
+++ b/src/petrelhaven/control/resumable/control_interface.py
@@ -63,7 +63,7 @@
 
     async def _show_configuration(self, request: web.Request) -> web.Response:
         confirmed = request.query.get("unconfirmed") != "true"
-        state = await self._node.control_state() if confirmed else self._node.unconfirmed()
+        state = await self._node.control_state() if confirmed else self._node.unconfirmed_state()
         accepted = state["manifest"]
         if "version" in request.query:
             version = request.query["version"]
--- a/src/petrelhaven/control/resumable/epoch_progress.py
+++ b/src/petrelhaven/control/resumable/epoch_progress.py
@@ -69,7 +69,9 @@
 
     async def _wait(self, key: EpochKey, epoch: EpochRecord, seq: int) -> None:
         try:
-            await self._lease_table.in_force(seq, epoch.grace_us, timeout_us=_IN_FORCE_TIMEOUT_US)
+            await self._lease_table.wait_in_force(
+                seq, epoch.grace_us, timeout_us=_IN_FORCE_TIMEOUT_US
+            )
             self._in_force_since[key] = self._clock.now()
         except Fault:
             pass
--- a/src/petrelhaven/control/resumable/interfaces.py
+++ b/src/petrelhaven/control/resumable/interfaces.py
@@ -61,7 +61,9 @@
     lease_ends: dict[str, int]
     unknown_leases_end: int
 
-    async def in_force(self, seq: int, grace_us: int = 0, timeout_us: int = 15_000_000) -> object:
+    async def wait_in_force(
+        self, seq: int, grace_us: int = 0, timeout_us: int = 15_000_000
+    ) -> object:
         """Returns once every proxy has acknowledged record `seq`, or its lease has expired."""
 
 
--- a/src/petrelhaven/control/resumable/leases.py
+++ b/src/petrelhaven/control/resumable/leases.py
@@ -6,7 +6,13 @@
 from typing import TYPE_CHECKING, Any
 
 from petrelhaven.control.consensus.chain import CONFIRM_US
-from petrelhaven.control.leases import Call, LeaseTable, Reports, expiry_us, newest_acknowledged
+from petrelhaven.control.leases import (
+    Call,
+    LeaseTable,
+    Reports,
+    lease_expiry_us,
+    newest_acknowledged,
+)
 from petrelhaven.transport.lease_messages import LeaseGrant, LeaseRequest
 
 if TYPE_CHECKING:
@@ -20,7 +26,7 @@
 __all__ = ["EXPIRY_US", "LEASE_US", "ResumableLeaseTable"]
 
 LEASE_US = 1_500_000
-EXPIRY_US = expiry_us(LEASE_US, CONFIRM_US)
+EXPIRY_US = lease_expiry_us(LEASE_US, CONFIRM_US)
 
 
 class ResumableLeaseTable(LeaseTable):
--- a/src/petrelhaven/control/resumable/node.py
+++ b/src/petrelhaven/control/resumable/node.py
@@ -8,10 +8,10 @@
 
 from petrelhaven.control.base_node import BaseControlNode
 from petrelhaven.control.configuration.parsing import parse_configuration
-from petrelhaven.control.order_messages import EnterAnswer, EnterRequest
 from petrelhaven.control.resumable.announcement import check_announcement
 from petrelhaven.control.resumable.leases import ResumableLeaseTable
 from petrelhaven.control.resumable.planning_duty import PlanningDuty
+from petrelhaven.control.submit_messages import SubmitAnswer, SubmitRequest
 from petrelhaven.runtime.errors import Duplicate, Fault, Invalid, Malformed, NotReady
 from petrelhaven.runtime.events import Events, emit
 from petrelhaven.transport.message_kinds import MessageKind
@@ -73,22 +73,22 @@
             "by": proxy,
         }
         try:
-            return {"seq": (await self.enter(record, False)).seq}
+            return {"seq": (await self.submit_record(record, False)).seq}
         except Duplicate:
             return {"seq": 0}
 
-    async def enter(self, record: dict[str, Any], force: bool = True) -> EnterAnswer:
+    async def submit_record(self, record: dict[str, Any], force: bool = True) -> SubmitAnswer:
         """Enters a record at the head; with `force`, returns once it is in force."""
         view = self.chain.view
         if view is None:
             raise NotReady("no view yet")
-        request = EnterRequest(record, force)
+        request = SubmitRequest(record, force)
         if view.head == self.name:
-            return await self.enter_as_head(request)
+            return await self.append_as_head(request)
         answer = await self.reach.call(
             view.head, MessageKind.CHAIN_ENTER, request.to_body(), _ENTER_TIMEOUT_US
         )
-        return EnterAnswer.from_body(answer)
+        return SubmitAnswer.from_body(answer)
 
     async def control_state(self) -> dict[str, Any]:
         """The document of the control state as the tail answers it."""
@@ -113,12 +113,12 @@
             note = "embargoes are kept only where sessions live with their connection"
             raise Invalid("manifest declined", details={"faults": [["embargoing", note]]})
         record = {"t": "manifest", "text": text, "by": by, "retire": retire}
-        answer = await self.enter(record)
+        answer = await self.submit_record(record)
         return {"version": configuration.version, **_change(answer)}
 
     async def set_zone_state(self, zone: str, state: str, by: str = "") -> dict[str, Any]:
         """Evacuates or restores a zone."""
-        answer = await self.enter({"t": "hall", "hall": zone, "state": state, "by": by})
+        answer = await self.submit_record({"t": "hall", "hall": zone, "state": state, "by": by})
         return {"hall": zone, "state": state, **_change(answer)}
 
     async def snapshots(self) -> dict[str, dict[str, Any]]:
@@ -169,6 +169,6 @@
         }
 
 
-def _change(answer: EnterAnswer) -> dict[str, Any]:
+def _change(answer: SubmitAnswer) -> dict[str, Any]:
     """What an operator is answered about a record that is in force."""
     return {"change": answer.seq, "in_force_us": answer.in_force_us}
--- a/src/petrelhaven/control/resumable/proxy_watch.py
+++ b/src/petrelhaven/control/resumable/proxy_watch.py
@@ -159,5 +159,5 @@
 
     async def _expire(self, name: str, incarnation: int, seq: int) -> None:
         """Records that a proxy's lease has certainly expired, once record `seq` is in force."""
-        await self._lease_table.in_force(seq)
+        await self._lease_table.wait_in_force(seq)
         await self._chain.enter(LeaseExpiryRecord(name, incarnation).to_document())
--- a/src/petrelhaven/control/order_messages.py
+++ b/src/petrelhaven/control/submit_messages.py
@@ -8,11 +8,11 @@
 
 from petrelhaven.control.consensus.peer_clocks import Expiry
 
-__all__ = ["EnterAnswer", "EnterRequest"]
+__all__ = ["SubmitAnswer", "SubmitRequest"]
 
 
 @dataclass(frozen=True, slots=True)
-class EnterRequest:
+class SubmitRequest:
     """An order to enter a record.
 
     Attributes:
@@ -31,13 +31,13 @@
         return {"rec": self.record, "force": self.force, "bound": bound}
 
     @classmethod
-    def from_body(cls, body: Mapping[str, Any]) -> EnterRequest:
+    def from_body(cls, body: Mapping[str, Any]) -> SubmitRequest:
         """Reads a message's body."""
         return cls(body["rec"], body["force"], Expiry.read(body["bound"]))
 
 
 @dataclass(frozen=True, slots=True)
-class EnterAnswer:
+class SubmitAnswer:
     """What became of an order.
 
     Attributes:
@@ -55,6 +55,6 @@
         return {"seq": self.seq, "forced": self.forced, "doc": {"in_force_us": self.in_force_us}}
 
     @classmethod
-    def from_body(cls, body: Mapping[str, Any]) -> EnterAnswer:
+    def from_body(cls, body: Mapping[str, Any]) -> SubmitAnswer:
         """Reads a message's body."""
         return cls(body["seq"], body["forced"], body["doc"]["in_force_us"])
--- a/src/petrelhaven/simulator/connection_sessions/control_answer.py
+++ b/src/petrelhaven/simulator/connection_sessions/control_answer.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from petrelhaven.control.node import ControlNode
-from petrelhaven.control.orders import ANSWER_US
+from petrelhaven.control.request_router import ANSWER_TIMEOUT_US
 from petrelhaven.runtime.errors import Duplicate, Fault, Stale, VersionTaken
 from petrelhaven.simulator.connection_sessions.operator_order import ConfigOrder, EvacuationOrder
 
@@ -58,6 +58,8 @@
 
 async def _carry_out(node: ControlNode, order: ConfigOrder | EvacuationOrder) -> None:
     if isinstance(order, ConfigOrder):
-        await node.apply(order.text, by="operator", within_us=ANSWER_US)
+        await node.apply(order.text, by="operator", within_us=ANSWER_TIMEOUT_US)
     else:
-        await node.set_zone_state(order.zone, order.state, by="operator", within_us=ANSWER_US)
+        await node.set_zone_state(
+            order.zone, order.state, by="operator", within_us=ANSWER_TIMEOUT_US
+        )
--- a/src/petrelhaven/simulator/connection_sessions/control_fleet.py
+++ b/src/petrelhaven/simulator/connection_sessions/control_fleet.py
@@ -56,7 +56,7 @@
         """The seeds of the settings file that machine `b` starts with."""
         return list(self._own_seeds.get(b.name, self.seeds))
 
-    def founds(self, b):
+    def may_decide_first_view(self, b):
         """True at the very first start alone."""
         return self._founding
 
--- a/src/petrelhaven/simulator/connection_sessions/faults.py
+++ b/src/petrelhaven/simulator/connection_sessions/faults.py
@@ -331,7 +331,11 @@
         await asyncio.sleep(r.uniform(5.3, 7))
         if m.running and not m.unresponsive:
             await asyncio.wait(
-                [m.machine.tasks.spawn(m.heartbeats.call_any(lambda n: n.depart(m.name)))],
+                [
+                    m.machine.tasks.spawn(
+                        m.heartbeats.call_any(lambda n: n.deregister_member(m.name))
+                    )
+                ],
                 timeout=5,
             )
         if m.running:
@@ -352,7 +356,7 @@
             return
         m.state = "draining"
         m.heartbeats.signed_off = True
-        said = m.machine.tasks.spawn(m.heartbeats.call_any(lambda n: n.depart(m.name)))
+        said = m.machine.tasks.spawn(m.heartbeats.call_any(lambda n: n.deregister_member(m.name)))
         await asyncio.wait([said], timeout=5)
         now = self.f.loop.time()
         acknowledged = said.done() and not said.cancelled() and said.result()
--- a/src/petrelhaven/simulator/connection_sessions/fleet.py
+++ b/src/petrelhaven/simulator/connection_sessions/fleet.py
@@ -142,7 +142,7 @@
         """The seeds that the settings of machine `b` name."""
         return list(self.seeds)
 
-    def founds(self, b):
+    def may_decide_first_view(self, b):
         """Whether the settings of core `b` say that the whole system starts for the first time."""
         return True
 
@@ -161,7 +161,7 @@
                 FailoverCaller(self.net, b, self.platform),
                 SimulatedWire(self.net, b),
                 self.heartbeat_us,
-                founds=self.founds(b),
+                may_decide_first_view=self.may_decide_first_view(b),
                 losses=self.losses,
                 wall_clock=self.wall_clock(b),
             )
--- a/src/petrelhaven/simulator/resumable/scenes/cores.py
+++ b/src/petrelhaven/simulator/resumable/scenes/cores.py
@@ -204,7 +204,7 @@
     bad = []
     if any(e.node.control.sends for e in w.edges):
         bad.append(("an edge sends without a majority of cores",))
-    if not behind and c.node.unconfirmed()["manifest"]["text"] != text:
+    if not behind and c.node.unconfirmed_state()["manifest"]["text"] != text:
         bad.append(("the newest manifest can't be read from the core that is left",))
     try:
         await w.ask(c, lambda n: n.reform(["c1"], "op"))
--- a/tests/limits_world.py
+++ b/tests/limits_world.py
@@ -13,8 +13,8 @@
 
 from petrelhaven.control.consensus.peer_clocks import PeerClocks
 from petrelhaven.control.counting.service import CountingService
-from petrelhaven.control.order_messages import EnterAnswer
 from petrelhaven.control.state.control_state import ControlState
+from petrelhaven.control.submit_messages import SubmitAnswer
 from petrelhaven.limits.terms import Quota
 from petrelhaven.proxy.tenants.admission import QuotaAdmission
 from petrelhaven.proxy.tenants.directory import TenantDirectory
@@ -203,8 +203,8 @@
     async def call(self, name, kind, body, timeout_us):
         return await self.world.call(self, name, kind, body, timeout_us)
 
-    async def enter(self, record, force=True, within_us=2_000_000):
-        return await self.world.enter(self, record, within_us)
+    async def submit_record(self, record, force=True, within_us=2_000_000):
+        return await self.world.submit_record(self, record, within_us)
 
 
 class CoreConnectionStub:
@@ -459,7 +459,7 @@
             result = fault
         back(result)
 
-    async def enter(self, node, record, within_us):
+    async def submit_record(self, node, record, within_us):
         """Enters a record; it may be entered although the answer is lost."""
         is_failed = self.rng.random() < self.failed_entry_share
         is_unanswered = self.rng.random() < self.unanswered_entry_share
@@ -475,7 +475,7 @@
             await node.clock.sleep(within_us)
             raise DeadlineExceeded("entered, but the answer is lost")
         await node.clock.sleep(self.rng.randrange(2_000, 30_000))
-        return EnterAnswer(self.control_state.seq, False)
+        return SubmitAnswer(self.control_state.seq, False)
 
     # Views
 
--- a/tests/model/operators.py
+++ b/tests/model/operators.py
@@ -3,7 +3,7 @@
 import asyncio
 import json
 
-from petrelhaven.control.orders import ANSWER_US
+from petrelhaven.control.request_router import ANSWER_TIMEOUT_US
 from petrelhaven.runtime.errors import Duplicate, Fault, Invalid, Malformed, NotSent, Stale
 
 __all__ = ["Operators", "configuration"]
@@ -102,7 +102,7 @@
         version = version or self.next_version()
         text = configuration(version, content)
         outcome, change = await self._order(
-            lambda node: node.apply(text, within_us=ANSWER_US), first
+            lambda node: node.apply(text, within_us=ANSWER_TIMEOUT_US), first
         )
         if outcome != "acknowledged":
             return False
@@ -124,7 +124,7 @@
             state = "open" if self.zones.get(zone) == "emptied" else "emptied"
             self.zones.pop(zone, None)
             outcome, change = await self._order(
-                lambda node: node.set_zone_state(zone, state, within_us=ANSWER_US), first
+                lambda node: node.set_zone_state(zone, state, within_us=ANSWER_TIMEOUT_US), first
             )
             if outcome == "acknowledged":
                 self.zones[zone] = state
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -130,10 +130,10 @@
 
 
 def acked_at_once(mp):
-    async def in_force(self, seq, grace_us=0, timeout_us=0):
+    async def wait_in_force(self, seq, grace_us=0, timeout_us=0):
         return 0
 
-    mp.setattr(lease_table.LeaseTable, "in_force", in_force)
+    mp.setattr(lease_table.LeaseTable, "wait_in_force", wait_in_force)
 
 
 def cold_is_warm(mp):
--- a/tests/test_connection_sessions_storm.py
+++ b/tests/test_connection_sessions_storm.py
@@ -119,10 +119,10 @@
 
 
 def no_barrier(mp):
-    async def in_force(self, seq, grace_us=0, timeout_us=0):
+    async def wait_in_force(self, seq, grace_us=0, timeout_us=0):
         return 0
 
-    mp.setattr(lease_table.ConnectionLeaseTable, "in_force", in_force)
+    mp.setattr(lease_table.ConnectionLeaseTable, "wait_in_force", wait_in_force)
 
 
 def no_lease(mp):
--- a/tests/test_control_interface.py
+++ b/tests/test_control_interface.py
@@ -271,7 +271,7 @@
         path = "/groups/g1/elect?member=m2&accept_loss=true&by=anna"
         st_, d, _ = await ask(http_server, "POST", path + "&office=1")
         assert (st_, d["fault"]) == (422, "invalid") and "served by m1" in str(d)
-        await node.depart("m1")
+        await node.deregister_member("m1")
         await until(lambda: node.chain.control_state.doc["offices"]["g1"].get("stuck"), 5)
         n = node.chain.control_state.doc["offices"]["g1"]["n"]
         wrong = (("&office=1", "racing"), (f"&office={n}&accept_loss=no", "invalid"))
--- a/tests/test_crash_points.py
+++ b/tests/test_crash_points.py
@@ -308,7 +308,7 @@
         store.recover()
     store.recover()
     assert not store.refuses_writes
-    assert start(disk.after_power_loss(SURVIVALS["missing"])).disk == store.disk_id
+    assert start(disk.after_power_loss(SURVIVALS["missing"])).disk_id == store.disk_id
 
 
 def test_the_issue_a_refused_write_then_space_again_four_records_and_a_restart():
--- a/tests/test_embargo_world.py
+++ b/tests/test_embargo_world.py
@@ -192,10 +192,10 @@
 def acknowledged_at_once(mp):
     from petrelhaven.control import leases as lease_table
 
-    async def in_force(self, seq, grace_us=0, timeout_us=0):
+    async def wait_in_force(self, seq, grace_us=0, timeout_us=0):
         return 0
 
-    mp.setattr(lease_table.LeaseTable, "in_force", in_force)
+    mp.setattr(lease_table.LeaseTable, "wait_in_force", wait_in_force)
 
 
 def own_clock(mp):
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -88,7 +88,7 @@
         self.rng, self.barrier, self.promote_as = random.Random(1), 0.0, []
         self.promote_s = 0.2
         self.wire = self.platform = self.reach = self.lease_table = self
-        self.name, self.zone, self.heartbeat_us, self.heard = "c1", "a", BEAT_US, {}
+        self.name, self.zone, self.heartbeat_us, self.last_heartbeats = "c1", "a", BEAT_US, {}
         self.others = {"c2": "same", "c3": "same"}
         led = ControlState()
         self.chain = types.SimpleNamespace(
@@ -170,7 +170,7 @@
     def evidence(self):
         return self.chain.control_state.evidence("g")
 
-    async def in_force(self, seq):
+    async def wait_in_force(self, seq):
         await asyncio.sleep(self.barrier)
         self.trace.append(("in force", seq))
 
@@ -497,7 +497,7 @@
 def test_missing_beats_are_a_doubt():
     async def go(e):
         e.dark("p", runs=False)
-        e.heard["p"] = (e.clock.now(), 1)
+        e.last_heartbeats["p"] = (e.clock.now(), 1)
         await asyncio.sleep(2.3)
         assert e.leadership["phase"] == "serve"
         await e.until(lambda: e.calls and e.settled, 3)
--- a/tests/test_held_up_orders.py
+++ b/tests/test_held_up_orders.py
@@ -7,7 +7,7 @@
 from test_control_interface import ask, on_a_node
 from test_control_interface import configuration as small
 
-from petrelhaven.control.orders import OrderRouter
+from petrelhaven.control.request_router import RequestRouter
 
 EVACUATE = b"POST /halls/a/evacuate HTTP/1.1\r\nHost: c\r\nContent-Length: 0\r\n\r\n"
 HELD_S = 0.8
@@ -94,7 +94,7 @@
     async def no_check(self, delivery):
         return
 
-    monkeypatch.setattr(OrderRouter, "require_awaited", no_check)
+    monkeypatch.setattr(RequestRouter, "require_waiting_caller", no_check)
 
     async def go(node, http_server):
         await configured(http_server)
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -9,7 +9,7 @@
 from petrelhaven.control.consensus.chain import Chain
 from petrelhaven.control.consensus.core_report import CoreReport
 from petrelhaven.control.consensus.view import View
-from petrelhaven.control.orders import ANSWER_US
+from petrelhaven.control.request_router import ANSWER_TIMEOUT_US
 from petrelhaven.runtime.errors import Duplicate, Fault
 from petrelhaven.simulator.connection_sessions.storm import inside
 
@@ -93,7 +93,7 @@
         async def order(machine, at):
             await asyncio.sleep(at)
             start = f.loop.time()
-            await outcome(machine.node.set_zone_state("a", "emptied", within_us=ANSWER_US))
+            await outcome(machine.node.set_zone_state("a", "emptied", within_us=ANSWER_TIMEOUT_US))
             took.append(f.loop.time() - start)
 
         machines = others(f, head) if how is freeze else f.cores
@@ -123,7 +123,9 @@
         tries = 0
         while (
             await outcome(
-                others(f, head)[tries % 2].node.set_zone_state("a", "emptied", within_us=ANSWER_US)
+                others(f, head)[tries % 2].node.set_zone_state(
+                    "a", "emptied", within_us=ANSWER_TIMEOUT_US
+                )
             )
             != "acknowledged"
         ):
@@ -147,7 +149,7 @@
             {
                 "rec": {"t": "hall", "hall": "a", "state": "emptied"},
                 "force": False,
-                "bound": (await near.node.orders._expiry(head.name, 850_000)).document(),
+                "bound": (await near.node.request_router._expiry(head.name, 850_000)).document(),
             },
             20_000_000,
         )
@@ -171,7 +173,9 @@
         await asyncio.sleep(1.0)
 
         async def there():
-            return await outcome(head.node.set_zone_state("a", "emptied", within_us=ANSWER_US))
+            return await outcome(
+                head.node.set_zone_state("a", "emptied", within_us=ANSWER_TIMEOUT_US)
+            )
 
         begin = near.tasks.spawn(f.net.trip(f.out, head, there, 20_000_000))
         await asyncio.sleep(4)
@@ -271,7 +275,7 @@
 
         def say():
             if farewell:
-                return head.node.depart("m9")
+                return head.node.deregister_member("m9")
             return head.node.announce(announcement("draining"))
 
         first = head.tasks.spawn(outcome(say()))
--- a/tests/test_platform_orders.py
+++ b/tests/test_platform_orders.py
@@ -11,7 +11,7 @@
 sys.path.insert(0, str(Path(__file__).parent.parent / "platform"))
 
 from core import ControlRoutes  # noqa: E402
-from petrelhaven.control.orders import ANSWER_US  # noqa: E402
+from petrelhaven.control.request_router import ANSWER_TIMEOUT_US  # noqa: E402
 from petrelhaven.runtime.errors import (  # noqa: E402
     DeadlineExceeded,
     Duplicate,
@@ -68,10 +68,13 @@
         replace = await http_server.answer(Request("POST", "/v1/Config.Replace", CONFIGURATION))
         begin = await http_server.answer(Request("POST", "/v1/Evacuations.Begin/a", b""))
         finish = await http_server.answer(Request("POST", "/v1/Evacuations.Finish/a", b""))
-        assert node.within == [ANSWER_US] * 3 and ANSWER_US < 1_000_000
+        assert node.within == [ANSWER_TIMEOUT_US] * 3 and ANSWER_TIMEOUT_US < 1_000_000
         if fault:
             fetch = await http_server.answer(Request("GET", "/v1/Config.Fetch", b""))
-            assert node.within[3] == ANSWER_US and (fetch[0], fetch[2]) == (begin[0], begin[2])
+            assert node.within[3] == ANSWER_TIMEOUT_US and (fetch[0], fetch[2]) == (
+                begin[0],
+                begin[2],
+            )
         return [
             (status, dict(heads).get("Retry-After"))
             for status, _, heads in (replace, begin, finish)
