--- a/src/petrelhaven/control/node.py
+++ b/src/petrelhaven/control/node.py
@@ -92,7 +92,7 @@
             platform: Promotes members.
             wire: Opens connections to members.
             heartbeat_us: How often members announce themselves.
-            may_decide_first_view: Whether this node, if it is a seed, may help decide the first view.
+            may_decide_first_view: Whether this node, if a seed, may decide the first view.
             losses: How many control nodes may be lost at once.
             wall_clock: Read for embargoes.
         """
--- a/tests/test_tenant_upgrades.py
+++ b/tests/test_tenant_upgrades.py
@@ -65,7 +65,7 @@
     """Guards against keys in a support bundle: the record holds the operator's document."""
 
     class Store:
-        recs = [(1, 1, record(DOCUMENT))]
+        recent_records = [(1, 1, record(DOCUMENT))]
 
     class Chain:
         store, commit = Store(), 1
