--- a/src/petrelhaven/control/state/__init__.py
+++ b/src/petrelhaven/control/state/__init__.py
@@ -1,1 +1,1 @@
-"""The replicated control state and its checks."""
+"""The replicated control state and its records."""
--- a/src/petrelhaven/control/state/base.py
+++ b/src/petrelhaven/control/state/base.py
@@ -1,8 +1,8 @@
-"""What the control states of both kinds of sessions have in common.
+"""The base class of the control states for connection sessions and for resumable sessions.
 
-A control state is a JSON document that only numbered records change. Each control node and each
-proxy has one; after the same records all are the same. A record is checked where it enters the
-chain, and applied everywhere.
+A control state is a JSON document that only numbered records change. Every control node and every
+proxy has one, and after the same records all of them are equal. The head of the chain checks a
+record before it appends it; every node and proxy applies it.
 """
 
 from __future__ import annotations
@@ -27,55 +27,55 @@
 
 
 def configuration_digest(text: str) -> str:
-    """The digest by which nodes compare configurations."""
+    """Returns the SHA-256 digest of a configuration, by which nodes compare configurations."""
     return hashlib.sha256(text.encode()).hexdigest()
 
 
 class BaseControlState(Generic[ConfigurationT, RecordT]):
-    """Checks and applies numbered records.
+    """A control state, which checks and applies numbered records.
 
     Attributes:
-        seq: The number of the record applied last.
+        seq: The number of the last applied record.
         doc: The stored document; its keys are part of the stored data.
     """
 
     __slots__ = ("seq", "doc", "_configuration")
 
     def __init__(self, document: Document) -> None:
-        """Takes over `document`, which the caller doesn't use any more."""
+        """Uses `document` without copying it."""
         self.doc = document
         self.seq: int = document["seq"]
         self._configuration: ConfigurationT | None = None
 
     @property
     def configuration(self) -> ConfigurationT | None:
-        """The configuration in force, or None before the first."""
+        """The configuration in force, or None before the first one."""
         if self._configuration is None and self.doc["manifest"]:
             self._configuration = self.read_configuration(self.doc["manifest"]["text"])
         return self._configuration
 
     def snapshot(self) -> Document:
-        """A deep copy of the whole document."""
+        """Returns a deep copy of the document."""
         return copy.deepcopy(self.doc)
 
     def check(self, document: Document) -> None:
-        """Raises a typed fault if the record of `document` must be declined now."""
+        """Raises a typed fault if the record in `document` is invalid in the current state."""
         self._check(self._read_record(document))
 
     def apply(self, seq: int, document: Document) -> None:
-        """Applies the record of `document`, which is number `seq`."""
+        """Applies the record in `document`, which must be the next one and has number `seq`."""
         if seq != self.seq + 1:
             raise AssertionError((seq, self.seq))
         self._apply(self._read_record(document))
         self.seq = self.doc["seq"] = seq
 
     def zone_state(self, name: str) -> str:
-        """Whether a zone is open or evacuated."""
+        """Returns `ZONE_OPEN` or `ZONE_EVACUATED`."""
         state: str = self.doc["halls"].get(name, ZONE_OPEN)
         return state
 
     def reported_state(self) -> Document:
-        """What `petrelhaven-diff` compares of this state."""
+        """Returns the part of this state that `petrelhaven-diff` compares between nodes."""
         accepted = self.doc["manifest"]
         return {
             "seq": self.seq,
@@ -86,23 +86,23 @@
         }
 
     def read_configuration(self, text: str) -> ConfigurationT:
-        """What `configuration` answers for the text of a configuration that was accepted."""
+        """Parses the text of an accepted configuration, for `configuration`."""
         raise NotImplementedError
 
     def _read_record(self, document: Document) -> RecordT:
-        """The record of a document; KeyError for a kind that isn't known."""
+        """Reads the record in a document; raises KeyError for an unknown kind."""
         raise NotImplementedError
 
     def _check(self, record: RecordT) -> None:
-        """Raises a typed fault if `record` must be declined now."""
+        """Raises a typed fault if `record` is invalid in the current state."""
         raise NotImplementedError
 
     def _apply(self, record: RecordT) -> None:
-        """Changes the document; `seq` is still the number of the record before."""
+        """Changes the document; `seq` is still the number of the previous record."""
         raise NotImplementedError
 
     def _reported_groups(self) -> Mapping[str, Any]:
-        """What differs between the kinds of sessions in what `petrelhaven-diff` compares."""
+        """Returns the entries of `reported_state` that depend on the kind of sessions."""
         raise NotImplementedError
 
     def _check_zone(self, record: ZoneRecord) -> None:
--- a/src/petrelhaven/control/state/control_state.py
+++ b/src/petrelhaven/control/state/control_state.py
@@ -1,4 +1,4 @@
-"""Control state of connection sessions: configuration, zones, members, leaderships, evidence."""
+"""The control state for connection sessions: configuration, zones, members and leaderships."""
 
 from __future__ import annotations
 
@@ -42,20 +42,20 @@
 __all__ = ["ControlState"]
 
 MEMBER_GONE = "gone"
-_READY = "ready"
-_MOST_GONE_MEMBERS = 64
-_MOST_PAST_LEADERSHIPS = 16
-_MOST_ACCEPTED_VERSIONS = 128
-_NAME_LENGTH = 60
+_MEMBER_READY = "ready"
+_MAX_GONE_MEMBERS = 64
+_MAX_PAST_LEADERSHIPS = 16
+_MAX_ACCEPTED_VERSIONS = 128
+_MAX_SHOWN_NAME_LENGTH = 60
 
 
 class ControlState(BaseControlState[dict[str, Any], ControlRecord]):
-    """What all nodes agree on where sessions end with their client's connection."""
+    """The replicated state of a fleet with connection sessions."""
 
     __slots__ = ()
 
     def __init__(self, document: Document | None = None) -> None:
-        """Takes over a stored document; what older versions left out is filled in."""
+        """Uses a stored document and adds the fields that older versions didn't write."""
         super().__init__(
             {
                 "seq": 0,
@@ -71,27 +71,30 @@
             }
         )
         if document and "evidence" not in document:
-            self._evidence_of_older_version()
+            self._add_missing_evidence()
 
     @property
     def accepted_configuration(self) -> AcceptedConfiguration | None:
-        """The configuration in force as it was accepted, or None before the first."""
+        """The configuration in force with its digest and author, or None before the first one."""
         row = self.doc["manifest"]
         return AcceptedConfiguration.from_row(row) if row else None
 
     def member(self, name: str) -> Member | None:
-        """The member of that name, also if it is gone and still remembered."""
+        """Returns the member `name`, also a departed one that is still stored; None if unknown."""
         row = self.doc["members"].get(name)
         return None if row is None else Member.from_row(name, row)
 
     def leadership(self, group: str) -> Leadership | None:
-        """Who leads `group`; None until it is served."""
+        """Returns the leadership of `group`, or None before its first one."""
         row = self.doc["offices"].get(group)
         return None if row is None else Leadership.from_row(row)
 
     @property
     def counting_starts(self) -> dict[str, CountingStart]:
-        """The last beginning of each node that began to count tenants without a past."""
+        """The last start of counting of each control node, by name.
+
+        Only starts without the previous counts are recorded.
+        """
         return {node: CountingStart(*row) for node, row in self.doc.get("counting", {}).items()}
 
     def group_members(self, group: str) -> dict[str, Document]:
@@ -103,11 +106,11 @@
         }
 
     def evidence(self, group: str) -> Evidence:
-        """What is recorded about the logs of a group's members."""
+        """Returns the recorded evidence about the logs of a group's members."""
         return Evidence.from_document(self.doc["evidence"].get(group))
 
     def read_configuration(self, text: str) -> dict[str, Any]:
-        """The configuration as its text has it; the platform's start puts its own reader here."""
+        """Parses a configuration as plain JSON; the platform's programs replace this method."""
         configuration: dict[str, Any] = json.loads(text)
         return configuration
 
@@ -135,7 +138,7 @@
                 self._check_evidence(record)
             case SupersededConfiguration():
                 raise declined(
-                    "nothing enters a placeholder",
+                    "a placeholder record cannot be submitted",
                     [ConfigurationFault("t", "must be another kind")],
                 )
             case CountingRecord():
@@ -179,7 +182,7 @@
             check_configuration(self.doc, record.embargo)
         digest = self._accepted_digest(record.version)
         if digest is not None and (
-            digest == configuration_digest(record.text) or _has_origin_of(record, accepted)
+            digest == configuration_digest(record.text) or _has_same_origin(record, accepted)
         ):
             state = "in force" if record.version == accepted.version else "accepted"
             raise Duplicate(
@@ -195,28 +198,37 @@
                 f"version {accepted.version} is in force", details={"version": accepted.version}
             )
         if record.retire is False:
-            self._check_no_served_group_is_dropped(record)
+            self._check_no_served_group_removed(record)
 
-    def _check_no_served_group_is_dropped(self, record: ConfigurationRecord) -> None:
+    def _check_no_served_group_removed(self, record: ConfigurationRecord) -> None:
         remaining = {group["name"] for group in json.loads(record.text)["groups"]}
         configuration = self.configuration or {"groups": []}
-        dropped = {group["name"] for group in configuration["groups"]} - remaining
-        served = sorted(dropped & set(self.doc["offices"]))
+        removed = {group["name"] for group in configuration["groups"]} - remaining
+        served = sorted(removed & set(self.doc["offices"]))
         if served:
             raise declined(
                 "manifest declined",
                 [
-                    ConfigurationFault("groups", f"group {g} is served; retire it with retire=true")
-                    for g in served
+                    ConfigurationFault(
+                        "groups", f"group {group} is served; retire it with retire=true"
+                    )
+                    for group in served
                 ],
             )
 
     def _accepted_digest(self, version: int) -> str | None:
-        """The digest of the configuration accepted under `version`, if it is remembered."""
+        """Returns the digest of the configuration accepted as `version`, or None if not stored."""
         accepted = self.accepted_configuration
         if accepted is not None and accepted.version == version:
             return accepted.digest
-        return next((d for v, d in reversed(self.doc["accepted"]) if v == version), None)
+        return next(
+            (
+                digest
+                for accepted_version, digest in reversed(self.doc["accepted"])
+                if accepted_version == version
+            ),
+            None,
+        )
 
     def _apply_configuration(self, record: ConfigurationRecord) -> None:
         accepted = AcceptedConfiguration(
@@ -228,7 +240,7 @@
         )
         self.doc["manifest"] = accepted.to_row()
         self.doc["accepted"].append([accepted.version, accepted.digest])
-        del self.doc["accepted"][:-_MOST_ACCEPTED_VERSIONS]
+        del self.doc["accepted"][:-_MAX_ACCEPTED_VERSIONS]
         if record.embargo is not None or "embargo_since" in self.doc:
             from petrelhaven.control.embargo.rules import apply_configuration
 
@@ -240,7 +252,7 @@
         if row is None:
             return
         not_newer = record.count <= row["count"]
-        if row["state"] != _READY and record.state == _READY and not_newer:
+        if row["state"] != _MEMBER_READY and record.state == _MEMBER_READY and not_newer:
             raise Stale(
                 f"member {record.name} is {row['state']}; this was said before",
                 details={"count": row["count"]},
@@ -252,11 +264,11 @@
         members = self.doc["members"]
         for name, row in members.items():
             if name != record.name and row["addr"] == record.address:
-                self._succeed(name, row, record.group)
+                self._replace_member_at_address(name, row, record.group)
         members.pop(record.name, None)
         members[record.name] = dict(record.row)
         gone = [name for name, row in members.items() if row["state"] == MEMBER_GONE]
-        for name in gone[: max(0, len(gone) - _MOST_GONE_MEMBERS)]:
+        for name in gone[: max(0, len(gone) - _MAX_GONE_MEMBERS)]:
             del members[name]
         sizes = self.doc["sizes"]
         group = record.group
@@ -268,69 +280,78 @@
             raise Duplicate(f"member {record.name} is gone")
 
     def _apply_departure(self, record: DepartureRecord) -> None:
-        self._depart(record.name)
+        self._mark_departed(record.name)
 
-    def _depart(self, name: str) -> None:
-        """A member signed off: its copy is gone with it."""
+    def _mark_departed(self, name: str) -> None:
+        """Marks member `name` as gone and updates the evidence of its group.
+
+        Its copy of the log counts as lost.
+        """
         row = self.doc["members"][name]
         row["state"] = MEMBER_GONE
         group = row["group"]
         leadership = self.leadership(group)
-        moving = leadership is not None and not leadership.is_serving
+        in_change = leadership is not None and not leadership.is_serving
         evidence = self.evidence(group)
-        self._put_evidence(group, evidence.with_departure(name, moving))
-        if name in evidence.counted_out and not moving:
-            self._shrink(group)
+        self._put_evidence(group, evidence.with_departure(name, in_change))
+        if name in evidence.counted_out and not in_change:
+            self._reduce_known_size(group)
 
-    def _succeed(self, name: str, row: Document, group: str) -> None:
-        """A member of `group` came to the address of member `name`."""
+    def _replace_member_at_address(self, name: str, row: Document, group: str) -> None:
+        """Marks member `name` as gone because a member of `group` announced its address."""
         was_gone = row["state"] == MEMBER_GONE
         row["state"] = MEMBER_GONE
         if row["group"] != group:
             if not was_gone:
-                self._depart(name)
+                self._mark_departed(name)
             return
-        before = self.evidence(group)
-        after = before.with_successor(name)
-        if after != before:
-            self._put_evidence(group, after)
+        evidence = self.evidence(group)
+        updated = evidence.with_successor(name)
+        if updated != evidence:
+            self._put_evidence(group, updated)
 
-    def _shrink(self, group: str) -> None:
-        """One copy fewer has to be known for a proof."""
-        least = len(self.group_members(group)) + len(self.evidence(group).unproven)
-        self.doc["sizes"][group] = max(least, self.doc["sizes"].get(group, 0) - 1)
+    def _reduce_known_size(self, group: str) -> None:
+        """Reduces by one how many copies of the log a proof of completeness needs."""
+        minimum = len(self.group_members(group)) + len(self.evidence(group).unproven)
+        self.doc["sizes"][group] = max(minimum, self.doc["sizes"].get(group, 0) - 1)
 
     def _put_evidence(self, group: str, evidence: Evidence) -> None:
         self.doc["evidence"][group] = evidence.document()
 
-    def _evidence_of_older_version(self) -> None:
-        """A version without evidence knew only how many members a group ever had at once."""
+    def _add_missing_evidence(self) -> None:
+        """Derives evidence for a document written before evidence was recorded.
+
+        Such a document has only the largest number of members that a group had at once, so the
+        missing ones count as unproven.
+        """
         for group, size in self.doc["sizes"].items():
             missing = size - len(self.group_members(group))
             if missing > 0:
-                names = tuple(f"unrecorded-{i + 1}" for i in range(missing))
+                names = tuple(f"unrecorded-{index + 1}" for index in range(missing))
                 self._put_evidence(group, Evidence(unproven=names))
 
     def _check_evidence(self, record: EvidenceRecord) -> None:
-        """Evidence may be added about members that are there, and orders about groups that halt."""
+        """Accepts evidence about present members and orders for groups without a primary."""
         group = record.group
         leadership = self.leadership(group)
         if leadership is None:
-            raise NoRoute(f"no group {group[:_NAME_LENGTH]} is served")
+            raise NoRoute(f"no group {group[:_MAX_SHOWN_NAME_LENGTH]} is served")
         if isinstance(record, CountedOutRecord) and record.member not in self.group_members(group):
             raise Stale(f"member {record.member} is gone")
         if isinstance(record, ElectionOrderRecord):
-            self._check_order(record, leadership)
+            self._check_election_order(record, leadership)
 
-    def _check_order(self, record: ElectionOrderRecord, leadership: Leadership) -> None:
-        group, member = record.group[:_NAME_LENGTH], record.member
+    def _check_election_order(self, record: ElectionOrderRecord, leadership: Leadership) -> None:
+        group, member = record.group[:_MAX_SHOWN_NAME_LENGTH], record.member
         if leadership.phase is not LeadershipPhase.FAILOVER:
             served = f"group {group} is served by {leadership.primary}"
             raise declined("no election is waited for", [ConfigurationFault("group", served)])
         if record.number != leadership.number:
-            raise Conflict(f"office {leadership.number} of {group} waits, not {record.number}")
+            raise Conflict(
+                f"leadership {leadership.number} of {group} is waiting, not {record.number}"
+            )
         if member not in self.group_members(record.group):
-            missing = f"no member {member[:_NAME_LENGTH]} in group {group}"
+            missing = f"no member {member[:_MAX_SHOWN_NAME_LENGTH]} in group {group}"
             raise declined("no such member", [ConfigurationFault("member", missing)])
         order = self.evidence(record.group).order
         if order is not None and order.member == member:
@@ -343,45 +364,45 @@
             case CountedOutRecord():
                 evidence = evidence.with_counted_out(record.member, record.position)
             case LogBoundRecord():
-                self._apply_bound(record, evidence)
+                self._apply_log_bound(record, evidence)
                 return
             case ElectionOrderRecord():
                 evidence = evidence.with_order(ElectionOrder(record.member, record.by))
         self._put_evidence(group, evidence)
 
-    def _apply_bound(self, record: LogBoundRecord, evidence: Evidence) -> None:
+    def _apply_log_bound(self, record: LogBoundRecord, evidence: Evidence) -> None:
         resolved = len(set(record.members) & set(evidence.unproven))
         self._put_evidence(record.group, evidence.with_bound(record.members, record.position))
         for _ in range(resolved):
-            self._shrink(record.group)
+            self._reduce_known_size(record.group)
 
     def _check_leadership(self, record: LeadershipRecord) -> None:
-        before = self.leadership(record.group)
-        number = before.number if before else 0
+        current = self.leadership(record.group)
+        number = current.number if current else 0
         if record.number != number + 1:
             raise Conflict(f"office {record.number} does not follow {number}")
 
     def _apply_leadership(self, record: LeadershipRecord) -> None:
-        before = self.leadership(record.group)
-        row = {**record.row, "since": _leadership_since(before, record)}
+        previous = self.leadership(record.group)
+        row = {**record.row, "since": _leadership_since(previous, record)}
         self.doc["offices"][record.group] = row
-        if record.phase == LeadershipPhase.SERVING and before is not None:
+        if record.phase == LeadershipPhase.SERVING and previous is not None:
             evidence = self.evidence(record.group).with_primary(
-                before.primary != record.primary,
+                previous.primary != record.primary,
                 record.position or NO_POSITION,
                 bool(record.accepted_loss),
             )
             self._put_evidence(record.group, evidence)
-        past = self.doc["past"].setdefault(record.group, [])
-        past.append({**row, "seq": self.seq + 1})
-        del past[:-_MOST_PAST_LEADERSHIPS]
+        history = self.doc["past"].setdefault(record.group, [])
+        history.append({**row, "seq": self.seq + 1})
+        del history[:-_MAX_PAST_LEADERSHIPS]
 
     def _check_counting(self, record: CountingRecord) -> None:
         if not record.settled_seq:
             return
         start = self.counting_starts.get(record.node)
         if start is None or start.is_settled or start.seq != record.settled_seq:
-            raise Stale(f"node {record.node} began anew since, or is settled")
+            raise Stale(f"node {record.node} has started to count again or is settled already")
 
     def _apply_counting(self, record: CountingRecord) -> None:
         start = record.next_start(self.counting_starts.get(record.node), self.seq + 1)
@@ -398,7 +419,7 @@
         apply(self.doc, record, self.seq + 1)
 
     def _reported_groups(self) -> Document:
-        """What differs between the kinds of sessions in what `petrelhaven-diff` compares."""
+        """Returns the entries of `reported_state` that depend on the kind of sessions."""
         members = sorted(self.doc["members"].items())
         return {
             "epochs": self.doc["offices"],
@@ -407,8 +428,12 @@
         }
 
 
-def _has_origin_of(record: ConfigurationRecord, accepted: AcceptedConfiguration) -> bool:
-    """Whether both were made from one document, of which another version made another text."""
+def _has_same_origin(record: ConfigurationRecord, accepted: AcceptedConfiguration) -> bool:
+    """Returns whether both texts have the same origin.
+
+    The origin identifies the operator's document. Another version of the programs may make another
+    text from the same document.
+    """
     if record.version != accepted.version:
         return False
     origin = json.loads(record.text).get("origin")
@@ -419,8 +444,8 @@
     return {key: value for key, value in row.items() if key != "count"}
 
 
-def _leadership_since(before: Leadership | None, record: LeadershipRecord) -> int:
-    """The number of the first record from which primary and phase are what they are."""
-    if before is None or (before.primary, before.phase) != (record.primary, record.phase):
+def _leadership_since(previous: Leadership | None, record: LeadershipRecord) -> int:
+    """Returns the number of the first record with this primary and phase."""
+    if previous is None or (previous.primary, previous.phase) != (record.primary, record.phase):
         return record.number
-    return before.since
+    return previous.since
--- a/src/petrelhaven/control/state/counting_record.py
+++ b/src/petrelhaven/control/state/counting_record.py
@@ -1,4 +1,4 @@
-"""The record by which a control node begins to count tenants' operations without a past."""
+"""The record of a control node that starts to count tenants' operations without previous counts."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 class CountingStart(NamedTuple):
-    """The last beginning of a node.
+    """The last start of counting of a control node.
 
     Attributes:
-        seq: The number of the record by which it began.
-        view_number: The view in which it began; an earlier one while that beginning is not settled.
-        first_view: The view in which it began for the first time.
-        is_settled: Whether nothing that was granted before counts in any window any more.
+        seq: The number of the record of the start.
+        view_number: The view of the start, or of the first of several starts that aren't settled.
+        first_view: The view of the node's first start.
+        is_settled: Whether all quota windows that contain grants from before the start are over.
     """
 
     seq: int
@@ -28,7 +28,13 @@
 
 @dataclass(frozen=True, slots=True)
 class CountingRecord:
-    """A node begins to count in a view, or its beginning by record `settled_seq` is over."""
+    """A control node starts to count in a view, or an earlier start is settled.
+
+    Attributes:
+        node: The name of the control node.
+        view_number: The view of the start.
+        settled_seq: The number of the record whose start is settled; 0 for a start.
+    """
 
     kind: ClassVar[str] = "counting"
     node: str
@@ -37,11 +43,11 @@
 
     @classmethod
     def from_document(cls, document: Document) -> CountingRecord:
-        """Reads what `to_document` made."""
+        """Reads a document written by `to_document`."""
         return cls(document["node"], document["view"], document["settles"])
 
     def to_document(self) -> Document:
-        """The record as plain JSON values."""
+        """Returns the record as a JSON document."""
         return {
             KIND_KEY: self.kind,
             "node": self.node,
@@ -49,11 +55,11 @@
             "settles": self.settled_seq,
         }
 
-    def next_start(self, before: CountingStart | None, seq: int) -> CountingStart:
-        """The node's last beginning after this record, which is number `seq`."""
-        if self.settled_seq and before is not None:
-            return before._replace(is_settled=True)
-        if before is None:
+    def next_start(self, previous: CountingStart | None, seq: int) -> CountingStart:
+        """Returns the node's last start after this record, which has number `seq`."""
+        if self.settled_seq and previous is not None:
+            return previous._replace(is_settled=True)
+        if previous is None:
             return CountingStart(seq, self.view_number, self.view_number, False)
-        view_number = self.view_number if before.is_settled else before.view_number
-        return CountingStart(seq, view_number, before.first_view, False)
+        view_number = self.view_number if previous.is_settled else previous.view_number
+        return CountingStart(seq, view_number, previous.first_view, False)
--- a/src/petrelhaven/control/state/evidence_records.py
+++ b/src/petrelhaven/control/state/evidence_records.py
@@ -1,6 +1,6 @@
-"""Records about the logs of a group's members: what elections are proved from.
+"""Records of evidence about the logs of a group's members.
 
-What they add up to is in `control/failover/evidence`.
+`control/failover/evidence` combines them into the proof that an election loses no commit.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CountedOutRecord:
-    """Evidence: a leaving member is paused at `position`, or receives again if that is None."""
+    """A leaving member is paused at `position`, or receives again if that is None."""
 
     kind: ClassVar[str] = "evidence"
     what: ClassVar[str] = "counted_out"
@@ -33,11 +33,11 @@
 
     @classmethod
     def from_document(cls, document: Document) -> CountedOutRecord:
-        """Reads what `to_document` made."""
+        """Reads a document written by `to_document`."""
         return cls(document["group"], document["member"], parse_position(document["pos"]))
 
     def to_document(self) -> Document:
-        """The record as plain JSON values."""
+        """Returns the record as a JSON document."""
         return {
             KIND_KEY: self.kind,
             "group": self.group,
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogBoundRecord:
-    """Evidence: the logs of `members`, which have ended, are at or below `position`."""
+    """The logs of `members`, which have left, end at or below `position`."""
 
     kind: ClassVar[str] = "evidence"
     what: ClassVar[str] = "bounded"
@@ -59,12 +59,12 @@
 
     @classmethod
     def from_document(cls, document: Document) -> LogBoundRecord:
-        """Reads what `to_document` made."""
-        first, second = document["pos"]
-        return cls(document["group"], tuple(document["members"]), (first, second))
+        """Reads a document written by `to_document`."""
+        term, index = document["pos"]
+        return cls(document["group"], tuple(document["members"]), (term, index))
 
     def to_document(self) -> Document:
-        """The record as plain JSON values."""
+        """Returns the record as a JSON document."""
         return {
             KIND_KEY: self.kind,
             "group": self.group,
@@ -76,9 +76,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ElectionOrderRecord:
-    """Evidence: the operator `by` orders to elect `member` without proof.
+    """The operator `by` orders the election of `member` without proof.
 
-    `number` is that of the waiting leadership which the operator saw.
+    `number` is the number of the waiting leadership that the operator saw.
     """
 
     kind: ClassVar[str] = "evidence"
@@ -90,11 +90,11 @@
 
     @classmethod
     def from_document(cls, document: Document) -> ElectionOrderRecord:
-        """Reads what `to_document` made."""
+        """Reads a document written by `to_document`."""
         return cls(document["group"], document["member"], document["n"], document["by"])
 
     def to_document(self) -> Document:
-        """The record as plain JSON values."""
+        """Returns the record as a JSON document."""
         return {
             KIND_KEY: self.kind,
             "group": self.group,
@@ -107,7 +107,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnknownEvidenceRecord:
-    """Evidence of a sort that only a newer version knows; it changes nothing here."""
+    """Evidence of a kind that only a newer version supports; it changes nothing."""
 
     kind: ClassVar[str] = "evidence"
     group: str
@@ -115,11 +115,11 @@
 
     @classmethod
     def from_document(cls, document: Document) -> UnknownEvidenceRecord:
-        """Reads what is common to all evidence."""
+        """Reads the fields that all evidence records have."""
         return cls(document["group"], document["what"])
 
     def to_document(self) -> Document:
-        """The record as plain JSON values."""
+        """Returns the record as a JSON document."""
         return {KIND_KEY: self.kind, "group": self.group, "what": self.what}
 
 
@@ -132,6 +132,6 @@
 
 
 def evidence_from_document(document: Document) -> EvidenceRecord:
-    """The record of a JSON document of kind `evidence`."""
+    """Reads a document of kind `evidence`."""
     read = _READERS.get(document["what"], UnknownEvidenceRecord.from_document)
     return read(document)
--- a/src/petrelhaven/control/state/records.py
+++ b/src/petrelhaven/control/state/records.py
@@ -1,11 +1,11 @@
 """The numbered records that change the control state, as typed values and as JSON documents.
 
-The chain, the record log and the links carry records as JSON documents and don't look into them.
-What enters a record builds it here and passes `to_document()` on; what applies one reads it with
-`from_document`. The keys of the documents are part of the stored data and stay as they are (`t`
-is the kind of a record); an optional field that is None is left out.
+The chain, the record log and the connections carry records as JSON documents without reading them.
+Code that submits a record builds it here and passes on `to_document()`; code that applies one reads
+it with `from_document`. The keys of the documents are part of the stored data and must not change
+(`t` is the kind of a record). Optional fields that are None are left out.
 
-Records that only the control state of resumable sessions has are in `control/resumable/records`.
+`control/resumable/records` has the records that only resumable sessions use.
 """
 
 from __future__ import annotations
@@ -40,18 +40,18 @@
     "from_document",
 ]
 
-_GONE = "gone"
+_MEMBER_GONE = "gone"
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationRecord:
-    """A whole configuration.
+    """A complete configuration.
 
     Attributes:
-        text: The operator's document as it came.
-        version: Its version; 0 where the text is read for it (resumable sessions).
+        text: The operator's document, unchanged.
+        version: Its version; 0 with resumable sessions, which read it from the text.
         by: Who applied it.
-        retire: Whether groups that are served may be dropped; None if that wasn't said.
+        retire: Whether groups with a primary may be removed; None if not specified.
         embargo: Scope and rules of its embargoes; None without any.
     """
 
@@ -64,7 +64,7 @@
 
     @classmethod
     def from_document(cls, document: Document) -> ConfigurationRecord:
-        """Reads what `to_document` made."""
+        """Reads a document written by `to_document`."""
         return cls(
             text=document["text"],
             version=document.get("version", 0),
@@ -74,7 +74,7 @@
         )
 
     def to_document(self) -> Document:
-        """The record as plain JSON values."""
+        """Returns the record as a JSON document."""
         version = {"version": self.version} if self.version else {}
         optional = {"retire": self.retire, "embargo": self.embargo}
         return {
@@ -88,17 +88,17 @@
 
 @dataclass(frozen=True, slots=True)
 class SupersededConfiguration:
-    """Stands for a configuration that a later record replaces; it changes nothing."""
+    """A placeholder for a configuration that a later record replaces; it changes nothing."""
 
     kind: ClassVar[str] = "pass"
 
     @classmethod
     def from_document(cls, document: Document) -> SupersededConfiguration:
-        """Reads what `to_document` made."""
+        """Reads a document written by `to_document`."""
         return cls()
 
     def to_document(self) -> Document:
-        """The record as plain JSON values."""
+        """Returns the record as a JSON document."""
         return {KIND_KEY: self.kind}
 
 
@@ -113,26 +113,28 @@
 
     @classmethod
     def from_document(cls, document: Document) -> ZoneRecord:
-        """Reads what `to_document` made."""
+        """Reads a document written by `to_document`."""
         return cls(document["hall"], document["state"], document.get("by", ""))
 
     def to_document(self) -> Document:
-        """The record as plain JSON values."""
+        """Returns the record as a JSON document."""
         return {KIND_KEY: self.kind, "hall": self.zone, "state": self.state, "by": self.by}
 
 
 @dataclass(frozen=True, slots=True)
 class MemberRecord:
-    """A member that came, or announced another state or role.
+    """A new member, or a member that announced a new state or role.
 
     Attributes:
         name: Its name, unique among all groups.
+        group: The group that it belongs to.
+        zone: The zone that it runs in.
         address: Host and port.
-        role: primary or replica, as it sees itself.
+        role: primary or replica, as announced by the member.
         state: ready or draining.
-        slots: How many requests it takes at once.
+        slots: How many requests it accepts at once.
         count: Rises with each announcement of a member.
-        row: What is stored of the record; set by `from_document` only.
+        row: The stored fields of the record; set by `from_document` only.
     """
 
     kind: ClassVar[str] = "member"
@@ -148,7 +150,7 @@
 
     @classmethod
     def from_document(cls, document: Document) -> MemberRecord:
-        """Reads what `to_document` made."""
+        """Reads a document written by `to_document`."""
         return cls(
             name=document["name"],
             group=document["group"],
@@ -162,7 +164,7 @@
         )
 
     def to_document(self) -> Document:
-        """The record as plain JSON values."""
+        """Returns the record as a JSON document."""
         return {
             KIND_KEY: self.kind,
             "name": self.name,
@@ -178,7 +180,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DepartureRecord:
-    """A member is gone: it signed off, or was signed off after its end."""
+    """A member is gone: it deregistered, or was deregistered after it ended."""
 
     kind: ClassVar[str] = "member"
     name: str
@@ -186,29 +188,32 @@
 
     @classmethod
     def from_document(cls, document: Document) -> DepartureRecord:
-        """Reads what `to_document` made."""
+        """Reads a document written by `to_document`."""
         return cls(document["name"], document["addr"])
 
     def to_document(self) -> Document:
-        """The record as plain JSON values."""
-        return {KIND_KEY: self.kind, "name": self.name, "state": _GONE, "addr": self.address}
+        """Returns the record as a JSON document."""
+        return {KIND_KEY: self.kind, "name": self.name, "state": _MEMBER_GONE, "addr": self.address}
 
 
 @dataclass(frozen=True, slots=True)
 class LeadershipRecord:
-    """Who is primary of a group from now on, or that a change of the primary has begun.
+    """A group has a new primary, or a leader change has started.
 
     Attributes:
-        number: One above that of the group's record before; the fencing token of what follows.
-        phase: serve, move (no primary is known to serve) or swap (planned, it still serves).
+        group: The group.
+        number: The number of the group's previous record plus one; it is the fencing token.
+        phase: serve, move (failover: no primary is known to serve) or swap (switchover: the old
+            primary still serves).
+        primary: The new primary, or the old one during a change.
         term: The term under which the primary was promoted.
-        cause: Why, for operators.
-        by: The control node that entered it.
-        stuck: Control sees no way to a primary now.
-        position: Where the new primary's log stood at its promotion.
+        cause: The reason, for operators.
+        by: The control node that submitted the record.
+        stuck: Whether no candidate can be promoted at present.
+        position: The end of the new primary's log at its promotion.
         accepted_loss: The operator who accepted a possible loss of commits; "" if none did.
         requested: Candidates whose promotion was requested and isn't known to have failed.
-        row: What is stored of the record; set by `from_document` only.
+        row: The stored fields of the record; set by `from_document` only.
     """
 
     kind: ClassVar[str] = "office"
@@ -227,7 +232,7 @@
 
     @classmethod
     def from_document(cls, document: Document) -> LeadershipRecord:
-        """Reads what `to_document` made."""
+        """Reads a document written by `to_document`."""
         return cls(
             group=document["group"],
             number=document["n"],
@@ -244,7 +249,7 @@
         )
 
     def to_document(self) -> Document:
-        """The record as plain JSON values."""
+        """Returns the record as a JSON document."""
         optional = {
             "pos": list(self.position) if self.position else None,
             "accepted_loss": self.accepted_loss or None,
@@ -265,19 +270,19 @@
 
 
 def _member_from_document(document: Document) -> MemberRecord | DepartureRecord:
-    if document["state"] == _GONE:
+    if document["state"] == _MEMBER_GONE:
         return DepartureRecord.from_document(document)
     return MemberRecord.from_document(document)
 
 
 def _embargo_from_document(document: Document) -> EmbargoRecord:
-    """Loads what belongs to embargoes only once there is one."""
+    """Reads an embargo record; imports the embargo modules only when one occurs."""
     from petrelhaven.control.embargo.records import EmbargoRecord
 
     return EmbargoRecord.from_document(document)
 
 
-ControlRecord = Union[  # noqa: UP007 (the name of a type that isn't loaded here)
+ControlRecord = Union[  # noqa: UP007 (a forward reference to a type that isn't imported)
     ConfigurationRecord,
     SupersededConfiguration,
     ZoneRecord,
@@ -301,9 +306,9 @@
 
 
 def from_document(document: Document) -> ControlRecord:
-    """The record of a JSON document.
+    """Reads the record in a JSON document.
 
     Raises:
-        KeyError: The kind of the record is not known, or one of its fields is missing.
+        KeyError: The kind of the record is unknown, or a field is missing.
     """
     return _READERS[record_kind(document)](document)
--- a/src/petrelhaven/control/state/rows.py
+++ b/src/petrelhaven/control/state/rows.py
@@ -1,4 +1,4 @@
-"""Rows of the control state as typed values, read from its document."""
+"""Typed values for the rows of the control state's document."""
 
 from __future__ import annotations
 
@@ -13,25 +13,28 @@
 
 
 class LeadershipPhase(StrEnum):
-    """What a leadership record says of its group; the values are those stored."""
+    """The phase of a group's leadership; the values are part of the stored data."""
 
     SERVING = "serve"
     """The primary serves."""
     FAILOVER = "move"
-    """The primary is lost; nobody is known to serve."""
+    """The primary is lost, and no member is known to serve."""
     SWITCHOVER = "swap"
-    """The primary serves until a candidate replaces it."""
+    """The old primary serves until a candidate replaces it."""
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """A member as it announced itself last.
+    """A member, with the values of its last recorded announcement.
 
     Attributes:
+        name: Its name, unique among all groups.
+        group: The group that it belongs to.
+        zone: The zone that it runs in.
         address: Host and port.
-        role: primary or replica, as it sees itself.
+        role: primary or replica, as announced by the member.
         state: ready, draining or gone.
-        slots: How many requests it takes at once.
+        slots: How many requests it accepts at once.
         count: Rises with each announcement of a member.
     """
 
@@ -81,17 +84,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Leadership:
-    """Who is primary of a group, or that a change of the primary has begun.
+    """The primary of a group, or a leader change that is in progress.
 
     Attributes:
-        number: The number of the group's last leadership record.
-        phase: Whether the primary serves, or which kind of change is under way.
+        number: The number of the group's last leadership record; it is the fencing token.
+        phase: Whether the primary serves, or which kind of leader change is in progress.
+        primary: The primary, or the old one during a change.
         term: The term under which the primary was promoted.
-        cause: Why, for operators.
-        by: The control node that entered it.
-        stuck: Control sees no way to a primary now.
-        since: The number of the first record from which primary and phase are what they are.
-        position: Where the primary's log stood at its promotion; None if that isn't recorded.
+        cause: The reason, for operators.
+        by: The control node that submitted the record.
+        stuck: Whether no candidate can be promoted at present.
+        since: The number of the first record with this primary and phase.
+        position: The end of the primary's log at its promotion; None if it isn't recorded.
         requested: Candidates whose promotion was requested and isn't known to have failed.
     """
 
@@ -124,21 +128,22 @@
 
     @property
     def is_serving(self) -> bool:
-        """Whether no change of the primary is under way."""
+        """Whether no leader change is in progress."""
         return self.phase is LeadershipPhase.SERVING
 
     @property
     def pending(self) -> frozenset[str]:
-        """Members that a request of the change under way may still promote."""
+        """Members that a requested promotion of the current change may still promote."""
         return frozenset() if self.is_serving else frozenset(self.requested)
 
 
 @dataclass(frozen=True, slots=True)
 class AcceptedConfiguration:
-    """The configuration in force as it was accepted.
+    """The configuration in force.
 
     Attributes:
-        text: The operator's document as it came.
+        version: Its version.
+        text: The operator's document, unchanged.
         by: Who applied it.
         digest: SHA-256 of the text, in hexadecimal digits.
         embargo: Scope and rules of its embargoes; None without any.
@@ -152,7 +157,7 @@
 
     @classmethod
     def from_row(cls, row: Mapping[str, Any]) -> AcceptedConfiguration:
-        """Reads the document's `manifest`."""
+        """Reads the field `manifest` of the document."""
         return cls(
             version=row["version"],
             text=row["text"],
@@ -162,7 +167,7 @@
         )
 
     def to_row(self) -> dict[str, Any]:
-        """The value of `manifest` in the document."""
+        """Returns the value of the field `manifest`."""
         embargo = {} if self.embargo is None else {"embargo": self.embargo}
         return {
             "version": self.version,
--- a/src/petrelhaven/control/storage/__init__.py
+++ b/src/petrelhaven/control/storage/__init__.py
@@ -1,1 +1,1 @@
-"""What a core machine keeps on its disk."""
+"""Persistent storage of a control node: the record log and its files."""
--- a/src/petrelhaven/control/storage/damaged_files.py
+++ b/src/petrelhaven/control/storage/damaged_files.py
@@ -1,4 +1,4 @@
-"""Copies of damaged log files, kept until other cores are known to hold as much."""
+"""Copies of damaged log files, kept until the chain has sent this node at least their records."""
 
 from typing import Any
 
@@ -6,40 +6,46 @@
 
 __all__ = ["DamagedFileCopies"]
 
-_MARK = "aside"
-_COMPLETE = b"complete"
+_MARKER_FILE = "aside"
+_MARKER_TEXT = b"complete"
 
 
 class DamagedFileCopies:
-    """At most one set of copies; an older set is never written over by a newer one."""
+    """At most one set of copies; an existing set is never overwritten.
+
+    Attributes:
+        present: Whether the disk has a complete set.
+    """
 
     def __init__(self, disk: Disk) -> None:
-        """Finds out whether `disk_id` has copies."""
+        """Checks whether `disk` has a complete set."""
         self._disk = disk
-        self.present = disk.read(_MARK) == _COMPLETE
+        self.present = disk.read(_MARKER_FILE) == _MARKER_TEXT
 
-    def keep(self) -> None:
-        """Copies the log's files, so that emptying the log loses nothing that could be read."""
+    def create(self) -> None:
+        """Copies the log's files, unless there is a set already."""
         if self.present:
             return
         for name in log_file_names():
             raw = self._disk.read(name)
             if raw:
-                self._disk.write(self._copy(name), 0, raw)
-        self._disk.write(_MARK, 0, _COMPLETE)
+                self._disk.write(self._copy_name(name), 0, raw)
+        self._disk.write(_MARKER_FILE, 0, _MARKER_TEXT)
         self.present = True
 
     def documents(self) -> list[dict[str, Any]]:
-        """What can still be read of the copies."""
-        return readable_documents([self._disk.read(self._copy(name)) for name in log_file_names()])
+        """Returns the log entries that are still readable in the copies."""
+        return readable_documents(
+            [self._disk.read(self._copy_name(name)) for name in log_file_names()]
+        )
 
-    def drop(self) -> None:
+    def remove(self) -> None:
         """Removes the copies."""
         self.present = False
-        self._disk.remove(_MARK)
+        self._disk.remove(_MARKER_FILE)
         for name in log_file_names():
-            self._disk.remove(self._copy(name))
+            self._disk.remove(self._copy_name(name))
 
     @staticmethod
-    def _copy(name: str) -> str:
+    def _copy_name(name: str) -> str:
         return f"aside-{name}"
--- a/src/petrelhaven/control/storage/disk.py
+++ b/src/petrelhaven/control/storage/disk.py
@@ -1,4 +1,4 @@
-"""The disk of a machine: files in one folder; a write returns once all of it is synced."""
+"""Files in a data folder, with writes that are synced before they return."""
 
 import contextlib
 import errno
@@ -18,7 +18,7 @@
 
 
 def _make_folder(path: str) -> None:
-    """Makes a folder and those above it; each is synced into the one that holds it."""
+    """Creates a folder and its missing parents, and syncs the parent of each new one."""
     path = os.path.abspath(path)
     if os.path.isdir(path):
         return
@@ -30,10 +30,10 @@
 
 
 class FolderDisk:
-    """Files under one data folder."""
+    """The files of one data folder, kept open between calls."""
 
     def __init__(self, path: str) -> None:
-        """Makes the folder `path` if it isn't there."""
+        """Creates the folder `path` if it doesn't exist."""
         self._path = path
         self._descriptors: dict[str, int] = {}
         _make_folder(path)
@@ -52,26 +52,30 @@
         return descriptor
 
     def read(self, name: str) -> bytes:
-        """All bytes of `name`; empty if there is none."""
+        """Returns the content of file `name`, or nothing if it doesn't exist."""
         if not os.path.exists(os.path.join(self._path, name)):
             return b""
         descriptor = self._open(name)
         return os.pread(descriptor, os.fstat(descriptor).st_size, 0)
 
     def write(self, name: str, offset: int, data: bytes) -> None:
-        """Writes all of `data` and syncs it, or raises OSError."""
+        """Writes all of `data` at `offset` and syncs it.
+
+        Raises:
+            OSError: The write or the sync failed; a part may have been written.
+        """
         descriptor = self._open(name)
-        rest = memoryview(data)
-        while rest:
-            written = os.pwrite(descriptor, rest, offset)
+        remaining = memoryview(data)
+        while remaining:
+            written = os.pwrite(descriptor, remaining, offset)
             if written == 0:
                 raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
             offset += written
-            rest = rest[written:]
+            remaining = remaining[written:]
         os.fdatasync(descriptor)
 
     def remove(self, name: str) -> None:
-        """Removes a file if it is there."""
+        """Removes file `name` if it exists."""
         descriptor = self._descriptors.pop(name, None)
         if descriptor is not None:
             os.close(descriptor)
@@ -80,7 +84,7 @@
         _sync_folder(self._path)
 
     def close(self) -> None:
-        """Closes the files."""
+        """Closes all open files."""
         for descriptor in self._descriptors.values():
             os.close(descriptor)
         self._descriptors.clear()
--- a/src/petrelhaven/control/storage/documents.py
+++ b/src/petrelhaven/control/storage/documents.py
@@ -1,4 +1,7 @@
-"""What a control node writes to its log: typed entries and their JSON documents."""
+"""The entries of a control node's log, as typed values and as JSON documents.
+
+The keys of the documents are part of the stored data.
+"""
 
 from dataclasses import dataclass
 from typing import Any
@@ -18,34 +21,48 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """Everything that a core remembers: the first record of every file."""
-
-    disk: str
+    """The complete state of a control node; the first entry of every file.
+
+    Attributes:
+        disk_id: The identity of the node's disk.
+        name: The node's name.
+        vote: The highest promise and the last accepted view.
+        complete_view: The newest view of which the node has every record.
+        control_state: The document of the control state.
+        entered_view: The view in which the last record was entered.
+    """
+
+    disk_id: str
     name: str
     vote: dict[str, Any]
-    done: int
+    complete_view: int
     control_state: dict[str, Any]
     entered_view: int
 
 
 @dataclass(frozen=True, slots=True)
 class Vote:
-    """The highest promise and the last accepted view of this node."""
+    """A promise or an accepted view.
+
+    Attributes:
+        vote: The highest promise and the last accepted view.
+        complete_view: The new newest complete view; None if it is unchanged.
+    """
 
     vote: dict[str, Any]
-    done: int | None = None
+    complete_view: int | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class ViewCompleted:
-    """Everything of a view was handed over to this core."""
+    """The node has every record of a view."""
 
     view: int
 
 
 @dataclass(frozen=True, slots=True)
 class ChainRecord:
-    """A numbered record of the chain and the view in which it was entered."""
+    """A numbered record of the chain, with the view in which it was entered."""
 
     seq: int
     view: int
@@ -54,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StateReplaced:
-    """The control state was replaced by that of another core."""
+    """The control state was replaced with another control node's."""
 
     control_state: dict[str, Any]
     entered_view: int
@@ -64,27 +81,27 @@
 
 
 def empty_vote() -> dict[str, Any]:
-    """The vote of a core that has neither promised nor accepted anything."""
+    """Returns the vote of a node that has neither promised nor accepted a view."""
     return {"num": 0, "who": "", "anum": 0, "awho": "", "value": None, "ids": None}
 
 
 def to_document(entry: Entry) -> dict[str, Any]:
-    """The JSON document of an entry."""
+    """Returns the JSON document of an entry."""
     match entry:
-        case Snapshot(disk, name, vote, done, control_state, entered_view):
+        case Snapshot(disk_id, name, vote, complete_view, control_state, entered_view):
             return {
                 "t": "frame",
-                "disk": disk,
+                "disk": disk_id,
                 "name": name,
                 "vote": vote,
-                "done": done,
+                "done": complete_view,
                 "realm": control_state,
                 "mark": entered_view,
             }
         case Vote(vote, None):
             return {"t": "vote", "vote": vote}
-        case Vote(vote, done):
-            return {"t": "vote", "vote": vote, "done": done}
+        case Vote(vote, complete_view):
+            return {"t": "vote", "vote": vote, "done": complete_view}
         case ViewCompleted(view):
             return {"t": "done", "n": view}
         case ChainRecord(seq, view, record):
@@ -95,7 +112,11 @@
 
 
 def from_document(document: dict[str, Any]) -> Entry | None:
-    """The entry of a JSON document; None for one that says nothing more than its frame (`id`)."""
+    """Reads the entry of a JSON document.
+
+    Returns None for other kinds: older versions wrote an `id` entry, whose content the snapshot has
+    too.
+    """
     match document:
         case {"t": "frame"}:
             return Snapshot(
--- a/tests/control_mutants.py
+++ b/tests/control_mutants.py
@@ -136,7 +136,7 @@
 
 def reset_not_synced(mp):
     def reset(self, control_state, entered_view):
-        self._forget_state(self._state(control_state), entered_view)
+        self._replace_state(self._make_control_state(control_state), entered_view)
 
     mp.setattr(node_store.ControlNodeStore, "reset", reset)
 
