--- a/src/petrelhaven/control/__init__.py
+++ b/src/petrelhaven/control/__init__.py
@@ -1,1 +1,1 @@
-"""The control side: configuration, failover and leases, agreed by the core machines."""
+"""Control nodes: the replicated control state, failover, leases and configuration."""
--- a/src/petrelhaven/control/announcements.py
+++ b/src/petrelhaven/control/announcements.py
@@ -1,4 +1,4 @@
-"""Heartbeats of members: what they announce is entered as records where it changes something."""
+"""Announcements of members, which are recorded when they change the control state."""
 
 from __future__ import annotations
 
@@ -29,27 +29,38 @@
     "slots": int,
     "count": int,
 }
-_RECORDED = ("group", "hall", "addr", "role", "state", "slots")
+_RECORDED_FIELDS = ("group", "hall", "addr", "role", "state", "slots")
 _ROLES = ("primary", "replica")
 _STATES = ("ready", "draining")
-_LONGEST_MEMBER_NAME = 128
-_MOST_COUNT = 1 << 53
-_REORDERED_US = 3_000_000
+_MAX_MEMBER_NAME_LENGTH = 128
+_MAX_COUNT = 1 << 53
+_MAX_REORDERING_US = 3_000_000
 _NEVER_US = -1 << 60
 _NO_COUNT = -1
 
-Enter = Callable[[dict[str, Any], bool, int], Awaitable[object]]
-"""Enters a record at the head: record, whether to wait until it is in force, timeout in us."""
+SubmitRecord = Callable[[dict[str, Any], bool, int], Awaitable[object]]
+"""Submits a record to the head: record, whether to wait until it is in force, timeout in us."""
 
 
 @dataclass(frozen=True, slots=True)
 class Announcement:
-    """One heartbeat of a member. `count` rises with every one."""
+    """One announcement of a member, which it sends as a heartbeat.
+
+    Attributes:
+        member: The member's name.
+        group: The group that it belongs to.
+        zone: The zone that it runs in.
+        address: Host and port.
+        role: primary or replica.
+        state: ready or draining.
+        slots: How many requests it accepts at once.
+        count: Rises with every announcement of the member.
+    """
 
     member: str
     group: str
     zone: str
-    addr: str
+    address: str
     role: str
     state: str
     slots: int
@@ -57,35 +68,35 @@
 
     @classmethod
     def from_document(cls, document: Mapping[str, Any]) -> Announcement:
-        """The announcement of a checked document.
+        """Reads and checks an announcement.
 
         Raises:
-            Malformed: a field is missing, or has another type or range than it should.
+            Malformed: A field is missing, or its type or value is invalid.
         """
-        for field, kind in _FIELDS.items():
-            if type(document.get(field)) is not kind:
-                raise Malformed(f"announcement field {field} must be {kind.__name__}")
+        for field, field_type in _FIELDS.items():
+            if type(document.get(field)) is not field_type:
+                raise Malformed(f"announcement field {field} must be {field_type.__name__}")
         announcement = cls(*(document[field] for field in _FIELDS))
-        for field, valid in (
-            ("addr", _ADDRESS.fullmatch(announcement.addr)),
+        for field, is_valid in (
+            ("addr", _ADDRESS.fullmatch(announcement.address)),
             ("group", NAME.fullmatch(announcement.group)),
             ("role", announcement.role in _ROLES),
-            ("member", 0 < len(announcement.member) <= _LONGEST_MEMBER_NAME),
+            ("member", 0 < len(announcement.member) <= _MAX_MEMBER_NAME_LENGTH),
             ("state", announcement.state in _STATES),
-            ("count", 0 <= announcement.count < _MOST_COUNT),
+            ("count", 0 <= announcement.count < _MAX_COUNT),
         ):
-            if not valid:
+            if not is_valid:
                 raise Malformed(f"announcement field {field} is not valid")
         return announcement
 
     def to_record(self) -> dict[str, Any]:
-        """The record that this makes if it changes something."""
+        """Returns the record of this announcement."""
         return {
             "t": "member",
             "name": self.member,
             "group": self.group,
             "hall": self.zone,
-            "addr": self.addr,
+            "addr": self.address,
             "role": self.role,
             "state": self.state,
             "slots": self.slots,
@@ -94,58 +105,60 @@
 
 
 class Announcements:
-    """Takes members' heartbeats and departures.
+    """Receives the announcements and departures of members.
 
     Attributes:
-        heard: For each member, when its last heartbeat came, in clock microseconds, and its count.
+        last_heartbeats: For each member, the clock time of its last announcement in microseconds
+            and the count of that announcement.
     """
 
-    def __init__(self, clock: Clock, chain: Callable[[], Chain], enter: Enter) -> None:
-        """Compares with the control state of `chain` and enters changes by `enter`."""
-        self._clock, self._chain, self._enter = clock, chain, enter
+    def __init__(
+        self, clock: Clock, chain: Callable[[], Chain], submit_record: SubmitRecord
+    ) -> None:
+        """Compares with the control state of `chain` and submits changes by `submit_record`."""
+        self._clock, self._chain, self._submit_record = clock, chain, submit_record
         self.last_heartbeats: dict[str, tuple[int, int]] = {}
 
-    def _recorded(self, member: str) -> dict[str, Any] | None:
+    def _recorded_row(self, member: str) -> dict[str, Any] | None:
         row: dict[str, Any] | None = self._chain().control_state.doc["members"].get(member)
         return row
 
     async def announce(self, document: Mapping[str, Any]) -> None:
-        """Takes a heartbeat; what it changes is committed before this returns.
+        """Handles an announcement; returns once the changes are committed.
 
         Raises:
-            Malformed: the document is no announcement.
-            NotReady: no majority confirms this node, so that it can't be acknowledged.
+            Malformed: The document isn't a valid announcement.
+            NotReady: No majority confirms this node, so it can't acknowledge the announcement.
         """
         announcement = Announcement.from_document(document)
-        if self._is_overtaken(announcement):
+        if self._is_outdated(announcement):
             return
         self.last_heartbeats[announcement.member] = (self._clock.now(), announcement.count)
-        recorded, record = self._recorded(announcement.member), announcement.to_record()
-        if recorded and all(recorded.get(field) == record[field] for field in _RECORDED):
+        recorded, record = self._recorded_row(announcement.member), announcement.to_record()
+        if recorded and all(recorded.get(field) == record[field] for field in _RECORDED_FIELDS):
             await self._confirm_control_state()
         else:
             await self._record(record)
 
-    def _is_overtaken(self, announcement: Announcement) -> bool:
-        """Whether a later heartbeat came before this one."""
-        at, count = self.last_heartbeats.get(announcement.member, (_NEVER_US, _NO_COUNT))
-        return announcement.count < count and self._clock.now() - at < _REORDERED_US
+    def _is_outdated(self, announcement: Announcement) -> bool:
+        """Returns whether a later announcement of the member has arrived already."""
+        received_at, count = self.last_heartbeats.get(announcement.member, (_NEVER_US, _NO_COUNT))
+        return announcement.count < count and self._clock.now() - received_at < _MAX_REORDERING_US
 
     async def deregister_member(self, member: str) -> None:
-        """A member announces that it ends."""
-        recorded = self._recorded(member)
+        """Records that a member leaves; returns once that is committed."""
+        recorded = self._recorded_row(member)
         self.last_heartbeats.pop(member, None)
         if recorded is None or recorded["state"] == "gone":
             await self._confirm_control_state()
         else:
-            gone = {"t": "member", "name": member, "state": "gone", "addr": recorded["addr"]}
-            await self._record(gone)
+            departure = {"t": "member", "name": member, "state": "gone", "addr": recorded["addr"]}
+            await self._record(departure)
 
     async def _confirm_control_state(self) -> None:
-        """Returns once all that this node holds is committed and a majority confirms this node.
+        """Waits until this node's control state is committed and a majority confirms this node.
 
-        A head, or any node before the tail, holds records that are not committed yet and may go
-        with it.
+        Every node before the tail has records that aren't committed yet; they may be lost with it.
         """
         chain = self._chain()
         committed = chain.wait_committed(chain.control_state.seq, chain.store.entered_view)
@@ -155,4 +168,4 @@
 
     async def _record(self, record: dict[str, Any]) -> None:
         with contextlib.suppress(Duplicate, Stale):
-            await self._enter(record, False, ANSWER_TIMEOUT_US)
+            await self._submit_record(record, False, ANSWER_TIMEOUT_US)
--- a/src/petrelhaven/control/base_node.py
+++ b/src/petrelhaven/control/base_node.py
@@ -1,6 +1,7 @@
-"""What every control node is made of: roster, view register, chain and lease table, put together.
+"""The base class of control nodes: roster, view register, chain, storage and lease table.
 
-`control/node.py` and `control/resumable/node.py` add what depends on how client sessions live.
+`control/node.py` adds the parts for connection sessions, `control/resumable/node.py` those for
+resumable sessions.
 """
 
 from __future__ import annotations
@@ -40,15 +41,13 @@
 
 __all__ = ["BaseControlNode", "ControlNodeIdentity", "NodeResources"]
 
-_OUTSIDE, _JOINING, _CHAINED = "outside", "joining", "chained"
-
-
-_FIRST_VIEW = 1
+_STATE_OUTSIDE, _STATE_JOINING, _STATE_CHAINED = "outside", "joining", "chained"
+_FIRST_VIEW_NUMBER = 1
 
 
 @dataclass(frozen=True, slots=True)
 class ControlNodeIdentity:
-    """Name and zone of a control node, and the link addresses of the nodes that it starts from."""
+    """Name and zone of a control node, and the link addresses of the seeds that it joins by."""
 
     name: str
     zone: str
@@ -57,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeResources:
-    """What a control node is given to run on: the simulator gives other ones than the daemon."""
+    """What a control node runs on; the daemon and the simulator provide different ones."""
 
     clock: Clock
     tasks: BackgroundTasks
@@ -68,16 +67,20 @@
 
 
 class BaseControlNode:
-    """One control node. A subclass gives its control state, lease table, duty and further handlers.
+    """One control node.
+
+    A subclass provides the control state, the lease table, the duty (the work that the node does
+    while it is the head of the chain) and further message handlers.
 
     Attributes:
-        state: `outside` without a view, `joining` while it is not in the chain, `chained` in it.
-        state_of: Makes a control state of a snapshot; None for that of resumable sessions.
-        repair_interval_us: About how often the view is checked.
-        confirm_us: How long a majority's confirmation counts.
-        ask_us: How often it is asked for.
-        probe_us: How often a peer is probed.
-        suspect_us: How long a peer is suspected before it counts as gone.
+        state: `outside` without a view, `joining` while the node isn't in the chain, `chained` in
+            it.
+        control_state_type: Makes a control state from a snapshot; None for resumable sessions.
+        repair_interval_us: The mean interval between checks of the view.
+        confirmation_validity_us: How long a confirmation by a majority is valid.
+        confirmation_interval_us: The interval between requests for a confirmation.
+        probe_interval_us: The interval between probes of a peer.
+        suspicion_timeout_us: How long a peer stays suspected before it is declared gone.
         settings: Returns the settings in effect, for the status document.
     """
 
@@ -85,7 +88,7 @@
     leave: Callable[[], bool]
     join: Callable[[], bool]
     enter_chain: Callable[[], bool]
-    states = (_OUTSIDE, _JOINING, _CHAINED)
+    states = (_STATE_OUTSIDE, _STATE_JOINING, _STATE_CHAINED)
     control_state_type: Callable[..., Any] | None = None
     repair_interval_us = 250_000
     confirmation_validity_us = 500_000
@@ -97,9 +100,9 @@
         self,
         identity: ControlNodeIdentity,
         resources: NodeResources,
-        platform: Any,  # noqa: ANN401 (what the duty promotes members by)
+        platform: Any,  # noqa: ANN401 (differs between subclasses)
     ) -> None:
-        """Reads what the disk remembers; `start` begins the work."""
+        """Loads the stored state; `start` starts the tasks."""
         self.name, self.zone, self.seeds = identity.name, identity.zone, identity.seeds
         self.clock, self.tasks = resources.clock, resources.tasks
         self.link, self.rng, self.log = resources.link, resources.rng, resources.log
@@ -128,8 +131,8 @@
             self.link.on(kind, handler)
 
     def _join_membership(self) -> None:
-        me = NodeIdentity(self.name, "core", self.zone, self.link.addr or "", 0)
-        self.roster = Roster(self.clock, me, self.log, self.suspicion_timeout_us)
+        identity = NodeIdentity(self.name, "core", self.zone, self.link.addr or "", 0)
+        self.roster = Roster(self.clock, identity, self.log, self.suspicion_timeout_us)
         self.reach = Reach(self.clock, self.link, self.roster, self.rng)
         self.prober = Prober(
             self.clock,
@@ -145,46 +148,46 @@
         Machine(
             self,
             states=list(self.states),
-            initial=_OUTSIDE,
+            initial=_STATE_OUTSIDE,
             auto_transitions=False,
             transitions=[
-                {"trigger": "join", "source": "*", "dest": _JOINING},
-                {"trigger": "enter_chain", "source": "*", "dest": _CHAINED},
-                {"trigger": "leave", "source": "*", "dest": _OUTSIDE},
+                {"trigger": "join", "source": "*", "dest": _STATE_JOINING},
+                {"trigger": "enter_chain", "source": "*", "dest": _STATE_CHAINED},
+                {"trigger": "leave", "source": "*", "dest": _STATE_OUTSIDE},
             ],
         )
 
-    # What a subclass gives
+    # Provided by subclasses
 
     def make_lease_table(self) -> LeaseTable:
-        """The table of the leases that this node grants."""
+        """Creates the table of the leases that this node grants."""
         raise NotImplementedError
 
     def make_duty(self, platform: Any) -> Any:  # noqa: ANN401 (differs between subclasses)
-        """The work that this node does while it is the head: it has `run()`."""
+        """Creates the duty; its `run()` works while this node is the head of the chain."""
         raise NotImplementedError
 
     def make_view_maintenance(self) -> ViewMaintenance:
-        """What proposes views."""
+        """Creates the part that proposes views."""
         return ViewMaintenance(self, self.repair_interval_us)
 
     def handlers(self) -> dict[str, Any]:
-        """What this node answers beside the calls between control nodes, by message kind."""
+        """Returns further message handlers by kind; they replace the base class's."""
         raise NotImplementedError
 
     async def control_state(self) -> dict[str, Any]:
-        """The document of the control state as the tail answers it."""
+        """Reads the document of the control state from the tail of the chain."""
         raise NotImplementedError
 
     def status(self) -> dict[str, Any]:
-        """The belief, what this node may do now, and what its duty is waiting for."""
+        """Returns the status document: reported state, permissions and what the duty waits for."""
         raise NotImplementedError
 
     async def snapshots(self) -> dict[str, dict[str, Any]]:
-        """The control states that living proxies hold, by their names."""
+        """Collects the control states of the proxies that are alive, by proxy name."""
         raise NotImplementedError
 
-    # The node
+    # Implementation
 
     def _own_handlers(self) -> dict[str, Any]:
         return {
@@ -195,11 +198,11 @@
             MessageKind.VIEW_CONFIRM: self.chain.confirmation.answer,
             MessageKind.CHAIN_APPEND: self.chain.append,
             MessageKind.DISK_STATE_CHANGED: self.disk_watch.receive,
-            MessageKind.CHAIN_ENTER: self._enter,
-            MessageKind.CHAIN_READ: self._read,
+            MessageKind.CHAIN_ENTER: self._handle_enter,
+            MessageKind.CHAIN_READ: self._handle_read,
             MessageKind.CHAIN_IN_FORCE: self.lease_table.report,
             MessageKind.PROXY_CONNECT: self.lease_table.subscribe,
-            MessageKind.NODE_BELIEF: self._belief,
+            MessageKind.NODE_BELIEF: self._handle_reported_state,
         }
 
     def start(self) -> None:
@@ -228,26 +231,26 @@
         return await self.reach.call(name, kind, body, timeout_us)
 
     def update_state(self) -> None:
-        """Follows the view; nothing else changes the state of this node."""
+        """Sets `state` from the current view."""
         view = self.chain.view
         if view is None:
-            state, trigger = _OUTSIDE, self.leave
+            state, trigger = _STATE_OUTSIDE, self.leave
         elif view.position(self.name, self.store.disk_id) is None:
-            state, trigger = _JOINING, self.join
+            state, trigger = _STATE_JOINING, self.join
         else:
-            state, trigger = _CHAINED, self.enter_chain
+            state, trigger = _STATE_CHAINED, self.enter_chain
         if state == self.state:
             return
         trigger()
-        if view is not None and state == _CHAINED:
-            event = Events.CHAIN_REJOINED if view.number > _FIRST_VIEW else Events.NODE_READY
+        if view is not None and state == _STATE_CHAINED:
+            event = Events.CHAIN_REJOINED if view.number > _FIRST_VIEW_NUMBER else Events.NODE_READY
             emit(self.log, event, view=view.number)
 
     def report(self) -> CoreReport:
-        """What this node reports of itself to the others.
+        """Returns this node's report to the other control nodes.
 
         Raises:
-            DiskRefused: its identity is not written yet.
+            DiskRefused: The disk identity isn't stored yet.
         """
         store, chain = self.store, self.chain
         store.require_identity()
@@ -263,35 +266,39 @@
             granted_us=chain.confirmation.granted_ages_us(),
         )
 
-    async def _enter(self, _channel: Channel | None, body: Mapping[str, Any]) -> dict[str, Any]:
-        """Answers a `chain.enter`."""
+    async def _handle_enter(
+        self, _channel: Channel | None, body: Mapping[str, Any]
+    ) -> dict[str, Any]:
+        """Handles a `chain.enter` message."""
         return (await self.append_as_head(SubmitRequest.from_body(body))).to_body()
 
     async def append_as_head(self, request: SubmitRequest) -> SubmitAnswer:
-        """Enters a record as the head; with `force`, returns once it is in force."""
+        """Appends a record to the chain as its head; with `force`, waits until it is in force."""
         seq = await self.chain.enter(request.record)
         in_force_us = await self.lease_table.wait_in_force(seq) if request.force else 0
         return SubmitAnswer(seq, request.force, in_force_us)
 
-    async def _read(self, _channel: Channel | None, _body: Mapping[str, Any]) -> dict[str, Any]:
-        """Answers a `chain.read`."""
+    async def _handle_read(
+        self, _channel: Channel | None, _body: Mapping[str, Any]
+    ) -> dict[str, Any]:
+        """Handles a `chain.read` message."""
         return {"doc": self.chain.read()}
 
     async def reform(self, lost: Sequence[str], by: str = "") -> dict[str, Any]:
-        """Forms the chain anew without the disks of `lost`, at the operator's order."""
+        """Forms a new chain without the disks of the nodes `lost`, as the operator requested."""
         return await Reform(self, self.log).run(lost, by)
 
     def unconfirmed_state(self) -> dict[str, Any]:
-        """The control state as this node holds it, which may not be the newest."""
+        """Returns this node's own control state, which may be outdated or not committed."""
         document: dict[str, Any] = self.chain.control_state.doc
         return document
 
     async def drain(self) -> None:
-        """Leaves in order: returns once the others go on without this node, or cannot."""
+        """Leaves the view; returns once the other nodes work without this one, or can't."""
         await Departure(self).run()
 
     def reported_state(self) -> dict[str, Any]:
-        """What this node believes of the fleet, to be compared with other nodes' beliefs."""
+        """Returns this node's view of the fleet, for comparison with other nodes."""
         view = self.chain.view
         return {
             **self.chain.control_state.reported_state(),
@@ -303,11 +310,13 @@
             "kith": {row[0]: row[5] for row in self.roster.all_rows()},
         }
 
-    async def _belief(self, _channel: Channel | None, _body: Mapping[str, Any]) -> dict[str, Any]:
-        """Answers a `creed.reported_state`."""
+    async def _handle_reported_state(
+        self, _channel: Channel | None, _body: Mapping[str, Any]
+    ) -> dict[str, Any]:
+        """Handles a `creed.belief` message."""
         return {"doc": self.reported_state()}
 
     @property
     def ready(self) -> bool:
-        """Whether this node is in the chain, holds everything and was confirmed lately."""
+        """Whether this node is in the chain, has all its records and was confirmed recently."""
         return self.chain.ruling
--- a/src/petrelhaven/control/connected_proxies.py
+++ b/src/petrelhaven/control/connected_proxies.py
@@ -7,31 +7,42 @@
 __all__ = ["ConnectedProxies"]
 
 _CONNECTED_US = 3_500_000
+"""How long a proxy counts as connected after a lease renewal."""
 
 
 class ConnectedProxies:
-    """The proxies that renewed their lease at this node lately. Times are clock microseconds."""
+    """The proxies that recently renewed their leases at this node.
+
+    Times are clock microseconds.
+    """
 
     def __init__(self) -> None:
-        """Knows none yet."""
+        """Starts without proxies."""
         self._renewed_at: dict[str, int] = {}
 
     def __len__(self) -> int:
-        """How many there are."""
+        """Returns the number of connected proxies."""
         return len(self._renewed_at)
 
     def names(self) -> list[str]:
-        """Their names, sorted."""
+        """Returns the names of the connected proxies, sorted."""
         return sorted(self._renewed_at)
 
     def record_renewal(self, proxy: str, now: int) -> None:
-        """Notes a renewal, and forgets who has not renewed for a while."""
+        """Records a lease renewal, and removes the proxies whose last renewal is too old."""
         self._renewed_at[proxy] = now
-        for name, at in list(self._renewed_at.items()):
-            if now - at > _CONNECTED_US:
+        for name, renewed_at in list(self._renewed_at.items()):
+            if now - renewed_at > _CONNECTED_US:
                 del self._renewed_at[name]
 
     @staticmethod
     def count_elsewhere(counts: Mapping[str, tuple[int, int]], now: int) -> int:
-        """How many are connected to other nodes, by `counts` of (when reported, how many)."""
-        return sum(count for at, count in counts.values() if now - at < _CONNECTED_US)
+        """Counts the proxies connected to other nodes.
+
+        Args:
+            counts: For each node, when it reported its number of proxies, and that number.
+            now: The clock time.
+        """
+        return sum(
+            count for reported_at, count in counts.values() if now - reported_at < _CONNECTED_US
+        )
--- a/src/petrelhaven/control/leases.py
+++ b/src/petrelhaven/control/leases.py
@@ -1,12 +1,12 @@
-"""Leases of proxies: which may send statements, and when a record is in force.
+"""Leases of proxies, which decide when a record is in force.
 
-A proxy sends statements only while it has a lease from a control node, and it gets one only if it
-follows the newest records. So a record is in force once each proxy has acknowledged it or its
-lease has certainly expired. Control nodes don't agree on leases: each knows those that it granted,
-and for a while after a new view it reckons with leases granted by nodes that are gone.
+A proxy sends statements only while it has a lease from a control node, and it gets a lease only if
+it has applied the newest records. So a record is in force once every proxy has acknowledged it or
+no longer has a lease. Leases aren't replicated: each control node has those that it granted. For
+some time after a view change, nodes assume that removed nodes may have granted more.
 
-`LeaseTable` is the contract; the tables of the two kinds of sessions differ in who may have a
-lease. That of resumable sessions is in `control/resumable/leases`.
+`LeaseTable` is the base class. `ConnectionLeaseTable` is for connection sessions; the table for
+resumable sessions is in `control/resumable/leases`.
 """
 
 from __future__ import annotations
@@ -36,33 +36,34 @@
 __all__ = ["ConnectionLeaseTable", "LeaseTable", "lease_expiry_us"]
 
 _IN_FORCE_TIMEOUT_US = 15_000_000
-_REPORT_US = 500_000
-_POLL_US = 40_000
+_REPORT_TIMEOUT_US = 500_000
+_POLL_INTERVAL_US = 40_000
 
 Call = Callable[[str, str, dict[str, Any], int], Awaitable[dict[str, Any]]]
 Reports = Sequence[AcknowledgementReport | None]
 
 
 def lease_expiry_us(lease_us: int, confirm_us: int) -> int:
-    """After how long a lease has certainly expired, whatever the clocks of the machines drift.
+    """Returns after how long every lease has expired, for any permitted clock drift.
 
     Args:
-        lease_us: How long it lasts from the moment the proxy asked for it, in microseconds.
-        confirm_us: How long after a confirmation by a majority a node still grants leases.
+        lease_us: How long a lease lasts from the proxy's request, in microseconds.
+        confirm_us: How long a node grants leases after a confirmation by a majority.
     """
     return int((lease_us + confirm_us) * DRIFT)
 
 
 class LeaseTable:
-    """What one control node knows of leases and acknowledgements.
+    """The leases and acknowledgements that one control node has recorded.
 
     Attributes:
-        lease_ends: When the lease that this node granted to a proxy has certainly expired.
+        lease_ends: For each proxy, the clock time at which the lease from this node has expired.
         acknowledged: The newest record that each proxy has acknowledged to this node.
-        unknown_leases_end: When leases granted by nodes of earlier views have certainly expired.
+        unknown_leases_end: The clock time at which all leases from earlier views have expired.
+        subscribe: Handles `edge.hold`: starts to push records to a proxy.
     """
 
-    def __init__(  # noqa: PLR0913, PLR0917 (a node assembles it)
+    def __init__(  # noqa: PLR0913, PLR0917 (parts of one node)
         self,
         clock: Clock,
         tasks: BackgroundTasks,
@@ -71,9 +72,9 @@
         log: logbook.Logger | None,
         certain_expiry_us: int,
     ) -> None:
-        """Takes the parts of a control node; `certain_expiry_us` is that of `lease_expiry_us`."""
+        """Uses the parts of a control node; `certain_expiry_us` comes from `lease_expiry_us`."""
         self._clock, self._chain, self._call, self._log = clock, chain, call, log
-        self._expiry_us = certain_expiry_us
+        self._certain_expiry_us = certain_expiry_us
         self.lease_ends: dict[str, int] = {}
         self.acknowledged: dict[str, int] = {}
         self.unknown_leases_end = clock.now() + certain_expiry_us
@@ -82,23 +83,23 @@
             clock, tasks, chain, self._changed, self.acknowledge, self.condense
         )
         self.subscribe = self._pusher.subscribe
-        chain.on_view.append(self._view_changed)
+        chain.on_view.append(self._extend_unknown_leases)
         chain.on_commit.append(self._changed.wake)
 
     def acknowledge(self, proxy: str, seq: int) -> None:
-        """Notes that `proxy` follows the records up to `seq`."""
+        """Records that `proxy` has applied the records up to `seq`."""
         self.acknowledged[proxy] = max(self.acknowledged.get(proxy, 0), seq)
 
     def grant(self, proxy: str, lease_us: int) -> None:
-        """Notes that `proxy` may have a lease for `lease_us` from now."""
+        """Records that `proxy` may have a lease for `lease_us` from now."""
         self.lease_ends[proxy] = self._clock.now() + int(lease_us * DRIFT)
 
     def condense(self, records: list[NumberedRecord]) -> list[NumberedRecord]:
-        """The records of one push without what proxies don't need."""
+        """Returns the records of one push, without the content that proxies don't need."""
         return records
 
     async def report(self, channel: Channel, body: Mapping[str, Any]) -> dict[str, Any]:
-        """Answers `chain.force`: what this node knows of leases and acknowledgements."""
+        """Handles `chain.force`: returns this node's leases and acknowledgements."""
         now = self._clock.now()
         report = AcknowledgementReport(
             acknowledged=dict(self.acknowledged),
@@ -115,54 +116,57 @@
 
         Args:
             seq: The number of a committed record.
-            grace_us: How long proxies may go on under the record before, once they know this one.
-            timeout_us: How long to wait at most.
+            grace_us: How long proxies may act on the previous record after receiving this one.
+            timeout_us: The longest time to wait.
 
         Raises:
-            DeadlineExceeded: It is not known to be in force; it stays committed.
-            NotReady: This node knows of no view.
+            DeadlineExceeded: It may not be in force yet; it stays committed.
+            NotReady: This node has no view.
         """
-        start = self._clock.now()
-        all_expired_at = start + self._expiry_us + int(grace_us * DRIFT)
+        started_at = self._clock.now()
+        all_expired_at = started_at + self._certain_expiry_us + int(grace_us * DRIFT)
         while True:
             view = self._chain.view
             if view is None:
                 raise NotReady("no view yet")
             event = self._changed.event
-            reports = await asyncio.gather(*[self._ask(name, seq) for name in view.chain])
-            waited_us = self._clock.now() - start
+            reports = await asyncio.gather(*[self._fetch_report(name, seq) for name in view.chain])
+            waited_us = self._clock.now() - started_at
             if self._chain.view is view and self._is_in_force(reports, seq, all_expired_at):
                 emit(self._log, Events.RECORD_IN_FORCE, seq=seq, us=waited_us)
                 return waited_us
             if waited_us > timeout_us:
                 raise DeadlineExceeded("not in force yet; it stays committed")
             with contextlib.suppress(DeadlineExceeded):
-                await self._clock.limit(event.wait(), _POLL_US)
+                await self._clock.limit(event.wait(), _POLL_INTERVAL_US)
 
     def _is_in_force(self, reports: Reports, seq: int, all_expired_at: int) -> bool:
-        """Whether the chain's nodes together know that record `seq` is in force.
+        """Returns whether the reports prove that record `seq` is in force.
 
         Args:
-            reports: What each node of the chain knows; None of those that didn't answer.
+            reports: The report of each node of the chain; None for nodes that didn't answer.
             seq: The record's number.
-            all_expired_at: When each lease granted before the record has expired.
+            all_expired_at: The clock time at which every lease granted before the record has
+                expired.
         """
         raise NotImplementedError
 
-    def _view_changed(self) -> None:
-        end = self._clock.now() + self._expiry_us
+    def _extend_unknown_leases(self) -> None:
+        end = self._clock.now() + self._certain_expiry_us
         self.unknown_leases_end = max(self.unknown_leases_end, end)
 
-    async def _ask(self, name: str, seq: int) -> AcknowledgementReport | None:
+    async def _fetch_report(self, name: str, seq: int) -> AcknowledgementReport | None:
         try:
-            answer = await self._call(name, MessageKind.CHAIN_IN_FORCE, {"seq": seq}, _REPORT_US)
+            answer = await self._call(
+                name, MessageKind.CHAIN_IN_FORCE, {"seq": seq}, _REPORT_TIMEOUT_US
+            )
         except Fault:
             return None
         return AcknowledgementReport.from_body(answer)
 
 
 def newest_acknowledged(reports: Sequence[AcknowledgementReport]) -> dict[str, int]:
-    """The newest record that each proxy has acknowledged to any of the nodes."""
+    """Returns the newest record that each proxy has acknowledged to any of the nodes."""
     newest: dict[str, int] = {}
     for report in reports:
         for proxy, seq in report.acknowledged.items():
@@ -171,14 +175,14 @@
 
 
 class ConnectionLeaseTable(LeaseTable):
-    """Leases of proxies with connection sessions.
+    """The leases of proxies with connection sessions.
 
-    No record tells which proxies there are, so those that a lost control node may have granted a
-    lease to are waited for by time.
+    The control state has no list of proxies. So leases that a lost control node may have granted
+    are waited for until they have expired.
     """
 
     def condense(self, records: list[NumberedRecord]) -> list[NumberedRecord]:
-        """A configuration that a later one in the same push replaces is left out."""
+        """Replaces each configuration but the last one of a push with a placeholder."""
         placeholder = SupersededConfiguration().to_document()
         configurations = [seq for seq, record in records if _is_configuration(record)]
         last = max(configurations, default=0)
@@ -195,7 +199,7 @@
             return False
         now = self._clock.now()
         if len(answered) < len(reports):
-            return now >= all_expired_at + self._expiry_us
+            return now >= all_expired_at + self._certain_expiry_us
         if all(report.unknown_leases_us == 0 for report in answered):
             return True
         return now >= all_expired_at
--- a/src/petrelhaven/control/node.py
+++ b/src/petrelhaven/control/node.py
@@ -1,4 +1,4 @@
-"""A control node of connection sessions: failover, and leases over core connections."""
+"""The control node for connection sessions: failover, and leases over core connections."""
 
 from __future__ import annotations
 
@@ -39,30 +39,30 @@
 __all__ = ["CONNECTION_LEASE_US", "ControlNode"]
 
 CONNECTION_LEASE_US = 700_000
-"""How long a proxy's lease lasts from its renewal."""
+"""How long a proxy's lease lasts after its renewal."""
 
-_FORCED_TIMEOUT_US = 20_000_000
-_ORDER_TIMEOUT_US = 8_000_000
+_IN_FORCE_TIMEOUT_US = 20_000_000
+_REQUEST_TIMEOUT_US = 8_000_000
 _COMMIT_TIMEOUT_US = 5_000_000
 _SUSPICION_TIMEOUT_US = 800_000
 _SPREAD_LIMIT = 12
 _JOIN_INTERVAL_US = 6_000_000
-_LIFE_BITS = 48
+_COUNTER_ID_BITS = 48
 
 
 class ControlNode(BaseControlNode):
-    """One control node of connection sessions.
+    """One control node for connection sessions.
 
     Attributes:
         wire: Opens connections to members.
-        heartbeat_us: How often members announce themselves.
+        heartbeat_us: The interval between a member's announcements.
         connected_proxies: The proxies that renew their leases at this node.
-        proxy_survey: Asks proxies for their control states before a reform.
-        orders: Takes orders to the head and reads to the tail.
-        configuration_parser: Reads configurations.
-        announcements: Takes members' heartbeats.
+        proxy_survey: Collects control states from proxies before a new chain is formed.
+        request_router: Sends records to the head and reads to the tail.
+        configuration_parser: Parses configurations.
+        announcements: Receives members' announcements.
         counting: Counts tenants' operations.
-        heard: For each member, when its last heartbeat came, and its count.
+        last_heartbeats: For each member, the clock time and the count of its last announcement.
     """
 
     lease_table: ConnectionLeaseTable
@@ -73,7 +73,7 @@
     probe_interval_us = 200_000
     suspicion_timeout_us = 500_000
 
-    def __init__(  # noqa: PLR0913, PLR0917 (assembles the node; each is given by the daemon)
+    def __init__(  # noqa: PLR0913, PLR0917 (parts given by the daemon)
         self,
         identity: ControlNodeIdentity,
         resources: NodeResources,
@@ -84,21 +84,21 @@
         losses: int = 1,
         wall_clock: WallClock | None = None,
     ) -> None:
-        """Reads what the disk remembers; `start` begins the work.
+        """Loads the stored state; `start` starts the tasks.
 
         Args:
             identity: Name, zone and seeds.
             resources: Clock, tasks, link, disk, random numbers and log.
             platform: Promotes members.
             wire: Opens connections to members.
-            heartbeat_us: How often members announce themselves.
+            heartbeat_us: The interval between a member's announcements.
             may_decide_first_view: Whether this node, if a seed, may decide the first view.
-            losses: How many control nodes may be lost at once.
-            wall_clock: Read for embargoes.
+            losses: How many control nodes may fail at once.
+            wall_clock: The time source of embargoes.
         """
         self._wall_clock = wall_clock
         self._embargoes: EmbargoService | None = None
-        self._most_members = 2 * losses + 1
+        self._max_members = 2 * losses + 1
         self.wire, self.heartbeat_us = wire, heartbeat_us
         self.connected_proxies = ConnectedProxies()
         self.proxy_survey = ProxySurvey(resources.clock, resources.log)
@@ -106,7 +106,7 @@
         self.announcements = Announcements(resources.clock, lambda: self.chain, self.submit_record)
         self.last_heartbeats = self.announcements.last_heartbeats
         self.clock, self.tasks, self.name = resources.clock, resources.tasks, identity.name
-        self.counting = CountingService(self, lambda: resources.rng.getrandbits(_LIFE_BITS))
+        self.counting = CountingService(self, lambda: resources.rng.getrandbits(_COUNTER_ID_BITS))
         super().__init__(identity, resources, platform)
         self.views.may_found = may_decide_first_view and self.link.addr in self.seeds
         self.request_router = RequestRouter(
@@ -116,51 +116,51 @@
         self.prober.join_us = _JOIN_INTERVAL_US
         self.chain.confirmation.asks_minority = True
         self.chain.confirmation.connected_proxies = lambda: len(self.connected_proxies)
-        self.chain.on_commit.append(self._committed)
+        self.chain.on_commit.append(self._start_services)
         self.chain.on_view.append(self.counting.follow_view)
 
     @property
     def embargoes(self) -> EmbargoService:
-        """What this node does about embargoes, loaded when it is first needed."""
+        """The embargo service, imported and created on first use."""
         if self._embargoes is None:
             from petrelhaven.control.embargo.service import EmbargoService
 
             self._embargoes = EmbargoService(self, self._wall_clock)
         return self._embargoes
 
-    def _committed(self) -> None:
+    def _start_services(self) -> None:
         if "embargo" in (self.chain.control_state.doc["manifest"] or ()):
             self.embargoes.start()
         self.counting.start()
 
-    # What the base asks for
+    # Required by the base class
 
     def make_lease_table(self) -> ConnectionLeaseTable:
-        """The table of the leases over core connections."""
+        """Creates the table of the leases over core connections."""
         certain_expiry_us = lease_expiry_us(CONNECTION_LEASE_US, self.confirmation_validity_us)
         return ConnectionLeaseTable(
             self.clock, self.tasks, self.chain, self.call, self.log, certain_expiry_us
         )
 
     def make_duty(self, platform: Platform) -> FailoverCoordinator:
-        """The duty that keeps a primary for each group."""
-        # Its tasks are taken to start always: after the end of the node nothing of it runs.
+        """Creates the duty that keeps a primary for each group."""
+        # The coordinator assumes that `spawn` starts every task: none runs after the node's end.
         return FailoverCoordinator(cast("ControlServices", self), platform)
 
     def make_view_maintenance(self) -> MemberMaintenance:
-        """What proposes views and changes their members."""
-        return MemberMaintenance(self, self.repair_interval_us, self._most_members)
+        """Creates the part that proposes views and changes their members."""
+        return MemberMaintenance(self, self.repair_interval_us, self._max_members)
 
     def handlers(self) -> dict[str, Any]:
-        """What proxies and other control nodes ask."""
+        """Returns the handlers of messages from proxies and other control nodes, by kind."""
         return {
-            MessageKind.PROXY_CONNECT: self._hold_connection,
+            MessageKind.PROXY_CONNECT: self._open_core_connection,
             MessageKind.CHAIN_IN_FORCE: self.lease_table.report,
             MessageKind.LEASE_RENEW: self._renew_lease,
-            MessageKind.MEMBER_SUSPECT: self._suspected,
+            MessageKind.MEMBER_SUSPECT: self._handle_suspicion,
             MessageKind.MEMBER_CHECK: self.duty.answer_inspection,
-            MessageKind.WALL_CLOCK_READ: self._read_wall_clock,
-            MessageKind.AGREED_TIME_READ: self._true_time,
+            MessageKind.WALL_CLOCK_READ: self._handle_wall_clock,
+            MessageKind.AGREED_TIME_READ: self._handle_agreed_time,
             MessageKind.QUOTA_REPORT: self.counting.report,
             MessageKind.QUOTA_COUNT: self.counting.count,
             MessageKind.QUOTA_COPY: self.counting.copy,
@@ -168,29 +168,31 @@
         }
 
     async def snapshots(self) -> dict[str, dict[str, Any]]:
-        """The control states that living proxies hold, by name; each is asked as it comes by."""
+        """Collects the control states of proxies by name; each is asked when it next connects."""
         return await self.proxy_survey.gather()
 
     # Proxies
 
-    async def _hold_connection(self, channel: Channel, body: Mapping[str, Any]) -> dict[str, Any]:
-        """A proxy opens its core connection, for records to be pushed down it."""
+    async def _open_core_connection(
+        self, channel: Channel, body: Mapping[str, Any]
+    ) -> dict[str, Any]:
+        """Handles `edge.hold`: opens a core connection, to push records to a proxy."""
         if not self.chain.active:
             await self.proxy_survey.ask(channel, body["edge"])
             return {"ok": False, "note": "not confirmed by a majority"}
-        self._note_applied(body["edge"], body["applied"])
+        self._record_applied(body["edge"], body["applied"])
         answer: dict[str, Any] = await self.lease_table.subscribe(channel, body)
         return answer
 
-    def _note_applied(self, proxy: str, seq: int) -> None:
-        """A proxy reports what it has applied, also what another node pushed to it."""
+    def _record_applied(self, proxy: str, seq: int) -> None:
+        """Records up to which record a proxy has applied, from any control node's pushes."""
         self.lease_table.acknowledge(proxy, seq)
 
     async def _renew_lease(self, channel: Channel, body: Mapping[str, Any]) -> dict[str, Any]:
-        """Answers a `tie.pulse`."""
+        """Handles `tie.pulse`: renews a proxy's lease."""
         request = LeaseRenewal.from_body(dict(body))
         now = self.clock.now()
-        self._note_applied(request.proxy, request.applied_seq)
+        self._record_applied(request.proxy, request.applied_seq)
         self.connected_proxies.record_renewal(request.proxy, now)
         if self.proxy_survey.open:
             self.tasks.spawn(self.proxy_survey.ask(channel, request.proxy))
@@ -214,7 +216,7 @@
         ).to_body()
 
     def _addresses(self, view: View) -> tuple[ControlNodeAddress, ...]:
-        """Where the members of the view listen, as far as is known."""
+        """Returns the link addresses of the members of the view that are known."""
         addresses = []
         for name in sorted(view.ids):
             address = self.roster.addr_of(name)
@@ -224,7 +226,7 @@
         return tuple(addresses)
 
     async def suspect(self, group: str, member: str, how: str) -> None:
-        """Reports to the head that a member seems to fail."""
+        """Reports a suspicion about a member to the head."""
         await self._report_suspicion(Suspicion(group, member, how))
 
     async def _report_suspicion(self, suspicion: Suspicion) -> None:
@@ -239,39 +241,43 @@
         with contextlib.suppress(Fault):
             await self.call(view.head, MessageKind.MEMBER_SUSPECT, body, _SUSPICION_TIMEOUT_US)
 
-    async def _suspected(self, _channel: Channel | None, body: Mapping[str, Any]) -> None:
+    async def _handle_suspicion(self, _channel: Channel | None, body: Mapping[str, Any]) -> None:
         self.duty.suspect(body["group"], body["member"], body["how"])
 
-    async def _read_wall_clock(
+    async def _handle_wall_clock(
         self, _channel: Channel | None, _body: Mapping[str, Any]
     ) -> dict[str, Any]:
         return {"wall": self.embargoes.time.wall_clock.now()}
 
-    async def _true_time(
+    async def _handle_agreed_time(
         self, _channel: Channel | None, _body: Mapping[str, Any]
     ) -> dict[str, Any]:
         answer: dict[str, Any] = self.embargoes.proxy_time()
         return answer
 
-    # Orders
+    # Requests of operators and members
 
     async def submit_record(
-        self, record: dict[str, Any], force: bool = True, within_us: int = _FORCED_TIMEOUT_US
+        self, record: dict[str, Any], force: bool = True, within_us: int = _IN_FORCE_TIMEOUT_US
     ) -> SubmitAnswer:
-        """Enters a record at the head; with `force`, returns once it is in force.
+        """Submits a record to the head and returns once it is committed.
 
-        Follows the head where it moves.
+        With `force`, returns once the record is in force. Retries at the new head after a view
+        change.
         """
         return await self.request_router.submit_record(
             record, force, within_us, self.append_as_head
         )
 
-    async def control_state(self, within_us: int = _ORDER_TIMEOUT_US) -> dict[str, Any]:
-        """The document of the control state as the tail answers it."""
+    async def control_state(self, within_us: int = _REQUEST_TIMEOUT_US) -> dict[str, Any]:
+        """Reads the document of the control state from the tail of the chain."""
         return await self.request_router.read_control_state(within_us)
 
     async def append_as_head(self, request: SubmitRequest) -> SubmitAnswer:
-        """Enters a record; answers that it is known already only once that is committed."""
+        """Appends a record as the head.
+
+        Answers with `Duplicate` or `Stale` only once the records that prove it are committed.
+        """
         self.request_router.check_expiry(request.expiry)
         try:
             return await super().append_as_head(request)
@@ -280,15 +286,15 @@
             committed = self.chain.wait_committed(seq, self.chain.store.entered_view)
             await self.clock.limit(committed, _COMMIT_TIMEOUT_US)
             if not self.chain.active:
-                raise NotReady("not the active head any more") from None
+                raise NotReady("no longer the active head") from None
             if request.force and isinstance(fault, Duplicate):
                 await self.lease_table.wait_in_force(seq)
             raise
 
     async def apply(
-        self, text: str, by: str = "", retire: bool = True, within_us: int = _ORDER_TIMEOUT_US
+        self, text: str, by: str = "", retire: bool = True, within_us: int = _REQUEST_TIMEOUT_US
     ) -> dict[str, Any]:
-        """Checks and applies a configuration; returns once it is on every disk of the view."""
+        """Checks and applies a configuration; returns once every node of the view has stored it."""
         configuration = await self.configuration_parser.parse(text)
         record: dict[str, Any] = {
             "t": "manifest",
@@ -309,17 +315,17 @@
         zone: str,
         state: str,
         by: str = "",
-        within_us: int = _ORDER_TIMEOUT_US,
+        within_us: int = _REQUEST_TIMEOUT_US,
         delivery: Delivery | None = None,
     ) -> dict[str, Any]:
         """Evacuates or restores a zone.
 
-        `delivery` is how the order came here; one that may have been given up is declined.
+        A request that its caller may have given up, judged by `delivery`, is rejected.
         """
         if delivery is not None:
-            began = self.clock.now()
+            started_at = self.clock.now()
             await self.request_router.require_waiting_caller(delivery)
-            within_us -= self.clock.now() - began
+            within_us -= self.clock.now() - started_at
         record = {"t": "hall", "hall": zone, "state": state, "by": by}
         answer = await self.submit_record(record, False, within_us)
         return {"hall": zone, "state": state, "change": answer.seq}
@@ -329,8 +335,8 @@
     ) -> dict[str, Any]:
         """Records an operator's order to elect `member` although acknowledged commits may be lost.
 
-        `leadership` is the number of the waiting leadership that the operator saw: an order that
-        was held up on its way finds another number and is declined.
+        `leadership` is the number of the waiting leadership that the operator saw. It changes with
+        every leader change, so a delayed order is rejected.
         """
         order = {
             "t": "evidence",
@@ -344,17 +350,17 @@
         return {"group": group, "member": member, "change": answer.seq}
 
     async def announce(self, document: Mapping[str, Any]) -> None:
-        """Takes a member's heartbeat; what it changes is committed before this returns."""
+        """Handles a member's announcement; returns once the changes are committed."""
         await self.announcements.announce(document)
 
     async def deregister_member(self, member: str) -> None:
-        """A member announces that it ends."""
+        """Records that a member leaves; returns once that is committed."""
         await self.announcements.deregister_member(member)
 
-    # Reports
+    # Status
 
     def control_node_near(self, zone: str) -> str | None:
-        """The link address of the control node in `zone`, if one is in the view and alive."""
+        """Returns the link address of a live control node of the view in `zone`, or None."""
         view = self.chain.view
         for name in view.chain if view else ():
             peer = self.roster.peers.get(name)
@@ -365,7 +371,7 @@
         return None
 
     def status(self) -> dict[str, Any]:
-        """The belief, what this node may do now, and what its duty is waiting for."""
+        """Returns the status document: reported state, permissions and what the duty waits for."""
         embargoes = self._embargoes
         return {
             **self.reported_state(),
--- a/src/petrelhaven/control/request_router.py
+++ b/src/petrelhaven/control/request_router.py
@@ -1,10 +1,10 @@
-"""Orders and reads at any control node: sent to the head or tail, answered while callers wait.
+"""Routes requests at any control node: writes to the head of the chain, reads to the tail.
 
-A caller that hears nothing for a second goes to another node, so an order is answered before that:
-acknowledged, or declined with the time after which to come again. Until then it follows the head
-from view to view. Nothing goes on after its answer, since the caller may have ordered the contrary
-elsewhere by then. For the same reason an order that is sent to another node carries the moment at
-which it ends there, by that node's own clock.
+A caller without an answer for one second tries another control node. So a request is answered
+before that: acknowledged, or rejected with the time after which to retry. Until then it is retried
+at the new head after each view change. Nothing continues after the answer, because the caller may
+have requested the opposite elsewhere by then. For the same reason a request that is sent to
+another node carries its expiry, by that node's own clock.
 """
 
 from __future__ import annotations
@@ -36,192 +36,201 @@
 __all__ = ["ANSWER_TIMEOUT_US", "RequestRouter"]
 
 ANSWER_TIMEOUT_US = 850_000
-"""How long a call of the operator or of a member may take here; its caller waits for a second."""
-
-_ENTER_US = 1_000_000
-_POLL_US = 50_000
-_TRANSITION_US = 1_000_000
-"""How long a node goes on after a new view without a majority's confirmation."""
-_PAUSE_SHARE = 0.7
+"""How long a request of an operator or member may take; its caller waits for a second."""
+
+_FORWARD_TIMEOUT_US = 1_000_000
+_POLL_INTERVAL_US = 50_000
+_VIEW_TRANSITION_US = 1_000_000
+"""How long a node works in a new view without a confirmation by a majority."""
+_MAX_PAUSE_SHARE = 0.7
+"""A longer pause of the process, as a share of a request's time limit, rejects the request."""
 _AFTER_PAUSE_US = 300_000
-_DELAYED_US = 700_000
-"""A request that took longer to arrive may have been given up: callers wait for a second."""
-_CALLER_END_US = 60_000
-"""How long after a request that was held up its caller's end may follow: two round trips."""
-_RETRIED = (NotHead, NotReady, ViewSuperseded, Expired, Unreachable, DeadlineExceeded)
+"""How long after a pause of the process requests may have been waiting since before it."""
+_MAX_DELIVERY_US = 700_000
+"""The caller may have given up a request that took longer to arrive: it waits for a second."""
+_CALLER_CLOSE_DELAY_US = 60_000
+"""How long after a delayed request its caller's close may still arrive: two round trips."""
+_RETRIED_FAULTS = (NotHead, NotReady, ViewSuperseded, Expired, Unreachable, DeadlineExceeded)
 
-_HEAD, _TAIL = 0, -1
-_FINAL = {"final": True}
-"""Details of errors that are answered at once and not retried here."""
+_HEAD_INDEX, _TAIL_INDEX = 0, -1
+_FINAL_DETAILS = {"final": True}
+"""Details of errors that aren't retried here."""
 
 Document: TypeAlias = dict[str, Any]
 _Answer = TypeVar("_Answer")
 Attempt: TypeAlias = Callable[[str, int], Awaitable[_Answer]]
-"""Asks the node of this name, within this many microseconds."""
-StateOf: TypeAlias = Callable[[str], str | None]
-Enter: TypeAlias = Callable[[SubmitRequest], Awaitable[SubmitAnswer]]
+"""Calls the node with this name, with a timeout in microseconds."""
+PeerState: TypeAlias = Callable[[str], str | None]
+AppendRecord: TypeAlias = Callable[[SubmitRequest], Awaitable[SubmitAnswer]]
 
 
 class RequestRouter:
-    """Sends orders to the head and reads to the tail of the view."""
+    """Sends records to the head and reads to the tail of the view's chain."""
 
     def __init__(
-        self, clock: Clock, chain: Chain, reach: Reach, name: str, state_of: StateOf
+        self, clock: Clock, chain: Chain, reach: Reach, name: str, peer_state: PeerState
     ) -> None:
-        """Routes for one control node.
+        """Routes the requests that one control node receives.
 
         Args:
-            clock: the node's monotonic clock.
-            chain: its place in the chain.
-            reach: calls other nodes by name.
-            name: its own name.
-            state_of: answers what membership knows of a node: alive, suspect, gone or None.
+            clock: The node's monotonic clock.
+            chain: The node's part of the chain.
+            reach: Calls other nodes by name.
+            name: The node's name.
+            peer_state: Returns the membership state of a node: alive, suspect, gone or None.
         """
         self._clock = clock
         self._chain = chain
         self._reach = reach
         self._name = name
-        self._state_of = state_of
+        self._peer_state = peer_state
 
     async def submit_record(
-        self, record: Document, force: bool, within_us: int, enter: Enter
+        self, record: Document, force: bool, within_us: int, append: AppendRecord
     ) -> SubmitAnswer:
-        """Has the head enter a record.
+        """Appends a record through the chain's head.
 
         Args:
-            record: the record's document.
-            force: whether to wait until it is in force at every proxy.
-            within_us: when the order has to be answered.
-            enter: enters it where this node is the head itself.
+            record: The record's document.
+            force: Whether to wait until the record is in force at every proxy.
+            within_us: The time limit of the request.
+            append: Appends the record if this node is the head.
 
         Raises:
-            NotReady: no majority answers, or a node of the chain may be lost; to be sent again.
-            DeadlineExceeded: it is not confirmed yet; to be sent again.
-            Fault: what the head declined it with.
+            NotReady: No majority answers, or a node of the chain may be lost; retry later.
+            DeadlineExceeded: The record isn't confirmed yet; retry later.
+            Fault: The head rejected the record.
         """
-        self._decline_after_pause(within_us)
+        self._reject_after_pause(within_us)
         attempts = 0
 
         async def attempt(head: str, timeout_us: int) -> SubmitAnswer:
             nonlocal attempts
             attempts += 1
             try:
-                return await self._enter_at(head, record, force, timeout_us, enter)
+                return await self._append_at(head, record, force, timeout_us, append)
             except Duplicate:
                 if attempts == 1:
                     raise
-                # what an earlier attempt of this very call has entered
+                # An earlier attempt of this request has appended the record.
                 return SubmitAnswer(self._chain.control_state.seq, force)
 
-        return await self._follow(_HEAD, attempt, within_us)
+        return await self._call_chain_node(_HEAD_INDEX, attempt, within_us)
 
-    async def _enter_at(
-        self, head: str, record: Document, force: bool, timeout_us: int, enter: Enter
+    async def _append_at(
+        self, head: str, record: Document, force: bool, timeout_us: int, append: AppendRecord
     ) -> SubmitAnswer:
         if head == self._name:
-            return await enter(SubmitRequest(record, force))
-        expiry = await self._expiry(head, min(timeout_us, _ENTER_US))
+            return await append(SubmitRequest(record, force))
+        expiry = await self._expiry(head, min(timeout_us, _FORWARD_TIMEOUT_US))
         request = SubmitRequest(record, force, expiry)
         return SubmitAnswer.from_body(
             await self._reach.call(head, MessageKind.CHAIN_ENTER, request.to_body(), timeout_us)
         )
 
     async def read_control_state(self, within_us: int) -> Document:
-        """The control state as the tail answers it, within a time in microseconds.
+        """Reads the control state from the tail of the chain, within `within_us` microseconds.
 
         Raises:
-            NotReady: no majority answers, or a node of the chain may be lost; to be sent again.
-            DeadlineExceeded: the tail has not answered.
+            NotReady: No majority answers, or a node of the chain may be lost; retry later.
+            DeadlineExceeded: The tail didn't answer.
         """
 
         async def attempt(tail: str, timeout_us: int) -> Document:
             if tail == self._name:
-                own: Document = self._chain.read()
-                return own
+                own_document: Document = self._chain.read()
+                return own_document
             answer = await self._reach.call(
                 tail, MessageKind.CHAIN_READ, {"what": None}, timeout_us
             )
             document: Document = answer["doc"]
             return document
 
-        return await self._follow(_TAIL, attempt, within_us)
+        return await self._call_chain_node(_TAIL_INDEX, attempt, within_us)
 
     async def require_waiting_caller(self, delivery: Delivery) -> None:
-        """Checks that an order's caller still waits, for orders that no version protects.
+        """Checks that the caller still waits, for requests that no version number protects.
 
-        One that was held up on its way, and given up, may be the contrary of what was acknowledged
-        since. docs/notes/worst-days.md says what can be known of it.
+        A delayed request whose caller gave up may contradict a request that was acknowledged
+        later. docs/notes/worst-days.md describes what a node can detect.
 
         Raises:
-            NotReady: the order may have been given up; who still wants it sends it again.
+            NotReady: The caller may have given up; it can send the request again.
         """
-        if max(delivery.opening_us, delivery.transfer_us) > _DELAYED_US:
-            raise NotReady("the order was held up on its way; send it again")
-        await self._clock.sleep(_CALLER_END_US)
+        if max(delivery.opening_us, delivery.transfer_us) > _MAX_DELIVERY_US:
+            raise NotReady("the request was delayed on its way; send it again")
+        await self._clock.sleep(_CALLER_CLOSE_DELAY_US)
         if delivery.has_caller_left():
-            raise NotReady("whoever sent the order waits for no answer")
+            raise NotReady("the caller of the request has closed its connection")
 
     def check_expiry(self, expiry: Expiry | None) -> None:
-        """Checks an order that has come to this node as the head.
+        """Checks a request that this node receives as the head.
 
         Raises:
-            Expired: it has outlived the call that brought it to another node.
+            Expired: The call to the node that forwarded the request has ended.
         """
         boot = self._chain.confirmation.boot
         if expiry is not None and not expiry.stands(boot, self._clock.now()):
-            raise Expired("the order came after its caller was answered")
+            raise Expired("the request arrived after its caller was answered")
 
     async def _expiry(self, head: str, timeout_us: int) -> Expiry:
-        """The end of an order by the head's clock, which is asked for where it isn't known."""
+        """Returns the expiry of a request by the head's clock, which is read first if needed."""
         clocks = self._chain.confirmation.peer_clocks
         if not clocks.knows(head):
             await self._chain.confirmation.ask(head)
         return clocks.expiry(head, timeout_us)
 
-    async def _follow(self, place: int, attempt: Attempt[_Answer], within_us: int) -> _Answer:
-        """What the node at `place` of the chain answers, through changes of the view."""
+    async def _call_chain_node(
+        self, chain_index: int, attempt: Attempt[_Answer], within_us: int
+    ) -> _Answer:
+        """Calls the node at `chain_index` of the chain and retries after view changes."""
         end_us = self._clock.now() + within_us
         while True:
             view = self._require_view()
             left_us = end_us - self._clock.now()
             try:
-                return await self._watched(attempt(view.chain[place], left_us), view, end_us)
-            except _RETRIED as fault:
-                if self._clock.now() + _POLL_US >= end_us or fault.details.get("final"):
+                return await self._run_attempt(
+                    attempt(view.chain[chain_index], left_us), view, end_us
+                )
+            except _RETRIED_FAULTS as fault:
+                if self._clock.now() + _POLL_INTERVAL_US >= end_us or fault.details.get("final"):
                     raise
                 self._require_majority()
-            await self._clock.sleep(_POLL_US)
+            await self._clock.sleep(_POLL_INTERVAL_US)
+
+    async def _run_attempt(self, attempt: Awaitable[_Answer], view: View, end_us: int) -> _Answer:
+        """Returns the result of one attempt.
 
-    async def _watched(self, attempt: Awaitable[_Answer], view: View, end_us: int) -> _Answer:
-        """The outcome of one attempt; it is given up with the view, the majority or the time."""
+        Cancels the attempt when the view changes, the majority is lost or the time is over.
+        """
         task = asyncio.ensure_future(attempt)
-        is_brief = end_us - self._clock.now() <= ANSWER_TIMEOUT_US
+        is_short = end_us - self._clock.now() <= ANSWER_TIMEOUT_US
         try:
             while not task.done():
                 if self._clock.now() >= end_us:
-                    raise DeadlineExceeded("not confirmed yet; the order may be sent again")
+                    raise DeadlineExceeded("not confirmed yet; the request may be sent again")
                 if self._chain.view is not view:
                     raise NotReady("the view changed")
                 self._require_majority()
-                await self._wait_briefly(task)
-                if not task.done() and is_brief:
+                await self._wait_for_poll(task)
+                if not task.done() and is_short:
                     self._require_no_suspects(view)
             return task.result()
         finally:
             task.cancel()
 
-    async def _wait_briefly(self, task: asyncio.Future[Any]) -> None:
-        """Waits a moment, or until the attempt has ended."""
-        over = asyncio.Event()
-        timer = self._clock.later(_POLL_US, over.set)
-        task.add_done_callback(lambda _: over.set())
+    async def _wait_for_poll(self, task: asyncio.Future[Any]) -> None:
+        """Waits for one poll interval, or until the attempt has ended."""
+        ended = asyncio.Event()
+        timer = self._clock.later(_POLL_INTERVAL_US, ended.set)
+        task.add_done_callback(lambda _: ended.set())
         try:
-            await over.wait()
+            await ended.wait()
         finally:
             timer.cancel()
 
     def _require_view(self) -> View:
-        """The view; NotReady without one, or without a majority."""
+        """Returns the view; raises NotReady without a view or a majority."""
         self._require_majority()
         view = self._chain.view
         if view is None:
@@ -229,35 +238,36 @@
         return view
 
     def _require_majority(self) -> None:
-        """NotReady where no majority of the nodes has confirmed this one's view lately."""
+        """Raises NotReady unless a majority recently confirmed this node's view."""
         chain = self._chain
         if chain.view is None:
             raise NotReady("no view yet")
-        in_transition = self._clock.now() - chain.adopted <= _TRANSITION_US
+        in_transition = self._clock.now() - chain.adopted <= _VIEW_TRANSITION_US
         if not chain.confirmation.is_recent and not in_transition:
-            raise NotReady("no majority of the cores answers", details=dict(_FINAL))
+            raise NotReady("no majority of the control nodes answers", details=dict(_FINAL_DETAILS))
 
     def _require_no_suspects(self, view: View) -> None:
-        """NotReady where nothing is heard of a node of the chain, which would outlast the caller.
+        """Raises NotReady if a node of the chain is suspected.
 
-        Once that node counts as gone, the next view is a matter of moments, and the order waits
-        for it.
+        The suspicion may last longer than the caller waits. Once the node is declared gone, the
+        next view follows soon, and requests wait for it.
         """
         suspects = [
-            name for name in view.chain if name != self._name and self._state_of(name) == "suspect"
+            name
+            for name in view.chain
+            if name != self._name and self._peer_state(name) == "suspect"
         ]
         if suspects:
-            note = f"nothing heard from {','.join(suspects)}; come again"
-            raise NotReady(note, details=dict(_FINAL))
+            note = f"no answer from {','.join(suspects)}; retry later"
+            raise NotReady(note, details=dict(_FINAL_DETAILS))
 
-    def _decline_after_pause(self, within_us: int) -> None:
-        """NotReady where this process has just stood still: callers may have gone meanwhile.
+    def _reject_after_pause(self, within_us: int) -> None:
+        """Raises NotReady right after a pause of this process: callers may have given up meanwhile.
 
-        A request tells no time, so how long one that is read after a pause has lain here can't be
-        known.
+        Requests carry no time, so a node can't tell how long a request waited during the pause.
         """
         self._chain.confirmation.note_pause()
         ended_us, paused_us = self._chain.confirmation.pause
         is_recent = self._clock.now() - ended_us < _AFTER_PAUSE_US
-        if is_recent and paused_us > within_us * _PAUSE_SHARE:
-            raise NotReady("this core stood still a moment ago; send the order again")
+        if is_recent and paused_us > within_us * _MAX_PAUSE_SHARE:
+            raise NotReady("this control node was paused a moment ago; send the request again")
--- a/src/petrelhaven/control/resumable/leases.py
+++ b/src/petrelhaven/control/resumable/leases.py
@@ -70,7 +70,7 @@
         }
         now = self._clock.now()
         if len(answered) < len(reports):
-            return now >= all_expired_at + self._expiry_us and not behind & leased
+            return now >= all_expired_at + self._certain_expiry_us and not behind & leased
         if not behind:
             return True
         all_known = all(report.unknown_leases_us == 0 for report in answered)
--- a/src/petrelhaven/control/state_push.py
+++ b/src/petrelhaven/control/state_push.py
@@ -24,33 +24,39 @@
 
 __all__ = ["ChangeSignal", "StatePusher"]
 
-_PUSH_US = 1_000_000
-_UNCOMMITTED_PAUSE_US = 20_000
-_MOST_RECORDS = 200
+_PUSH_TIMEOUT_US = 1_000_000
+_UNCOMMITTED_RETRY_US = 20_000
+_MAX_RECORDS_PER_PUSH = 200
 
 Acknowledge = Callable[[str, int], None]
 Condense = Callable[[list[NumberedRecord]], list[NumberedRecord]]
 
 
 class ChangeSignal:
-    """Wakes all that wait for the next change; who waits takes `event` before it checks."""
+    """Wakes all tasks that wait for the next change.
+
+    A task reads `event` before it checks its condition, so that it misses no change.
+
+    Attributes:
+        event: Set by the next change.
+    """
 
     __slots__ = ("event",)
 
     def __init__(self) -> None:
-        """Starts without a change."""
+        """Starts with an event that isn't set."""
         self.event = asyncio.Event()
 
     def wake(self) -> None:
-        """Something has changed."""
+        """Wakes the waiting tasks."""
         event, self.event = self.event, asyncio.Event()
         event.set()
 
 
 class StatePusher:
-    """One task for each connection that a proxy subscribed over."""
+    """Runs one task for each connection over which a proxy has subscribed."""
 
-    def __init__(  # noqa: PLR0913, PLR0917 (the lease table assembles it)
+    def __init__(  # noqa: PLR0913, PLR0917 (parts of one node)
         self,
         clock: Clock,
         tasks: BackgroundTasks,
@@ -59,73 +65,89 @@
         acknowledge: Acknowledge,
         condense: Condense,
     ) -> None:
-        """Tells `acknowledge` what proxies answer; `condense` leaves out what needn't be sent."""
+        """Uses the parts of a control node.
+
+        Args:
+            clock: The node's clock.
+            tasks: Runs the push tasks.
+            chain: The source of the records.
+            changed: Wakes the push tasks.
+            acknowledge: Called with a proxy and the number of the record that it has acknowledged.
+            condense: Removes content that proxies don't need from the records of a push.
+        """
         self._clock, self._tasks, self._chain = clock, tasks, chain
         self._changed, self._acknowledge, self._condense = changed, acknowledge, condense
-        self._pushes: dict[Channel, asyncio.Task[None]] = {}
+        self._push_tasks: dict[Channel, asyncio.Task[None]] = {}
 
     async def subscribe(self, channel: Channel, body: Mapping[str, Any]) -> dict[str, Any]:
-        """Answers `edge.hold`: pushes records over `channel` from now on.
+        """Handles `edge.hold`: pushes records over `channel` from now on.
 
-        Connections may be heard in another order than they were opened in. Each has pushes of its
-        own, which end with it, and the proxy closes those that it doesn't need.
+        Subscriptions of one proxy may arrive in another order than it opened its connections. So
+        each connection has its own push task, and the proxy closes the connections that it doesn't
+        need.
         """
         if not self._chain.complete:
             return SubscriptionAnswer(False, "not in the chain").to_body()
-        old = self._pushes.pop(channel, None)
-        if old:
-            old.cancel()
+        previous = self._push_tasks.pop(channel, None)
+        if previous:
+            previous.cancel()
         subscription = StateSubscription.from_body(body)
         task = self._tasks.spawn(
-            self._push_all(channel, subscription.proxy, subscription.applied_seq)
+            self._push_records(channel, subscription.proxy, subscription.applied_seq)
         )
         if task is not None:
-            self._pushes[channel] = task
-            task.add_done_callback(lambda _: self._forget(channel, task))
+            self._push_tasks[channel] = task
+            task.add_done_callback(lambda _: self._remove_task(channel, task))
         return SubscriptionAnswer(True).to_body()
 
-    def _forget(self, channel: Channel, task: asyncio.Task[None]) -> None:
-        if self._pushes.get(channel) is task:
-            del self._pushes[channel]
+    def _remove_task(self, channel: Channel, task: asyncio.Task[None]) -> None:
+        if self._push_tasks.get(channel) is task:
+            del self._push_tasks[channel]
+
+    async def _push_records(self, channel: Channel, proxy: str, applied_seq: int) -> None:
+        """Pushes until the connection ends.
 
-    async def _push_all(self, channel: Channel, proxy: str, applied: int) -> None:
-        """Pushes until the connection ends; closes it where this node can't go on."""
+        Closes the connection if this node leaves the chain or a push fails.
+        """
         while not channel.gone.done():
             event = self._changed.event
             if not self._chain.complete:
                 channel.close()
                 return
-            if applied >= 0 and applied >= self._chain.commit:
-                await self._wait(channel, event)
+            if applied_seq >= 0 and applied_seq >= self._chain.commit:
+                await self._wait_for_change(channel, event)
                 continue
-            body = self._next_body(applied)
+            body = self._next_body(applied_seq)
             if body is None:
-                await self._clock.sleep(_UNCOMMITTED_PAUSE_US)
+                await self._clock.sleep(_UNCOMMITTED_RETRY_US)
                 continue
             try:
-                answer = await channel.call(MessageKind.PROXY_PUSH, body, _PUSH_US)
+                answer = await channel.call(MessageKind.PROXY_PUSH, body, _PUSH_TIMEOUT_US)
             except Fault:
                 channel.close()
                 return
             receipt = PushReceipt.from_body(answer)
-            applied = receipt.applied_seq
+            applied_seq = receipt.applied_seq
             self._acknowledge(proxy, receipt.acknowledged_seq)
             self._changed.wake()
 
-    def _next_body(self, applied: int) -> dict[str, Any] | None:
-        """What follows record `applied`; None if that is a snapshot with uncommitted records."""
+    def _next_body(self, applied_seq: int) -> dict[str, Any] | None:
+        """Returns the next push after record `applied_seq`.
+
+        Returns None if a snapshot is needed while the control state has uncommitted records.
+        """
         commit, control_state = self._chain.commit, self._chain.control_state
-        rows = self._chain.store.records_since(applied) if applied >= 0 else None
-        if rows is None or applied == 0:
+        rows = self._chain.store.records_since(applied_seq) if applied_seq >= 0 else None
+        if rows is None or applied_seq == 0:
             if commit != control_state.seq:
                 return None
             return push_body(control_state.snapshot(), [], commit)
         committed = [(seq, record) for seq, _, record in rows if seq <= commit]
-        return push_body(None, self._condense(committed[:_MOST_RECORDS]), commit)
+        return push_body(None, self._condense(committed[:_MAX_RECORDS_PER_PUSH]), commit)
 
     @staticmethod
-    async def _wait(channel: Channel, event: asyncio.Event) -> None:
-        """Waits for a change, or for the end of the connection."""
+    async def _wait_for_change(channel: Channel, event: asyncio.Event) -> None:
+        """Waits until a change or the end of the connection."""
         change = asyncio.ensure_future(event.wait())
         try:
             await asyncio.wait([change, channel.gone], return_when=asyncio.FIRST_COMPLETED)
--- a/src/petrelhaven/control/submit_messages.py
+++ b/src/petrelhaven/control/submit_messages.py
@@ -1,4 +1,4 @@
-"""Bodies of the call that enters a record at the head of the chain, `chain.enter`."""
+"""Request and response of `chain.enter`, by which a control node submits a record to the head."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SubmitRequest:
-    """An order to enter a record.
+    """A request to append a record to the chain.
 
     Attributes:
-        record: the record's document.
-        force: whether the answer waits until the record is in force at every proxy.
-        expiry: when the order ends, by the head's clock; None where the head itself took it.
+        record: The record's document.
+        force: Whether to answer only once the record is in force at every proxy.
+        expiry: When the request expires, by the head's clock; None for the head's own requests.
     """
 
     record: dict[str, Any]
@@ -26,24 +26,24 @@
     expiry: Expiry | None = None
 
     def to_body(self) -> dict[str, Any]:
-        """The body of the message."""
-        bound = None if self.expiry is None else self.expiry.document()
-        return {"rec": self.record, "force": self.force, "bound": bound}
+        """Returns the body of the message."""
+        expiry = None if self.expiry is None else self.expiry.document()
+        return {"rec": self.record, "force": self.force, "bound": expiry}
 
     @classmethod
     def from_body(cls, body: Mapping[str, Any]) -> SubmitRequest:
-        """Reads a message's body."""
+        """Reads the body of a message."""
         return cls(body["rec"], body["force"], Expiry.read(body["bound"]))
 
 
 @dataclass(frozen=True, slots=True)
 class SubmitAnswer:
-    """What became of an order.
+    """The result of a submitted record.
 
     Attributes:
-        seq: the number of the record.
-        forced: whether the answer waited until it was in force.
-        in_force_us: how long that took, in microseconds.
+        seq: The number of the record.
+        forced: Whether the head waited until the record was in force.
+        in_force_us: How long that took, in microseconds.
     """
 
     seq: int
@@ -51,10 +51,10 @@
     in_force_us: int = 0
 
     def to_body(self) -> dict[str, Any]:
-        """The body of the message."""
+        """Returns the body of the message."""
         return {"seq": self.seq, "forced": self.forced, "doc": {"in_force_us": self.in_force_us}}
 
     @classmethod
     def from_body(cls, body: Mapping[str, Any]) -> SubmitAnswer:
-        """Reads a message's body."""
+        """Reads the body of a message."""
         return cls(body["seq"], body["forced"], body["doc"]["in_force_us"])
--- a/tests/test_platform_orders.py
+++ b/tests/test_platform_orders.py
@@ -110,7 +110,7 @@
 
 
 @pytest.mark.parametrize(
-    "fault", [NotReady("no majority of the cores answers"), DeadlineExceeded("not confirmed yet")]
+    "fault", [NotReady("no majority of the control nodes answers"), DeadlineExceeded("not confirmed yet")]
 )
 def test_without_an_outcome_the_caller_is_told_when_to_come_again(fault):
     for status, back in answers(fault):
