--- a/src/petrelhaven/control/base_node.py
+++ b/src/petrelhaven/control/base_node.py
@@ -250,12 +250,12 @@
         )
 
     async def _enter(self, _channel: Channel | None, body: Mapping[str, Any]) -> dict[str, Any]:
-        """Answers a `chain.enter`."""
+        """Answers a `chain.append_record`."""
         return (await self.enter_as_head(EnterRequest.from_body(body))).to_body()
 
     async def enter_as_head(self, request: EnterRequest) -> EnterAnswer:
         """Enters a record as the head; with `force`, returns once it is in force."""
-        seq = await self.chain.enter(request.record)
+        seq = await self.chain.append_record(request.record)
         in_force_us = await self.lease_table.in_force(seq) if request.force else 0
         return EnterAnswer(seq, request.force, in_force_us)
 
--- a/src/petrelhaven/control/consensus/chain.py
+++ b/src/petrelhaven/control/consensus/chain.py
@@ -263,7 +263,9 @@
 
     # Records
 
-    async def enter(self, record: dict[str, Any], timeout_us: int = _ENTER_TIMEOUT_US) -> int:
+    async def append_record(
+        self, record: dict[str, Any], timeout_us: int = _ENTER_TIMEOUT_US
+    ) -> int:
         """Numbers, checks and commits a record; returns its number.
 
         Raises:
--- a/src/petrelhaven/control/failover/context.py
+++ b/src/petrelhaven/control/failover/context.py
@@ -121,7 +121,7 @@
             accepted_loss=new.accepted_loss,
             requested=new.requested,
         )
-        number = await self.node.chain.enter(record.to_document())
+        number = await self.node.chain.append_record(record.to_document())
         emit(
             self.log,
             Events.LEADERSHIP_CHANGED
@@ -137,7 +137,7 @@
 
     async def record_counted_out(self, group: str, member: str, position: Position | None) -> None:
         """Records that a leaving member is paused at `position`, or receives again if None."""
-        await self.node.chain.enter(CountedOutRecord(group, member, position).to_document())
+        await self.node.chain.append_record(CountedOutRecord(group, member, position).to_document())
         if position is not None:
             emit(self.log, Events.MEMBER_COUNTED_OUT, group=group, member=member, pos=position)
         else:
--- a/src/petrelhaven/control/failover/departures.py
+++ b/src/petrelhaven/control/failover/departures.py
@@ -212,7 +212,7 @@
     async def _bound(self, group: str, ended: list[str], position: Position) -> None:
         """Records that the logs of ended members are at or below `position`."""
         record = BoundedRecord(group, tuple(ended), position)
-        await self._node.chain.enter(record.to_document())
+        await self._node.chain.append_record(record.to_document())
         names = ",".join(ended)
         emit(self._node.log, Events.DEPARTED_LOG_BOUNDED, group=group, members=names, pos=position)
 
@@ -226,4 +226,4 @@
                 self._not_seen(group, refusing)
             elif self._seen_us(group, refusing) > _REFUSING_US:
                 record = DepartureRecord(member.name, member.address)
-                await self._node.chain.enter(record.to_document())
+                await self._node.chain.append_record(record.to_document())
--- a/src/petrelhaven/control/failover/interfaces.py
+++ b/src/petrelhaven/control/failover/interfaces.py
@@ -114,7 +114,7 @@
     def control_state(self) -> ControlState:
         """The control state, with all records that this node holds."""
 
-    async def enter(self, record: dict[str, Any], /) -> int:
+    async def append_record(self, record: dict[str, Any], /) -> int:
         """Commits a record; its number."""
 
 
--- a/src/petrelhaven/control/resumable/planning_duty.py
+++ b/src/petrelhaven/control/resumable/planning_duty.py
@@ -187,7 +187,7 @@
         if not self._progress.is_in_force(key) or is_settled or epoch.phase != SERVING:
             return False
         record = EpochInForceRecord(epoch.group, epoch.number)
-        self._running.start(epoch.group, self.chain.enter, record.to_document())
+        self._running.start(epoch.group, self.chain.append_record, record.to_document())
         return True
 
     def _take(
@@ -286,7 +286,7 @@
         if view is None:
             raise NotHead("no view yet")
         epoch = replace(planned, by=self.chain.me, view=view.number)
-        await self.chain.enter(epoch.to_document())
+        await self.chain.append_record(epoch.to_document())
         emit(
             self.log,
             Events.GROUP_HALTED if epoch.phase == HALTED else Events.LEADERSHIP_CHANGED,
--- a/src/petrelhaven/control/resumable/proxy_watch.py
+++ b/src/petrelhaven/control/resumable/proxy_watch.py
@@ -154,10 +154,10 @@
             cause=f"kith: {peer_state}, no lease",
             by=self._chain.me,
         )
-        seq = await self._chain.enter(record.to_document())
+        seq = await self._chain.append_record(record.to_document())
         await self._expire(name, incarnation, seq)
 
     async def _expire(self, name: str, incarnation: int, seq: int) -> None:
         """Records that a proxy's lease has certainly expired, once record `seq` is in force."""
         await self._lease_table.in_force(seq)
-        await self._chain.enter(LeaseExpiryRecord(name, incarnation).to_document())
+        await self._chain.append_record(LeaseExpiryRecord(name, incarnation).to_document())
--- a/tests/control_mutants.py
+++ b/tests/control_mutants.py
@@ -146,15 +146,15 @@
 
 
 def fence_before_commit(mp):
-    real = chain.Chain.enter
+    real = chain.Chain.append_record
 
-    async def enter(self, record, *args):
+    async def append_record(self, record, *args):
         if record["t"] != "office" or not (self.head and self.active):
             return await real(self, record, *args)
         self.tasks.spawn(real(self, record, *args))
         return self.control_state.seq + 1
 
-    mp.setattr(chain.Chain, "enter", enter)
+    mp.setattr(chain.Chain, "append_record", enter)
 
 
 __all__ = [
--- a/tests/model/observer.py
+++ b/tests/model/observer.py
@@ -50,7 +50,7 @@
         node.chain.on_view.append(lambda: self._viewed(node))
         node.chain.on_commit.append(lambda: self._committed(node))
         node.chain.read = self._read_watched(node, node.chain.read)
-        node.chain.enter = self._enter_watched(node, node.chain.enter)
+        node.chain.append_record = self._enter_watched(node, node.chain.append_record)
 
     @staticmethod
     def _watched(handler, check, node):
--- a/tests/model/operators.py
+++ b/tests/model/operators.py
@@ -147,7 +147,7 @@
             }
             record |= {"phase": "move", "primary": "none", "term": 0, "cause": "model"}
             try:
-                seq = await chain.enter({**record, "by": machine.name, "stuck": False})
+                seq = await chain.append_record({**record, "by": machine.name, "stuck": False})
             except Fault:
                 return
             if chain.active and chain.head:
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -95,7 +95,7 @@
             control_state=led,
             head=True,
             active=True,
-            enter=self.enter,
+            append_record=self.append_record,
             view=View(1, ("c1", "c2", "c3"), {"c1": "d1", "c2": "d2", "c3": "d3"}),
         )
         self.put({"t": "manifest", "version": 1, "text": '{"groups":[{"name":"g"}]}'})
@@ -121,7 +121,7 @@
         led.apply(led.seq + 1, r)
         return led.seq
 
-    async def enter(self, r):
+    async def append_record(self, r):
         await asyncio.sleep(0.005)
         seq = self.put(r)
         if r["t"] == "office":
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -46,7 +46,7 @@
         cut_off(f, head, 3_000_000)
         await asyncio.sleep(0.05)
         lost = head.tasks.spawn(
-            outcome(head.node.chain.enter({"t": "hall", "hall": "a", "state": "emptied"}))
+            outcome(head.node.chain.append_record({"t": "hall", "hall": "a", "state": "emptied"}))
         )
         await asyncio.sleep(2.0)
         other = others(f, head)[0]
