--- a/src/petrelhaven/control/announcements.py
+++ b/src/petrelhaven/control/announcements.py
@@ -150,7 +150,7 @@
         chain = self._chain()
         committed = chain.wait_committed(chain.control_state.seq, chain.store.entered_view)
         await self._clock.limit(committed, ANSWER_US)
-        if not chain.ruling:
+        if not chain.is_confirmed:
             raise NotReady("not confirmed by a majority")
 
     async def _record(self, record: dict[str, Any]) -> None:
--- a/src/petrelhaven/control/base_node.py
+++ b/src/petrelhaven/control/base_node.py
@@ -296,4 +296,4 @@
     @property
     def ready(self) -> bool:
         """Whether this node is in the chain, holds everything and was confirmed lately."""
-        return self.chain.ruling
+        return self.chain.is_confirmed
--- a/src/petrelhaven/control/consensus/chain.py
+++ b/src/petrelhaven/control/consensus/chain.py
@@ -106,17 +106,17 @@
         return self.view.position(self.me, self.store.disk) if self.view else None
 
     @property
-    def head(self) -> bool:
+    def is_head(self) -> bool:
         """Whether this node is the head."""
         return self._position() == 0
 
     @property
-    def tail(self) -> bool:
+    def is_tail(self) -> bool:
         """Whether this node is the tail."""
         return self.view is not None and self._position() == len(self.view.chain) - 1
 
     @property
-    def complete(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether this node holds everything committed before its view, and takes writes."""
         return (
             self.view is not None
@@ -126,14 +126,14 @@
         )
 
     @property
-    def ruling(self) -> bool:
+    def is_confirmed(self) -> bool:
         """In the current view, holding everything of it, confirmed by a majority lately."""
-        return self.complete and self.confirmation.is_recent
+        return self.is_complete and self.confirmation.is_recent
 
     @property
-    def active(self) -> bool:
+    def is_active(self) -> bool:
         """Ruling, and no node acts under a former view any more."""
-        return self.ruling and self.clock.now() >= self.active_at
+        return self.is_confirmed and self.clock.now() >= self.active_at
 
     @property
     def _wait_us(self) -> int:
@@ -217,7 +217,7 @@
 
     def _commit_as_tail(self) -> None:
         """At the tail, what is held is committed."""
-        if self.tail and self.complete:
+        if self.is_tail and self.is_complete:
             self.advance_commit(self.control_state.seq)
         self.new_records.set()
 
@@ -274,7 +274,7 @@
             DeadlineExceeded: the record was not committed in time; it may be yet.
         """
         async with self._lock:
-            if self.view is None or not (self.head and self.active):
+            if self.view is None or not (self.is_head and self.is_active):
                 head = self.view.head if self.view else None
                 raise NotHead("not the active head", details={"head": head})
             self.control_state.check(record)
@@ -292,9 +292,9 @@
 
     async def _wait_active(self, view_number: int) -> None:
         """Waits until this node may confirm what it entered in that view."""
-        while not self.active:
+        while not self.is_active:
             superseded = self.view is None or self.view.number != view_number
-            if self.store.refuses or superseded and not self.head:
+            if self.store.refuses or superseded and not self.is_head:
                 raise NotReady("the view changed; read back to see the outcome")
             await self.clock.sleep(_ACTIVE_POLL_US)
 
@@ -304,7 +304,7 @@
         Raises:
             NotReady: this node is not the active tail.
         """
-        if not (self.tail and self.active):
+        if not (self.is_tail and self.is_active):
             tail = self.view.tail if self.view else None
             raise NotReady("not the active tail", details={"tail": tail})
         document: dict[str, Any] = self.control_state.doc
@@ -334,7 +334,7 @@
             self.store.put_done(request.view_number)
         seq = self.control_state.seq
         self._commit_as_tail()
-        if not self.tail and request.complete:
+        if not self.is_tail and request.complete:
             with contextlib.suppress(DeadlineExceeded):
                 await self.clock.limit(self._wait_for_commit(seq), _COMMIT_WAIT_US)
 
--- a/src/petrelhaven/control/consensus/feed.py
+++ b/src/petrelhaven/control/consensus/feed.py
@@ -33,7 +33,7 @@
     new_records: asyncio.Event
 
     @property
-    def complete(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether the sender holds everything that was committed before its view."""
 
     @property
@@ -76,7 +76,7 @@
 
     async def _step(self) -> None:
         chain = self._chain
-        if not chain.complete:
+        if not chain.is_complete:
             await chain.clock.sleep(_INCOMPLETE_RETRY_US)
             return
         request = self._next_request()
--- a/src/petrelhaven/control/consensus/member_maintenance.py
+++ b/src/petrelhaven/control/consensus/member_maintenance.py
@@ -84,7 +84,7 @@
     def _every_member_is_there(self, view: View, reports: Reports) -> bool:
         return (
             view.every_member_in_chain
-            and self._core.chain.active
+            and self._core.chain.is_active
             and all(self._core.roster.state(name) == ALIVE for name in view.ids)
             and not self._changes.wiped(view, reports)
         )
@@ -123,5 +123,5 @@
     async def change_members(self, view: View, reports: Reports) -> None:
         """Takes a newcomer in, or lets go of a lost node that one is to replace."""
         change = self._changes.next_change(view, reports)
-        if change is not None and self._core.chain.active:
+        if change is not None and self._core.chain.is_active:
             await self.propose(view, change.chain, change.ids, change.cause)
--- a/src/petrelhaven/control/consensus/view.py
+++ b/src/petrelhaven/control/consensus/view.py
@@ -34,12 +34,12 @@
     before: tuple[Identities, ...] | None = None
 
     @property
-    def head(self) -> str:
+    def is_head(self) -> str:
         """The node that numbers records."""
         return self.chain[0]
 
     @property
-    def tail(self) -> str:
+    def is_tail(self) -> str:
         """The node that commits records and answers reads."""
         return self.chain[-1]
 
--- a/src/petrelhaven/control/consensus/view_maintenance.py
+++ b/src/petrelhaven/control/consensus/view_maintenance.py
@@ -174,7 +174,7 @@
         """Leaves lost nodes out of the chain and lets members in again."""
         core = self._core
         remaining = [name for name in view.chain if self._may_remain(view, name, reports)]
-        if not remaining or remaining[0] != core.name or not core.chain.complete:
+        if not remaining or remaining[0] != core.name or not core.chain.is_complete:
             return
         joining = [
             name
--- a/src/petrelhaven/control/counting/service.py
+++ b/src/petrelhaven/control/counting/service.py
@@ -200,7 +200,7 @@
     def _count_all(self, view_number: int, rows: Sequence[ReportRow]) -> list[Grant | None]:
         """Grants for reports; NotReady where this node does not count in that view."""
         self.follow_view()
-        if not self._node.chain.active or self._view_number != view_number:
+        if not self._node.chain.is_active or self._view_number != view_number:
             raise NotReady("not counting in this view")
         now = self._clock.now()
         return [self._count(proxy, report, now) for proxy, report in rows]
@@ -255,7 +255,7 @@
             await self._clock.sleep(_TICK_US)
             self.follow_view()
             self._settle_starts()
-            if not self._table.quotas or not self._node.chain.active:
+            if not self._table.quotas or not self._node.chain.is_active:
                 continue
             self._take_tenants()
             self._copy_to_successors()
@@ -355,7 +355,7 @@
             if start is not None and start.view_number == view_number:
                 until = self._clock.now() + self._table.terms.quarantine_us
                 self._fresh_start = start._replace(until=until)
-                if self._node.chain.active:
+                if self._node.chain.is_active:
                     self._take_tenants()
         except Fault:
             pass
@@ -364,7 +364,7 @@
 
     def _settle_starts(self) -> None:
         """As the head, has beginnings that are over recorded so."""
-        if not self._node.chain.head or not self._node.chain.active:
+        if not self._node.chain.is_head or not self._node.chain.is_active:
             self._starts_seen.clear()
             return
         now = self._clock.now()
--- a/src/petrelhaven/control/failover/context.py
+++ b/src/petrelhaven/control/failover/context.py
@@ -48,7 +48,7 @@
     @property
     def is_active_head(self) -> bool:
         """Whether this control node may act for all."""
-        return bool(self.node.chain.head and self.node.chain.active)
+        return bool(self.node.chain.is_head and self.node.chain.is_active)
 
     def groups(self) -> list[str]:
         """The names of the configured groups."""
--- a/src/petrelhaven/control/failover/interfaces.py
+++ b/src/petrelhaven/control/failover/interfaces.py
@@ -99,11 +99,11 @@
     """The replication chain of the control nodes."""
 
     @property
-    def head(self) -> bool:
+    def is_head(self) -> bool:
         """Whether this node is the head."""
 
     @property
-    def active(self) -> bool:
+    def is_active(self) -> bool:
         """Whether a majority has confirmed this node's view, and no older one can be in force."""
 
     @property
--- a/src/petrelhaven/control/interface/control_interface.py
+++ b/src/petrelhaven/control/interface/control_interface.py
@@ -169,7 +169,7 @@
     async def _why(self, request: Request) -> Document:
         group = request.query.get("group", "")
         state = await self._node.control_state()
-        wait_reason = self._node.duty.wait_reasons.get(group) if self._node.chain.head else None
+        wait_reason = self._node.duty.wait_reasons.get(group) if self._node.chain.is_head else None
         answer = leadership_history(state, request.query, wait_reason)
         return {**answer, "evidence": state["evidence"].get(group)}
 
--- a/src/petrelhaven/control/node.py
+++ b/src/petrelhaven/control/node.py
@@ -173,7 +173,7 @@
 
     async def _hold_connection(self, channel: Channel, body: Mapping[str, Any]) -> dict[str, Any]:
         """A proxy opens its core connection, for records to be pushed down it."""
-        if not self.chain.active:
+        if not self.chain.is_active:
             await self.proxy_survey.ask(channel, body["edge"])
             return {"ok": False, "note": "not confirmed by a majority"}
         self._note_applied(body["edge"], body["applied"])
@@ -194,7 +194,7 @@
             self.tasks.spawn(self.proxy_survey.ask(channel, request.proxy))
         for suspicion in request.suspicions:
             self.tasks.spawn(self._report_suspicion(suspicion))
-        granted = self.chain.active
+        granted = self.chain.is_active
         if granted:
             self.lease_table.grant(request.proxy, CONNECTION_LEASE_US)
         view = self.chain.view
@@ -275,7 +275,7 @@
             seq = self.chain.control_state.seq
             committed = self.chain.wait_committed(seq, self.chain.store.entered_view)
             await self.clock.limit(committed, _COMMIT_TIMEOUT_US)
-            if not self.chain.active:
+            if not self.chain.is_active:
                 raise NotReady("not the active head any more") from None
             if request.force and isinstance(fault, Duplicate):
                 await self.lease_table.in_force(seq)
@@ -363,9 +363,9 @@
         embargoes = self._embargoes
         return {
             **self.belief(),
-            "ruling": self.chain.ruling,
-            "active": self.chain.active,
-            "head": self.chain.head,
+            "ruling": self.chain.is_confirmed,
+            "active": self.chain.is_active,
+            "head": self.chain.is_head,
             "waiting": dict(self.duty.wait_reasons),
             "tied": self.connected_proxies.names(),
             "garbage": self.link.garbage,
--- a/src/petrelhaven/control/resumable/control_interface.py
+++ b/src/petrelhaven/control/resumable/control_interface.py
@@ -114,7 +114,7 @@
             raise NoRoute(f"no group {group}")
         past = state["past"][group]
         index = _index_of(past, request.query.get("n"), group)
-        reason = self._node.duty.wait_reasons.get(group) if self._node.chain.head else None
+        reason = self._node.duty.wait_reasons.get(group) if self._node.chain.is_head else None
         return leadership_answer(past, index, reason)
 
     async def _belief(self, _request: web.Request) -> Document:
--- a/src/petrelhaven/control/resumable/interfaces.py
+++ b/src/petrelhaven/control/resumable/interfaces.py
@@ -31,11 +31,11 @@
         """The name of this node."""
 
     @property
-    def head(self) -> bool:
+    def is_head(self) -> bool:
         """Whether this node is the head."""
 
     @property
-    def active(self) -> bool:
+    def is_active(self) -> bool:
         """Whether a majority has confirmed this node's view, and no older one can be in force."""
 
     @property
--- a/src/petrelhaven/control/resumable/leases.py
+++ b/src/petrelhaven/control/resumable/leases.py
@@ -49,7 +49,7 @@
         if known:
             self.acknowledge(request.proxy, request.acknowledged_seq)
             self._changed.wake()
-        granted = bool(self._chain.ruling and known and row["state"] != "gone")
+        granted = bool(self._chain.is_confirmed and known and row["state"] != "gone")
         required_seq = self._chain.control_state.seq
         if granted:
             self.grant(request.proxy, LEASE_US)
--- a/src/petrelhaven/control/resumable/node.py
+++ b/src/petrelhaven/control/resumable/node.py
@@ -157,10 +157,10 @@
         return {
             **self.belief(),
             "settings": self.settings(),
-            "ruling": self.chain.ruling,
-            "active": self.chain.active,
-            "head": self.chain.head,
-            "waiting": dict(self.duty.wait_reasons) if self.chain.head else {},
+            "ruling": self.chain.is_confirmed,
+            "active": self.chain.is_active,
+            "head": self.chain.is_head,
+            "waiting": dict(self.duty.wait_reasons) if self.chain.is_head else {},
             "garbage": getattr(self.link, "garbage", 0),
             "members": {
                 name: {**heard.document, "age_us": now - heard.at}
--- a/src/petrelhaven/control/resumable/planning_duty.py
+++ b/src/petrelhaven/control/resumable/planning_duty.py
@@ -105,7 +105,7 @@
         while True:
             await self.clock.sleep(_CHECK_INTERVAL_US)
             self._announcements.forget_old(self._planned_members())
-            if self.chain.head and self.chain.active:
+            if self.chain.is_head and self.chain.is_active:
                 self._act()
             else:
                 self._stand_down()
@@ -141,7 +141,7 @@
         """While this node is the head, asks the other control nodes what they have heard."""
         while True:
             view = self.chain.view
-            if view and self.chain.head:
+            if view and self.chain.is_head:
                 for node in view.ids:
                     if node != self.chain.me:
                         self.tasks.spawn(self._request_report(node))
@@ -302,7 +302,7 @@
         self, group: Group, configuration: Configuration, key: EpochKey, target: str
     ) -> None:
         """Has the platform promote a member, and enters the epoch that follows."""
-        if not self.chain.active:
+        if not self.chain.is_active:
             return
         try:
             await self._requester.request(group.name, target, key[1])
--- a/src/petrelhaven/control/state_push.py
+++ b/src/petrelhaven/control/state_push.py
@@ -70,7 +70,7 @@
         Connections may be heard in another order than they were opened in. Each has pushes of its
         own, which end with it, and the proxy closes those that it doesn't need.
         """
-        if not self._chain.complete:
+        if not self._chain.is_complete:
             return SubscriptionAnswer(False, "not in the chain").to_body()
         old = self._pushes.pop(channel, None)
         if old:
@@ -92,7 +92,7 @@
         """Pushes until the connection ends; closes it where this node can't go on."""
         while not channel.gone.done():
             event = self._changed.event
-            if not self._chain.complete:
+            if not self._chain.is_complete:
                 channel.close()
                 return
             if applied >= 0 and applied >= self._chain.commit:
--- a/src/petrelhaven/simulator/connection_sessions/control_fleet.py
+++ b/src/petrelhaven/simulator/connection_sessions/control_fleet.py
@@ -137,7 +137,7 @@
         return (
             len(counted) == len(chain)
             and all(s.chain.view and s.chain.view.number == newest for s in nodes)
-            and all(s.chain.complete for s in nodes)
+            and all(s.chain.is_complete for s in nodes)
             and max(positions) - min(positions) <= _UNDER_WAY
         )
 
--- a/src/petrelhaven/simulator/connection_sessions/faults.py
+++ b/src/petrelhaven/simulator/connection_sessions/faults.py
@@ -231,7 +231,9 @@
 
         def freeze(m):
             heads = [
-                b for b in self.f.cores if b.node and b.node.chain.head and b.node.chain.active
+                b
+                for b in self.f.cores
+                if b.node and b.node.chain.is_head and b.node.chain.is_active
             ]
             for b in heads:
                 g.on_pause.clear()
--- a/src/petrelhaven/simulator/connection_sessions/storm.py
+++ b/src/petrelhaven/simulator/connection_sessions/storm.py
@@ -56,7 +56,7 @@
             if len(ok) == 2:
                 break
             if f.loop.time() > end:
-                why = [c.node.duty.wait_reasons for c in f.cores if c.node and c.node.chain.head]
+                why = [c.node.duty.wait_reasons for c in f.cores if c.node and c.node.chain.is_head]
                 return [("service not back", g, secs, sorted(ok), why)]
             await asyncio.sleep(0.2)
     return []
--- a/src/petrelhaven/simulator/resumable/scenes/cores.py
+++ b/src/petrelhaven/simulator/resumable/scenes/cores.py
@@ -90,7 +90,7 @@
         v += 1
         await w.apply(configuration(w.size, v), by=v)
 
-    async def complete():
+    async def is_complete():
         await w.until(
             lambda: all(c.node and c.node.ready for c in w.cores), 15, "chain whole again"
         )
@@ -217,7 +217,7 @@
     bad += await back(w, 12)
     w.seen["gap_us"] = int((w.loop.time() - t) * 1e6)
     try:
-        await w.until(lambda: all(x.node.chain.active for x in w.cores), 10, "cores active")
+        await w.until(lambda: all(x.node.chain.is_active for x in w.cores), 10, "cores active")
     except AssertionError as e:
         return bad + [("the chain was not formed anew", str(e))]
     d = await w.ask(c, lambda n: n.control_state())
--- a/src/petrelhaven/simulator/resumable/scenes/members.py
+++ b/src/petrelhaven/simulator/resumable/scenes/members.py
@@ -65,7 +65,7 @@
     b.kill()
     await asyncio.sleep(4)
     bad = []
-    head = next(c.node for c in w.cores if c.node.chain.head)
+    head = next(c.node for c in w.cores if c.node.chain.is_head)
     if "no safe candidate" not in head.duty.wait_reasons.get("g1", ""):
         bad.append(("does not say why", head.duty.wait_reasons))
     e = w.edges[0].node
--- a/src/petrelhaven/simulator/resumable/storm.py
+++ b/src/petrelhaven/simulator/resumable/storm.py
@@ -477,7 +477,11 @@
                         f"g{g + 1}",
                         secs,
                         w.head_epochs().get(f"g{g + 1}", {}).get("phase"),
-                        [c.node.duty.wait_reasons for c in w.cores if c.node and c.node.chain.head],
+                        [
+                            c.node.duty.wait_reasons
+                            for c in w.cores
+                            if c.node and c.node.chain.is_head
+                        ],
                     )
                 ]
             await asyncio.sleep(0.1)
--- a/tests/control_mutants.py
+++ b/tests/control_mutants.py
@@ -63,7 +63,7 @@
 
 def tail_reads_while_not_active(mp):
     def read(self):
-        if not self.tail:
+        if not self.is_tail:
             raise NotReady("not the tail")
         return self.control_state.doc
 
@@ -149,7 +149,7 @@
     real = chain.Chain.append_record
 
     async def append_record(self, record, *args):
-        if record["t"] != "office" or not (self.head and self.active):
+        if record["t"] != "office" or not (self.is_head and self.is_active):
             return await real(self, record, *args)
         self.tasks.spawn(real(self, record, *args))
         return self.control_state.seq + 1
--- a/tests/embargo_world.py
+++ b/tests/embargo_world.py
@@ -346,7 +346,7 @@
         for n in self.edges:
             self.start_edge(n)
         await self.until(
-            lambda: any(c.node and c.node.chain.active for c in self.cores.values()), 20
+            lambda: any(c.node and c.node.chain.is_active for c in self.cores.values()), 20
         )
         await self.call(lambda s: s.apply(self.configuration(), by="op"))
         await self.until(
--- a/tests/limits_world.py
+++ b/tests/limits_world.py
@@ -134,7 +134,7 @@
 
 
 class ChainStub:
-    """A node's place in the views, with what the real chain promises of `active`.
+    """A node's place in the views, with what the real chain promises of `is_active`.
 
     A node acts under its view while a majority has confirmed it lately, and only once no node acts
     under a former one.
@@ -150,7 +150,7 @@
         return self._world.control_state
 
     @property
-    def head(self):
+    def is_head(self):
         return self.view is not None and self.view.chain[0] == self._node.name
 
     @property
@@ -158,7 +158,7 @@
         return self.view is not None and self._world.now() < self.confirmed_until
 
     @property
-    def active(self):
+    def is_active(self):
         if not self.confirmed or self._node.name not in self.view.chain:
             return False
         return not any(
--- a/tests/model/observer.py
+++ b/tests/model/observer.py
@@ -207,18 +207,20 @@
     def turn(self, machines):
         """Checks what must hold at any moment of all cores that run."""
         running = [b.node for b in machines if b.up and not b.frozen and b.node is not None]
-        active = [n for n in running if n.chain.active]
+        active = [n for n in running if n.chain.is_active]
         newest = max((n.chain.view.number for n in active), default=0)
         for node in active:
             self.check_word(node, "is active")
         for node in running:
             chain = node.chain
-            if chain.ruling and chain.view.number < newest:
+            if chain.is_confirmed and chain.view.number < newest:
                 self.report(
                     "no core rules an older view beside an active one",
                     f"{node.name} in view {chain.view.number}, one active in {newest}",
                 )
-            if chain.complete and chain.control_state.seq < self._floor.get(chain.view.number, 0):
+            if chain.is_complete and chain.control_state.seq < self._floor.get(
+                chain.view.number, 0
+            ):
                 self.report(
                     "a complete core holds all that was committed before its view",
                     f"{node.name} holds {chain.control_state.seq} of {self._floor[chain.view.number]}",
--- a/tests/model/operators.py
+++ b/tests/model/operators.py
@@ -133,7 +133,12 @@
     async def fence(self, index):
         """The active head takes the next office of a group and uses the number of its record as a fence."""
         machine = self._cluster.at(index)
-        if not machine.up or machine.frozen or machine.node is None or not machine.node.chain.head:
+        if (
+            not machine.up
+            or machine.frozen
+            or machine.node is None
+            or not machine.node.chain.is_head
+        ):
             return
         begun, life = self._cluster.loop.time(), machine.life
 
@@ -150,7 +155,7 @@
                 seq = await chain.append_record({**record, "by": machine.name, "stuck": False})
             except Fault:
                 return
-            if chain.active and chain.head:
+            if chain.is_active and chain.is_head:
                 self._observer.fence(seq, machine.name, begun, (life, begun))
 
         machine.tasks.spawn(take())
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -419,7 +419,7 @@
         edge, core = Node(net, "edge"), Node(net, "core")
         control_state = SimpleNamespace(seq=3, snapshot=lambda: {"seq": 3})
         chain = SimpleNamespace(
-            complete=True,
+            is_complete=True,
             commit=3,
             control_state=control_state,
             store=SimpleNamespace(since=lambda at: []),
--- a/tests/test_control_days.py
+++ b/tests/test_control_days.py
@@ -47,7 +47,7 @@
 
 def test_a_core_cut_off_that_trusts_its_last_confirmation_serves_old_state(monkeypatch):
     # The order router asks for a majority by itself: either guard alone makes the other's loss good.
-    monkeypatch.setattr(Chain, "ruling", property(lambda self: self.complete))
+    monkeypatch.setattr(Chain, "is_confirmed", property(lambda self: self.is_complete))
     monkeypatch.setattr(OrderRouter, "_require_majority", lambda self: None)
     assert "OLDER READ" in rules(played(scenes.core_cut_off, 1, place=TAIL))
 
--- a/tests/test_control_interface.py
+++ b/tests/test_control_interface.py
@@ -94,7 +94,7 @@
     await http_server.start()
     node.start()
     try:
-        await until(lambda: node.chain.active, 10)
+        await until(lambda: node.chain.is_active, 10)
         yield node, http_server
     finally:
         await http_server.close()
@@ -416,7 +416,7 @@
             d = json.loads(b)
             typed = s in (400, 404, 409, 422, 503) and set(d) >= {"fault", "note"}
             assert s == 200 or typed, (q.verb, q.path, q.body, s, b)
-        assert node.chain.control_state.seq == 0 and node.chain.active
+        assert node.chain.control_state.seq == 0 and node.chain.is_active
 
     on_a_node(tmp_path, go)
 
@@ -542,7 +542,7 @@
         return None
 
 
-async def head(s):
+async def is_head(s):
     """The status of the core that is the active head, if one says so."""
     for n in [n for n in s.fleet.machines if n.startswith("core")]:
         d = await answers(own(s, n), "/status")
--- a/tests/test_disk_refusal.py
+++ b/tests/test_disk_refusal.py
@@ -18,7 +18,7 @@
     return (
         len(views) == 3
         and all(v and len(v.chain) == 3 for v in views)
-        and all(b.node.chain.ruling for b in f.cores)
+        and all(b.node.chain.is_confirmed for b in f.cores)
     )
 
 
@@ -47,7 +47,7 @@
         f.history.trouble(f.loop.time(), f.loop.time() + 6, "core")
         took = [await change(f, v, v) for v in range(2, 7)]
         assert max(took) < 2.5, took
-        assert b.node.store.refuses and not b.node.chain.ruling
+        assert b.node.store.refuses and not b.node.chain.is_confirmed
         b.disk.full = False
         await f.until(lambda: whole(f), 10, "chain whole again")
         assert identities(f) == was
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -93,8 +93,8 @@
         led = ControlState()
         self.chain = types.SimpleNamespace(
             control_state=led,
-            head=True,
-            active=True,
+            is_head=True,
+            is_active=True,
             append_record=self.append_record,
             view=View(1, ("c1", "c2", "c3"), {"c1": "d1", "c2": "d2", "c3": "d3"}),
         )
@@ -665,11 +665,11 @@
         e.member("p", "draining")
         await e.until(lambda: e.calls)
         candidate = e.calls[0]
-        e.chain.head = False
+        e.chain.is_head = False
         await asyncio.sleep(0.2)
         if leaves:
             e.member(candidate, "draining")
-        e.chain.head = True
+        e.chain.is_head = True
         await e.until(lambda: ("leads", candidate) in e.trace and e.settled)
         if not leaves:
             assert set(e.calls) == {candidate}
@@ -711,18 +711,18 @@
 
 def test_a_new_head_has_paused_replicas_receive_again():
     async def go(e):
-        e.chain.head = False
+        e.chain.is_head = False
         await asyncio.sleep(1)
         e.members["r1"].held = 7
         await asyncio.sleep(5)
         assert e.members["r1"].held == 7
-        e.chain.head = True
+        e.chain.is_head = True
         await e.until(lambda: not e.members["r1"].held)
         e.members["r2"].seen = False
-        e.chain.head = False
+        e.chain.is_head = False
         await asyncio.sleep(1)
         e.members["r2"].held = 7
-        e.chain.head = True
+        e.chain.is_head = True
         await asyncio.sleep(5)
         e.members["r2"].seen = True
         await e.until(lambda: not e.members["r2"].held)
@@ -861,11 +861,11 @@
     async def go(e):
         leaving = asyncio.ensure_future(e.release("r1", 12))
         await e.until(lambda: e.evidence.counted_out)
-        e.chain.head = False
+        e.chain.is_head = False
         await asyncio.sleep(1)
         if again:
             e.members["r1"].held = 0
-        e.chain.head = True
+        e.chain.is_head = True
         await asyncio.sleep(2)
         assert e.members["r1"].held and e.evidence.counted_out["r1"] == e.members["r1"].pos
         await leaving
@@ -1009,11 +1009,11 @@
             elif "barrier" in what:
                 e.barrier = 1.5 if what == "slow barrier" else 0.0
             elif "head" in what:
-                e.chain.head = what == "head back"
+                e.chain.is_head = what == "head back"
             else:
                 e.promote_as = [rng.choice(["unsent", "fenced", "unanswered"]) for _ in range(2)]
             await asyncio.sleep(s)
-        e.chain.head, e.barrier, e.promote_as = True, 0.0, []
+        e.chain.is_head, e.barrier, e.promote_as = True, 0.0, []
         for n, m in e.members.items():
             m.seen = m.runs = m.follows = True
             m.silent = False
@@ -1150,9 +1150,9 @@
         setattr(member, switch, True)
 
     async def _head(self, pick, s):
-        self.e.chain.head = False
+        self.e.chain.is_head = False
         await asyncio.sleep(s)
-        self.e.chain.head = True
+        self.e.chain.is_head = True
 
     async def _doubt(self, pick, s):
         self.e.coordinator.suspect("g", self.e.leadership["primary"], "mute")
--- a/tests/test_interface_compatibility.py
+++ b/tests/test_interface_compatibility.py
@@ -84,7 +84,7 @@
     await fleet.start()
     members = {member.name for group in fleet.groups.values() for member in group.members}
     names = {*fleet.net.machines, *fleet.groups, *members, "a", "b", "c"}
-    control = next(machine.node for machine in fleet.cores if machine.node.chain.head)
+    control = next(machine.node for machine in fleet.cores if machine.node.chain.is_head)
     return {
         "control": await _held_documents(ControlInterface, control, names),
         "proxy": await _held_documents(ProxyInterface, fleet.edges[0].node, names),
@@ -101,7 +101,7 @@
     world = World(1, "small")
     await world.start()
     names = {*world.net.machines, "g1", "a", "b", "c"}
-    control = next(machine.node for machine in world.cores if machine.node.chain.head)
+    control = next(machine.node for machine in world.cores if machine.node.chain.is_head)
     nodes = {"control": control, "proxy": world.edges[0].node}
     return {
         role: {
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -16,7 +16,9 @@
 
 def head_of(fleet):
     return next(
-        b for b in fleet.cores if b.node is not None and b.node.chain.head and b.node.chain.active
+        b
+        for b in fleet.cores
+        if b.node is not None and b.node.chain.is_head and b.node.chain.is_active
     )
 
 
@@ -187,11 +189,11 @@
         cut_off(f, head, 5_000_000)
         rest = others(f, head)
         while True:
-            now = [b for b in rest if b.node.chain.head and b.node.chain.active]
+            now = [b for b in rest if b.node.chain.is_head and b.node.chain.is_active]
             if now and now[0].node.chain.view.number > 1:
                 break
             await asyncio.sleep(0.005)
-        assert not head.node.chain.active
+        assert not head.node.chain.is_active
         chain = now[0].node.chain
         return chain.clock.now() - chain.adopted
 
--- a/tests/test_second_loss.py
+++ b/tests/test_second_loss.py
@@ -11,7 +11,7 @@
 def whole(f):
     return all(
         b.node and b.node.chain.view and len(b.node.chain.view.chain) == 3 for b in f.cores
-    ) and all(b.node.chain.ruling for b in f.cores)
+    ) and all(b.node.chain.is_confirmed for b in f.cores)
 
 
 def note_handovers(machine):
@@ -82,7 +82,7 @@
         fleet.cut([successor.name], [core.name for core in others], cut_us)
         await asyncio.sleep(cut_us / 1e6)
         healed = fleet.loop.time()
-        await fleet.until(lambda: successor.node.chain.complete, 10, "the successor is whole")
+        await fleet.until(lambda: successor.node.chain.is_complete, 10, "the successor is whole")
         return fleet.loop.time() - healed
 
     took_s, _ = inside(go, seed, ControlFleet)
--- a/tests/test_tenant_review.py
+++ b/tests/test_tenant_review.py
@@ -219,7 +219,7 @@
         self.silent, self.view = silent, SimpleNamespace(number=1, chain=names)
         state = SimpleNamespace(configuration=None)
         self.log = None
-        self.chain = SimpleNamespace(view=self.view, active=True, control_state=state)
+        self.chain = SimpleNamespace(view=self.view, is_active=True, control_state=state)
 
     async def call(self, name, _kind, body, timeout_us):
         if name in self.silent:
