--- a/src/petrelhaven/control/consensus/view.py
+++ b/src/petrelhaven/control/consensus/view.py
@@ -34,12 +34,12 @@
     before: tuple[Identities, ...] | None = None
 
     @property
-    def is_head(self) -> str:
+    def head(self) -> str:
         """The node that numbers records."""
         return self.chain[0]
 
     @property
-    def is_tail(self) -> str:
+    def tail(self) -> str:
         """The node that commits records and answers reads."""
         return self.chain[-1]
 
--- a/src/petrelhaven/simulator/resumable/scenes/cores.py
+++ b/src/petrelhaven/simulator/resumable/scenes/cores.py
@@ -90,7 +90,7 @@
         v += 1
         await w.apply(configuration(w.size, v), by=v)
 
-    async def is_complete():
+    async def complete():
         await w.until(
             lambda: all(c.node and c.node.ready for c in w.cores), 15, "chain whole again"
         )
--- a/tests/control_mutants.py
+++ b/tests/control_mutants.py
@@ -73,7 +73,7 @@
 def complete_without_handover(mp):
     mp.setattr(
         chain.Chain,
-        "complete",
+        "is_complete",
         property(lambda self: self.view is not None and self._position() is not None),
     )
 
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -589,7 +589,7 @@
     virtual(go)
 
 
-@pytest.mark.parametrize("lost", ["head", "active"])
+@pytest.mark.parametrize("lost", ["is_head", "is_active"])
 def test_a_core_that_lost_its_say_at_the_barrier_calls_nobody(lost):
     async def go(e):
         e.barrier = 1.0
