--- a/src/petrelhaven/control/base_node.py
+++ b/src/petrelhaven/control/base_node.py
@@ -244,7 +244,7 @@
             view=chain.view,
             complete_in=store.done,
             seq=store.control_state.seq,
-            commit=chain.commit,
+            commit=chain.committed_seq,
             up_us=self.clock.now() - chain.confirmation.boot,
             granted_us=chain.confirmation.granted_ages_us(),
         )
@@ -284,7 +284,7 @@
             "name": self.name,
             "role": "core",
             "state": self.state,
-            "commit": self.chain.commit,
+            "commit": self.chain.committed_seq,
             "view": None if view is None else view.to_document(),
             "kith": {row[0]: row[5] for row in self.roster.all_rows()},
         }
--- a/src/petrelhaven/control/consensus/chain.py
+++ b/src/petrelhaven/control/consensus/chain.py
@@ -60,7 +60,7 @@
         commit: The newest record that this node knows to be committed.
         confirmation: Whether a majority still accepts the view.
         new_records: Set when there is something new for the successor.
-        on_commit: Called without arguments when `commit` has risen.
+        on_commit: Called without arguments when `committed_seq` has risen.
         on_view: Called without arguments when a view was adopted.
     """
 
@@ -78,9 +78,9 @@
         self.clock, self.tasks, self.store, self.call, self.log = clock, tasks, store, call, log
         self.confirm_us = confirm_us
         self.view: View | None = None
-        self.adopted = 0
-        self.active_at = 0
-        self.commit = 0
+        self.adopted_at_us = 0
+        self.active_at_us = 0
+        self.committed_seq = 0
         self.confirmation = Confirmation(
             clock, tasks, store, call, lambda: self.view, self.adopt, confirm_us, ask_us
         )
@@ -133,7 +133,7 @@
     @property
     def is_active(self) -> bool:
         """Ruling, and no node acts under a former view any more."""
-        return self.is_confirmed and self.clock.now() >= self.active_at
+        return self.is_confirmed and self.clock.now() >= self.active_at_us
 
     @property
     def _wait_us(self) -> int:
@@ -149,8 +149,8 @@
         self._remember(view)
         self.view = view
         self.confirmation.reset()
-        self.adopted = self.clock.now()
-        self.active_at = self.adopted + self._wait_us
+        self.adopted_at_us = self.clock.now()
+        self.active_at_us = self.adopted_at_us + self._wait_us
         chain = ",".join(view.chain)
         emit(self.log, Events.VIEW_ADOPTED, n=view.number, chain=chain, cause=view.cause)
         self._feed_successor(view)
@@ -192,12 +192,12 @@
         """
         if self.view is None:
             return None
-        if self.clock.now() >= self.active_at:
+        if self.clock.now() >= self.active_at_us:
             return (self.view.ids,)
         before = self.view.before
         return None if before is None else (*before, self.view.ids)
 
-    def shorten_wait(self, reports: Iterable[CoreReport], at: int) -> None:
+    def shorten_activation_wait(self, reports: Iterable[CoreReport], at: int) -> None:
         """Ends the wait after a new view as soon as no node acts under a former one.
 
         `reports` came by the moment `at` or before, since the view was adopted.
@@ -206,7 +206,7 @@
             return
         expires_at = former_views_expire_at(self.view, reports, at, self._wait_us)
         if expires_at is not None:
-            self.active_at = min(self.active_at, expires_at)
+            self.active_at_us = min(self.active_at_us, expires_at)
 
     # Commits
 
@@ -223,8 +223,8 @@
 
     def advance_commit(self, seq: int) -> None:
         """Takes note that everything up to `seq` is committed."""
-        if seq > self.commit:
-            self.commit = seq
+        if seq > self.committed_seq:
+            self.committed_seq = seq
             self._wake()
             for listener in self.on_commit:
                 listener()
@@ -251,14 +251,14 @@
         while True:
             if not self.holds_record(seq, view_number):
                 raise NotReady("another record took the number; read back to see the outcome")
-            if self.commit >= seq:
+            if self.committed_seq >= seq:
                 return
             if self._position() is None:
                 raise NotReady("not in the chain any more; read back to see the outcome")
             await self._changed.wait()
 
     async def _wait_for_commit(self, seq: int) -> None:
-        while self.commit < seq:
+        while self.committed_seq < seq:
             await self._changed.wait()
 
     # Records
@@ -319,7 +319,9 @@
         self._check_predecessor(request)
         if not request.only_asks:
             await self._take(request)
-        return AppendAnswer(self.control_state.seq, self.store.entered_view, self.commit).to_body()
+        return AppendAnswer(
+            self.control_state.seq, self.store.entered_view, self.committed_seq
+        ).to_body()
 
     def _check_predecessor(self, request: AppendRequest) -> None:
         number = self.view.number if self.view else 0
--- a/src/petrelhaven/control/consensus/member_maintenance.py
+++ b/src/petrelhaven/control/consensus/member_maintenance.py
@@ -106,17 +106,17 @@
     def report_received(self) -> None:
         """After a new view, reports may end the wait for the nodes of the former one."""
         chain, now = self._core.chain, self._core.clock.now()
-        if chain.view is None or chain.active_at <= now:
+        if chain.view is None or chain.active_at_us <= now:
             return
         reports: list[CoreReport] = [
-            report for at, report in self._reports.values() if report and at >= chain.adopted
+            report for at, report in self._reports.values() if report and at >= chain.adopted_at_us
         ]
-        chain.shorten_wait([*reports, self._core.report()], now)
+        chain.shorten_activation_wait([*reports, self._core.report()], now)
 
     async def _ask_who_moved(self) -> None:
         """Asks for what ends the wait after a new view, once the others may have received it."""
         await self._core.clock.sleep(_VIEW_SPREAD_US)
-        if self._core.chain.active_at > self._core.clock.now():
+        if self._core.chain.active_at_us > self._core.clock.now():
             for address in self.addresses():
                 self._core.tasks.spawn(self.request_report(address))
 
--- a/src/petrelhaven/control/interface/control_interface.py
+++ b/src/petrelhaven/control/interface/control_interface.py
@@ -113,7 +113,7 @@
             return in_force
         chain = self._node.chain
         for seq, _view, record in reversed(chain.store.recs):
-            is_committed = seq <= chain.commit
+            is_committed = seq <= chain.committed_seq
             if record["t"] != "manifest" or (is_confirmed and not is_committed):
                 continue
             if record["version"] == version:
--- a/src/petrelhaven/control/interface/event_feed.py
+++ b/src/petrelhaven/control/interface/event_feed.py
@@ -38,7 +38,7 @@
             The records after it that are committed here and still stored, 200 at most.
         """
         form = JSONFormat()
-        rows = [row for row in self._chain.store.recs if seq < row[0] <= self._chain.commit]
+        rows = [row for row in self._chain.store.recs if seq < row[0] <= self._chain.committed_seq]
         return [
             json.loads(form.write(self._event(number, view, record)))
             for number, view, record in rows[:_BATCH_SIZE]
--- a/src/petrelhaven/control/leases.py
+++ b/src/petrelhaven/control/leases.py
@@ -104,7 +104,7 @@
             acknowledged=dict(self.acknowledged),
             lease_us={proxy: end - now for proxy, end in self.lease_ends.items() if end > now},
             unknown_leases_us=max(self.unknown_leases_end - now, 0),
-            commit=self._chain.commit,
+            commit=self._chain.committed_seq,
         )
         return report.to_body()
 
--- a/src/petrelhaven/control/orders.py
+++ b/src/petrelhaven/control/orders.py
@@ -233,7 +233,7 @@
         chain = self._chain
         if chain.view is None:
             raise NotReady("no view yet")
-        in_transition = self._clock.now() - chain.adopted <= _TRANSITION_US
+        in_transition = self._clock.now() - chain.adopted_at_us <= _TRANSITION_US
         if not chain.confirmation.is_recent and not in_transition:
             raise NotReady("no majority of the cores answers", details=dict(_FINAL))
 
--- a/src/petrelhaven/control/state_push.py
+++ b/src/petrelhaven/control/state_push.py
@@ -95,7 +95,7 @@
             if not self._chain.is_complete:
                 channel.close()
                 return
-            if applied >= 0 and applied >= self._chain.commit:
+            if applied >= 0 and applied >= self._chain.committed_seq:
                 await self._wait(channel, event)
                 continue
             body = self._next_body(applied)
@@ -114,7 +114,7 @@
 
     def _next_body(self, applied: int) -> dict[str, Any] | None:
         """What follows record `applied`; None if that is a snapshot with uncommitted records."""
-        commit, control_state = self._chain.commit, self._chain.control_state
+        commit, control_state = self._chain.committed_seq, self._chain.control_state
         rows = self._chain.store.since(applied) if applied >= 0 else None
         if rows is None or applied == 0:
             if commit != control_state.seq:
--- a/src/petrelhaven/simulator/connection_sessions/fleet.py
+++ b/src/petrelhaven/simulator/connection_sessions/fleet.py
@@ -327,7 +327,7 @@
                 if (
                     b.node is None
                     or b in self.cores
-                    and b.node.chain.commit < b.node.store.control_state.seq
+                    and b.node.chain.committed_seq < b.node.store.control_state.seq
                 ):
                     continue
                 d = (
--- a/src/petrelhaven/simulator/measure.py
+++ b/src/petrelhaven/simulator/measure.py
@@ -133,7 +133,7 @@
     return took
 
 
-def commit():
+def committed_seq():
     """What waiting for every in-sync replica costs a write: latency with and without it, by lag."""
     from petrelhaven.proxy.resumable.node import ResumableProxy
 
--- a/tests/control_mutants.py
+++ b/tests/control_mutants.py
@@ -83,7 +83,7 @@
 
     def adopt(self, view):
         real(self, view)
-        self.active_at = 0
+        self.active_at_us = 0
 
     mp.setattr(chain.Chain, "adopt", adopt)
 
@@ -94,10 +94,10 @@
         if chain.view is None:
             return
         reports = (
-            report for at, report in self._reports.values() if report and at >= chain.adopted
+            report for at, report in self._reports.values() if report and at >= chain.adopted_at_us
         )
         if any(report.name != self._core.name for report in reports):
-            chain.active_at = self._core.clock.now()
+            chain.active_at_us = self._core.clock.now()
 
     mp.setattr(member_maintenance.MemberMaintenance, "report_received", report_received)
 
--- a/tests/model/observer.py
+++ b/tests/model/observer.py
@@ -178,14 +178,14 @@
     def _committed(self, node):
         chain, recent = node.chain, node.store.recs
         for seq, _, record in recent:
-            if self._checked[node.name] < seq <= chain.commit:
+            if self._checked[node.name] < seq <= chain.committed_seq:
                 self._same(self._records, seq, _text(record), "one record a number", node.name)
                 self._check_version(seq, record)
-        if chain.commit == chain.control_state.seq:
+        if chain.committed_seq == chain.control_state.seq:
             state = _text(chain.control_state.snapshot())
-            self._same(self._states, chain.commit, state, "one state a number", node.name)
-        self._checked[node.name] = max(self._checked[node.name], chain.commit)
-        self.committed = max(self.committed, chain.commit)
+            self._same(self._states, chain.committed_seq, state, "one state a number", node.name)
+        self._checked[node.name] = max(self._checked[node.name], chain.committed_seq)
+        self.committed = max(self.committed, chain.committed_seq)
 
     def _check_version(self, seq, record):
         if record["t"] != "manifest":
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -420,7 +420,7 @@
         control_state = SimpleNamespace(seq=3, snapshot=lambda: {"seq": 3})
         chain = SimpleNamespace(
             is_complete=True,
-            commit=3,
+            committed_seq=3,
             control_state=control_state,
             store=SimpleNamespace(since=lambda at: []),
             on_view=[],
@@ -442,7 +442,7 @@
         # the older connection's bytes arrive only now, and it is not known yet that its far end is gone
         await old.call("edge.hold", hold, 100_000)
         await asyncio.sleep(0.1)
-        chain.commit = control_state.seq = 4
+        chain.committed_seq = control_state.seq = 4
         control_state.snapshot = lambda: {"seq": 4}
         chain.store.since = lambda at: None
         chain.on_commit[0]()
--- a/tests/test_entered_record.py
+++ b/tests/test_entered_record.py
@@ -62,7 +62,7 @@
             "done": True,
         }
         await chain.append(None, body)
-        assert chain.is_active and chain.commit == 1
+        assert chain.is_active and chain.committed_seq == 1
         with pytest.raises(NotReady):
             await order
         tasks.kill()
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -195,7 +195,7 @@
             await asyncio.sleep(0.005)
         assert not head.node.chain.is_active
         chain = now[0].node.chain
-        return chain.clock.now() - chain.adopted
+        return chain.clock.now() - chain.adopted_at_us
 
     assert max(inside(go, seed)[0] for seed in range(6)) < 200_000
 
@@ -241,13 +241,13 @@
     ids = {n: f"disk-{n}" for n in "abc"}
     chain.view = View(8, ("a", "b"), {"a": "disk-a", "b": "disk-b"}, before=(ids,))
     now = chain.clock.now()
-    chain.active_at = now + 630_000
-    chain.shorten_wait(cores, now)
-    assert chain.active_at - now == left_us
-    chain.active_at = now + 630_000
+    chain.active_at_us = now + 630_000
+    chain.shorten_activation_wait(cores, now)
+    assert chain.active_at_us - now == left_us
+    chain.active_at_us = now + 630_000
     chain.view = dataclasses.replace(chain.view, before=None)
-    chain.shorten_wait(cores, now)
-    assert chain.active_at - now == 630_000
+    chain.shorten_activation_wait(cores, now)
+    assert chain.active_at_us - now == 630_000
 
 
 def announcement(state):
