--- a/src/petrelhaven/control/base_node.py
+++ b/src/petrelhaven/control/base_node.py
@@ -179,7 +179,7 @@
             MessageKind.VIEW_READ: self.views.answer,
             MessageKind.VIEW_LEARN: self.views.learn,
             MessageKind.VIEW_CONFIRM: self.chain.confirmation.answer,
-            MessageKind.CHAIN_APPEND: self.chain.append,
+            MessageKind.CHAIN_APPEND: self.chain.handle_append,
             MessageKind.DISK_STATE_CHANGED: self.disk_watch.receive,
             MessageKind.CHAIN_ENTER: self._enter,
             MessageKind.CHAIN_READ: self._read,
@@ -260,8 +260,8 @@
         return EnterAnswer(seq, request.force, in_force_us)
 
     async def _read(self, _channel: Channel | None, _body: Mapping[str, Any]) -> dict[str, Any]:
-        """Answers a `chain.read`."""
-        return {"doc": self.chain.read()}
+        """Answers a `chain.read_control_state`."""
+        return {"doc": self.chain.read_control_state()}
 
     async def reform(self, lost: Sequence[str], by: str = "") -> dict[str, Any]:
         """Forms the chain anew without the disks of `lost`, at the operator's order."""
--- a/src/petrelhaven/control/consensus/chain.py
+++ b/src/petrelhaven/control/consensus/chain.py
@@ -298,7 +298,7 @@
                 raise NotReady("the view changed; read back to see the outcome")
             await self.clock.sleep(_ACTIVE_POLL_US)
 
-    def read(self) -> dict[str, Any]:
+    def read_control_state(self) -> dict[str, Any]:
         """The document of the control state, answered only by the tail of the current view.
 
         Raises:
@@ -310,7 +310,9 @@
         document: dict[str, Any] = self.control_state.doc
         return document
 
-    async def append(self, _channel: Channel | None, body: Mapping[str, Any]) -> dict[str, Any]:
+    async def handle_append(
+        self, _channel: Channel | None, body: Mapping[str, Any]
+    ) -> dict[str, Any]:
         """Takes records from the predecessor.
 
         Answers once all successors hold them, or after a moment with what is committed by then.
--- a/src/petrelhaven/control/orders.py
+++ b/src/petrelhaven/control/orders.py
@@ -126,7 +126,7 @@
             await self._reach.call(head, MessageKind.CHAIN_ENTER, request.to_body(), timeout_us)
         )
 
-    async def read(self, within_us: int) -> Document:
+    async def read_control_state(self, within_us: int) -> Document:
         """The control state as the tail answers it, within a time in microseconds.
 
         Raises:
@@ -136,7 +136,7 @@
 
         async def attempt(tail: str, timeout_us: int) -> Document:
             if tail == self._name:
-                own: Document = self._chain.read()
+                own: Document = self._chain.read_control_state()
                 return own
             answer = await self._reach.call(
                 tail, MessageKind.CHAIN_READ, {"what": None}, timeout_us
--- a/src/petrelhaven/control/resumable/node.py
+++ b/src/petrelhaven/control/resumable/node.py
@@ -96,7 +96,7 @@
         if view is None:
             raise NotReady("no view yet")
         if view.tail == self.name:
-            return self.chain.read()
+            return self.chain.read_control_state()
         answer = await self.reach.call(
             view.tail, MessageKind.CHAIN_READ, {"what": None}, _READ_TIMEOUT_US
         )
--- a/tests/control_mutants.py
+++ b/tests/control_mutants.py
@@ -62,12 +62,12 @@
 
 
 def tail_reads_while_not_active(mp):
-    def read(self):
+    def read_control_state(self):
         if not self.is_tail:
             raise NotReady("not the tail")
         return self.control_state.doc
 
-    mp.setattr(chain.Chain, "read", read)
+    mp.setattr(chain.Chain, "read_control_state", read)
 
 
 def complete_without_handover(mp):
--- a/tests/model/observer.py
+++ b/tests/model/observer.py
@@ -49,7 +49,7 @@
             handlers[kind] = self._watched(handlers[kind], check, node)
         node.chain.on_view.append(lambda: self._viewed(node))
         node.chain.on_commit.append(lambda: self._committed(node))
-        node.chain.read = self._read_watched(node, node.chain.read)
+        node.chain.read_control_state = self._read_watched(node, node.chain.read_control_state)
         node.chain.append_record = self._enter_watched(node, node.chain.append_record)
 
     @staticmethod
--- a/tests/test_entered_record.py
+++ b/tests/test_entered_record.py
@@ -61,7 +61,7 @@
             "frame": control_state.snapshot(),
             "done": True,
         }
-        await chain.append(None, body)
+        await chain.handle_append(None, body)
         assert chain.is_active and chain.committed_seq == 1
         with pytest.raises(NotReady):
             await order
