--- a/src/petrelhaven/control/base_node.py
+++ b/src/petrelhaven/control/base_node.py
@@ -178,7 +178,7 @@
             MessageKind.REGISTER_ACCEPT: self.voter.accept,
             MessageKind.VIEW_READ: self.views.answer,
             MessageKind.VIEW_LEARN: self.views.learn,
-            MessageKind.VIEW_CONFIRM: self.chain.confirmation.answer,
+            MessageKind.VIEW_CONFIRM: self.chain.confirmation.handle_confirm,
             MessageKind.CHAIN_APPEND: self.chain.handle_append,
             MessageKind.DISK_STATE_CHANGED: self.disk_watch.receive,
             MessageKind.CHAIN_ENTER: self._enter,
@@ -245,7 +245,7 @@
             complete_in=store.done,
             seq=store.control_state.seq,
             commit=chain.committed_seq,
-            up_us=self.clock.now() - chain.confirmation.boot,
+            up_us=self.clock.now() - chain.confirmation.started_at_us,
             granted_us=chain.confirmation.granted_ages_us(),
         )
 
--- a/src/petrelhaven/control/consensus/chain.py
+++ b/src/petrelhaven/control/consensus/chain.py
@@ -36,10 +36,10 @@
 
 __all__ = ["Chain", "CONFIRM_US", "DRIFT"]
 
-CONFIRM_US = 500_000
+CONFIRMATION_VALIDITY_US = 500_000
 """How long a majority's confirmation counts."""
 
-DRIFT = 1.05
+MAX_CLOCK_RATE_RATIO = 1.05
 """How much faster one node's clock may run than another's."""
 
 _ASK_US = 120_000
@@ -71,7 +71,7 @@
         store: CoreStore,
         call: Call,
         log: logbook.Logger | None = None,
-        confirm_us: int = CONFIRM_US,
+        confirm_us: int = CONFIRMATION_VALIDITY_US,
         ask_us: int = _ASK_US,
     ) -> None:
         """Replicates what `store` remembers; the other nodes are asked every `ask_us` by `call`."""
@@ -138,7 +138,7 @@
     @property
     def _wait_us(self) -> int:
         """How long a confirmation may count on any node's clock."""
-        return int(self.confirm_us * DRIFT)
+        return int(self.confirm_us * MAX_CLOCK_RATE_RATIO)
 
     # Views
 
@@ -156,7 +156,7 @@
         self._feed_successor(view)
         for listener in self.on_view:
             listener()
-        self.confirmation.ask_others()
+        self.confirmation.request_confirmations()
         self._wake()
         self._commit_as_tail()
 
--- a/src/petrelhaven/control/consensus/chain_messages.py
+++ b/src/petrelhaven/control/consensus/chain_messages.py
@@ -38,7 +38,7 @@
 class ConfirmAnswer:
     """Whether the view is confirmed, and a newer decided view where the answerer knows one.
 
-    `boot` and `clock_us` are the answerer's monotonic clock at its start and now.
+    `started_at_us` and `clock_us` are the answerer's monotonic clock at its start and now.
     """
 
     ok: bool
--- a/src/petrelhaven/control/consensus/confirmation.py
+++ b/src/petrelhaven/control/consensus/confirmation.py
@@ -59,11 +59,11 @@
         self._view, self._adopt = view, adopt
         self._confirm_us, self._ask_us = confirm_us, ask_us
         self.until_us = 0
-        self.asks_minority = False
-        self.connected_proxies: Callable[[], int] = int
+        self.asks_only_quorum = False
+        self.count_connected_proxies: Callable[[], int] = int
         self.connected_proxy_counts: dict[str, tuple[int, int]] = {}
-        self.boot = clock.now()
-        self.pause = (0, 0)
+        self.started_at_us = clock.now()
+        self.last_pause = (0, 0)
         self.peer_clocks = PeerClocks(clock)
         self._confirmed_at: dict[str, int] = {}
         self._granted_at: dict[str, int] = {}
@@ -95,12 +95,12 @@
     async def run(self) -> None:
         """Asks again and again."""
         while True:
-            self.ask_others()
+            self.request_confirmations()
             self._last_asked = self._clock.now()
             await self._clock.sleep(self._ask_us)
-            self.note_pause()
+            self.record_pause()
 
-    def ask_others(self) -> None:
+    def request_confirmations(self) -> None:
         """Asks the other members of the view, or enough of them."""
         view = self._view()
         if view is None:
@@ -113,28 +113,28 @@
 
     def _members_to_ask(self, view: View, now: int) -> list[str]:
         others = [name for name in view.ids if name != self._name]
-        if not self.asks_minority or now >= self.until_us - self._confirm_us // 2:
+        if not self.asks_only_quorum or now >= self.until_us - self._confirm_us // 2:
             return others
         self._rotation += 1
         return [others[(self._rotation + i) % len(others)] for i in range(view.quorum - 1)]
 
-    def note_pause(self) -> None:
+    def record_pause(self) -> None:
         """Notes when this process last stood still, and for how long.
 
         It should have asked every `ask_us`.
         """
         stood_us = self._clock.now() - self._last_asked - self._ask_us
         if stood_us > _PAUSE_US:
-            self.pause = (self._clock.now(), stood_us)
+            self.last_pause = (self._clock.now(), stood_us)
 
-    async def ask(self, name: str) -> None:
+    async def request_confirmation(self, name: str) -> None:
         """Asks one node whether it accepts the view; the answer counts, and shows its clock."""
         view = self._view()
         if view is not None:
             await self._ask(name, view.number, self._clock.now())
 
     async def _ask(self, name: str, number: int, at: int) -> None:
-        request = ConfirmRequest(self._name, number, self.connected_proxies())
+        request = ConfirmRequest(self._name, number, self.count_connected_proxies())
         try:
             body = await self._call(
                 name, MessageKind.VIEW_CONFIRM, request.to_body(), _CONFIRM_TIMEOUT_US
@@ -158,7 +158,9 @@
         if majority_at and accepted and accepted["n"] <= view.number:
             self.until_us = max(self.until_us, majority_at + self._confirm_us)
 
-    async def answer(self, _channel: Channel | None, body: Mapping[str, Any]) -> dict[str, Any]:
+    async def handle_confirm(
+        self, _channel: Channel | None, body: Mapping[str, Any]
+    ) -> dict[str, Any]:
         """Answers another node's `view.confirm`."""
         return self._answer(ConfirmRequest.from_body(body)).to_body()
 
@@ -177,4 +179,4 @@
             self._granted_at[request.name] = now
         view = self._view()
         newer = view if view and view.number > request.view_number else None
-        return ConfirmAnswer(ok, newer, self.boot, now)
+        return ConfirmAnswer(ok, newer, self.started_at_us, now)
--- a/src/petrelhaven/control/counting/service.py
+++ b/src/petrelhaven/control/counting/service.py
@@ -152,7 +152,7 @@
             raise NotReady("copies of another view")
         now = self._clock.now()
         expiry = Expiry.read(list(request.expiry))
-        if expiry is None or not expiry.stands(self._node.chain.confirmation.boot, now):
+        if expiry is None or not expiry.stands(self._node.chain.confirmation.started_at_us, now):
             raise NotReady("the copies are out of date")
         until = expiry.moment_us
         taken = [self._take_copy(copy, request, until, now) for copy in request.copies]
--- a/src/petrelhaven/control/embargo/agreed_time.py
+++ b/src/petrelhaven/control/embargo/agreed_time.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any, TypeAlias
 
-from petrelhaven.control.consensus.chain import DRIFT
+from petrelhaven.control.consensus.chain import MAX_CLOCK_RATE_RATIO
 from petrelhaven.runtime.errors import Fault
 from petrelhaven.runtime.events import Events, emit
 from petrelhaven.runtime.wall_clock import TimeInterval, agreed
@@ -37,7 +37,8 @@
 def widened(interval: TimeInterval, elapsed_us: int) -> TimeInterval:
     """The interval `elapsed_us` later, by a monotonic clock whose rate may be off."""
     return TimeInterval(
-        interval.lowest + int(elapsed_us / DRIFT), interval.highest + int(elapsed_us * DRIFT)
+        interval.lowest + int(elapsed_us / MAX_CLOCK_RATE_RATIO),
+        interval.highest + int(elapsed_us * MAX_CLOCK_RATE_RATIO),
     )
 
 
--- a/src/petrelhaven/control/leases.py
+++ b/src/petrelhaven/control/leases.py
@@ -16,7 +16,7 @@
 from collections.abc import Awaitable, Callable, Mapping, Sequence
 from typing import TYPE_CHECKING, Any
 
-from petrelhaven.control.consensus.chain import DRIFT
+from petrelhaven.control.consensus.chain import MAX_CLOCK_RATE_RATIO
 from petrelhaven.control.state.record import kind_of
 from petrelhaven.control.state.records import ConfigurationRecord, SupersededConfiguration
 from petrelhaven.control.state_push import ChangeSignal, StatePusher
@@ -50,7 +50,7 @@
         lease_us: How long it lasts from the moment the proxy asked for it, in microseconds.
         confirm_us: How long after a confirmation by a majority a node still grants leases.
     """
-    return int((lease_us + confirm_us) * DRIFT)
+    return int((lease_us + confirm_us) * MAX_CLOCK_RATE_RATIO)
 
 
 class LeaseTable:
@@ -91,7 +91,7 @@
 
     def grant(self, proxy: str, lease_us: int) -> None:
         """Notes that `proxy` may have a lease for `lease_us` from now."""
-        self.lease_ends[proxy] = self._clock.now() + int(lease_us * DRIFT)
+        self.lease_ends[proxy] = self._clock.now() + int(lease_us * MAX_CLOCK_RATE_RATIO)
 
     def condense(self, records: list[NumberedRecord]) -> list[NumberedRecord]:
         """The records of one push without what proxies don't need."""
@@ -123,7 +123,7 @@
             NotReady: This node knows of no view.
         """
         start = self._clock.now()
-        all_expired_at = start + self._expiry_us + int(grace_us * DRIFT)
+        all_expired_at = start + self._expiry_us + int(grace_us * MAX_CLOCK_RATE_RATIO)
         while True:
             view = self._chain.view
             if view is None:
--- a/src/petrelhaven/control/node.py
+++ b/src/petrelhaven/control/node.py
@@ -112,8 +112,8 @@
         self.orders = OrderRouter(self.clock, self.chain, self.reach, self.name, self.roster.state)
         self.roster.spread_limit = _SPREAD_LIMIT
         self.prober.join_us = _JOIN_INTERVAL_US
-        self.chain.confirmation.asks_minority = True
-        self.chain.confirmation.connected_proxies = lambda: len(self.connected_proxies)
+        self.chain.confirmation.asks_only_quorum = True
+        self.chain.confirmation.count_connected_proxies = lambda: len(self.connected_proxies)
         self.chain.on_commit.append(self._committed)
         self.chain.on_view.append(self.counting.follow_view)
 
--- a/src/petrelhaven/control/orders.py
+++ b/src/petrelhaven/control/orders.py
@@ -167,7 +167,7 @@
         Raises:
             Expired: it has outlived the call that brought it to another node.
         """
-        boot = self._chain.confirmation.boot
+        boot = self._chain.confirmation.started_at_us
         if expiry is not None and not expiry.stands(boot, self._clock.now()):
             raise Expired("the order came after its caller was answered")
 
@@ -175,7 +175,7 @@
         """The end of an order by the head's clock, which is asked for where it isn't known."""
         clocks = self._chain.confirmation.peer_clocks
         if not clocks.knows(head):
-            await self._chain.confirmation.ask(head)
+            await self._chain.confirmation.request_confirmation(head)
         return clocks.expiry(head, timeout_us)
 
     async def _follow(self, place: int, attempt: Attempt[_Answer], within_us: int) -> _Answer:
@@ -256,8 +256,8 @@
         A request tells no time, so how long one that is read after a pause has lain here can't be
         known.
         """
-        self._chain.confirmation.note_pause()
-        ended_us, paused_us = self._chain.confirmation.pause
+        self._chain.confirmation.record_pause()
+        ended_us, paused_us = self._chain.confirmation.last_pause
         is_recent = self._clock.now() - ended_us < _AFTER_PAUSE_US
         if is_recent and paused_us > within_us * _PAUSE_SHARE:
             raise NotReady("this core stood still a moment ago; send the order again")
--- a/src/petrelhaven/control/resumable/leases.py
+++ b/src/petrelhaven/control/resumable/leases.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING, Any
 
-from petrelhaven.control.consensus.chain import CONFIRM_US
+from petrelhaven.control.consensus.chain import CONFIRMATION_VALIDITY_US
 from petrelhaven.control.leases import Call, LeaseTable, Reports, expiry_us, newest_acknowledged
 from petrelhaven.transport.lease_messages import LeaseGrant, LeaseRequest
 
@@ -20,7 +20,7 @@
 __all__ = ["EXPIRY_US", "LEASE_US", "ResumableLeaseTable"]
 
 LEASE_US = 1_500_000
-EXPIRY_US = expiry_us(LEASE_US, CONFIRM_US)
+EXPIRY_US = expiry_us(LEASE_US, CONFIRMATION_VALIDITY_US)
 
 
 class ResumableLeaseTable(LeaseTable):
