--- a/src/petrelhaven/control/consensus/confirmation.py
+++ b/src/petrelhaven/control/consensus/confirmation.py
@@ -142,7 +142,7 @@
         except Fault:
             return
         answer = ConfirmAnswer.from_body(body)
-        self.peer_clocks.note(name, answer.boot, answer.clock_us)
+        self.peer_clocks.record_reading(name, answer.boot, answer.clock_us)
         view = self._view()
         if answer.newer and view and answer.newer.number > view.number:
             self._adopt(answer.newer)
--- a/src/petrelhaven/control/consensus/peer_clocks.py
+++ b/src/petrelhaven/control/consensus/peer_clocks.py
@@ -20,16 +20,16 @@
     boot: int
     moment_us: int
 
-    def document(self) -> list[int]:
+    def to_document(self) -> list[int]:
         """The moment as a message carries it."""
         return [self.boot, self.moment_us]
 
     @classmethod
-    def read(cls, document: list[int] | None) -> "Expiry | None":
+    def from_document(cls, document: list[int] | None) -> "Expiry | None":
         """The moment that a message carried, if it carried one."""
         return None if document is None else cls(*document)
 
-    def stands(self, boot: int, now_us: int) -> bool:
+    def is_valid(self, boot: int, now_us: int) -> bool:
         """Whether the moment lies ahead, in this very run of the process."""
         return boot == self.boot and now_us <= self.moment_us
 
@@ -53,16 +53,16 @@
         self._clock = clock
         self._readings: dict[str, _Reading] = {}
 
-    def note(self, name: str, boot: int, shown_us: int) -> None:
+    def record_reading(self, name: str, boot: int, shown_us: int) -> None:
         """Takes what the clock of node `name` showed when it answered just now."""
         self._readings[name] = _Reading(boot, shown_us, self._clock.now())
 
-    def knows(self, name: str) -> bool:
+    def has_recent_reading(self, name: str) -> bool:
         """Whether there is a reading so recent that drift does not matter."""
         reading = self._readings.get(name)
         return reading is not None and self._clock.now() - reading.received_us < _FRESH_US
 
-    def expiry(self, name: str, us: int) -> Expiry:
+    def expiry_at(self, name: str, us: int) -> Expiry:
         """The moment `us` from now on the clock of node `name`.
 
         Raises:
--- a/src/petrelhaven/control/counting/service.py
+++ b/src/petrelhaven/control/counting/service.py
@@ -151,8 +151,8 @@
         if request.view_number not in (newest, newest - 1):
             raise NotReady("copies of another view")
         now = self._clock.now()
-        expiry = Expiry.read(list(request.expiry))
-        if expiry is None or not expiry.stands(self._node.chain.confirmation.started_at_us, now):
+        expiry = Expiry.from_document(list(request.expiry))
+        if expiry is None or not expiry.is_valid(self._node.chain.confirmation.started_at_us, now):
             raise NotReady("the copies are out of date")
         until = expiry.moment_us
         taken = [self._take_copy(copy, request, until, now) for copy in request.copies]
@@ -400,17 +400,17 @@
         self, name: str, tenants: Mapping[str, _Counted], view_number: int
     ) -> None:
         clocks = self._node.chain.confirmation.peer_clocks
-        if not clocks.knows(name):
+        if not clocks.has_recent_reading(name):
             return
         now = self._clock.now()
-        expiry = clocks.expiry(name, STANDBY_LIFE_US)
+        expiry = clocks.expiry_at(name, STANDBY_LIFE_US)
         for tenant, counted in tenants.items():
             counted.follow(self._table, tenant, now)
         made = {tenant: counted.make_copy(tenant, now) for tenant, counted in tenants.items()}
         copies = [copy for copy, _ in made.values()]
         self._life = self._life or self._draw_life()
         self._copy_number += 1
-        request = CopyList(view_number, self._life, self._copy_number, expiry.document(), copies)
+        request = CopyList(view_number, self._life, self._copy_number, expiry.to_document(), copies)
         arrived = False
         try:
             await self._node.call(name, MessageKind.QUOTA_COPY, request.to_body(), _COPY_LIMIT_US)
--- a/src/petrelhaven/control/order_messages.py
+++ b/src/petrelhaven/control/order_messages.py
@@ -27,13 +27,13 @@
 
     def to_body(self) -> dict[str, Any]:
         """The body of the message."""
-        bound = None if self.expiry is None else self.expiry.document()
+        bound = None if self.expiry is None else self.expiry.to_document()
         return {"rec": self.record, "force": self.force, "bound": bound}
 
     @classmethod
     def from_body(cls, body: Mapping[str, Any]) -> EnterRequest:
         """Reads a message's body."""
-        return cls(body["rec"], body["force"], Expiry.read(body["bound"]))
+        return cls(body["rec"], body["force"], Expiry.from_document(body["bound"]))
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/petrelhaven/control/orders.py
+++ b/src/petrelhaven/control/orders.py
@@ -168,15 +168,15 @@
             Expired: it has outlived the call that brought it to another node.
         """
         boot = self._chain.confirmation.started_at_us
-        if expiry is not None and not expiry.stands(boot, self._clock.now()):
+        if expiry is not None and not expiry.is_valid(boot, self._clock.now()):
             raise Expired("the order came after its caller was answered")
 
     async def _expiry(self, head: str, timeout_us: int) -> Expiry:
         """The end of an order by the head's clock, which is asked for where it isn't known."""
         clocks = self._chain.confirmation.peer_clocks
-        if not clocks.knows(head):
+        if not clocks.has_recent_reading(head):
             await self._chain.confirmation.request_confirmation(head)
-        return clocks.expiry(head, timeout_us)
+        return clocks.expiry_at(head, timeout_us)
 
     async def _follow(self, place: int, attempt: Attempt[_Answer], within_us: int) -> _Answer:
         """What the node at `place` of the chain answers, through changes of the view."""
--- a/tests/limits_world.py
+++ b/tests/limits_world.py
@@ -532,7 +532,7 @@
                     peer = self.nodes[other]
                     shown_us = peer.clock.now() - self.rng.randrange(500, 100_000)
                     boot = peer.chain.confirmation.started_at_us
-                    node.chain.confirmation.peer_clocks.note(other, boot, shown_us)
+                    node.chain.confirmation.peer_clocks.record_reading(other, boot, shown_us)
 
     def _may_talk(self, name, other):
         running = all(n.is_up and not n.frozen for n in (self.nodes[name], self.nodes[other]))
@@ -540,7 +540,7 @@
 
     # What happens
 
-    def note(self, *what):
+    def record_reading(self, *what):
         self.log.append((round(self.now(), 3), *what))
 
     def load(self, tenant, per_s, name=None):
