--- a/src/petrelhaven/control/base_node.py
+++ b/src/petrelhaven/control/base_node.py
@@ -12,8 +12,8 @@
 from transitions import Machine
 
 from petrelhaven.control.consensus.chain import Chain
-from petrelhaven.control.consensus.core_report import CoreReport
 from petrelhaven.control.consensus.disk_watch import DiskWatch
+from petrelhaven.control.consensus.node_report import NodeReport
 from petrelhaven.control.consensus.reform import Reform
 from petrelhaven.control.consensus.register import Voter
 from petrelhaven.control.consensus.view_maintenance import ViewMaintenance
@@ -229,7 +229,7 @@
             event = Events.CHAIN_REJOINED if view.number > _FIRST_VIEW else Events.NODE_READY
             emit(self.log, event, view=view.number)
 
-    def report(self) -> CoreReport:
+    def report(self) -> NodeReport:
         """What this node reports of itself to the others.
 
         Raises:
@@ -237,12 +237,12 @@
         """
         store, chain = self.store, self.chain
         store.expect_identity()
-        return CoreReport(
+        return NodeReport(
             name=self.name,
             disk=store.disk,
             fresh=store.fresh,
             view=chain.view,
-            complete_in=store.done,
+            last_complete_view=store.done,
             seq=store.control_state.seq,
             commit=chain.committed_seq,
             up_us=self.clock.now() - chain.confirmation.started_at_us,
--- a/src/petrelhaven/control/consensus/chain.py
+++ b/src/petrelhaven/control/consensus/chain.py
@@ -26,7 +26,7 @@
 if TYPE_CHECKING:
     import logbook
 
-    from petrelhaven.control.consensus.core_report import CoreReport
+    from petrelhaven.control.consensus.node_report import NodeReport
     from petrelhaven.control.consensus.register import Call
     from petrelhaven.control.consensus.view import Identities, View
     from petrelhaven.control.storage.core_store import CoreStore
@@ -197,7 +197,7 @@
         before = self.view.before
         return None if before is None else (*before, self.view.ids)
 
-    def shorten_activation_wait(self, reports: Iterable[CoreReport], at: int) -> None:
+    def shorten_activation_wait(self, reports: Iterable[NodeReport], at: int) -> None:
         """Ends the wait after a new view as soon as no node acts under a former one.
 
         `reports` came by the moment `at` or before, since the view was adopted.
--- a/src/petrelhaven/control/consensus/former_views.py
+++ b/src/petrelhaven/control/consensus/former_views.py
@@ -6,14 +6,14 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from petrelhaven.control.consensus.core_report import CoreReport
+    from petrelhaven.control.consensus.node_report import NodeReport
     from petrelhaven.control.consensus.view import Identities, View
 
 __all__ = ["former_views_expire_at"]
 
 
 def former_views_expire_at(
-    view: View, reports: Iterable[CoreReport], at_us: int, wait_us: int
+    view: View, reports: Iterable[NodeReport], at_us: int, wait_us: int
 ) -> int | None:
     """The moment from which no node acts under a view before `view`.
 
@@ -35,7 +35,7 @@
     latest = list({report.name: report for report in reports}.values())
     expires_at = at_us
     for ids in view.before:
-        moved = [report for report in latest if report.stands_in(view.number, ids)]
+        moved = [report for report in latest if report.is_member_at_view(view.number, ids)]
         expiry = _expiry(ids, moved, at_us, wait_us)
         if expiry is None:
             return None
@@ -43,7 +43,7 @@
     return expires_at
 
 
-def _expiry(ids: Identities, moved: list[CoreReport], at_us: int, wait_us: int) -> int | None:
+def _expiry(ids: Identities, moved: list[NodeReport], at_us: int, wait_us: int) -> int | None:
     """When no member of `ids` acts under that view any more, given those that have moved on."""
     expires_at = at_us
     moved_names = {report.name for report in moved}
--- a/src/petrelhaven/control/consensus/member_maintenance.py
+++ b/src/petrelhaven/control/consensus/member_maintenance.py
@@ -7,9 +7,9 @@
 from collections.abc import Sequence
 from typing import TYPE_CHECKING
 
-from petrelhaven.control.consensus.core_report import CoreReport
+from petrelhaven.control.consensus.node_report import NodeReport
 from petrelhaven.control.consensus.view_maintenance import Reports, ViewMaintenance
-from petrelhaven.control.core_changes import CoreChanges
+from petrelhaven.control.view_changes import ViewChangePlanner
 from petrelhaven.membership.update import ALIVE, GONE
 from petrelhaven.runtime.errors import DeadlineExceeded
 
@@ -37,7 +37,7 @@
     def __init__(self, core: NodeServices, interval_us: int, most_members: int) -> None:
         """Checks about every `interval_us`; at most `most_members` nodes vote."""
         super().__init__(core, interval_us)
-        self._changes = CoreChanges(core, most_members)
+        self._changes = ViewChangePlanner(core, most_members)
         self._started_at = core.clock.now()
         self._woken = asyncio.Event()
         core.roster.on_change.append(self._peer_changed)
@@ -75,7 +75,7 @@
 
     def _interval(self) -> int:
         view, reports = self._core.chain.view, self.recent_reports()
-        if view is None or self.undecided or self._changes.has_place_for_newcomer(view, reports):
+        if view is None or self.undecided or self._changes.can_admit_node(view, reports):
             return self._interval_us // _BUSY_SHARE
         if self._every_member_is_there(view, reports):
             return _CALM_INTERVAL_US
@@ -86,7 +86,7 @@
             view.every_member_in_chain
             and self._core.chain.is_active
             and all(self._core.roster.state(name) == ALIVE for name in view.ids)
-            and not self._changes.wiped(view, reports)
+            and not self._changes.members_with_new_disk(view, reports)
         )
 
     def _peer_changed(self, peer: Peer, _former_state: str | None) -> None:
@@ -108,7 +108,7 @@
         chain, now = self._core.chain, self._core.clock.now()
         if chain.view is None or chain.active_at_us <= now:
             return
-        reports: list[CoreReport] = [
+        reports: list[NodeReport] = [
             report for at, report in self._reports.values() if report and at >= chain.adopted_at_us
         ]
         chain.shorten_activation_wait([*reports, self._core.report()], now)
@@ -122,6 +122,6 @@
 
     async def change_members(self, view: View, reports: Reports) -> None:
         """Takes a newcomer in, or lets go of a lost node that one is to replace."""
-        change = self._changes.next_change(view, reports)
+        change = self._changes.next_view_change(view, reports)
         if change is not None and self._core.chain.is_active:
             await self.propose(view, change.chain, change.ids, change.cause)
--- a/src/petrelhaven/control/consensus/core_report.py
+++ b/src/petrelhaven/control/consensus/node_report.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CoreReport:
+class NodeReport:
     """One control node's report.
 
     Attributes:
@@ -32,13 +32,13 @@
     disk: str
     fresh: bool
     view: View | None
-    complete_in: int
+    last_complete_view: int
     seq: int
     commit: int
     up_us: int
     granted_us: Mapping[str, int]
 
-    def stands_in(self, number: int, ids: Identities) -> bool:
+    def is_member_at_view(self, number: int, ids: Identities) -> bool:
         """Whether this is a member of `ids`, by its disk, in view `number` or a newer one."""
         is_member = ids.get(self.name) == self.disk
         return is_member and self.view is not None and self.view.number >= number
@@ -50,7 +50,7 @@
             "disk": self.disk,
             "fresh": self.fresh,
             "view": None if self.view is None else self.view.to_document(),
-            "done": self.complete_in,
+            "done": self.last_complete_view,
             "held": self.seq,
             "commit": self.commit,
             "up_us": self.up_us,
@@ -58,7 +58,7 @@
         }
 
     @classmethod
-    def from_body(cls, body: Mapping[str, Any]) -> CoreReport:
+    def from_body(cls, body: Mapping[str, Any]) -> NodeReport:
         """The answer of a `view.ask`."""
         return cls(
             body["name"],
--- a/src/petrelhaven/control/consensus/node_services.py
+++ b/src/petrelhaven/control/consensus/node_services.py
@@ -11,7 +11,7 @@
     import logbook
 
     from petrelhaven.control.consensus.chain import Chain
-    from petrelhaven.control.consensus.core_report import CoreReport
+    from petrelhaven.control.consensus.node_report import NodeReport
     from petrelhaven.control.consensus.view import View
     from petrelhaven.control.storage.core_store import CoreStore
     from petrelhaven.membership.prober import Prober
@@ -70,7 +70,7 @@
     ) -> dict[str, Any]:
         """Calls another control node, or this one, by name."""
 
-    def report(self) -> CoreReport:
+    def report(self) -> NodeReport:
         """What this node reports of itself."""
 
     async def snapshots(self) -> dict[str, dict[str, Any]]:
--- a/src/petrelhaven/control/consensus/reform.py
+++ b/src/petrelhaven/control/consensus/reform.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from petrelhaven.control.consensus.core_report import CoreReport
+from petrelhaven.control.consensus.node_report import NodeReport
 from petrelhaven.control.consensus.view import Identities, View
 from petrelhaven.runtime.errors import Conflict, Fault, Malformed, NotReady
 from petrelhaven.runtime.events import Events, emit
@@ -86,19 +86,19 @@
                 details={"ids": sorted(ids)},
             )
 
-    async def _reports(self, ids: Identities) -> dict[str, CoreReport | None]:
+    async def _reports(self, ids: Identities) -> dict[str, NodeReport | None]:
         """What the other members report; None for each that does not answer."""
         others = [name for name in sorted(ids) if name != self._core.name]
         return {name: await self._report(name) for name in others}
 
-    async def _report(self, name: str) -> CoreReport | None:
+    async def _report(self, name: str) -> NodeReport | None:
         core = self._core
         for _ in range(_REPORT_TRIES):
             try:
                 body = await core.call(
                     name, MessageKind.VIEW_READ, {"name": core.name}, _REPORT_TIMEOUT_US
                 )
-                return CoreReport.from_body(body)
+                return NodeReport.from_body(body)
             except Fault:
                 await core.clock.sleep(_REPORT_PAUSE_US)
         return None
@@ -117,7 +117,7 @@
         number: int,
         ids: Identities,
         lost: Sequence[str],
-        reports: dict[str, CoreReport | None],
+        reports: dict[str, NodeReport | None],
         by: str,
     ) -> View:
         """The view of every node that answers, with the new disks of those that lost theirs."""
@@ -129,7 +129,7 @@
 
 
 def _check_lost(
-    lost: Sequence[str], ids: Identities, reports: dict[str, CoreReport | None]
+    lost: Sequence[str], ids: Identities, reports: dict[str, NodeReport | None]
 ) -> None:
     """Every node of `lost` must answer with another disk than the view names."""
     for name in lost:
@@ -140,7 +140,7 @@
             raise Conflict(f"{name} answers with the disk that the view names; it is not lost")
 
 
-def _highest_view(view: View, reports: dict[str, CoreReport | None]) -> int:
+def _highest_view(view: View, reports: dict[str, NodeReport | None]) -> int:
     known = [report.view.number for report in reports.values() if report and report.view]
     return max([view.number, *known])
 
--- a/src/petrelhaven/control/consensus/view_maintenance.py
+++ b/src/petrelhaven/control/consensus/view_maintenance.py
@@ -9,7 +9,7 @@
 from collections.abc import Mapping, Sequence
 from typing import TYPE_CHECKING, Any
 
-from petrelhaven.control.consensus.core_report import CoreReport
+from petrelhaven.control.consensus.node_report import NodeReport
 from petrelhaven.control.consensus.register import NoPromise, Proposer
 from petrelhaven.control.consensus.view import Identities, View
 from petrelhaven.membership.update import ALIVE, SUSPECT
@@ -23,7 +23,7 @@
 
 __all__ = ["Reports", "ViewMaintenance"]
 
-Reports = Mapping[str, CoreReport]
+Reports = Mapping[str, NodeReport]
 """What control nodes reported of themselves, by name."""
 
 _REPORT_TIMEOUT_US = 500_000
@@ -46,7 +46,7 @@
         """Checks the view of `core` about every `interval_us`."""
         self._core, self._interval_us = core, interval_us
         self._proposer = Proposer(core.store, core.call)
-        self._reports: dict[str, tuple[int, CoreReport | None]] = {}
+        self._reports: dict[str, tuple[int, NodeReport | None]] = {}
         self._alone_since = core.clock.now()
         self.may_found = True
         self.undecided = False
@@ -87,26 +87,26 @@
         if report and report.view:
             self._core.chain.adopt(report.view)
 
-    async def _report_from(self, address: str) -> CoreReport | None:
+    async def _report_from(self, address: str) -> NodeReport | None:
         core = self._core
         try:
             if address == core.link.addr:
                 return core.report()
             body = {"name": core.name}
-            return CoreReport.from_body(
+            return NodeReport.from_body(
                 await core.link.call(address, MessageKind.VIEW_READ, body, _REPORT_TIMEOUT_US)
             )
         except Fault:
             return await self._report_by_name(address)
 
-    async def _report_by_name(self, address: str) -> CoreReport | None:
+    async def _report_by_name(self, address: str) -> NodeReport | None:
         """The report of the peer that has the address, by whatever way reaches it."""
         core, report = self._core, None
         for name, peer in list(core.roster.peers.items()):
             if peer.addr == address and peer.state == ALIVE:
                 with contextlib.suppress(Fault):
                     body = {"name": core.name}
-                    report = CoreReport.from_body(
+                    report = NodeReport.from_body(
                         await core.reach.call(name, MessageKind.VIEW_READ, body, _REPORT_TIMEOUT_US)
                     )
         return report
--- a/src/petrelhaven/control/core_changes.py
+++ b/src/petrelhaven/control/view_changes.py
@@ -24,7 +24,7 @@
     cause: str
 
 
-class CoreChanges:
+class ViewChangePlanner:
     """Compares a view with what this core knows of the others.
 
     At most `most_members` control nodes are members, which follows from what may be lost at once.
@@ -35,7 +35,7 @@
         self._core, self._most_members = core, most_members
         self._born = core.clock.now()
 
-    def newcomers(self, view: View, reports: Reports) -> list[str]:
+    def admissible_nodes(self, view: View, reports: Reports) -> list[str]:
         """Cores beside those of the view that could be taken in."""
         return [
             name
@@ -45,7 +45,7 @@
             and self._core.disk_watch.takes_writes(name)
         ]
 
-    def wiped(self, view: View, reports: Reports) -> list[str]:
+    def members_with_new_disk(self, view: View, reports: Reports) -> list[str]:
         """Cores of the view that came back with another disk than they had in it."""
         return [
             name
@@ -53,18 +53,18 @@
             if name in reports and reports[name].disk != disk
         ]
 
-    def has_place_for_newcomer(self, view: View, reports: Reports) -> bool:
+    def can_admit_node(self, view: View, reports: Reports) -> bool:
         """Whether a core waits to be taken in, and one is missing in the view."""
         missing = len(view.ids) < self._most_members or not view.every_member_in_chain
-        return missing and bool(self.newcomers(view, reports))
+        return missing and bool(self.admissible_nodes(view, reports))
 
-    def next_change(self, view: View, reports: Reports) -> ViewChange | None:
+    def next_view_change(self, view: View, reports: Reports) -> ViewChange | None:
         """One change at a time: takes a newcomer in, in the place of a lost core if need be.
 
         Both happen in one view, so that a loss right after it finds the newcomer counted. The
         register decides it only by nodes that are members before and after.
         """
-        newcomers = self.newcomers(view, reports)
+        newcomers = self.admissible_nodes(view, reports)
         if not newcomers:
             return None
         chain, ids, newcomer = list(view.chain), dict(view.ids), newcomers[0]
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -7,7 +7,7 @@
 import pytest
 
 from petrelhaven.control.consensus.chain import Chain
-from petrelhaven.control.consensus.core_report import CoreReport
+from petrelhaven.control.consensus.node_report import NodeReport
 from petrelhaven.control.consensus.view import View
 from petrelhaven.control.orders import ANSWER_US
 from petrelhaven.runtime.errors import Duplicate, Fault
@@ -215,7 +215,7 @@
 
 def report(name, view_n, up_us=10_000_000, **granted_us):
     view = View(view_n, (), {})
-    return CoreReport(name, f"disk-{name}", False, view, 0, 0, 0, up_us, granted_us)
+    return NodeReport(name, f"disk-{name}", False, view, 0, 0, 0, up_us, granted_us)
 
 
 class Now:
