--- a/src/petrelhaven/control/consensus/chain.py
+++ b/src/petrelhaven/control/consensus/chain.py
@@ -28,7 +28,7 @@
 
     from petrelhaven.control.consensus.node_report import NodeReport
     from petrelhaven.control.consensus.register import Call
-    from petrelhaven.control.consensus.view import Identities, View
+    from petrelhaven.control.consensus.view import MemberDisks, View
     from petrelhaven.control.storage.core_store import CoreStore
     from petrelhaven.runtime.clock import Clock
     from petrelhaven.runtime.tasks import BackgroundTasks
@@ -164,7 +164,7 @@
         accepted = self.store.vote["value"]
         newer = {} if accepted and accepted["n"] >= view.number else {"value": view.to_document()}
         complete_in = view.number if self._holds_all_of(view) else None
-        self.store.put_vote(done=complete_in, ids=dict(view.ids), **newer)
+        self.store.put_vote(done=complete_in, ids=dict(view.members), **newer)
 
     def _holds_all_of(self, view: View) -> bool:
         """Whether this node holds all that is committed by the time `view` begins.
@@ -185,7 +185,7 @@
         if successor is not None:
             self._feeder = self.tasks.spawn(SuccessorFeed(self, view, successor).run())
 
-    def former_members(self) -> tuple[Identities, ...] | None:
+    def former_members(self) -> tuple[MemberDisks, ...] | None:
         """The members of each view that may be in force when the next is proposed.
 
         None where that is not known.
@@ -193,9 +193,9 @@
         if self.view is None:
             return None
         if self.clock.now() >= self.active_at_us:
-            return (self.view.ids,)
+            return (self.view.members,)
         before = self.view.before
-        return None if before is None else (*before, self.view.ids)
+        return None if before is None else (*before, self.view.members)
 
     def shorten_activation_wait(self, reports: Iterable[NodeReport], at: int) -> None:
         """Ends the wait after a new view as soon as no node acts under a former one.
--- a/src/petrelhaven/control/consensus/confirmation.py
+++ b/src/petrelhaven/control/consensus/confirmation.py
@@ -112,7 +112,7 @@
         self._count(view)
 
     def _members_to_ask(self, view: View, now: int) -> list[str]:
-        others = [name for name in view.ids if name != self._name]
+        others = [name for name in view.members if name != self._name]
         if not self.asks_only_quorum or now >= self.until_us - self._confirm_us // 2:
             return others
         self._rotation += 1
@@ -152,7 +152,7 @@
 
     def _count(self, view: View) -> None:
         """Moves `until_us` on to what a majority of the members of `view` has confirmed."""
-        moments = sorted((self._confirmed_at.get(name, 0) for name in view.ids), reverse=True)
+        moments = sorted((self._confirmed_at.get(name, 0) for name in view.members), reverse=True)
         majority_at = moments[view.quorum - 1]
         accepted = self._store.vote["value"]
         if majority_at and accepted and accepted["n"] <= view.number:
@@ -172,7 +172,7 @@
         ok = (
             accepted is not None
             and accepted.number == request.view_number
-            and accepted.names_disk(self._name, self._store.disk)
+            and accepted.is_member_disk(self._name, self._store.disk)
             and not self._store.refuses
         )
         if ok:
--- a/src/petrelhaven/control/consensus/former_views.py
+++ b/src/petrelhaven/control/consensus/former_views.py
@@ -7,7 +7,7 @@
 
 if TYPE_CHECKING:
     from petrelhaven.control.consensus.node_report import NodeReport
-    from petrelhaven.control.consensus.view import Identities, View
+    from petrelhaven.control.consensus.view import MemberDisks, View
 
 __all__ = ["former_views_expire_at"]
 
@@ -43,8 +43,8 @@
     return expires_at
 
 
-def _expiry(ids: Identities, moved: list[NodeReport], at_us: int, wait_us: int) -> int | None:
-    """When no member of `ids` acts under that view any more, given those that have moved on."""
+def _expiry(ids: MemberDisks, moved: list[NodeReport], at_us: int, wait_us: int) -> int | None:
+    """When no member of `members` acts under that view any more, given those that have moved on."""
     expires_at = at_us
     moved_names = {report.name for report in moved}
     for name in ids:
--- a/src/petrelhaven/control/consensus/member_maintenance.py
+++ b/src/petrelhaven/control/consensus/member_maintenance.py
@@ -85,7 +85,7 @@
         return (
             view.every_member_in_chain
             and self._core.chain.is_active
-            and all(self._core.roster.state(name) == ALIVE for name in view.ids)
+            and all(self._core.roster.state(name) == ALIVE for name in view.members)
             and not self._changes.members_with_new_disk(view, reports)
         )
 
--- a/src/petrelhaven/control/consensus/node_report.py
+++ b/src/petrelhaven/control/consensus/node_report.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from petrelhaven.control.consensus.view import Identities, View
+from petrelhaven.control.consensus.view import MemberDisks, View
 
 __all__ = ["CoreReport"]
 
@@ -38,8 +38,8 @@
     up_us: int
     granted_us: Mapping[str, int]
 
-    def is_member_at_view(self, number: int, ids: Identities) -> bool:
-        """Whether this is a member of `ids`, by its disk, in view `number` or a newer one."""
+    def is_member_at_view(self, number: int, ids: MemberDisks) -> bool:
+        """Whether this is a member of `members`, by its disk, in view `number` or a newer one."""
         is_member = ids.get(self.name) == self.disk
         return is_member and self.view is not None and self.view.number >= number
 
--- a/src/petrelhaven/control/consensus/reform.py
+++ b/src/petrelhaven/control/consensus/reform.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any
 
 from petrelhaven.control.consensus.node_report import NodeReport
-from petrelhaven.control.consensus.view import Identities, View
+from petrelhaven.control.consensus.view import MemberDisks, View
 from petrelhaven.runtime.errors import Conflict, Fault, Malformed, NotReady
 from petrelhaven.runtime.events import Events, emit
 from petrelhaven.transport.message_kinds import MessageKind
@@ -58,13 +58,13 @@
         view = core.chain.view or View.from_optional(core.store.vote["value"])
         if view is None:
             raise NotReady("this core knows no view to form anew")
-        self._check_order(lost, view.ids)
-        reports = await self._reports(view.ids)
-        _check_lost(lost, view.ids, reports)
+        self._check_order(lost, view.members)
+        reports = await self._reports(view.members)
+        _check_lost(lost, view.members, reports)
         source = await self._newest()
         number = _highest_view(view, reports) + _NUMBER_GAP
         _raise_numbers(source.snapshot)
-        reformed = self._view(number, view.ids, lost, reports, by)
+        reformed = self._view(number, view.members, lost, reports, by)
         seq = source.snapshot["seq"]
         lost_names = ",".join(lost)
         fields = {"n": number, "seq": seq, "src": source.node, "lost": lost_names, "by": by}
@@ -73,7 +73,7 @@
         core.views.spread(reformed)
         return _outcome(reformed, source)
 
-    def _check_order(self, lost: Sequence[str], ids: Identities) -> None:
+    def _check_order(self, lost: Sequence[str], ids: MemberDisks) -> None:
         unknown = [name for name in lost if name not in ids]
         if unknown or not lost or self._core.name in lost or len(set(lost)) != len(lost):
             raise Malformed(
@@ -86,7 +86,7 @@
                 details={"ids": sorted(ids)},
             )
 
-    async def _reports(self, ids: Identities) -> dict[str, NodeReport | None]:
+    async def _reports(self, ids: MemberDisks) -> dict[str, NodeReport | None]:
         """What the other members report; None for each that does not answer."""
         others = [name for name in sorted(ids) if name != self._core.name]
         return {name: await self._report(name) for name in others}
@@ -115,7 +115,7 @@
     def _view(
         self,
         number: int,
-        ids: Identities,
+        ids: MemberDisks,
         lost: Sequence[str],
         reports: dict[str, NodeReport | None],
         by: str,
@@ -129,7 +129,7 @@
 
 
 def _check_lost(
-    lost: Sequence[str], ids: Identities, reports: dict[str, NodeReport | None]
+    lost: Sequence[str], ids: MemberDisks, reports: dict[str, NodeReport | None]
 ) -> None:
     """Every node of `lost` must answer with another disk than the view names."""
     for name in lost:
--- a/src/petrelhaven/control/consensus/register.py
+++ b/src/petrelhaven/control/consensus/register.py
@@ -24,7 +24,7 @@
 from petrelhaven.transport.message_kinds import MessageKind
 
 if TYPE_CHECKING:
-    from petrelhaven.control.consensus.view import Identities, View
+    from petrelhaven.control.consensus.view import MemberDisks, View
     from petrelhaven.control.storage.core_store import CoreStore
     from petrelhaven.transport.channel import Channel
 
@@ -60,8 +60,8 @@
     def _state(self) -> VoteState:
         return VoteState.from_document(self._store.vote)
 
-    def _fits(self, ids: Identities) -> bool:
-        """Whether a ballot among `ids` counts this very disk, and no other members are known."""
+    def _fits(self, ids: MemberDisks) -> bool:
+        """Whether a ballot among `members` counts this very disk, and no other members are known."""
         members = self._state().members
         return ids.get(self._store.name) == self._store.disk and members in (None, ids)
 
@@ -117,8 +117,8 @@
         self._store, self._call = store, call
         self._highest_number = 0
 
-    async def change(self, ids: Identities, next_view: Callable[[View | None], View]) -> View:
-        """Decides `next_view(newest accepted view)` among the members `ids`, and returns it.
+    async def change(self, ids: MemberDisks, next_view: Callable[[View | None], View]) -> View:
+        """Decides `next_view(newest accepted view)` among the members `members`, and returns it.
 
         Raises:
             NoPromise: no majority promised.
@@ -130,7 +130,7 @@
         request = AcceptRequest(ballot, ids, view)
 
         def decides(voters: set[str]) -> bool:
-            return is_joint_quorum(voters, ids, view.ids)
+            return is_joint_quorum(voters, ids, view.members)
 
         answers = await self._round(
             ids, MessageKind.REGISTER_ACCEPT, request.to_body(), AcceptAnswer.from_body, decides
@@ -144,7 +144,7 @@
         self._highest_number = max(self._highest_number, promised) + 1
         return Ballot(self._highest_number, self._store.name)
 
-    async def _prepare(self, ids: Identities, ballot: Ballot) -> View | None:
+    async def _prepare(self, ids: MemberDisks, ballot: Ballot) -> View | None:
         """The newest view that any voter of a promising majority has accepted."""
         body = PrepareRequest(ballot, ids).to_body()
 
@@ -160,7 +160,7 @@
 
     async def _round(
         self,
-        ids: Identities,
+        ids: MemberDisks,
         kind: str,
         body: Mapping[str, Any],
         read: Callable[[Mapping[str, Any]], _AnswerT],
@@ -191,7 +191,7 @@
     return {name for name, answer in answers.items() if answer.ok}
 
 
-def is_joint_quorum(voters: Collection[str], before: Identities, after: Identities) -> bool:
+def is_joint_quorum(voters: Collection[str], before: MemberDisks, after: MemberDisks) -> bool:
     """Whether every majority of either set of members includes one of these voters.
 
     Only voters count that are members, with the same disk, before and after.
--- a/src/petrelhaven/control/consensus/register_messages.py
+++ b/src/petrelhaven/control/consensus/register_messages.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from petrelhaven.control.consensus.view import Identities, View
+from petrelhaven.control.consensus.view import MemberDisks, View
 
 __all__ = [
     "AcceptAnswer",
@@ -40,7 +40,7 @@
     promised: Ballot
     accepted: Ballot
     value: View | None
-    ids: Identities | None
+    ids: MemberDisks | None
 
     @classmethod
     def from_document(cls, document: Mapping[str, Any]) -> VoteState:
@@ -53,7 +53,7 @@
         )
 
     @property
-    def members(self) -> Identities | None:
+    def members(self) -> MemberDisks | None:
         """The members under which ballots run; None for a voter that knows no view."""
         return self.ids or (self.value.ids if self.value else None)
 
@@ -68,7 +68,7 @@
     """Asks a voter to promise that it accepts nothing under a lower ballot."""
 
     ballot: Ballot
-    ids: Identities
+    ids: MemberDisks
 
     def to_body(self) -> dict[str, Any]:
         """The body of a `vote.prepare`."""
@@ -114,7 +114,7 @@
     """Asks a voter to accept a view under a ballot."""
 
     ballot: Ballot
-    ids: Identities
+    ids: MemberDisks
     value: View
 
     def to_body(self) -> dict[str, Any]:
--- a/src/petrelhaven/control/consensus/view.py
+++ b/src/petrelhaven/control/consensus/view.py
@@ -8,7 +8,7 @@
 
 __all__ = ["Identities", "View"]
 
-Identities = Mapping[str, str]
+MemberDisks = Mapping[str, str]
 """Disk identity by node name: the members that vote."""
 
 
@@ -28,10 +28,10 @@
 
     number: int
     chain: tuple[str, ...]
-    ids: Identities
+    ids: MemberDisks
     cause: str = ""
     by: str = ""
-    before: tuple[Identities, ...] | None = None
+    before: tuple[MemberDisks, ...] | None = None
 
     @property
     def head(self) -> str:
@@ -57,17 +57,17 @@
         """Whether node `name` votes in this view."""
         return name in self.ids
 
-    def contains(self, name: str) -> bool:
+    def has_in_chain(self, name: str) -> bool:
         """Whether node `name` is in the chain."""
         return name in self.chain
 
-    def names_disk(self, name: str, disk: str) -> bool:
+    def is_member_disk(self, name: str, disk: str) -> bool:
         """Whether `name` is a member with the identity `disk`."""
         return self.ids.get(name) == disk
 
     def position(self, name: str, disk: str) -> int | None:
         """The place of a node in the chain; None without one, or if its disk is another."""
-        if self.names_disk(name, disk) and name in self.chain:
+        if self.is_member_disk(name, disk) and name in self.chain:
             return self.chain.index(name)
         return None
 
--- a/src/petrelhaven/control/consensus/view_maintenance.py
+++ b/src/petrelhaven/control/consensus/view_maintenance.py
@@ -11,7 +11,7 @@
 
 from petrelhaven.control.consensus.node_report import NodeReport
 from petrelhaven.control.consensus.register import NoPromise, Proposer
-from petrelhaven.control.consensus.view import Identities, View
+from petrelhaven.control.consensus.view import MemberDisks, View
 from petrelhaven.membership.update import ALIVE, SUSPECT
 from petrelhaven.runtime.errors import Fault
 from petrelhaven.runtime.events import Events, emit
@@ -151,7 +151,7 @@
 
     async def _finish(self, view: View) -> None:
         """Has a view decided that may have been accepted by some only."""
-        ids = self._core.store.vote["ids"] or view.ids
+        ids = self._core.store.vote["ids"] or view.members
         with contextlib.suppress(Fault, NoPromise):
             self.spread(await self._proposer.change(ids, lambda newest: newest or view))
 
@@ -182,8 +182,8 @@
             if name not in remaining and view.is_member(name) and self._is_usable(name)
         ]
         chain = (*remaining, *joining)
-        ids = {**view.ids, **{name: reports[name].disk for name in joining}}
-        if chain == view.chain and ids == view.ids:
+        ids = {**view.members, **{name: reports[name].disk for name in joining}}
+        if chain == view.chain and ids == view.members:
             await self.change_members(view, reports)
         elif len(chain) >= view.quorum:
             lost = [name for name in view.chain if name not in remaining]
@@ -191,7 +191,7 @@
 
     def _may_remain(self, view: View, name: str, reports: Reports) -> bool:
         """Whether a node of the chain is there with the disk that the view names."""
-        same_disk = name not in reports or reports[name].disk == view.ids[name]
+        same_disk = name not in reports or reports[name].disk == view.members[name]
         return same_disk and self._is_usable(name)
 
     def _is_usable(self, name: str) -> bool:
@@ -206,7 +206,7 @@
 
     # Decisions
 
-    async def propose(self, view: View, chain: Sequence[str], ids: Identities, cause: str) -> None:
+    async def propose(self, view: View, chain: Sequence[str], ids: MemberDisks, cause: str) -> None:
         """Has a majority of the members of `view` decide the next one."""
         core = self._core
         before = core.chain.former_members()
@@ -216,12 +216,12 @@
         def next_view(newest: View | None) -> View:
             return proposed if newest is None or newest.number == view.number else newest
 
-        self.spread(await self._proposer.change(view.ids, next_view))
+        self.spread(await self._proposer.change(view.members, next_view))
 
     def spread(self, view: View) -> None:
         """Adopts a decided view and sends it to its other members."""
         self._core.chain.adopt(view)
-        for name in view.ids:
+        for name in view.members:
             if name != self._core.name:
                 self._core.tasks.spawn(self._send(name, view))
 
--- a/src/petrelhaven/control/departure.py
+++ b/src/petrelhaven/control/departure.py
@@ -67,7 +67,7 @@
         complete_since = None
         while self._clock.now() < end:
             view = self._core.chain.view
-            if view is None or not view.contains(self._core.name):
+            if view is None or not view.has_in_chain(self._core.name):
                 return
             if not self._every_member_is_there(view):
                 complete_since = None
@@ -84,7 +84,9 @@
     def _every_member_is_there(self, view: View) -> bool:
         """Whether every member of the view is in the chain and alive."""
         roster = self._core.roster
-        return view.every_member_in_chain and all(roster.state(name) == ALIVE for name in view.ids)
+        return view.every_member_in_chain and all(
+            roster.state(name) == ALIVE for name in view.members
+        )
 
     def _is_free(self, replaced: bool) -> bool:
         """Whether the others need neither this core's copy nor its vote."""
@@ -93,4 +95,4 @@
             return True
         if replaced and self._newcomers():
             return False
-        return not view.contains(self._core.name) or len(view.chain) <= view.quorum
+        return not view.has_in_chain(self._core.name) or len(view.chain) <= view.quorum
--- a/src/petrelhaven/control/embargo/service.py
+++ b/src/petrelhaven/control/embargo/service.py
@@ -80,7 +80,7 @@
 
     def _node_names(self) -> list[str]:
         view = self._node.chain.view
-        return sorted(view.ids) if view else []
+        return sorted(view.members) if view else []
 
     def _limits(self) -> Limits | None:
         return limits_of(self._node.chain.control_state.doc)
--- a/src/petrelhaven/control/failover/observation.py
+++ b/src/petrelhaven/control/failover/observation.py
@@ -98,7 +98,7 @@
             *[self._request_inspection(node, endpoint) for node in view.chain]
         )
         answered = tuple(observation for observation in observations if observation)
-        return Survey(answered, len(view.ids))
+        return Survey(answered, len(view.members))
 
     async def _request_inspection(self, node: str, endpoint: MemberEndpoint) -> str | None:
         """What a control node finds, or None if it does not answer."""
--- a/src/petrelhaven/control/node.py
+++ b/src/petrelhaven/control/node.py
@@ -214,7 +214,7 @@
     def _addresses(self, view: View) -> tuple[ControlNodeAddress, ...]:
         """Where the members of the view listen, as far as is known."""
         addresses = []
-        for name in sorted(view.ids):
+        for name in sorted(view.members):
             address = self.roster.addr_of(name)
             if address:
                 zone = self.zone if name == self.name else self.roster.peers[name].zone
--- a/src/petrelhaven/control/resumable/planning_duty.py
+++ b/src/petrelhaven/control/resumable/planning_duty.py
@@ -142,7 +142,7 @@
         while True:
             view = self.chain.view
             if view and self.chain.is_head:
-                for node in view.ids:
+                for node in view.members:
                     if node != self.chain.me:
                         self.tasks.spawn(self._request_report(node))
             await self.clock.sleep(_REPORT_INTERVAL_US)
--- a/src/petrelhaven/control/view_changes.py
+++ b/src/petrelhaven/control/view_changes.py
@@ -40,7 +40,7 @@
         return [
             name
             for name in sorted(reports)
-            if name not in view.ids
+            if name not in view.members
             and self._core.roster.state(name) == "alive"
             and self._core.disk_watch.takes_writes(name)
         ]
@@ -49,13 +49,13 @@
         """Cores of the view that came back with another disk than they had in it."""
         return [
             name
-            for name, disk in view.ids.items()
+            for name, disk in view.members.items()
             if name in reports and reports[name].disk != disk
         ]
 
     def can_admit_node(self, view: View, reports: Reports) -> bool:
         """Whether a core waits to be taken in, and one is missing in the view."""
-        missing = len(view.ids) < self._most_members or not view.every_member_in_chain
+        missing = len(view.members) < self._most_members or not view.every_member_in_chain
         return missing and bool(self.admissible_nodes(view, reports))
 
     def next_view_change(self, view: View, reports: Reports) -> ViewChange | None:
@@ -67,7 +67,7 @@
         newcomers = self.admissible_nodes(view, reports)
         if not newcomers:
             return None
-        chain, ids, newcomer = list(view.chain), dict(view.ids), newcomers[0]
+        chain, ids, newcomer = list(view.chain), dict(view.members), newcomers[0]
         if len(ids) < self._most_members:
             ids[newcomer] = reports[newcomer].disk
             return ViewChange([*chain, newcomer], ids, f"took in {newcomer}")
--- a/src/petrelhaven/simulator/resumable/storm.py
+++ b/src/petrelhaven/simulator/resumable/storm.py
@@ -94,7 +94,9 @@
         vs = [c.node.chain.view for c in self.w.cores if c.node and c.node.chain.view]
         v = max(vs, key=lambda v: v.number, default=None)
         return v is not None and all(
-            c.node and v.names_disk(c.name, c.node.store.disk) for c in self.w.cores if c is not b
+            c.node and v.is_member_disk(c.name, c.node.store.disk)
+            for c in self.w.cores
+            if c is not b
         )
 
     def go(self, kind, pick):
--- a/tests/control_mutants.py
+++ b/tests/control_mutants.py
@@ -46,7 +46,7 @@
 
 def confirmed_without_majority(mp):
     def count(self, view):
-        latest = max(self._confirmed_at.get(name, 0) for name in view.ids)
+        latest = max(self._confirmed_at.get(name, 0) for name in view.members)
         self.until_us = max(self.until_us, latest + self._confirm_us)
 
     mp.setattr(confirmation.Confirmation, "_count", count)
--- a/tests/model/cluster.py
+++ b/tests/model/cluster.py
@@ -78,7 +78,7 @@
         self.loop.create_task(self._watch())
         return await self.until(
             lambda: all(
-                b.node and b.node.ready and len(b.node.chain.view.ids) == len(self.cores)
+                b.node and b.node.ready and len(b.node.chain.view.members) == len(self.cores)
                 for b in self.cores
             ),
             20,
--- a/tests/model/observer.py
+++ b/tests/model/observer.py
@@ -133,7 +133,7 @@
         if former is None:
             return
         accepted = self._acceptors(_text(view.to_document()))
-        for ids in (json.loads(former)["ids"], view.ids):
+        for ids in (json.loads(former)["ids"], view.members):
             without = sum(disk not in accepted for disk in ids.values())
             if without > len(ids) // 2:
                 self.report("majorities before and after a change meet", f"{former} and {view}")
@@ -165,15 +165,15 @@
         )
         speakers = [
             name
-            for name in view.ids
+            for name in view.members
             if name == node.name
             or self._words.get((node.name, name), (-1.0, 0))[0] >= since
             and self._words[node.name, name][1] <= view.number
         ]
-        if len(speakers) <= len(view.ids) // 2:
+        if len(speakers) <= len(view.members) // 2:
             self.report(
                 "a majority's word within its bound",
-                f"{node.name} {what} in view {view.number} of {sorted(view.ids)} on the word of {speakers}",
+                f"{node.name} {what} in view {view.number} of {sorted(view.members)} on the word of {speakers}",
             )
         return None
 
