--- a/src/petrelhaven/control/consensus/disk_watch.py
+++ b/src/petrelhaven/control/consensus/disk_watch.py
@@ -71,7 +71,7 @@
         with contextlib.suppress(Fault):
             await self._core.call(name, MessageKind.DISK_STATE_CHANGED, body, _NOTIFY_TIMEOUT_US)
 
-    async def receive(self, _channel: Channel | None, body: Mapping[str, Any]) -> None:
+    async def handle_notice(self, _channel: Channel | None, body: Mapping[str, Any]) -> None:
         """Another node notifies that its disk refuses writes, or takes them again."""
         name, refuses = body["name"], body["refuses"]
         if name not in self._core.roster.peers:
@@ -80,4 +80,4 @@
             self._refused_at[name] = self._core.clock.now()
         else:
             self._refused_at.pop(name, None)
-        self._core.views.wake()
+        self._core.views.check_soon()
--- a/src/petrelhaven/control/consensus/member_maintenance.py
+++ b/src/petrelhaven/control/consensus/member_maintenance.py
@@ -59,7 +59,7 @@
             if report and now - at < _RECENT_REPORT_US
         }
 
-    def wake(self) -> None:
+    def check_soon(self) -> None:
         """Ends the wait between two checks."""
         self._woken.set()
 
--- a/src/petrelhaven/control/consensus/node_services.py
+++ b/src/petrelhaven/control/consensus/node_services.py
@@ -34,10 +34,10 @@
 class Views(Protocol):
     """What proposes views."""
 
-    def wake(self) -> None:
+    def check_soon(self) -> None:
         """Has the next check made soon."""
 
-    def spread(self, view: View) -> None:
+    def distribute(self, view: View) -> None:
         """Adopts a decided view and sends it to its other members."""
 
 
--- a/src/petrelhaven/control/consensus/proxy_survey.py
+++ b/src/petrelhaven/control/consensus/proxy_survey.py
@@ -30,11 +30,11 @@
     def __init__(self, clock: Clock, log: logbook.Logger | None = None) -> None:
         """Is closed at first."""
         self._clock, self._log = clock, log
-        self.open = False
+        self.is_open = False
         self._snapshots: dict[str, dict[str, Any]] = {}
         self._asked: set[str] = set()
 
-    async def gather(self) -> dict[str, dict[str, Any]]:
+    async def collect(self) -> dict[str, dict[str, Any]]:
         """Control states by proxy.
 
         Open long enough for a proxy to leave a node that is not active and try the others.
@@ -42,18 +42,18 @@
         Raises:
             Conflict: a survey is open already.
         """
-        if self.open:
+        if self.is_open:
             raise Conflict("edges are being asked already")
-        self.open, self._snapshots, self._asked = True, {}, set()
+        self.is_open, self._snapshots, self._asked = True, {}, set()
         try:
             await self._clock.sleep(_OPEN_US)
             return self._snapshots
         finally:
-            self.open = False
+            self.is_open = False
 
-    async def ask(self, channel: Channel, proxy: str) -> None:
+    async def request_snapshot(self, channel: Channel, proxy: str) -> None:
         """Asks a proxy over its own connection, once a survey."""
-        if not self.open or proxy in self._asked:
+        if not self.is_open or proxy in self._asked:
             return
         self._asked.add(proxy)
         try:
--- a/src/petrelhaven/control/consensus/reform.py
+++ b/src/petrelhaven/control/consensus/reform.py
@@ -61,7 +61,7 @@
         self._check_order(lost, view.members)
         reports = await self._reports(view.members)
         _check_lost(lost, view.members, reports)
-        source = await self._newest()
+        source = await self._newest_source()
         number = _highest_view(view, reports) + _NUMBER_GAP
         _raise_numbers(source.snapshot)
         reformed = self._view(number, view.members, lost, reports, by)
@@ -70,7 +70,7 @@
         fields = {"n": number, "seq": seq, "src": source.node, "lost": lost_names, "by": by}
         emit(self._log, Events.CHAIN_REFORMED, **fields)
         core.store.reset(source.snapshot, number)
-        core.views.spread(reformed)
+        core.views.distribute(reformed)
         return _outcome(reformed, source)
 
     def _check_order(self, lost: Sequence[str], ids: MemberDisks) -> None:
@@ -103,7 +103,7 @@
                 await core.clock.sleep(_REPORT_PAUSE_US)
         return None
 
-    async def _newest(self) -> _Source:
+    async def _newest_source(self) -> _Source:
         """The newest control state among this node's and those of living proxies."""
         core = self._core
         newest = _Source(core.chain.control_state.snapshot(), core.name)
--- a/src/petrelhaven/control/consensus/register.py
+++ b/src/petrelhaven/control/consensus/register.py
@@ -36,7 +36,7 @@
 """Calls a control node: name, kind, body, timeout in microseconds."""
 
 
-class NoPromise(Exception):  # noqa: N818 (an outcome of a race, no error that leaves the node)
+class NoMajorityPromised(Exception):  # noqa: N818 (an outcome of a race, no error that leaves the node)
     """No majority promised; `accepted` is the newest view that any answer named."""
 
     def __init__(self, accepted: View | None) -> None:
@@ -155,7 +155,7 @@
             ids, MessageKind.REGISTER_PREPARE, body, PrepareAnswer.from_body, promises
         )
         if not promises(_agreeing(answers)):
-            raise NoPromise(_newest(answers.values()))
+            raise NoMajorityPromised(_newest(answers.values()))
         return _newest([answer for answer in answers.values() if answer.ok])
 
     async def _round(
--- a/src/petrelhaven/control/consensus/view_maintenance.py
+++ b/src/petrelhaven/control/consensus/view_maintenance.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING, Any
 
 from petrelhaven.control.consensus.node_report import NodeReport
-from petrelhaven.control.consensus.register import NoPromise, Proposer
+from petrelhaven.control.consensus.register import NoMajorityPromised, Proposer
 from petrelhaven.control.consensus.view import MemberDisks, View
 from petrelhaven.membership.update import ALIVE, SUSPECT
 from petrelhaven.runtime.errors import Fault
@@ -48,7 +48,7 @@
         self._proposer = Proposer(core.store, core.call)
         self._reports: dict[str, tuple[int, NodeReport | None]] = {}
         self._alone_since = core.clock.now()
-        self.may_found = True
+        self.may_decide_first_view = True
         self.undecided = False
 
     # Reports
@@ -68,10 +68,12 @@
     def report_received(self) -> None:
         """Called when a node has reported, or failed to."""
 
-    def wake(self) -> None:
+    def check_soon(self) -> None:
         """Has the next check made soon."""
 
-    async def answer(self, _channel: Channel | None, _body: Mapping[str, Any]) -> dict[str, Any]:
+    async def handle_report_request(
+        self, _channel: Channel | None, _body: Mapping[str, Any]
+    ) -> dict[str, Any]:
         """Answers another node's `view.ask`."""
         return self._core.report().to_body()
 
@@ -82,7 +84,7 @@
         _, former = self._reports.get(address, (0, None))
         self._reports[address] = (asked_at, report)
         if report and (former is None or former.disk != report.disk):
-            self.wake()
+            self.check_soon()
         self.report_received()
         if report and report.view:
             self._core.chain.adopt(report.view)
@@ -131,7 +133,7 @@
         try:
             await self._maintain()
             self.undecided = False
-        except NoPromise as race:
+        except NoMajorityPromised as race:
             if self._core.chain.view is None and race.accepted:
                 await self._finish(race.accepted)
         except Fault:
@@ -152,15 +154,15 @@
     async def _finish(self, view: View) -> None:
         """Has a view decided that may have been accepted by some only."""
         ids = self._core.store.vote["ids"] or view.members
-        with contextlib.suppress(Fault, NoPromise):
-            self.spread(await self._proposer.change(ids, lambda newest: newest or view))
+        with contextlib.suppress(Fault, NoMajorityPromised):
+            self.distribute(await self._proposer.change(ids, lambda newest: newest or view))
 
     async def _found(self) -> None:
         """Decides the first view once every node of the list is there and none has ever had one."""
         core, reports = self._core, self.recent_reports()
         now = core.clock.now()
         blank = all(report.fresh and not report.view for report in reports.values())
-        if not self.may_found or len(reports) < len(core.seeds) or not blank:
+        if not self.may_decide_first_view or len(reports) < len(core.seeds) or not blank:
             self._alone_since = now
             return
         if min(reports) != core.name and now - self._alone_since < _FIRST_VIEW_WAIT_US:
@@ -168,7 +170,7 @@
         ids = {name: report.disk for name, report in sorted(reports.items())}
         first = View(1, tuple(sorted(ids)), ids, "first view", core.name, before=())
         emit(core.log, Events.VIEW_PROPOSED, n=first.number, cause=first.cause)
-        self.spread(await self._proposer.change(ids, lambda newest: newest or first))
+        self.distribute(await self._proposer.change(ids, lambda newest: newest or first))
 
     async def _repair(self, view: View, reports: Reports) -> None:
         """Leaves lost nodes out of the chain and lets members in again."""
@@ -216,9 +218,9 @@
         def next_view(newest: View | None) -> View:
             return proposed if newest is None or newest.number == view.number else newest
 
-        self.spread(await self._proposer.change(view.members, next_view))
+        self.distribute(await self._proposer.change(view.members, next_view))
 
-    def spread(self, view: View) -> None:
+    def distribute(self, view: View) -> None:
         """Adopts a decided view and sends it to its other members."""
         self._core.chain.adopt(view)
         for name in view.members:
@@ -230,7 +232,7 @@
             body = {"view": view.to_document()}
             await self._core.call(name, MessageKind.VIEW_LEARN, body, _LEARN_TIMEOUT_US)
 
-    async def learn(self, _channel: Channel | None, body: Mapping[str, Any]) -> None:
+    async def handle_view(self, _channel: Channel | None, body: Mapping[str, Any]) -> None:
         """Takes a decided view that another node sends."""
         self._core.chain.adopt(View.from_optional(body["view"]))
 
--- a/src/petrelhaven/control/node.py
+++ b/src/petrelhaven/control/node.py
@@ -108,7 +108,7 @@
         self.clock, self.tasks, self.name = resources.clock, resources.tasks, identity.name
         self.counting = CountingService(self, lambda: resources.rng.getrandbits(_LIFE_BITS))
         super().__init__(identity, resources, platform)
-        self.views.may_found = founds and self.link.addr in self.seeds
+        self.views.may_decide_first_view = founds and self.link.addr in self.seeds
         self.orders = OrderRouter(self.clock, self.chain, self.reach, self.name, self.roster.state)
         self.roster.spread_limit = _SPREAD_LIMIT
         self.prober.join_us = _JOIN_INTERVAL_US
@@ -167,14 +167,14 @@
 
     async def snapshots(self) -> dict[str, dict[str, Any]]:
         """The control states that living proxies hold, by name; each is asked as it comes by."""
-        return await self.proxy_survey.gather()
+        return await self.proxy_survey.collect()
 
     # Proxies
 
     async def _hold_connection(self, channel: Channel, body: Mapping[str, Any]) -> dict[str, Any]:
         """A proxy opens its core connection, for records to be pushed down it."""
         if not self.chain.is_active:
-            await self.proxy_survey.ask(channel, body["edge"])
+            await self.proxy_survey.request_snapshot(channel, body["edge"])
             return {"ok": False, "note": "not confirmed by a majority"}
         self._note_applied(body["edge"], body["applied"])
         answer: dict[str, Any] = await self.lease_table.subscribe(channel, body)
@@ -190,8 +190,8 @@
         now = self.clock.now()
         self._note_applied(request.proxy, request.applied_seq)
         self.connected_proxies.renewed(request.proxy, now)
-        if self.proxy_survey.open:
-            self.tasks.spawn(self.proxy_survey.ask(channel, request.proxy))
+        if self.proxy_survey.is_open:
+            self.tasks.spawn(self.proxy_survey.request_snapshot(channel, request.proxy))
         for suspicion in request.suspicions:
             self.tasks.spawn(self._report_suspicion(suspicion))
         granted = self.chain.is_active
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -328,7 +328,7 @@
     async def newest(self):
         return reform._Source(self._core.chain.control_state.snapshot(), self._core.name)
 
-    mp.setattr(reform.Reform, "_newest", newest)
+    mp.setattr(reform.Reform, "_newest_source", newest)
 
 
 def clocked_incarnation(mp):
--- a/tests/test_control_interface.py
+++ b/tests/test_control_interface.py
@@ -69,7 +69,7 @@
 class NoMembers:
     """Members and a platform that nobody reaches."""
 
-    async def open(self, addr, group, member, us, tenant=""):
+    async def is_open(self, addr, group, member, us, tenant=""):
         raise NotSent("refused")
 
     async def promote(self, group, member, fence, by):
@@ -693,7 +693,7 @@
 
 def test_only_one_reform_gathers_edges_at_a_time(tmp_path):
     async def go(node, http_server):
-        node.proxy_survey.open = True
+        node.proxy_survey.is_open = True
         with pytest.raises(Fault):
             await node.snapshots()
         st_, d, _ = await ask(http_server, "POST", "/reform", {"lost": ["c1"]})
--- a/tests/test_crash_points.py
+++ b/tests/test_crash_points.py
@@ -11,7 +11,7 @@
 import pytest
 from crash_disk import REFUSALS, SURVIVALS, CrashDisk, PowerCut, Refuse
 
-from petrelhaven.control.consensus.register import NoPromise, Proposer, Voter
+from petrelhaven.control.consensus.register import NoMajorityPromised, Proposer, Voter
 from petrelhaven.control.consensus.view import View
 from petrelhaven.control.storage import core_store, record_format, record_log
 from petrelhaven.control.storage.core_store import CoreStore
@@ -412,7 +412,7 @@
                     view = await trio.decide(who, number)
                     acked["view"] = max(acked["view"], view.number)
                     break
-                except (Fault, NoPromise):
+                except (Fault, NoMajorityPromised):
                     return
         for seq in range(6 * number - 5, 6 * number + 1):
             held = 0
--- a/tests/test_disk_refusal.py
+++ b/tests/test_disk_refusal.py
@@ -165,7 +165,7 @@
         await f.until(lambda: whole(f), 10, "chain whole")
         watch = f.cores[0].node.disk_watch
         for name in ("nobody", "c2"):
-            await watch.receive(None, {"name": name, "refuses": True})
+            await watch.handle_notice(None, {"name": name, "refuses": True})
         return sorted(watch._refused_at)
 
     assert inside(go, 3)[0] == ["c2"]
--- a/tests/test_view_register.py
+++ b/tests/test_view_register.py
@@ -7,7 +7,7 @@
 import pytest
 from test_record_log import Bytes
 
-from petrelhaven.control.consensus.register import NoPromise, Proposer, Voter
+from petrelhaven.control.consensus.register import NoMajorityPromised, Proposer, Voter
 from petrelhaven.control.consensus.view import View
 from petrelhaven.control.storage.core_store import CoreStore
 from petrelhaven.runtime.errors import Conflict, Fault, NotSent
@@ -52,7 +52,7 @@
                 ),
             )
             self.chosen.append(v)
-        except (Fault, NoPromise):
+        except (Fault, NoMajorityPromised):
             pass
 
     async def deliver(self):
