--- a/src/petrelhaven/control/base_node.py
+++ b/src/petrelhaven/control/base_node.py
@@ -250,7 +250,7 @@
         )
 
     async def _enter(self, _channel: Channel | None, body: Mapping[str, Any]) -> dict[str, Any]:
-        """Answers a `chain.append_record`."""
+        """Answers a `chain.enter`."""
         return (await self.enter_as_head(EnterRequest.from_body(body))).to_body()
 
     async def enter_as_head(self, request: EnterRequest) -> EnterAnswer:
@@ -260,7 +260,7 @@
         return EnterAnswer(seq, request.force, in_force_us)
 
     async def _read(self, _channel: Channel | None, _body: Mapping[str, Any]) -> dict[str, Any]:
-        """Answers a `chain.read_control_state`."""
+        """Answers a `chain.read`."""
         return {"doc": self.chain.read_control_state()}
 
     async def reform(self, lost: Sequence[str], by: str = "") -> dict[str, Any]:
--- a/src/petrelhaven/control/consensus/chain.py
+++ b/src/petrelhaven/control/consensus/chain.py
@@ -34,7 +34,7 @@
     from petrelhaven.runtime.tasks import BackgroundTasks
     from petrelhaven.transport.channel import Channel
 
-__all__ = ["Chain", "CONFIRM_US", "DRIFT"]
+__all__ = ["Chain", "CONFIRMATION_VALIDITY_US", "MAX_CLOCK_RATE_RATIO"]
 
 CONFIRMATION_VALIDITY_US = 500_000
 """How long a majority's confirmation counts."""
--- a/src/petrelhaven/control/consensus/node_report.py
+++ b/src/petrelhaven/control/consensus/node_report.py
@@ -8,7 +8,7 @@
 
 from petrelhaven.control.consensus.view import MemberDisks, View
 
-__all__ = ["CoreReport"]
+__all__ = ["NodeReport"]
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/petrelhaven/control/consensus/register.py
+++ b/src/petrelhaven/control/consensus/register.py
@@ -28,7 +28,7 @@
     from petrelhaven.control.storage.core_store import CoreStore
     from petrelhaven.transport.channel import Channel
 
-__all__ = ["Call", "NoPromise", "Proposer", "Voter", "is_joint_quorum"]
+__all__ = ["Call", "NoMajorityPromised", "Proposer", "Voter", "is_joint_quorum"]
 
 _VOTE_TIMEOUT_US = 600_000
 
--- a/src/petrelhaven/control/consensus/register_messages.py
+++ b/src/petrelhaven/control/consensus/register_messages.py
@@ -55,7 +55,7 @@
     @property
     def members(self) -> MemberDisks | None:
         """The members under which ballots run; None for a voter that knows no view."""
-        return self.ids or (self.value.ids if self.value else None)
+        return self.ids or (self.value.members if self.value else None)
 
     @property
     def highest_number(self) -> int:
--- a/src/petrelhaven/control/consensus/view.py
+++ b/src/petrelhaven/control/consensus/view.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-__all__ = ["Identities", "View"]
+__all__ = ["MemberDisks", "View"]
 
 MemberDisks = Mapping[str, str]
 """Disk identity by node name: the members that vote."""
@@ -19,7 +19,7 @@
     Attributes:
         number: Views are numbered without gaps, except where the chain was reformed.
         chain: Names of the nodes of the chain; the first is its head, the last its tail.
-        ids: The members, that is, every node that votes, with the identity of its disk.
+        members: The members, that is, every node that votes, with the identity of its disk.
         cause: Why the view was proposed, for operators.
         by: Who proposed it: a node, or the operator who ordered a reform.
         before: Members of each former view that might still be in force when this one was proposed;
@@ -28,7 +28,7 @@
 
     number: int
     chain: tuple[str, ...]
-    ids: MemberDisks
+    members: MemberDisks
     cause: str = ""
     by: str = ""
     before: tuple[MemberDisks, ...] | None = None
@@ -46,16 +46,16 @@
     @property
     def quorum(self) -> int:
         """How many members are a majority."""
-        return len(self.ids) // 2 + 1
+        return len(self.members) // 2 + 1
 
     @property
     def every_member_in_chain(self) -> bool:
         """Whether no member is left out of the chain."""
-        return len(self.chain) == len(self.ids)
+        return len(self.chain) == len(self.members)
 
     def is_member(self, name: str) -> bool:
         """Whether node `name` votes in this view."""
-        return name in self.ids
+        return name in self.members
 
     def has_in_chain(self, name: str) -> bool:
         """Whether node `name` is in the chain."""
@@ -63,7 +63,7 @@
 
     def is_member_disk(self, name: str, disk: str) -> bool:
         """Whether `name` is a member with the identity `disk`."""
-        return self.ids.get(name) == disk
+        return self.members.get(name) == disk
 
     def position(self, name: str, disk: str) -> int | None:
         """The place of a node in the chain; None without one, or if its disk is another."""
@@ -80,7 +80,7 @@
         document: dict[str, Any] = {
             "n": self.number,
             "chain": list(self.chain),
-            "ids": dict(self.ids),
+            "ids": dict(self.members),
             "cause": self.cause,
             "by": self.by,
         }
--- a/src/petrelhaven/control/view_changes.py
+++ b/src/petrelhaven/control/view_changes.py
@@ -10,7 +10,7 @@
     from petrelhaven.control.consensus.view import View
     from petrelhaven.control.consensus.view_maintenance import Reports
 
-__all__ = ["CoreChanges", "ViewChange"]
+__all__ = ["ViewChange", "ViewChangePlanner"]
 
 _LOST_AFTER_US = 1_000_000
 
--- a/src/petrelhaven/simulator/connection_sessions/control_fleet.py
+++ b/src/petrelhaven/simulator/connection_sessions/control_fleet.py
@@ -132,7 +132,7 @@
         counted = max(
             (s.chain.view for s in nodes if s.chain.view and s.chain.view.number == newest),
             key=lambda view: view.number,
-        ).ids
+        ).members
         positions = [s.store.control_state.seq for s in nodes]
         return (
             len(counted) == len(chain)
--- a/src/petrelhaven/simulator/measure.py
+++ b/src/petrelhaven/simulator/measure.py
@@ -133,7 +133,7 @@
     return took
 
 
-def committed_seq():
+def commit():
     """What waiting for every in-sync replica costs a write: latency with and without it, by lag."""
     from petrelhaven.proxy.resumable.node import ResumableProxy
 
--- a/tests/control_mutants.py
+++ b/tests/control_mutants.py
@@ -58,7 +58,7 @@
     async def handle_confirm(self, channel, body):
         return {**await real(self, channel, body), "ok": True, "view": None}
 
-    mp.setattr(confirmation.Confirmation, "handle_confirm", answer)
+    mp.setattr(confirmation.Confirmation, "handle_confirm", handle_confirm)
 
 
 def tail_reads_while_not_active(mp):
@@ -67,7 +67,7 @@
             raise NotReady("not the tail")
         return self.control_state.doc
 
-    mp.setattr(chain.Chain, "read_control_state", read)
+    mp.setattr(chain.Chain, "read_control_state", read_control_state)
 
 
 def complete_without_handover(mp):
@@ -154,7 +154,7 @@
         self.tasks.spawn(real(self, record, *args))
         return self.control_state.seq + 1
 
-    mp.setattr(chain.Chain, "append_record", enter)
+    mp.setattr(chain.Chain, "append_record", append_record)
 
 
 __all__ = [
--- a/tests/limits_world.py
+++ b/tests/limits_world.py
@@ -540,7 +540,7 @@
 
     # What happens
 
-    def record_reading(self, *what):
+    def note(self, *what):
         self.log.append((round(self.now(), 3), *what))
 
     def load(self, tenant, per_s, name=None):
--- a/tests/test_control_interface.py
+++ b/tests/test_control_interface.py
@@ -69,7 +69,7 @@
 class NoMembers:
     """Members and a platform that nobody reaches."""
 
-    async def is_open(self, addr, group, member, us, tenant=""):
+    async def open(self, addr, group, member, us, tenant=""):
         raise NotSent("refused")
 
     async def promote(self, group, member, fence, by):
@@ -542,7 +542,7 @@
         return None
 
 
-async def is_head(s):
+async def head(s):
     """The status of the core that is the active head, if one says so."""
     for n in [n for n in s.fleet.machines if n.startswith("core")]:
         d = await answers(own(s, n), "/status")
