--- a/src/petrelhaven/control/consensus/chain.py
+++ b/src/petrelhaven/control/consensus/chain.py
@@ -194,7 +194,7 @@
             return None
         if self.clock.now() >= self.active_at_us:
             return (self.view.members,)
-        before = self.view.before
+        before = self.view.former_members
         return None if before is None else (*before, self.view.members)
 
     def shorten_activation_wait(self, reports: Iterable[NodeReport], at: int) -> None:
--- a/src/petrelhaven/control/consensus/former_views.py
+++ b/src/petrelhaven/control/consensus/former_views.py
@@ -29,12 +29,12 @@
         at_us: Clock microseconds.
         wait_us: How long a confirmation counts at most, clock drift included.
     """
-    if view.before is None:
+    if view.former_members is None:
         return None
     # This node is among those it asked, too: each counts once.
     latest = list({report.name: report for report in reports}.values())
     expires_at = at_us
-    for ids in view.before:
+    for ids in view.former_members:
         moved = [report for report in latest if report.is_member_at_view(view.number, ids)]
         expiry = _expiry(ids, moved, at_us, wait_us)
         if expiry is None:
--- a/src/petrelhaven/control/consensus/view.py
+++ b/src/petrelhaven/control/consensus/view.py
@@ -30,8 +30,8 @@
     chain: tuple[str, ...]
     members: MemberDisks
     cause: str = ""
-    by: str = ""
-    before: tuple[MemberDisks, ...] | None = None
+    proposer: str = ""
+    former_members: tuple[MemberDisks, ...] | None = None
 
     @property
     def head(self) -> str:
@@ -82,10 +82,10 @@
             "chain": list(self.chain),
             "ids": dict(self.members),
             "cause": self.cause,
-            "by": self.by,
+            "by": self.proposer,
         }
-        if self.before is not None:
-            document["before"] = [dict(ids) for ids in self.before]
+        if self.former_members is not None:
+            document["before"] = [dict(ids) for ids in self.former_members]
         return document
 
     @classmethod
--- a/src/petrelhaven/control/consensus/view_maintenance.py
+++ b/src/petrelhaven/control/consensus/view_maintenance.py
@@ -168,7 +168,7 @@
         if min(reports) != core.name and now - self._alone_since < _FIRST_VIEW_WAIT_US:
             return
         ids = {name: report.disk for name, report in sorted(reports.items())}
-        first = View(1, tuple(sorted(ids)), ids, "first view", core.name, before=())
+        first = View(1, tuple(sorted(ids)), ids, "first view", core.name, former_members=())
         emit(core.log, Events.VIEW_PROPOSED, n=first.number, cause=first.cause)
         self.distribute(await self._proposer.change(ids, lambda newest: newest or first))
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -149,7 +149,7 @@
             {
                 "rec": {"t": "hall", "hall": "a", "state": "emptied"},
                 "force": False,
-                "bound": (await near.node.orders._expiry(head.name, 850_000)).document(),
+                "bound": (await near.node.orders._expiry(head.name, 850_000)).to_document(),
             },
             20_000_000,
         )
@@ -239,13 +239,13 @@
 def test_the_wait_after_a_new_view_ends_when_no_former_core_can_rule_any_more(cores, left_us):
     chain = Chain(Now(), None, SimpleNamespace(name="a", disk="disk-a"), None, confirm_us=600_000)
     ids = {n: f"disk-{n}" for n in "abc"}
-    chain.view = View(8, ("a", "b"), {"a": "disk-a", "b": "disk-b"}, before=(ids,))
+    chain.view = View(8, ("a", "b"), {"a": "disk-a", "b": "disk-b"}, former_members=(ids,))
     now = chain.clock.now()
     chain.active_at_us = now + 630_000
     chain.shorten_activation_wait(cores, now)
     assert chain.active_at_us - now == left_us
     chain.active_at_us = now + 630_000
-    chain.view = dataclasses.replace(chain.view, before=None)
+    chain.view = dataclasses.replace(chain.view, former_members=None)
     chain.shorten_activation_wait(cores, now)
     assert chain.active_at_us - now == 630_000
 
