--- a/src/petrelhaven/control/base_node.py
+++ b/src/petrelhaven/control/base_node.py
@@ -244,7 +244,7 @@
             view=chain.view,
             last_complete_view=store.done,
             seq=store.control_state.seq,
-            commit=chain.committed_seq,
+            committed_seq=chain.committed_seq,
             up_us=self.clock.now() - chain.confirmation.started_at_us,
             granted_us=chain.confirmation.granted_ages_us(),
         )
--- a/src/petrelhaven/control/consensus/chain_messages.py
+++ b/src/petrelhaven/control/consensus/chain_messages.py
@@ -17,7 +17,10 @@
 class ConfirmRequest:
     """Asks whether the receiver still accepts view `view_number`.
 
-    `connected_proxies` is how many proxies are connected to the sender.
+    Attributes:
+        name: The node that asks.
+        view_number: The view that it has adopted.
+        connected_proxies: Number of proxies that are connected to it.
     """
 
     name: str
@@ -25,20 +28,24 @@
     connected_proxies: int
 
     def to_body(self) -> dict[str, Any]:
-        """The body of a `view.confirm`."""
+        """Returns the body of a `view.confirm` call."""
         return {"name": self.name, "n": self.view_number, "tied": self.connected_proxies}
 
     @classmethod
     def from_body(cls, body: Mapping[str, Any]) -> ConfirmRequest:
-        """The request of a `view.confirm`."""
+        """Parses the body of a `view.confirm` call."""
         return cls(body["name"], body["n"], body["tied"])
 
 
 @dataclass(frozen=True, slots=True)
 class ConfirmAnswer:
-    """Whether the view is confirmed, and a newer decided view where the answerer knows one.
+    """Answers a `ConfirmRequest`.
 
-    `started_at_us` and `clock_us` are the answerer's monotonic clock at its start and now.
+    Attributes:
+        ok: Whether the view is confirmed.
+        newer: A newer decided view, if the answering node has one.
+        boot: Clock time at which the process of the answering node started.
+        clock_us: Current clock time of the answering node.
     """
 
     ok: bool
@@ -47,7 +54,7 @@
     clock_us: int
 
     def to_body(self) -> dict[str, Any]:
-        """The answer to a `view.confirm`."""
+        """Returns the body of the answer to a `view.confirm` call."""
         return {
             "ok": self.ok,
             "view": None if self.newer is None else self.newer.to_document(),
@@ -57,23 +64,23 @@
 
     @classmethod
     def from_body(cls, body: Mapping[str, Any]) -> ConfirmAnswer:
-        """The answer of a `view.confirm`."""
+        """Parses the body of the answer to a `view.confirm` call."""
         newer = View.from_optional(body["view"])
         return cls(body["ok"], newer, body["boot"], body["clock"])
 
 
 @dataclass(frozen=True, slots=True)
 class AppendRequest:
-    """Records or a whole snapshot for the successor in view `view_number`.
+    """Sends records or a full snapshot to the successor in view `view_number`.
 
     Attributes:
-        view_number: The view in which both nodes stand.
-        previous: Number of the record before the first of `records`, or the last in `snapshot`; -1
-            only asks what the successor holds.
-        previous_view: The view in which record `previous` was entered.
-        records: Rows of number, view and record.
+        view_number: The view that both nodes have adopted.
+        previous: Number of the record before the first of `records`, or of the newest record in
+            `snapshot`. -1 only asks which record the successor has stored last.
+        previous_view: The view in which record `previous` was appended.
+        records: Rows of record number, view number and record.
         snapshot: The control state that replaces that of the successor.
-        complete: Whether the successor holds everything of the sender after this.
+        complete: Whether the successor has all records of the sender after this request.
     """
 
     view_number: int
@@ -85,11 +92,11 @@
 
     @property
     def only_asks(self) -> bool:
-        """Whether this brings nothing and only asks what the successor holds."""
+        """Whether this request only asks which record the successor has stored last."""
         return self.previous < 0
 
     def to_body(self) -> dict[str, Any]:
-        """The body of a `chain.append`."""
+        """Returns the body of a `chain.append` call."""
         return {
             "view": self.view_number,
             "prev": self.previous,
@@ -101,7 +108,7 @@
 
     @classmethod
     def from_body(cls, body: Mapping[str, Any]) -> AppendRequest:
-        """The request of a `chain.append`."""
+        """Parses the body of a `chain.append` call."""
         return cls(
             body["view"], body["prev"], body["mark"], body["recs"], body["frame"], body["done"]
         )
@@ -109,17 +116,23 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendAnswer:
-    """The newest record that the successor holds, the view it was entered in, and its commit."""
+    """Answers an `AppendRequest`.
+
+    Attributes:
+        seq: Number of the newest record that the successor has stored.
+        appended_view: The view in which that record was appended.
+        committed_seq: Number of the newest record that the successor knows to be committed.
+    """
 
     seq: int
-    entered_view: int
-    commit: int
+    appended_view: int
+    committed_seq: int
 
     def to_body(self) -> dict[str, Any]:
-        """The answer to a `chain.append`."""
-        return {"held": self.seq, "mark": self.entered_view, "commit": self.commit}
+        """Returns the body of the answer to a `chain.append` call."""
+        return {"held": self.seq, "mark": self.appended_view, "commit": self.committed_seq}
 
     @classmethod
     def from_body(cls, body: Mapping[str, Any]) -> AppendAnswer:
-        """The answer of a `chain.append`."""
+        """Parses the body of the answer to a `chain.append` call."""
         return cls(body["held"], body["mark"], body["commit"])
--- a/src/petrelhaven/control/consensus/disk_watch.py
+++ b/src/petrelhaven/control/consensus/disk_watch.py
@@ -1,4 +1,4 @@
-"""Takes a control node out of service while its disk refuses writes."""
+"""Excludes a control node from views while its disk refuses writes."""
 
 from __future__ import annotations
 
@@ -16,68 +16,69 @@
 __all__ = ["DiskWatch"]
 
 _FIRST_RETRY_US = 100_000
-_LAST_RETRY_US = 1_000_000
-_NOTIFY_TIMEOUT_US = 800_000
-_REPORT_LIFETIME_US = 3_000_000
+_MAX_RETRY_US = 1_000_000
+_NOTICE_TIMEOUT_US = 800_000
+_NOTICE_VALIDITY_US = 3_000_000
 
 
 class DiskWatch:
-    """Retries a refusing disk; notifies the other control nodes, and is notified by them.
+    """Retries writes on a refusing disk, and exchanges notices of disk state with other nodes.
 
-    A node that refuses is left out of the next view by the others, and let in again once it takes
-    writes. One that has not repeated its notice for a while is taken to write again.
+    The other control nodes leave a node whose disk refuses writes out of the next view, and admit
+    it again once the disk takes writes. A notice expires if it is not repeated; the disk then
+    counts as writable.
     """
 
-    def __init__(self, core: NodeServices) -> None:
-        """Watches the store of `core`."""
-        self._core = core
+    def __init__(self, node: NodeServices) -> None:
+        """Watches the store of `node`."""
+        self._node = node
         self._refused_at: dict[str, int] = {}
-        core.store.on_turn.append(self._changed)
+        node.store.on_turn.append(self._on_disk_state_changed)
 
     def start(self) -> None:
-        """Begins to try again if the disk refused already when the node started."""
-        if self._core.store.refuses:
-            self._core.tasks.spawn(self._retry())
+        """Starts retrying if the disk refuses writes at startup."""
+        if self._node.store.refuses:
+            self._node.tasks.spawn(self._retry())
 
     def takes_writes(self, name: str) -> bool:
-        """Whether the disk of control node `name` takes writes, as far as is known."""
-        if name == self._core.name:
-            return not self._core.store.refuses
-        at = self._refused_at.get(name)
-        return at is None or self._core.clock.now() - at > _REPORT_LIFETIME_US
+        """Whether the disk of control node `name` takes writes, according to its last notice."""
+        if name == self._node.name:
+            return not self._node.store.refuses
+        refused_at = self._refused_at.get(name)
+        return refused_at is None or self._node.clock.now() - refused_at > _NOTICE_VALIDITY_US
 
     async def _retry(self) -> None:
-        wait_us = _FIRST_RETRY_US
-        while self._core.store.refuses:
+        delay_us = _FIRST_RETRY_US
+        while self._node.store.refuses:
             self._notify_all()
-            await self._core.clock.sleep(wait_us)
-            wait_us = min(2 * wait_us, _LAST_RETRY_US)
+            await self._node.clock.sleep(delay_us)
+            delay_us = min(2 * delay_us, _MAX_RETRY_US)
             with contextlib.suppress(DiskRefused):
-                self._core.store.recover()
+                self._node.store.recover()
 
-    def _changed(self) -> None:
-        if self._core.store.refuses:
+    def _on_disk_state_changed(self) -> None:
+        if self._node.store.refuses:
             self.start()
         else:
             self._notify_all()
 
     def _notify_all(self) -> None:
-        for name in self._core.roster.living("core"):
-            if name != self._core.name:
-                self._core.tasks.spawn(self._notify(name))
+        for name in self._node.roster.living("core"):
+            if name != self._node.name:
+                self._node.tasks.spawn(self._notify(name))
 
     async def _notify(self, name: str) -> None:
-        body = {"name": self._core.name, "refuses": self._core.store.refuses}
+        body = {"name": self._node.name, "refuses": self._node.store.refuses}
         with contextlib.suppress(Fault):
-            await self._core.call(name, MessageKind.DISK_STATE_CHANGED, body, _NOTIFY_TIMEOUT_US)
+            await self._node.call(name, MessageKind.DISK_STATE_CHANGED, body, _NOTICE_TIMEOUT_US)
 
     async def handle_notice(self, _channel: Channel | None, body: Mapping[str, Any]) -> None:
-        """Another node notifies that its disk refuses writes, or takes them again."""
+        """Handles a notice that the disk of another node refuses or takes writes."""
         name, refuses = body["name"], body["refuses"]
-        if name not in self._core.roster.peers:
+        if name not in self._node.roster.peers:
             return
         if refuses:
-            self._refused_at[name] = self._core.clock.now()
+            self._refused_at[name] = self._node.clock.now()
         else:
             self._refused_at.pop(name, None)
-        self._core.views.check_soon()
+        self._node.views.check_soon()
--- a/src/petrelhaven/control/consensus/feed.py
+++ b/src/petrelhaven/control/consensus/feed.py
@@ -1,4 +1,4 @@
-"""Feeds the successor in the chain: what it lacks first, then each new record."""
+"""Sends records to the successor in the chain: first the missing ones, then each new record."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 __all__ = ["SuccessorFeed"]
 
-_RECORDS_A_REQUEST = 100
+_MAX_RECORDS_PER_REQUEST = 100
 _APPEND_TIMEOUT_US = 1_500_000
 _INCOMPLETE_RETRY_US = 40_000
 _SUPERSEDED_RETRY_US = 100_000
@@ -25,7 +25,7 @@
 
 
 class FeedingChain(Protocol):
-    """The sender's place in the chain, as the feed uses it."""
+    """The chain of the sending node, as the feed uses it."""
 
     clock: Clock
     store: CoreStore
@@ -34,11 +34,11 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether the sender holds everything that was committed before its view."""
+        """Whether the sender has all records that were committed before its view."""
 
     @property
-    def control_state(self) -> Any:  # noqa: ANN401 (of either way of sessions)
-        """The control state as the sender holds it."""
+    def control_state(self) -> Any:  # noqa: ANN401 (the type depends on the kind of sessions)
+        """The control state of the sender."""
 
     def call(
         self, name: str, kind: str, body: Mapping[str, Any], timeout_us: int, /
@@ -46,35 +46,36 @@
         """Calls another control node."""
 
     def advance_commit(self, seq: int) -> None:
-        """Takes note that everything up to `seq` is committed."""
+        """Records that all records up to `seq` are committed."""
 
 
 class SuccessorFeed:
-    """Sends records down the chain as long as the chain's view is `view`."""
+    """Sends records to the successor while `view` is the view of the chain."""
 
     def __init__(self, chain: FeedingChain, view: View, successor: str) -> None:
-        """Knows nothing of what `successor` holds yet."""
+        """Creates a feed that first asks which record `successor` has stored last."""
         self._chain, self._view, self._successor = chain, view, successor
-        self._forget()
+        self._reset_progress()
 
-    def _forget(self) -> None:
-        self._held: AppendAnswer | None = None
-        self._complete_at: int | None = None
+    def _reset_progress(self) -> None:
+        self._progress: AppendAnswer | None = None
+        self._completed_seq: int | None = None
 
     async def run(self) -> None:
-        """Feeds until the view changes; after a fault it asks anew what the successor holds."""
+        """Sends records until the view changes. After a fault, asks for the progress again."""
         chain = self._chain
         while chain.view is self._view:
             try:
-                await self._step()
+                await self._send_next()
             except ViewSuperseded:
-                self._forget()
+                self._reset_progress()
                 await chain.clock.sleep(_SUPERSEDED_RETRY_US)
             except Fault:
-                self._forget()
+                self._reset_progress()
                 await chain.clock.sleep(_FAULT_RETRY_US)
 
-    async def _step(self) -> None:
+    async def _send_next(self) -> None:
+        """Sends one request, or waits until there is something to send."""
         chain = self._chain
         if not chain.is_complete:
             await chain.clock.sleep(_INCOMPLETE_RETRY_US)
@@ -87,19 +88,19 @@
         body = await chain.call(
             self._successor, MessageKind.CHAIN_APPEND, request.to_body(), _APPEND_TIMEOUT_US
         )
-        self._held = AppendAnswer.from_body(body)
+        self._progress = AppendAnswer.from_body(body)
         if request.complete:
-            committed = self._held.commit >= self._held.seq
-            self._complete_at = self._held.seq if committed else None
-            chain.advance_commit(min(self._held.commit, chain.control_state.seq))
+            committed = self._progress.committed_seq >= self._progress.seq
+            self._completed_seq = self._progress.seq if committed else None
+            chain.advance_commit(min(self._progress.committed_seq, chain.control_state.seq))
 
     def _next_request(self) -> AppendRequest | None:
-        """What to send next; None while the successor has everything and has committed it."""
-        chain, held = self._chain, self._held
+        """The next request, or None if the successor has committed all records."""
+        chain, progress = self._chain, self._progress
         number = self._view.number
-        if held is None:
+        if progress is None:
             return AppendRequest(number)
-        records = chain.store.since(held.seq, held.entered_view)
+        records = chain.store.since(progress.seq, progress.appended_view)
         if records is None:
             return AppendRequest(
                 number,
@@ -108,12 +109,12 @@
                 snapshot=chain.control_state.snapshot(),
                 complete=True,
             )
-        if not records and held.seq == self._complete_at:
+        if not records and progress.seq == self._completed_seq:
             return None
         return AppendRequest(
             number,
-            previous=held.seq,
-            previous_view=held.entered_view,
-            records=records[:_RECORDS_A_REQUEST],
-            complete=len(records) <= _RECORDS_A_REQUEST,
+            previous=progress.seq,
+            previous_view=progress.appended_view,
+            records=records[:_MAX_RECORDS_PER_REQUEST],
+            complete=len(records) <= _MAX_RECORDS_PER_REQUEST,
         )
--- a/src/petrelhaven/control/consensus/member_maintenance.py
+++ b/src/petrelhaven/control/consensus/member_maintenance.py
@@ -1,4 +1,4 @@
-"""Changes of the members: newcomers are taken in, and lost nodes replaced."""
+"""Maintenance of the members of the view: admits new nodes and replaces lost ones."""
 
 from __future__ import annotations
 
@@ -20,108 +20,114 @@
 
 __all__ = ["MemberMaintenance"]
 
-_CALM_INTERVAL_US = 2_000_000
-_BUSY_SHARE = 4
-_CHECK_SPREAD_US = 50_000
-_RECENT_REPORT_US = 3_000_000
-_STARTING_US = 1_500_000
-_VIEW_SPREAD_US = 20_000
+_STABLE_CHECK_INTERVAL_US = 2_000_000
+_URGENT_CHECKS_PER_INTERVAL = 4
+_CHECK_JITTER_US = 50_000
+_RECENT_REPORT_AGE_US = 3_000_000
+_STARTUP_US = 1_500_000
+_VIEW_DISTRIBUTION_US = 20_000
 
 
 class MemberMaintenance(ViewMaintenance):
-    """Also asks nodes beside the seeds, and changes the members.
+    """Maintains the chain and the members of the view, with reports from all known nodes.
 
-    It checks the more often the more there is to do.
+    Checks more often while a change is pending.
     """
 
-    def __init__(self, core: NodeServices, interval_us: int, most_members: int) -> None:
-        """Checks about every `interval_us`; at most `most_members` nodes vote."""
-        super().__init__(core, interval_us)
-        self._changes = ViewChangePlanner(core, most_members)
-        self._started_at = core.clock.now()
-        self._woken = asyncio.Event()
-        core.roster.on_change.append(self._peer_changed)
-        core.chain.on_view.append(self._woken.set)
-        core.chain.on_view.append(lambda: core.tasks.spawn(self._ask_who_moved()))
+    def __init__(self, node: NodeServices, interval_us: int, max_members: int) -> None:
+        """Checks about every `interval_us`, and keeps at most `max_members` voting members."""
+        super().__init__(node, interval_us)
+        self._planner = ViewChangePlanner(node, max_members)
+        self._started_at = node.clock.now()
+        self._check_requested = asyncio.Event()
+        node.roster.on_change.append(self._on_peer_changed)
+        node.chain.on_view.append(self._check_requested.set)
+        node.chain.on_view.append(lambda: node.tasks.spawn(self._request_reports_after_view()))
 
     def addresses(self) -> Sequence[str]:
-        """The seeds, and every control node that is known by now."""
-        peers = self._core.roster.peers.values()
+        """The link addresses of the seeds and of all known control nodes."""
+        peers = self._node.roster.peers.values()
         known = (peer.addr for peer in peers if peer.role == "core" and peer.state != GONE)
-        return sorted({*self._core.seeds, *known})
+        return sorted({*self._node.seeds, *known})
 
     def recent_reports(self) -> Reports:
-        """What nodes reported within the last seconds."""
-        now = self._core.clock.now()
+        """The reports of the last few seconds, by node name."""
+        now = self._node.clock.now()
         return {
             report.name: report
             for at, report in self._reports.values()
-            if report and now - at < _RECENT_REPORT_US
+            if report and now - at < _RECENT_REPORT_AGE_US
         }
 
     def check_soon(self) -> None:
-        """Ends the wait between two checks."""
-        self._woken.set()
+        """Ends the wait before the next check."""
+        self._check_requested.set()
 
-    async def pause(self) -> None:
-        """Waits between two checks.
+    async def wait_for_next_check(self) -> None:
+        """Waits until the next check is due.
 
-        Briefly while there is something to decide, long while every member is there.
+        The wait is short while a decision is pending, and long while every member is present.
         """
-        interval_us = self._interval() + self._core.rng.randrange(_CHECK_SPREAD_US)
-        self._woken.clear()
+        interval_us = self._interval() + self._node.rng.randrange(_CHECK_JITTER_US)
+        self._check_requested.clear()
         with contextlib.suppress(DeadlineExceeded):
-            await self._core.clock.limit(self._woken.wait(), interval_us)
+            await self._node.clock.limit(self._check_requested.wait(), interval_us)
 
     def _interval(self) -> int:
-        view, reports = self._core.chain.view, self.recent_reports()
-        if view is None or self.undecided or self._changes.can_admit_node(view, reports):
-            return self._interval_us // _BUSY_SHARE
-        if self._every_member_is_there(view, reports):
-            return _CALM_INTERVAL_US
+        """The time until the next check, in microseconds."""
+        view, reports = self._node.chain.view, self.recent_reports()
+        if view is None or self.undecided or self._planner.can_admit_node(view, reports):
+            return self._interval_us // _URGENT_CHECKS_PER_INTERVAL
+        if self._is_stable(view, reports):
+            return _STABLE_CHECK_INTERVAL_US
         return self._interval_us
 
-    def _every_member_is_there(self, view: View, reports: Reports) -> bool:
+    def _is_stable(self, view: View, reports: Reports) -> bool:
+        """Whether every member is alive, in the chain, and has the disk that the view names."""
         return (
             view.every_member_in_chain
-            and self._core.chain.is_active
-            and all(self._core.roster.state(name) == ALIVE for name in view.members)
-            and not self._changes.members_with_new_disk(view, reports)
+            and self._node.chain.is_active
+            and all(self._node.roster.state(name) == ALIVE for name in view.members)
+            and not self._planner.members_with_new_disk(view, reports)
         )
 
-    def _peer_changed(self, peer: Peer, _former_state: str | None) -> None:
-        """A peer is new here, or in another state than it was: the view is checked at once."""
+    def _on_peer_changed(self, peer: Peer, _former_state: str | None) -> None:
+        """Checks the view at once after a peer joined or changed its state."""
         if peer.state == ALIVE:
-            self._core.link.cancel_opening(peer.addr)
-        self._woken.set()
+            self._node.link.cancel_opening(peer.addr)
+        self._check_requested.set()
 
     def is_present(self, name: str) -> bool:
-        """Whether a node counts as being there.
+        """Whether a node counts as present.
 
-        One not met since the start of this one may be starting too.
+        Shortly after the start of this node, an unknown node counts as present, because it may be
+        starting too.
         """
-        starting = self._core.clock.now() - self._started_at < _STARTING_US
-        return super().is_present(name) or starting and self._core.roster.state(name) is None
+        starting = self._node.clock.now() - self._started_at < _STARTUP_US
+        return super().is_present(name) or starting and self._node.roster.state(name) is None
 
-    def report_received(self) -> None:
-        """After a new view, reports may end the wait for the nodes of the former one."""
-        chain, now = self._core.chain, self._core.clock.now()
+    def on_report(self) -> None:
+        """Shortens the wait after a new view if the reports show that earlier views expired."""
+        chain, now = self._node.chain, self._node.clock.now()
         if chain.view is None or chain.active_at_us <= now:
             return
         reports: list[NodeReport] = [
             report for at, report in self._reports.values() if report and at >= chain.adopted_at_us
         ]
-        chain.shorten_activation_wait([*reports, self._core.report()], now)
+        chain.shorten_activation_wait([*reports, self._node.report()], now)
 
-    async def _ask_who_moved(self) -> None:
-        """Asks for what ends the wait after a new view, once the others may have received it."""
-        await self._core.clock.sleep(_VIEW_SPREAD_US)
-        if self._core.chain.active_at_us > self._core.clock.now():
+    async def _request_reports_after_view(self) -> None:
+        """Requests reports once the other nodes may have received a new view.
+
+        The reports can shorten the wait after the new view.
+        """
+        await self._node.clock.sleep(_VIEW_DISTRIBUTION_US)
+        if self._node.chain.active_at_us > self._node.clock.now():
             for address in self.addresses():
-                self._core.tasks.spawn(self.request_report(address))
+                self._node.tasks.spawn(self.request_report(address))
 
     async def change_members(self, view: View, reports: Reports) -> None:
-        """Takes a newcomer in, or lets go of a lost node that one is to replace."""
-        change = self._changes.next_view_change(view, reports)
-        if change is not None and self._core.chain.is_active:
-            await self.propose(view, change.chain, change.ids, change.cause)
+        """Proposes a view that admits a new node or replaces a lost member."""
+        change = self._planner.next_view_change(view, reports)
+        if change is not None and self._node.chain.is_active:
+            await self.propose(view, change.chain, change.members, change.cause)
--- a/src/petrelhaven/control/consensus/node_report.py
+++ b/src/petrelhaven/control/consensus/node_report.py
@@ -1,4 +1,4 @@
-"""What a control node reports of itself to the others, which decide on views by it."""
+"""The report that a control node sends to the others, which use it to decide on views."""
 
 from __future__ import annotations
 
@@ -13,19 +13,20 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeReport:
-    """One control node's report.
+    """The report of one control node.
 
     Attributes:
-        name: Its name.
-        disk: The identity of its disk.
-        fresh: Whether it has neither voted nor held anything.
-        view: The view that it has adopted.
-        complete_in: The number of the last view of which it held everything.
-        seq: The newest record that it holds.
-        commit: The newest record that it knows to be committed.
-        up_us: Since when its process runs, in microseconds.
-        granted_us: For each node, how long ago this one last confirmed a view to it, in
-            microseconds.
+        name: Name of the node.
+        disk: Identity of its disk.
+        fresh: Whether the node has neither voted nor stored any record.
+        view: The newest view that it has adopted.
+        last_complete_view: Number of the last view in which the node was complete, that is, had all
+            records committed before that view.
+        seq: Number of the newest record that it has stored.
+        commit: Number of the newest record that it knows to be committed.
+        up_us: Uptime of its process in microseconds.
+        granted_us: For each node, microseconds since the reporting node last confirmed a view to
+            it.
     """
 
     name: str
@@ -34,17 +35,17 @@
     view: View | None
     last_complete_view: int
     seq: int
-    commit: int
+    committed_seq: int
     up_us: int
     granted_us: Mapping[str, int]
 
-    def is_member_at_view(self, number: int, ids: MemberDisks) -> bool:
-        """Whether this is a member of `members`, by its disk, in view `number` or a newer one."""
-        is_member = ids.get(self.name) == self.disk
+    def is_member_at_view(self, number: int, members: MemberDisks) -> bool:
+        """Whether this is one of `members`, with its disk, and has adopted `number` or newer."""
+        is_member = members.get(self.name) == self.disk
         return is_member and self.view is not None and self.view.number >= number
 
     def to_body(self) -> dict[str, Any]:
-        """The answer to a `view.ask`."""
+        """Returns the body of the answer to a `view.ask` call."""
         return {
             "name": self.name,
             "disk": self.disk,
@@ -52,14 +53,14 @@
             "view": None if self.view is None else self.view.to_document(),
             "done": self.last_complete_view,
             "held": self.seq,
-            "commit": self.commit,
+            "commit": self.committed_seq,
             "up_us": self.up_us,
             "granted_us": self.granted_us,
         }
 
     @classmethod
     def from_body(cls, body: Mapping[str, Any]) -> NodeReport:
-        """The answer of a `view.ask`."""
+        """Parses the body of the answer to a `view.ask` call."""
         return cls(
             body["name"],
             body["disk"],
--- a/src/petrelhaven/control/consensus/node_services.py
+++ b/src/petrelhaven/control/consensus/node_services.py
@@ -1,4 +1,4 @@
-"""What the parts of a control node use of the node that they belong to."""
+"""Protocols of a control node, as its components use it."""
 
 from __future__ import annotations
 
@@ -21,28 +21,28 @@
     from petrelhaven.transport.link import Link
     from petrelhaven.transport.reach import Reach
 
-__all__ = ["DiskStates", "NodeServices", "Views"]
+__all__ = ["DiskStates", "NodeServices", "ViewProposer"]
 
 
 class DiskStates(Protocol):
-    """Which control nodes' disks take writes."""
+    """The states of the control nodes' disks."""
 
     def takes_writes(self, name: str) -> bool:
-        """Whether the disk of control node `name` takes writes, as far as is known."""
+        """Whether the disk of control node `name` takes writes, according to its last notice."""
 
 
-class Views(Protocol):
-    """What proposes views."""
+class ViewProposer(Protocol):
+    """Proposes and distributes views."""
 
     def check_soon(self) -> None:
-        """Has the next check made soon."""
+        """Ends the wait before the next check of the view."""
 
     def distribute(self, view: View) -> None:
-        """Adopts a decided view and sends it to its other members."""
+        """Adopts a decided view and sends it to the other members."""
 
 
 class NodeServices(Protocol):
-    """One control node, as its parts use it."""
+    """A control node and the services that it provides to its components."""
 
     name: str
     seeds: list[str]
@@ -59,19 +59,19 @@
 
     @property
     def disk_watch(self) -> DiskStates:
-        """Knows which disks take writes."""
+        """The states of the control nodes' disks."""
 
     @property
-    def views(self) -> Views:
-        """Proposes views."""
+    def views(self) -> ViewProposer:
+        """Proposes and distributes views."""
 
     async def call(
         self, name: str, kind: str, body: Mapping[str, Any], timeout_us: int
     ) -> dict[str, Any]:
-        """Calls another control node, or this one, by name."""
+        """Calls a control node by name. The node may be this one."""
 
     def report(self) -> NodeReport:
-        """What this node reports of itself."""
+        """Returns the report of this node."""
 
     async def snapshots(self) -> dict[str, dict[str, Any]]:
-        """The control states that living proxies hold, by their names."""
+        """Returns the control states of live proxies, by proxy name."""
--- a/src/petrelhaven/control/consensus/proxy_survey.py
+++ b/src/petrelhaven/control/consensus/proxy_survey.py
@@ -1,7 +1,7 @@
-"""Control states of proxies, gathered over their connections while a control node has no majority.
+"""Collects the control states of proxies while a control node has no majority.
 
-Without a majority it grants no lease, so that no proxy holds its core connection to it: each is
-asked as it comes by.
+Without a majority, the node grants no leases, and proxies don't keep their core connection to it.
+Each proxy is therefore asked when it connects.
 """
 
 from __future__ import annotations
@@ -20,45 +20,49 @@
 
 __all__ = ["ProxySurvey"]
 
-_OPEN_US = 4_000_000
-_ASK_TIMEOUT_US = 600_000
+_SURVEY_DURATION_US = 4_000_000
+_SNAPSHOT_TIMEOUT_US = 600_000
 
 
 class ProxySurvey:
-    """While it is open, each proxy connected to this node is asked for its control state."""
+    """Asks each proxy that connects to this node for its control state while a survey is open.
+
+    Attributes:
+        is_open: Whether a survey is running.
+    """
 
     def __init__(self, clock: Clock, log: logbook.Logger | None = None) -> None:
-        """Is closed at first."""
+        """Creates a survey that is not open."""
         self._clock, self._log = clock, log
         self.is_open = False
         self._snapshots: dict[str, dict[str, Any]] = {}
         self._asked: set[str] = set()
 
     async def collect(self) -> dict[str, dict[str, Any]]:
-        """Control states by proxy.
+        """Runs a survey and returns control states by proxy name.
 
-        Open long enough for a proxy to leave a node that is not active and try the others.
+        The survey is open long enough for a proxy to leave an inactive node and to try the others.
 
         Raises:
-            Conflict: a survey is open already.
+            Conflict: Another survey is open.
         """
         if self.is_open:
-            raise Conflict("edges are being asked already")
+            raise Conflict("another survey of the proxies is running")
         self.is_open, self._snapshots, self._asked = True, {}, set()
         try:
-            await self._clock.sleep(_OPEN_US)
+            await self._clock.sleep(_SURVEY_DURATION_US)
             return self._snapshots
         finally:
             self.is_open = False
 
     async def request_snapshot(self, channel: Channel, proxy: str) -> None:
-        """Asks a proxy over its own connection, once a survey."""
+        """Requests the control state of a proxy over its own connection, once per survey."""
         if not self.is_open or proxy in self._asked:
             return
         self._asked.add(proxy)
         try:
             answer = await channel.call(
-                MessageKind.PROXY_SNAPSHOT, {"name": proxy}, _ASK_TIMEOUT_US
+                MessageKind.PROXY_SNAPSHOT, {"name": proxy}, _SNAPSHOT_TIMEOUT_US
             )
         except Fault as fault:
             self._asked.discard(proxy)
--- a/src/petrelhaven/control/consensus/register.py
+++ b/src/petrelhaven/control/consensus/register.py
@@ -1,9 +1,10 @@
-"""The view register: a majority of the members decides each next view.
+"""The view register: a majority of the members decides each view.
 
-Single-decree Paxos over the members' stores (docs/notes/chain-and-view.md). A view may replace one
-member by another in a single step: its acceptance counts only votes of nodes that are members
-before and after, as in joint consensus, and enough of them that every majority of either set of
-members includes one that accepted it.
+The register runs single-decree Paxos on the members' stores (docs/notes/chain-and-view.md). A view
+may replace one member by another in a single step. As in joint consensus, such a view is decided
+only by the votes of nodes that are members before and after it. There must be enough of these votes
+that every majority of the members before, and every majority of the members after, includes a node
+that accepted the view.
 """
 
 from __future__ import annotations
@@ -33,56 +34,62 @@
 _VOTE_TIMEOUT_US = 600_000
 
 Call = Callable[[str, str, Mapping[str, Any], int], Awaitable[dict[str, Any]]]
-"""Calls a control node: name, kind, body, timeout in microseconds."""
+"""Calls a control node with the arguments name, kind, body and timeout in microseconds."""
 
 
-class NoMajorityPromised(Exception):  # noqa: N818 (an outcome of a race, no error that leaves the node)
-    """No majority promised; `accepted` is the newest view that any answer named."""
+class NoMajorityPromised(Exception):  # noqa: N818 (a normal outcome that never leaves the node)
+    """No majority promised in the first phase of a ballot.
+
+    Attributes:
+        accepted: The newest view that any voter answered as accepted, or None.
+    """
 
     def __init__(self, accepted: View | None) -> None:
-        """Carries what may be left to finish."""
+        """Carries the view whose decision may have to be completed."""
         super().__init__("no majority promised")
         self.accepted = accepted
 
 
 class Voter:
-    """The acceptor. It never votes under a disk identity that the others do not know.
+    """The acceptor of the view register.
 
-    Ballots run under the identities of the newest view known to be decided; those of a view that
-    was only accepted count once it is decided, or two voters that accepted different ones could
-    wait for each other for good.
+    A voter never votes in a ballot whose members don't include the identity of its own disk.
+
+    Ballots are held among the members of the newest view that is known to be decided. The members
+    of a view that was only accepted don't count until that view is decided. Otherwise two voters
+    that accepted different views could block each other forever.
     """
 
     def __init__(self, store: CoreStore) -> None:
-        """Remembers its votes in `store`."""
+        """Keeps the votes in `store`."""
         self._store = store
 
     def _state(self) -> VoteState:
         return VoteState.from_document(self._store.vote)
 
-    def _fits(self, ids: MemberDisks) -> bool:
-        """Whether a ballot among `members` counts this very disk, and no other members are known."""
-        members = self._state().members
-        return ids.get(self._store.name) == self._store.disk and members in (None, ids)
+    def _fits(self, members: MemberDisks) -> bool:
+        """Whether `members` include this node's disk and match the members that this node knows."""
+        known = self._state().members
+        return members.get(self._store.name) == self._store.disk and known in (None, members)
 
     async def prepare(self, _channel: Channel | None, body: Mapping[str, Any]) -> dict[str, Any]:
-        """Answers a `vote.prepare`."""
+        """Handles a `vote.prepare`."""
         return self._prepare(PrepareRequest.from_body(body)).to_body()
 
     def _prepare(self, request: PrepareRequest) -> PrepareAnswer:
         state = self._state()
-        ok = self._fits(request.ids) and request.ballot > state.promised
+        ok = self._fits(request.members) and request.ballot > state.promised
         if ok:
             self._store.put_vote(num=request.ballot.number, who=request.ballot.proposer)
         return PrepareAnswer(ok, state.accepted, state.value, state.highest_number)
 
     async def accept(self, _channel: Channel | None, body: Mapping[str, Any]) -> dict[str, Any]:
-        """Answers a `vote.accept`."""
+        """Handles a `vote.accept`."""
         return self._accept(AcceptRequest.from_body(body)).to_body()
 
     def _accept(self, request: AcceptRequest) -> AcceptAnswer:
         state, ballot = self._state(), request.ballot
-        ok = self._fits(request.ids) and ballot >= state.promised
+        ok = self._fits(request.members) and ballot >= state.promised
         if ok:
             self._store.put_vote(
                 num=ballot.number,
@@ -95,7 +102,7 @@
 
 
 class _Answer(Protocol):
-    """What the answers to both rounds have in common."""
+    """The common part of the answers in both phases."""
 
     @property
     def ok(self) -> bool:
@@ -110,30 +117,35 @@
 
 
 class Proposer:
-    """Has a majority of members decide a view."""
+    """Proposes views to the members, a majority of which decides."""
 
     def __init__(self, store: CoreStore, call: Call) -> None:
-        """Proposes under the name of the node of `store`; `call` reaches every member."""
+        """Proposes in the name of the node that owns `store`; `call` calls the members."""
         self._store, self._call = store, call
         self._highest_number = 0
 
-    async def change(self, ids: MemberDisks, next_view: Callable[[View | None], View]) -> View:
-        """Decides `next_view(newest accepted view)` among the members `members`, and returns it.
+    async def change(self, members: MemberDisks, next_view: Callable[[View | None], View]) -> View:
+        """Runs one ballot among `members` and returns the decided view.
+
+        Args:
+            members: The members that vote.
+            next_view: Called with the newest view that any promising voter has accepted, or None.
+                Returns the view to propose.
 
         Raises:
-            NoPromise: no majority promised.
-            Conflict: a majority promised, but another proposer was faster.
+            NoMajorityPromised: No majority promised.
+            Conflict: A majority promised, but too few voters accepted the view.
         """
         ballot = self._next_ballot()
-        accepted = await self._prepare(ids, ballot)
+        accepted = await self._prepare(members, ballot)
         view = next_view(accepted)
-        request = AcceptRequest(ballot, ids, view)
+        request = AcceptRequest(ballot, members, view)
 
         def decides(voters: set[str]) -> bool:
-            return is_joint_quorum(voters, ids, view.members)
+            return is_joint_quorum(voters, members, view.members)
 
-        answers = await self._round(
-            ids, MessageKind.REGISTER_ACCEPT, request.to_body(), AcceptAnswer.from_body, decides
+        answers = await self._run_phase(
+            members, MessageKind.REGISTER_ACCEPT, request.to_body(), AcceptAnswer.from_body, decides
         )
         if not decides(_agreeing(answers)):
             raise Conflict("no majority of the members before and after accepted")
@@ -144,37 +156,48 @@
         self._highest_number = max(self._highest_number, promised) + 1
         return Ballot(self._highest_number, self._store.name)
 
-    async def _prepare(self, ids: MemberDisks, ballot: Ballot) -> View | None:
-        """The newest view that any voter of a promising majority has accepted."""
-        body = PrepareRequest(ballot, ids).to_body()
+    async def _prepare(self, members: MemberDisks, ballot: Ballot) -> View | None:
+        """Runs the first phase; returns the newest view that any promising voter has accepted."""
+        body = PrepareRequest(ballot, members).to_body()
 
         def promises(voters: set[str]) -> bool:
-            return len(voters) > len(ids) // 2
+            return len(voters) > len(members) // 2
 
-        answers = await self._round(
-            ids, MessageKind.REGISTER_PREPARE, body, PrepareAnswer.from_body, promises
+        answers = await self._run_phase(
+            members, MessageKind.REGISTER_PREPARE, body, PrepareAnswer.from_body, promises
         )
         if not promises(_agreeing(answers)):
-            raise NoMajorityPromised(_newest(answers.values()))
-        return _newest([answer for answer in answers.values() if answer.ok])
+            raise NoMajorityPromised(_newest_accepted(answers.values()))
+        return _newest_accepted([answer for answer in answers.values() if answer.ok])
 
-    async def _round(
+    async def _run_phase(
         self,
-        ids: MemberDisks,
+        members: MemberDisks,
         kind: str,
         body: Mapping[str, Any],
-        read: Callable[[Mapping[str, Any]], _AnswerT],
+        parse: Callable[[Mapping[str, Any]], _AnswerT],
         is_enough: Callable[[set[str]], bool],
     ) -> dict[str, _AnswerT]:
-        """Asks every member until enough agreed, or all have answered or failed."""
+        """Asks every member until enough have agreed, or all have answered or failed.
+
+        Args:
+            members: The members to ask.
+            kind: Message kind of the request.
+            body: Body of the request.
+            parse: Parses the body of an answer.
+            is_enough: Whether the voters with these names are enough.
+
+        Returns:
+            The answers by node name.
+        """
 
         async def ask(name: str) -> _AnswerT | None:
             try:
-                return read(await self._call(name, kind, body, _VOTE_TIMEOUT_US))
+                return parse(await self._call(name, kind, body, _VOTE_TIMEOUT_US))
             except Fault:
                 return None
 
-        tasks = {name: asyncio.ensure_future(ask(name)) for name in sorted(ids)}
+        tasks = {name: asyncio.ensure_future(ask(name)) for name in sorted(members)}
         while True:
             results = {name: task.result() for name, task in tasks.items() if task.done()}
             answers = {name: answer for name, answer in results.items() if answer is not None}
@@ -188,19 +211,20 @@
 
 
 def _agreeing(answers: Mapping[str, _Answer]) -> set[str]:
+    """The names of the voters that agreed."""
     return {name for name, answer in answers.items() if answer.ok}
 
 
 def is_joint_quorum(voters: Collection[str], before: MemberDisks, after: MemberDisks) -> bool:
-    """Whether every majority of either set of members includes one of these voters.
+    """Whether every majority of `before` and every majority of `after` includes one of `voters`.
 
-    Only voters count that are members, with the same disk, before and after.
+    Only voters that are members with the same disk both before and after are counted.
     """
-    lasting = sum(name in voters and after.get(name) == disk for name, disk in before.items())
-    return lasting > len(before) // 2 and lasting >= len(after) - len(after) // 2
+    remaining = sum(name in voters and after.get(name) == disk for name, disk in before.items())
+    return remaining > len(before) // 2 and remaining >= len(after) - len(after) // 2
 
 
-def _newest(answers: Iterable[PrepareAnswer]) -> View | None:
-    """The view accepted under the highest ballot."""
+def _newest_accepted(answers: Iterable[PrepareAnswer]) -> View | None:
+    """The view that was accepted with the highest ballot."""
     newest = max(answers, key=lambda answer: answer.accepted, default=None)
     return None if newest is None else newest.value
--- a/src/petrelhaven/control/consensus/register_messages.py
+++ b/src/petrelhaven/control/consensus/register_messages.py
@@ -1,4 +1,4 @@
-"""What proposers and voters of the view register send each other, and what a voter remembers."""
+"""Messages between proposers and voters of the view register, and the stored state of a voter."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Ballot:
-    """A proposal number; the proposer's name tells two of one number apart."""
+    """A ballot number. Ballots with the same number are ordered by the name of the proposer."""
 
     number: int
     proposer: str
@@ -28,23 +28,23 @@
 
 @dataclass(frozen=True, slots=True)
 class VoteState:
-    """What a voter has promised and accepted, read from the document that its store keeps.
+    """What a voter has promised and accepted, as its store keeps it.
 
     Attributes:
-        promised: The highest ballot promised or accepted.
-        accepted: The ballot under which `value` was accepted.
-        value: The view accepted last.
-        ids: The members of the newest view known to be decided.
+        promised: The highest ballot that was promised or accepted.
+        accepted: The ballot with which `value` was accepted.
+        value: The view that was accepted last.
+        decided_members: The members of the newest view that is known to be decided.
     """
 
     promised: Ballot
     accepted: Ballot
     value: View | None
-    ids: MemberDisks | None
+    decided_members: MemberDisks | None
 
     @classmethod
     def from_document(cls, document: Mapping[str, Any]) -> VoteState:
-        """The state that a store's document describes."""
+        """Parses the document of a store."""
         return cls(
             Ballot(document["num"], document["who"]),
             Ballot(document["anum"], document["awho"]),
@@ -54,37 +54,41 @@
 
     @property
     def members(self) -> MemberDisks | None:
-        """The members under which ballots run; None for a voter that knows no view."""
-        return self.ids or (self.value.members if self.value else None)
+        """The members that vote in ballots, or None if the voter knows no view."""
+        return self.decided_members or (self.value.members if self.value else None)
 
     @property
     def highest_number(self) -> int:
-        """The highest ballot number promised or accepted."""
+        """The highest ballot number that was promised or accepted."""
         return max(self.promised.number, self.accepted.number)
 
 
 @dataclass(frozen=True, slots=True)
 class PrepareRequest:
-    """Asks a voter to promise that it accepts nothing under a lower ballot."""
+    """Asks a voter to promise that it accepts nothing with a lower ballot."""
 
     ballot: Ballot
-    ids: MemberDisks
+    members: MemberDisks
 
     def to_body(self) -> dict[str, Any]:
-        """The body of a `vote.prepare`."""
-        return {"num": self.ballot.number, "who": self.ballot.proposer, "ids": self.ids}
+        """Returns the body of a `vote.prepare` call."""
+        return {"num": self.ballot.number, "who": self.ballot.proposer, "ids": self.members}
 
     @classmethod
     def from_body(cls, body: Mapping[str, Any]) -> PrepareRequest:
-        """The request of a `vote.prepare`."""
+        """Parses the body of a `vote.prepare` call."""
         return cls(Ballot(body["num"], body["who"]), body["ids"])
 
 
 @dataclass(frozen=True, slots=True)
 class PrepareAnswer:
-    """Whether the voter promised, and the view that it accepted last, with its ballot.
+    """Answers a `PrepareRequest`.
 
-    `highest_number` is the highest ballot number that the voter had seen before this request.
+    Attributes:
+        ok: Whether the voter promised.
+        accepted: The ballot with which `value` was accepted.
+        value: The view that the voter accepted last.
+        highest_number: The highest ballot number that the voter had seen before the request.
     """
 
     ok: bool
@@ -93,7 +97,7 @@
     highest_number: int
 
     def to_body(self) -> dict[str, Any]:
-        """The answer to a `vote.prepare`."""
+        """Returns the body of the answer to a `vote.prepare` call."""
         return {
             "ok": self.ok,
             "num": self.accepted.number,
@@ -104,47 +108,52 @@
 
     @classmethod
     def from_body(cls, body: Mapping[str, Any]) -> PrepareAnswer:
-        """The answer of a `vote.prepare`."""
+        """Parses the body of the answer to a `vote.prepare` call."""
         accepted = Ballot(body["num"], body["who"])
         return cls(body["ok"], accepted, View.from_optional(body["value"]), body["seen"])
 
 
 @dataclass(frozen=True, slots=True)
 class AcceptRequest:
-    """Asks a voter to accept a view under a ballot."""
+    """Asks a voter to accept a view with a ballot."""
 
     ballot: Ballot
-    ids: MemberDisks
+    members: MemberDisks
     value: View
 
     def to_body(self) -> dict[str, Any]:
-        """The body of a `vote.accept`."""
+        """Returns the body of a `vote.accept` call."""
         return {
             "num": self.ballot.number,
             "who": self.ballot.proposer,
-            "ids": self.ids,
+            "ids": self.members,
             "value": self.value.to_document(),
         }
 
     @classmethod
     def from_body(cls, body: Mapping[str, Any]) -> AcceptRequest:
-        """The request of a `vote.accept`."""
+        """Parses the body of a `vote.accept` call."""
         ballot = Ballot(body["num"], body["who"])
         return cls(ballot, body["ids"], View.from_document(body["value"]))
 
 
 @dataclass(frozen=True, slots=True)
 class AcceptAnswer:
-    """Whether the voter accepted, and the highest ballot number that it had seen before."""
+    """Answers an `AcceptRequest`.
+
+    Attributes:
+        ok: Whether the voter accepted the view.
+        highest_number: The highest ballot number that the voter had seen before the request.
+    """
 
     ok: bool
     highest_number: int
 
     def to_body(self) -> dict[str, Any]:
-        """The answer to a `vote.accept`."""
+        """Returns the body of the answer to a `vote.accept` call."""
         return {"ok": self.ok, "seen": self.highest_number}
 
     @classmethod
     def from_body(cls, body: Mapping[str, Any]) -> AcceptAnswer:
-        """The answer of a `vote.accept`."""
+        """Parses the body of the answer to a `vote.accept` call."""
         return cls(body["ok"], body["seen"])
--- a/src/petrelhaven/control/consensus/view.py
+++ b/src/petrelhaven/control/consensus/view.py
@@ -1,4 +1,4 @@
-"""The view: which control nodes form the chain, in which order, and which disks vote."""
+"""The view: the control nodes of the chain, their order, and the disks that vote."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 __all__ = ["MemberDisks", "View"]
 
 MemberDisks = Mapping[str, str]
-"""Disk identity by node name: the members that vote."""
+"""The members, that is, the nodes that vote: disk identity by node name."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -17,13 +17,13 @@
     """One decided or proposed configuration of the replication chain.
 
     Attributes:
-        number: Views are numbered without gaps, except where the chain was reformed.
-        chain: Names of the nodes of the chain; the first is its head, the last its tail.
-        members: The members, that is, every node that votes, with the identity of its disk.
+        number: Number of the view. Numbers have no gaps except after a reform of the chain.
+        chain: Names of the nodes in the chain, from head to tail.
+        members: The nodes that vote, with the identities of their disks.
         cause: Why the view was proposed, for operators.
-        by: Who proposed it: a node, or the operator who ordered a reform.
-        before: Members of each former view that might still be in force when this one was proposed;
-            None where that is not known.
+        proposer: The node that proposed the view, or the operator who ordered a reform.
+        former_members: The members of each earlier view that nodes might still act under when this
+            view was proposed; None if they are unknown.
     """
 
     number: int
@@ -45,12 +45,12 @@
 
     @property
     def quorum(self) -> int:
-        """How many members are a majority."""
+        """The number of members that make a majority."""
         return len(self.members) // 2 + 1
 
     @property
     def every_member_in_chain(self) -> bool:
-        """Whether no member is left out of the chain."""
+        """Whether all members are in the chain."""
         return len(self.chain) == len(self.members)
 
     def is_member(self, name: str) -> bool:
@@ -62,21 +62,21 @@
         return name in self.chain
 
     def is_member_disk(self, name: str, disk: str) -> bool:
-        """Whether `name` is a member with the identity `disk`."""
+        """Whether node `name` is a member with the disk identity `disk`."""
         return self.members.get(name) == disk
 
     def position(self, name: str, disk: str) -> int | None:
-        """The place of a node in the chain; None without one, or if its disk is another."""
+        """The index of a node in the chain; None if it is not there or has another disk."""
         if self.is_member_disk(name, disk) and name in self.chain:
             return self.chain.index(name)
         return None
 
     def successor(self, position: int) -> str | None:
-        """The node after `position` in the chain; None after the tail."""
+        """The node after `position` in the chain, or None after the tail."""
         return self.chain[position + 1] if position + 1 < len(self.chain) else None
 
     def to_document(self) -> dict[str, Any]:
-        """The JSON document of this view, as it is stored and sent."""
+        """Returns the JSON document of this view, as it is stored and sent."""
         document: dict[str, Any] = {
             "n": self.number,
             "chain": list(self.chain),
@@ -85,23 +85,23 @@
             "by": self.proposer,
         }
         if self.former_members is not None:
-            document["before"] = [dict(ids) for ids in self.former_members]
+            document["before"] = [dict(members) for members in self.former_members]
         return document
 
     @classmethod
     def from_document(cls, document: Mapping[str, Any]) -> View:
-        """The view of a JSON document."""
-        before = document.get("before")
+        """Parses the JSON document of a view."""
+        former_members = document.get("before")
         return cls(
             document["n"],
             tuple(document["chain"]),
             document["ids"],
             document.get("cause", ""),
             document.get("by", ""),
-            None if before is None else tuple(before),
+            None if former_members is None else tuple(former_members),
         )
 
     @classmethod
     def from_optional(cls, document: Mapping[str, Any] | None) -> View | None:
-        """The view of a JSON document, where there is one."""
+        """Parses the JSON document of a view, or returns None if there is no document."""
         return cls.from_document(document) if document else None
--- a/src/petrelhaven/control/consensus/view_maintenance.py
+++ b/src/petrelhaven/control/consensus/view_maintenance.py
@@ -1,7 +1,4 @@
-"""Keeps the view in step with the nodes that are there.
-
-It decides the first view of all, and repairs the current one after losses.
-"""
+"""Maintenance of the view: decides the first view and repairs the current one after losses."""
 
 from __future__ import annotations
 
@@ -24,30 +21,31 @@
 __all__ = ["Reports", "ViewMaintenance"]
 
 Reports = Mapping[str, NodeReport]
-"""What control nodes reported of themselves, by name."""
+"""Reports of control nodes by node name."""
 
 _REPORT_TIMEOUT_US = 500_000
-_LEARN_TIMEOUT_US = 500_000
+_VIEW_TIMEOUT_US = 500_000
 _FIRST_VIEW_WAIT_US = 2_000_000
-_CHECK_SPREAD_US = 50_000
+_CHECK_JITTER_US = 50_000
 
 
 class ViewMaintenance:
-    """Asks the other control nodes for reports and proposes views.
+    """Requests reports from the other control nodes and proposes views.
 
-    Only the first node of the view that is left proposes a repair, so that few proposals race.
+    Only the first remaining node of the chain proposes a repair, which keeps competing proposals
+    rare.
 
     Attributes:
-        may_found: Whether this node takes part in deciding the first view of all.
-        undecided: Whether the last check ended before a view was agreed.
+        may_decide_first_view: Whether this node may propose the first view of a new deployment.
+        undecided: Whether the last check ended without agreement on a view.
     """
 
-    def __init__(self, core: NodeServices, interval_us: int) -> None:
-        """Checks the view of `core` about every `interval_us`."""
-        self._core, self._interval_us = core, interval_us
-        self._proposer = Proposer(core.store, core.call)
+    def __init__(self, node: NodeServices, interval_us: int) -> None:
+        """Checks the view of `node` about every `interval_us`."""
+        self._node, self._interval_us = node, interval_us
+        self._proposer = Proposer(node.store, node.call)
         self._reports: dict[str, tuple[int, NodeReport | None]] = {}
-        self._alone_since = core.clock.now()
+        self._all_seeds_fresh_since = node.clock.now()
         self.may_decide_first_view = True
         self.undecided = False
 
@@ -55,128 +53,131 @@
 
     def addresses(self) -> Sequence[str]:
         """The link addresses of the nodes to ask for reports."""
-        return self._core.seeds
+        return self._node.seeds
 
     def recent_reports(self) -> Reports:
-        """What the nodes at the seeds reported last."""
+        """The last reports of the nodes at the seed addresses, by node name."""
         return {
             report.name: report
             for address, (_, report) in self._reports.items()
-            if report and address in self._core.seeds
+            if report and address in self._node.seeds
         }
 
-    def report_received(self) -> None:
-        """Called when a node has reported, or failed to."""
+    def on_report(self) -> None:
+        """Called after each request for a report, including failed ones."""
 
     def check_soon(self) -> None:
-        """Has the next check made soon."""
+        """Ends the wait before the next check."""
 
     async def handle_report_request(
         self, _channel: Channel | None, _body: Mapping[str, Any]
     ) -> dict[str, Any]:
-        """Answers another node's `view.ask`."""
-        return self._core.report().to_body()
+        """Handles a `view.ask` from another node."""
+        return self._node.report().to_body()
 
     async def request_report(self, address: str) -> None:
-        """Asks the node at `address` for its report and adopts its view if that is newer."""
-        asked_at = self._core.clock.now()
+        """Requests the report of the node at `address`, and adopts its view if that is newer."""
+        asked_at = self._node.clock.now()
         report = await self._report_from(address)
-        _, former = self._reports.get(address, (0, None))
+        _, previous = self._reports.get(address, (0, None))
         self._reports[address] = (asked_at, report)
-        if report and (former is None or former.disk != report.disk):
+        if report and (previous is None or previous.disk != report.disk):
             self.check_soon()
-        self.report_received()
+        self.on_report()
         if report and report.view:
-            self._core.chain.adopt(report.view)
+            self._node.chain.adopt(report.view)
 
     async def _report_from(self, address: str) -> NodeReport | None:
-        core = self._core
+        node = self._node
         try:
-            if address == core.link.addr:
-                return core.report()
-            body = {"name": core.name}
+            if address == node.link.addr:
+                return node.report()
+            body = {"name": node.name}
             return NodeReport.from_body(
-                await core.link.call(address, MessageKind.VIEW_READ, body, _REPORT_TIMEOUT_US)
+                await node.link.call(address, MessageKind.VIEW_READ, body, _REPORT_TIMEOUT_US)
             )
         except Fault:
             return await self._report_by_name(address)
 
     async def _report_by_name(self, address: str) -> NodeReport | None:
-        """The report of the peer that has the address, by whatever way reaches it."""
-        core, report = self._core, None
-        for name, peer in list(core.roster.peers.items()):
+        """Requests the report by the name of the peer at `address`, which allows other routes."""
+        node, report = self._node, None
+        for name, peer in list(node.roster.peers.items()):
             if peer.addr == address and peer.state == ALIVE:
                 with contextlib.suppress(Fault):
-                    body = {"name": core.name}
+                    body = {"name": node.name}
                     report = NodeReport.from_body(
-                        await core.reach.call(name, MessageKind.VIEW_READ, body, _REPORT_TIMEOUT_US)
+                        await node.reach.call(name, MessageKind.VIEW_READ, body, _REPORT_TIMEOUT_US)
                     )
         return report
 
     # Checks
 
     async def run(self) -> None:
-        """Checks the view again and again."""
+        """Checks the view periodically."""
         while True:
-            await self.pause()
+            await self.wait_for_next_check()
             for address in self.addresses():
-                self._core.tasks.spawn(self.request_report(address))
-            if not self._core.store.refuses:
+                self._node.tasks.spawn(self.request_report(address))
+            if not self._node.store.refuses:
                 await self._check()
 
-    async def pause(self) -> None:
-        """Waits between two checks."""
-        await self._core.clock.sleep(self._interval_us + self._core.rng.randrange(_CHECK_SPREAD_US))
+    async def wait_for_next_check(self) -> None:
+        """Waits until the next check is due."""
+        await self._node.clock.sleep(self._interval_us + self._node.rng.randrange(_CHECK_JITTER_US))
 
     async def _check(self) -> None:
         self.undecided = True
         try:
             await self._maintain()
             self.undecided = False
-        except NoMajorityPromised as race:
-            if self._core.chain.view is None and race.accepted:
-                await self._finish(race.accepted)
+        except NoMajorityPromised as conflict:
+            if self._node.chain.view is None and conflict.accepted:
+                await self._finish_decision(conflict.accepted)
         except Fault:
             pass
 
     async def _maintain(self) -> None:
-        """Finishes what was begun, decides the first view or repairs the current one."""
-        core = self._core
-        view = core.chain.view
-        accepted = View.from_optional(core.store.vote["value"])
+        """Finishes a pending decision, decides the first view, or repairs the current view."""
+        node = self._node
+        view = node.chain.view
+        accepted = View.from_optional(node.store.vote["value"])
         if view is None:
-            await (self._finish(accepted) if accepted else self._found())
-        elif accepted and accepted.number > view.number and accepted.is_member(core.name):
-            await self._finish(accepted)
+            await (self._finish_decision(accepted) if accepted else self._decide_first_view())
+        elif accepted and accepted.number > view.number and accepted.is_member(node.name):
+            await self._finish_decision(accepted)
         else:
             await self._repair(view, self.recent_reports())
 
-    async def _finish(self, view: View) -> None:
-        """Has a view decided that may have been accepted by some only."""
-        ids = self._core.store.vote["ids"] or view.members
+    async def _finish_decision(self, view: View) -> None:
+        """Completes the decision on a view that possibly only some voters have accepted."""
+        members = self._node.store.vote["ids"] or view.members
         with contextlib.suppress(Fault, NoMajorityPromised):
-            self.distribute(await self._proposer.change(ids, lambda newest: newest or view))
-
-    async def _found(self) -> None:
-        """Decides the first view once every node of the list is there and none has ever had one."""
-        core, reports = self._core, self.recent_reports()
-        now = core.clock.now()
-        blank = all(report.fresh and not report.view for report in reports.values())
-        if not self.may_decide_first_view or len(reports) < len(core.seeds) or not blank:
-            self._alone_since = now
+            self.distribute(await self._proposer.change(members, lambda newest: newest or view))
+
+    async def _decide_first_view(self) -> None:
+        """Decides the first view once every seed has reported that it never had a view.
+
+        The node with the lowest name proposes it; the others propose it after a delay.
+        """
+        node, reports = self._node, self.recent_reports()
+        now = node.clock.now()
+        all_fresh = all(report.fresh and not report.view for report in reports.values())
+        if not self.may_decide_first_view or len(reports) < len(node.seeds) or not all_fresh:
+            self._all_seeds_fresh_since = now
             return
-        if min(reports) != core.name and now - self._alone_since < _FIRST_VIEW_WAIT_US:
+        if min(reports) != node.name and now - self._all_seeds_fresh_since < _FIRST_VIEW_WAIT_US:
             return
-        ids = {name: report.disk for name, report in sorted(reports.items())}
-        first = View(1, tuple(sorted(ids)), ids, "first view", core.name, former_members=())
-        emit(core.log, Events.VIEW_PROPOSED, n=first.number, cause=first.cause)
-        self.distribute(await self._proposer.change(ids, lambda newest: newest or first))
+        members = {name: report.disk for name, report in sorted(reports.items())}
+        first = View(1, tuple(sorted(members)), members, "first view", node.name, former_members=())
+        emit(node.log, Events.VIEW_PROPOSED, n=first.number, cause=first.cause)
+        self.distribute(await self._proposer.change(members, lambda newest: newest or first))
 
     async def _repair(self, view: View, reports: Reports) -> None:
-        """Leaves lost nodes out of the chain and lets members in again."""
-        core = self._core
+        """Removes lost nodes from the chain and adds members that can be in the chain again."""
+        node = self._node
         remaining = [name for name in view.chain if self._may_remain(view, name, reports)]
-        if not remaining or remaining[0] != core.name or not core.chain.is_complete:
+        if not remaining or remaining[0] != node.name or not node.chain.is_complete:
             return
         joining = [
             name
@@ -184,36 +185,39 @@
             if name not in remaining and view.is_member(name) and self._is_usable(name)
         ]
         chain = (*remaining, *joining)
-        ids = {**view.members, **{name: reports[name].disk for name in joining}}
-        if chain == view.chain and ids == view.members:
+        members = {**view.members, **{name: reports[name].disk for name in joining}}
+        if chain == view.chain and members == view.members:
             await self.change_members(view, reports)
         elif len(chain) >= view.quorum:
             lost = [name for name in view.chain if name not in remaining]
-            await self.propose(view, chain, ids, _cause(lost, joining))
+            await self.propose(view, chain, members, _cause(lost, joining))
 
     def _may_remain(self, view: View, name: str, reports: Reports) -> bool:
-        """Whether a node of the chain is there with the disk that the view names."""
+        """Whether a node of the chain is usable and has the disk that the view names."""
         same_disk = name not in reports or reports[name].disk == view.members[name]
         return same_disk and self._is_usable(name)
 
     def _is_usable(self, name: str) -> bool:
-        return self.is_present(name) and self._core.disk_watch.takes_writes(name)
+        """Whether a node is present and its disk takes writes."""
+        return self.is_present(name) and self._node.disk_watch.takes_writes(name)
 
     def is_present(self, name: str) -> bool:
-        """Whether a node counts as being there."""
-        return name == self._core.name or self._core.roster.state(name) in (ALIVE, SUSPECT)
+        """Whether a node counts as present: it is this node, alive, or only suspected."""
+        return name == self._node.name or self._node.roster.state(name) in (ALIVE, SUSPECT)
 
     async def change_members(self, view: View, reports: Reports) -> None:
-        """Called while the chain is as complete as its members allow: may propose other members."""
+        """Called when the chain needs no repair. A subclass may propose other members."""
 
     # Decisions
 
-    async def propose(self, view: View, chain: Sequence[str], ids: MemberDisks, cause: str) -> None:
-        """Has a majority of the members of `view` decide the next one."""
-        core = self._core
-        before = core.chain.former_members()
-        proposed = View(view.number + 1, tuple(chain), ids, cause, core.name, before)
-        emit(core.log, Events.VIEW_PROPOSED, n=proposed.number, cause=cause)
+    async def propose(
+        self, view: View, chain: Sequence[str], members: MemberDisks, cause: str
+    ) -> None:
+        """Proposes the view after `view` to the members of `view`, and distributes the decision."""
+        node = self._node
+        former_members = node.chain.former_members()
+        proposed = View(view.number + 1, tuple(chain), members, cause, node.name, former_members)
+        emit(node.log, Events.VIEW_PROPOSED, n=proposed.number, cause=cause)
 
         def next_view(newest: View | None) -> View:
             return proposed if newest is None or newest.number == view.number else newest
@@ -221,23 +225,24 @@
         self.distribute(await self._proposer.change(view.members, next_view))
 
     def distribute(self, view: View) -> None:
-        """Adopts a decided view and sends it to its other members."""
-        self._core.chain.adopt(view)
+        """Adopts a decided view and sends it to the other members."""
+        self._node.chain.adopt(view)
         for name in view.members:
-            if name != self._core.name:
-                self._core.tasks.spawn(self._send(name, view))
+            if name != self._node.name:
+                self._node.tasks.spawn(self._send_view(name, view))
 
-    async def _send(self, name: str, view: View) -> None:
+    async def _send_view(self, name: str, view: View) -> None:
         with contextlib.suppress(Fault):
             body = {"view": view.to_document()}
-            await self._core.call(name, MessageKind.VIEW_LEARN, body, _LEARN_TIMEOUT_US)
+            await self._node.call(name, MessageKind.VIEW_LEARN, body, _VIEW_TIMEOUT_US)
 
     async def handle_view(self, _channel: Channel | None, body: Mapping[str, Any]) -> None:
-        """Takes a decided view that another node sends."""
-        self._core.chain.adopt(View.from_optional(body["view"]))
+        """Handles a decided view that another node sent."""
+        self._node.chain.adopt(View.from_optional(body["view"]))
 
 
 def _cause(lost: Sequence[str], joined: Sequence[str]) -> str:
+    """The cause of a repair, for operators."""
     parts = []
     if lost:
         parts.append("lost " + ",".join(lost))
--- a/src/petrelhaven/control/resumable/interfaces.py
+++ b/src/petrelhaven/control/resumable/interfaces.py
@@ -27,7 +27,7 @@
     """The replication chain of the control nodes."""
 
     @property
-    def me(self) -> str:
+    def node_name(self) -> str:
         """The name of this node."""
 
     @property
--- a/src/petrelhaven/control/resumable/planning_duty.py
+++ b/src/petrelhaven/control/resumable/planning_duty.py
@@ -77,12 +77,14 @@
         self.platform, self.log = platform, log
         self.wait_reasons: dict[str, str] = {}
         self._call = call
-        self._announcements = AnnouncementTable(clock, chain.me)
+        self._announcements = AnnouncementTable(clock, chain.node_name)
         self._running = DutyTasks(clock, tasks, log)
         self._proxy_watch = ProxyWatch(clock, chain, lease_table, roster, self._running, log)
         self._log_trackers: dict[str, LogTracker] = {}
         self._progress = EpochProgress(clock, tasks, lease_table)
-        self._requester = PromotionRequester(clock, platform, self._announcements, chain.me, log)
+        self._requester = PromotionRequester(
+            clock, platform, self._announcements, chain.node_name, log
+        )
         self._need_since: dict[str, tuple[object, int]] = {}
         self._acting_since: int | None = None
 
@@ -143,7 +145,7 @@
             view = self.chain.view
             if view and self.chain.is_head:
                 for node in view.members:
-                    if node != self.chain.me:
+                    if node != self.chain.node_name:
                         self.tasks.spawn(self._request_report(node))
             await self.clock.sleep(_REPORT_INTERVAL_US)
 
@@ -151,7 +153,7 @@
         requested_at = self.clock.now()
         try:
             answer = await self._call(
-                node, MessageKind.PLANNER_OBSERVATIONS, {"name": self.chain.me}, _REPORT_US
+                node, MessageKind.PLANNER_OBSERVATIONS, {"name": self.chain.node_name}, _REPORT_US
             )
             report = NodeReport.from_document(answer["doc"], requested_at)
         except Fault:
@@ -285,7 +287,7 @@
         view = self.chain.view
         if view is None:
             raise NotHead("no view yet")
-        epoch = replace(planned, by=self.chain.me, view=view.number)
+        epoch = replace(planned, by=self.chain.node_name, view=view.number)
         await self.chain.append_record(epoch.to_document())
         emit(
             self.log,
--- a/src/petrelhaven/control/resumable/proxy_watch.py
+++ b/src/petrelhaven/control/resumable/proxy_watch.py
@@ -152,7 +152,7 @@
             incarnation=incarnation,
             state=_GONE,
             cause=f"kith: {peer_state}, no lease",
-            by=self._chain.me,
+            by=self._chain.node_name,
         )
         seq = await self._chain.append_record(record.to_document())
         await self._expire(name, incarnation, seq)
--- a/src/petrelhaven/control/view_changes.py
+++ b/src/petrelhaven/control/view_changes.py
@@ -1,4 +1,4 @@
-"""Which cores the view should count: newcomers to take in, lost ones to let go of."""
+"""Plans changes to the members of the view: admits new control nodes and replaces lost ones."""
 
 from __future__ import annotations
 
@@ -17,36 +17,42 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewChange:
-    """A next view: its chain, the disks of the cores that count in it, and why."""
+    """A planned view.
+
+    Attributes:
+        chain: Names of the nodes in the chain, from head to tail.
+        members: Disk identity by member name.
+        cause: Why the view is proposed.
+    """
 
     chain: list[str]
-    ids: dict[str, str]
+    members: dict[str, str]
     cause: str
 
 
 class ViewChangePlanner:
-    """Compares a view with what this core knows of the others.
+    """Compares a view with the roster and the reports of this control node.
 
-    At most `most_members` control nodes are members, which follows from what may be lost at once.
+    The maximum number of members follows from how many of them may be lost at the same time.
     """
 
-    def __init__(self, core: NodeServices, most_members: int) -> None:
-        """Uses the roster, the clock and the disk watch of `core`."""
-        self._core, self._most_members = core, most_members
-        self._born = core.clock.now()
+    def __init__(self, node: NodeServices, max_members: int) -> None:
+        """Uses the roster, the clock and the disk watch of `node`."""
+        self._node, self._max_members = node, max_members
+        self._started_at = node.clock.now()
 
     def admissible_nodes(self, view: View, reports: Reports) -> list[str]:
-        """Cores beside those of the view that could be taken in."""
+        """The control nodes outside the view that can be admitted."""
         return [
             name
             for name in sorted(reports)
             if name not in view.members
-            and self._core.roster.state(name) == "alive"
-            and self._core.disk_watch.takes_writes(name)
+            and self._node.roster.state(name) == "alive"
+            and self._node.disk_watch.takes_writes(name)
         ]
 
     def members_with_new_disk(self, view: View, reports: Reports) -> list[str]:
-        """Cores of the view that came back with another disk than they had in it."""
+        """The members that report another disk than the view names."""
         return [
             name
             for name, disk in view.members.items()
@@ -54,37 +60,42 @@
         ]
 
     def can_admit_node(self, view: View, reports: Reports) -> bool:
-        """Whether a core waits to be taken in, and one is missing in the view."""
-        missing = len(view.members) < self._most_members or not view.every_member_in_chain
-        return missing and bool(self.admissible_nodes(view, reports))
+        """Whether a node can be admitted: the view or the chain lacks a member."""
+        incomplete = len(view.members) < self._max_members or not view.every_member_in_chain
+        return incomplete and bool(self.admissible_nodes(view, reports))
 
     def next_view_change(self, view: View, reports: Reports) -> ViewChange | None:
-        """One change at a time: takes a newcomer in, in the place of a lost core if need be.
+        """Returns the next change, which admits one node and, if necessary, removes a lost member.
 
-        Both happen in one view, so that a loss right after it finds the newcomer counted. The
-        register decides it only by nodes that are members before and after.
+        Both happen in one view, so that the new node already counts if another node is lost
+        immediately afterwards. The register decides such a view only by the votes of nodes that are
+        members both before and after.
         """
-        newcomers = self.admissible_nodes(view, reports)
-        if not newcomers:
+        admissible = self.admissible_nodes(view, reports)
+        if not admissible:
             return None
-        chain, ids, newcomer = list(view.chain), dict(view.members), newcomers[0]
-        if len(ids) < self._most_members:
-            ids[newcomer] = reports[newcomer].disk
-            return ViewChange([*chain, newcomer], ids, f"took in {newcomer}")
-        lost = [name for name in ids if name not in chain and self._is_lost(name)]
-        if not lost or len(chain) <= (len(ids) - 1) // 2:
+        chain, members, admitted = list(view.chain), dict(view.members), admissible[0]
+        if len(members) < self._max_members:
+            members[admitted] = reports[admitted].disk
+            return ViewChange([*chain, admitted], members, f"took in {admitted}")
+        lost = [name for name in members if name not in chain and self._is_lost(name)]
+        if not lost or len(chain) <= (len(members) - 1) // 2:
             return None
-        del ids[lost[0]]
-        ids[newcomer] = reports[newcomer].disk
-        return ViewChange([*chain, newcomer], ids, f"{newcomer} replaces {lost[0]}")
+        del members[lost[0]]
+        members[admitted] = reports[admitted].disk
+        return ViewChange([*chain, admitted], members, f"{admitted} replaces {lost[0]}")
 
     def _is_lost(self, name: str) -> bool:
-        """Whether a core out of the chain may be let go of: it left, or is gone for a while.
+        """Whether a member outside the chain left in order or has been gone for some time.
 
-        That is taken from this core's own roster, so the time runs on where the head changes.
+        Each node measures the time with its own roster, so a change of the head does not restart
+        it.
         """
-        roster = self._core.roster
+        roster = self._node.roster
         gone_for = roster.gone_for(name)
         if gone_for is not None:
             return roster.departed(name) or gone_for > _LOST_AFTER_US
-        return roster.state(name) is None and self._core.clock.now() - self._born > _LOST_AFTER_US
+        return (
+            roster.state(name) is None
+            and self._node.clock.now() - self._started_at > _LOST_AFTER_US
+        )
--- a/tests/control_mutants.py
+++ b/tests/control_mutants.py
@@ -18,7 +18,7 @@
 
 
 def votes_under_any_identity(mp):
-    mp.setattr(register.Voter, "_fits", lambda self, ids: True)
+    mp.setattr(register.Voter, "_fits", lambda self, members: True)
 
 
 def promise_ignored(mp):
@@ -34,22 +34,22 @@
 
 
 def minority_decides(mp):
-    real = register.Proposer._round
+    real = register.Proposer._run_phase
 
-    async def one_round(self, ids, kind, body, read, is_enough):
-        answers = await real(self, ids, kind, body, read, is_enough)
-        silent = read({"ok": True, "num": 0, "who": "", "value": None, "seen": 0})
-        return {**dict.fromkeys(ids, silent), **answers}
+    async def one_phase(self, members, kind, body, parse, is_enough):
+        answers = await real(self, members, kind, body, parse, is_enough)
+        silent = parse({"ok": True, "num": 0, "who": "", "value": None, "seen": 0})
+        return {**dict.fromkeys(members, silent), **answers}
 
-    mp.setattr(register.Proposer, "_round", one_round)
+    mp.setattr(register.Proposer, "_run_phase", one_phase)
 
 
 def confirmed_without_majority(mp):
-    def count(self, view):
+    def update_validity(self, view):
         latest = max(self._confirmed_at.get(name, 0) for name in view.members)
-        self.until_us = max(self.until_us, latest + self._confirm_us)
+        self.valid_until_us = max(self.valid_until_us, latest + self._validity_us)
 
-    mp.setattr(confirmation.Confirmation, "_count", count)
+    mp.setattr(confirmation.Confirmation, "_update_validity", update_validity)
 
 
 def confirms_an_older_view(mp):
@@ -89,17 +89,17 @@
 
 
 def informed_by_any_core(mp):
-    def report_received(self):
-        chain = self._core.chain
+    def on_report(self):
+        chain = self._node.chain
         if chain.view is None:
             return
         reports = (
             report for at, report in self._reports.values() if report and at >= chain.adopted_at_us
         )
-        if any(report.name != self._core.name for report in reports):
-            chain.active_at_us = self._core.clock.now()
+        if any(report.name != self._node.name for report in reports):
+            chain.active_at_us = self._node.clock.now()
 
-    mp.setattr(member_maintenance.MemberMaintenance, "report_received", report_received)
+    mp.setattr(member_maintenance.MemberMaintenance, "on_report", on_report)
 
 
 def swap_decided_by_any_majority(mp):
--- a/tests/model/observer.py
+++ b/tests/model/observer.py
@@ -161,7 +161,9 @@
         if view is None:
             return self.report("a majority's word within its bound", f"{node.name} {what}, no view")
         since = (
-            self.loop.time() - node.chain.confirm_us * MAX_CLOCK_RATE_RATIO / 1e6 - _WORD_SLACK_S
+            self.loop.time()
+            - node.chain.confirmation_validity_us * MAX_CLOCK_RATE_RATIO / 1e6
+            - _WORD_SLACK_S
         )
         speakers = [
             name
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -320,13 +320,13 @@
 
 
 def reform_raises_nothing(mp):
-    mp.setattr(reform, "_RECORD_GAP", 0)
-    mp.setattr(reform, "_NUMBER_GAP", 0)
+    mp.setattr(reform, "_RECORD_NUMBER_GAP", 0)
+    mp.setattr(reform, "_VIEW_AND_LEADERSHIP_GAP", 0)
 
 
 def reform_asks_nobody(mp):
     async def newest(self):
-        return reform._Source(self._core.chain.control_state.snapshot(), self._core.name)
+        return reform._Source(self._node.chain.control_state.snapshot(), self._node.name)
 
     mp.setattr(reform.Reform, "_newest_source", newest)
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -237,7 +237,13 @@
     ],
 )
 def test_the_wait_after_a_new_view_ends_when_no_former_core_can_rule_any_more(cores, left_us):
-    chain = Chain(Now(), None, SimpleNamespace(name="a", disk="disk-a"), None, confirm_us=600_000)
+    chain = Chain(
+        Now(),
+        None,
+        SimpleNamespace(name="a", disk="disk-a"),
+        None,
+        confirmation_validity_us=600_000,
+    )
     ids = {n: f"disk-{n}" for n in "abc"}
     chain.view = View(8, ("a", "b"), {"a": "disk-a", "b": "disk-b"}, former_members=(ids,))
     now = chain.clock.now()
