--- a/src/petrelhaven/control/configuration/faults.py
+++ b/src/petrelhaven/control/configuration/faults.py
@@ -21,7 +21,7 @@
     message: str
 
 
-def declined(note: str, faults: Iterable[ConfigurationFault]) -> Invalid:
+def invalid_document(note: str, faults: Iterable[ConfigurationFault]) -> Invalid:
     """The error that declines a document; its `details` carries all `faults` as pairs."""
     return Invalid(note, details={"faults": [[fault.path, fault.message] for fault in faults]})
 
--- a/src/petrelhaven/control/configuration/parsing.py
+++ b/src/petrelhaven/control/configuration/parsing.py
@@ -8,7 +8,7 @@
 from serde import SerdeError, from_dict
 
 from petrelhaven.control.configuration.document import Configuration
-from petrelhaven.control.configuration.faults import ROOT, ConfigurationFault, declined
+from petrelhaven.control.configuration.faults import ROOT, ConfigurationFault, invalid_document
 from petrelhaven.control.configuration.type_check import type_faults
 from petrelhaven.control.configuration.validation import configuration_faults
 
@@ -28,14 +28,16 @@
     document = _parse_json(text)
     faults = list(type_faults(Configuration, document))
     if faults:
-        raise declined("manifest declined", faults)
+        raise invalid_document("manifest declined", faults)
     try:
         configuration: Configuration = from_dict(Configuration, document)
     except SerdeError as error:
-        raise declined("manifest declined", [ConfigurationFault(ROOT, str(error))]) from None
+        raise invalid_document(
+            "manifest declined", [ConfigurationFault(ROOT, str(error))]
+        ) from None
     faults = list(configuration_faults(configuration))
     if faults:
-        raise declined("manifest declined", faults)
+        raise invalid_document("manifest declined", faults)
     return configuration
 
 
@@ -44,7 +46,7 @@
         return json.loads(text, object_pairs_hook=_object_without_duplicates)
     except (ValueError, RecursionError) as error:
         fault = ConfigurationFault(ROOT, str(error))
-        raise declined("manifest is not JSON", [fault]) from None
+        raise invalid_document("manifest is not JSON", [fault]) from None
 
 
 def _object_without_duplicates(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
--- a/src/petrelhaven/control/embargo/calls.py
+++ b/src/petrelhaven/control/embargo/calls.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from petrelhaven.control.configuration.embargoes import EmbargoRule, rule_faults
-from petrelhaven.control.configuration.faults import ROOT, ConfigurationFault, declined
+from petrelhaven.control.configuration.faults import ROOT, ConfigurationFault, invalid_document
 from petrelhaven.control.embargo.records import ACTIONS, Action, EmbargoRecord
 
 __all__ = ["EmbargoCall", "EmbargoQuestion", "parse_call", "parse_question"]
@@ -49,18 +49,18 @@
         Invalid: it is declined; `details` names every fault by its field.
     """
     if not isinstance(document, dict):
-        raise declined("embargo declined", [ConfigurationFault(ROOT, "must be an object")])
+        raise invalid_document("embargo declined", [ConfigurationFault(ROOT, "must be an object")])
     action = document.get("do")
     if action not in ACTIONS:
         fault = ConfigurationFault("do", "must be add, move or lift")
-        raise declined("embargo declined", [fault])
+        raise invalid_document("embargo declined", [fault])
     faults = list(_field_faults(document, action))
     if faults:
-        raise declined("embargo declined", faults)
+        raise invalid_document("embargo declined", faults)
     rule = _rule(document, action)
     faults = [fault for fault in rule_faults(rule) if action != "lift" or fault.path != "until"]
     if faults:
-        raise declined("embargo declined", faults)
+        raise invalid_document("embargo declined", faults)
     record = EmbargoRecord.of(action, rule, document.get("n", 0), document.get("by", ""))
     return EmbargoCall(record, tuple(document.get("gone", ())))
 
@@ -79,7 +79,7 @@
     if not faults and not document.get("thing"):
         faults = [ConfigurationFault("thing", "missing")]
     if faults:
-        raise declined("question declined", faults)
+        raise invalid_document("question declined", faults)
     return EmbargoQuestion(
         document.get("group", ""), document["thing"], document.get("visitor", "")
     )
--- a/src/petrelhaven/control/embargo/rules.py
+++ b/src/petrelhaven/control/embargo/rules.py
@@ -5,7 +5,7 @@
 import json
 from typing import TYPE_CHECKING, Any
 
-from petrelhaven.control.configuration.faults import ConfigurationFault, declined
+from petrelhaven.control.configuration.faults import ConfigurationFault, invalid_document
 from petrelhaven.control.embargo.records import (
     Change,
     EmbargoRecord,
@@ -57,7 +57,7 @@
     name = record.name
     if rule.group not in scope_of(state):
         message = f"group {rule.group} is not named in the manifest's embargoing"
-        raise declined("embargo declined", [ConfigurationFault("group", message)])
+        raise invalid_document("embargo declined", [ConfigurationFault("group", message)])
     if before is not None:
         if Rule.to_document(before) == rule.to_document():
             raise Duplicate(f"embargo {name} stands already", details={"n": before.change})
@@ -92,7 +92,7 @@
     groups = {rule["group"] for rule in state.get("embargoes", {}).values()}
     missing = sorted(groups - set(scope))
     if missing:
-        raise declined(
+        raise invalid_document(
             "manifest declined",
             [
                 ConfigurationFault(
--- a/src/petrelhaven/control/interface/control_interface.py
+++ b/src/petrelhaven/control/interface/control_interface.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING, Any
 from urllib.parse import unquote
 
-from petrelhaven.control.configuration.faults import ConfigurationFault, declined
+from petrelhaven.control.configuration.faults import ConfigurationFault, invalid_document
 from petrelhaven.control.embargo.interface import add_routes
 from petrelhaven.control.interface.documents import (
     EVENTS_CONTENT_TYPE,
@@ -133,11 +133,11 @@
         zones = configuration["halls"] if configuration else ()
         if zone not in zones:
             message = f"no hall {zone[:_ZONE_SHOWN]}"
-            raise declined(message, [ConfigurationFault("hall", message)])
+            raise invalid_document(message, [ConfigurationFault("hall", message)])
         others_open = any(other != zone and control_state.zone(other) == OPEN for other in zones)
         if state == EVACUATED and not others_open:
             fault = ConfigurationFault("hall", "the last open hall can't be emptied")
-            raise declined("last open hall", [fault])
+            raise invalid_document("last open hall", [fault])
         answer = await self._node.set_zone_state(
             zone, state, _caller(request), delivery=request.delivery
         )
@@ -151,7 +151,7 @@
             raise Malformed("member and office must be said")
         if request.query.get("accept_loss") != "true":
             fault = ConfigurationFault("accept_loss", "must be true")
-            raise declined("acknowledged commits may be lost", [fault])
+            raise invalid_document("acknowledged commits may be lost", [fault])
         return await self._node.elect(unquote(group), member, leadership, _caller(request))
 
     async def _reform(self, request: Request) -> Document:
--- a/src/petrelhaven/control/resumable/control_state.py
+++ b/src/petrelhaven/control/resumable/control_state.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from petrelhaven.control.configuration.document import Configuration
-from petrelhaven.control.configuration.faults import ConfigurationFault, declined
+from petrelhaven.control.configuration.faults import ConfigurationFault, invalid_document
 from petrelhaven.control.configuration.parsing import parse_configuration
 from petrelhaven.control.resumable.records import (
     EpochInForceRecord,
@@ -134,7 +134,7 @@
         dropped = now - {group.name for group in configuration.groups}
         served = sorted(group for group in dropped if group in self.doc["epochs"])
         if served:
-            raise declined(
+            raise invalid_document(
                 "manifest declined",
                 [
                     ConfigurationFault("groups", f"group {g} is served; retire it with retire=true")
@@ -159,13 +159,13 @@
     def _check_zone(self, record: ZoneRecord) -> None:
         zones = self.configuration.zones if self.configuration else ()
         if record.zone not in zones:
-            raise declined(
+            raise invalid_document(
                 f"no hall {record.zone}", [ConfigurationFault("hall", f"no hall {record.zone}")]
             )
         super()._check_zone(record)
         others = [zone for zone in zones if zone != record.zone and self.zone(zone) == OPEN]
         if record.state == EVACUATED and not others:
-            raise declined(
+            raise invalid_document(
                 "last open hall",
                 [ConfigurationFault("hall", "the last open hall can't be emptied")],
             )
--- a/src/petrelhaven/control/state/base.py
+++ b/src/petrelhaven/control/state/base.py
@@ -12,7 +12,7 @@
 from collections.abc import Mapping
 from typing import Any, Generic, TypeVar
 
-from petrelhaven.control.configuration.faults import ConfigurationFault, declined
+from petrelhaven.control.configuration.faults import ConfigurationFault, invalid_document
 from petrelhaven.control.state.record import Document
 from petrelhaven.control.state.records import ZoneRecord
 from petrelhaven.runtime.errors import Duplicate
@@ -107,7 +107,9 @@
 
     def _check_zone(self, record: ZoneRecord) -> None:
         if record.state not in (OPEN, EVACUATED):
-            raise declined("hall state", [ConfigurationFault("state", "must be open or emptied")])
+            raise invalid_document(
+                "hall state", [ConfigurationFault("state", "must be open or emptied")]
+            )
         if self.zone(record.zone) == record.state:
             raise Duplicate(f"hall {record.zone} is {record.state} already")
 
--- a/src/petrelhaven/control/state/control_state.py
+++ b/src/petrelhaven/control/state/control_state.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING, Any
 
-from petrelhaven.control.configuration.faults import ConfigurationFault, declined
+from petrelhaven.control.configuration.faults import ConfigurationFault, invalid_document
 from petrelhaven.control.failover.evidence import NO_POSITION, ElectionOrder, Evidence
 from petrelhaven.control.state.base import BaseControlState, digest_of
 from petrelhaven.control.state.counting_record import CountingRecord, CountingStart
@@ -134,7 +134,7 @@
             ):
                 self._check_evidence(record)
             case SupersededConfiguration():
-                raise declined(
+                raise invalid_document(
                     "nothing enters a placeholder",
                     [ConfigurationFault("t", "must be another kind")],
                 )
@@ -203,7 +203,7 @@
         dropped = {group["name"] for group in configuration["groups"]} - remaining
         served = sorted(dropped & set(self.doc["offices"]))
         if served:
-            raise declined(
+            raise invalid_document(
                 "manifest declined",
                 [
                     ConfigurationFault("groups", f"group {g} is served; retire it with retire=true")
@@ -322,12 +322,14 @@
         group, member = record.group[:_NAME_LENGTH], record.member
         if leadership.phase is not LeadershipPhase.FAILOVER:
             served = f"group {group} is served by {leadership.primary}"
-            raise declined("no election is waited for", [ConfigurationFault("group", served)])
+            raise invalid_document(
+                "no election is waited for", [ConfigurationFault("group", served)]
+            )
         if record.number != leadership.number:
             raise Conflict(f"office {leadership.number} of {group} waits, not {record.number}")
         if member not in self.group(record.group):
             missing = f"no member {member[:_NAME_LENGTH]} in group {group}"
-            raise declined("no such member", [ConfigurationFault("member", missing)])
+            raise invalid_document("no such member", [ConfigurationFault("member", missing)])
         order = self.evidence(record.group).order
         if order is not None and order.member == member:
             raise Duplicate(f"{order.by} ordered {member} already")
