--- a/src/petrelhaven/control/interface/contracts.py
+++ b/src/petrelhaven/control/interface/contracts.py
@@ -16,7 +16,7 @@
 Document: TypeAlias = dict[str, Any]
 Handler: TypeAlias = Callable[..., Awaitable[Any]]
 """Takes a request and the part of the path that is `{}`; answers a Document or a RawAnswer."""
-RawAnswer: TypeAlias = tuple[int, bytes, tuple[tuple[str, str], ...]]
+RawResponse: TypeAlias = tuple[int, bytes, tuple[tuple[str, str], ...]]
 """A status, a body and headers, sent as they are."""
 
 
--- a/src/petrelhaven/control/interface/control_interface.py
+++ b/src/petrelhaven/control/interface/control_interface.py
@@ -14,11 +14,11 @@
 from petrelhaven.control.embargo.interface import add_routes
 from petrelhaven.control.interface.documents import (
     EVENTS_CONTENT_TYPE,
-    configuration_answer,
+    configuration_response,
     leadership_history,
-    lost_nodes,
-    query_number,
-    ready_answer,
+    parse_lost_nodes,
+    parse_query_number,
+    readiness_response,
 )
 from petrelhaven.control.state.base import EVACUATED, OPEN
 from petrelhaven.runtime.errors import Malformed, NoRoute
@@ -28,7 +28,7 @@
         Document,
         HttpRoutes,
         NodeInterface,
-        RawAnswer,
+        RawResponse,
         Request,
     )
     from petrelhaven.control.interface.event_feed import EventFeed
@@ -91,19 +91,19 @@
         """An order's answer, once what it entered is in force at every proxy."""
         return {**answer, "in_force_us": await self._node.lease_table.in_force(answer["change"])}
 
-    async def _show_configuration(self, request: Request) -> RawAnswer:
+    async def _show_configuration(self, request: Request) -> RawResponse:
         is_confirmed = request.query.get("unconfirmed") != "true"
         if is_confirmed:
             state = await self._node.control_state()
         else:
             state = self._node.unconfirmed()
         configuration = state["manifest"]
-        version = query_number(request.query, "version")
+        version = parse_query_number(request.query, "version")
         if version is not None:
             configuration = self._version(version, configuration, is_confirmed)
         if configuration is None:
             raise NoRoute("no such manifest")
-        return configuration_answer(configuration["text"], is_confirmed)
+        return configuration_response(configuration["text"], is_confirmed)
 
     def _version(
         self, version: int, in_force: Document | None, is_confirmed: bool
@@ -146,7 +146,7 @@
     async def _elect(self, request: Request, group: str) -> Document:
         """Elects a member without proof, where the caller accepts that commits may be lost."""
         member = request.query.get("member", "")
-        leadership = query_number(request.query, "office")
+        leadership = parse_query_number(request.query, "office")
         if not member or leadership is None:
             raise Malformed("member and office must be said")
         if request.query.get("accept_loss") != "true":
@@ -155,7 +155,7 @@
         return await self._node.elect(unquote(group), member, leadership, _caller(request))
 
     async def _reform(self, request: Request) -> Document:
-        return await self._node.reform(lost_nodes(request.doc()), _caller(request))
+        return await self._node.reform(parse_lost_nodes(request.doc()), _caller(request))
 
     async def _status(self, _request: Request) -> Document:
         now_us = self._node.clock.now()
@@ -177,19 +177,19 @@
         return self._node.belief()
 
     async def _ready(self, _request: Request) -> Document:
-        return ready_answer(self._node.ready)
+        return readiness_response(self._node.ready)
 
     async def _control_state(self, _request: Request) -> Document:
         return await self._node.control_state()
 
-    async def _events(self, request: Request) -> RawAnswer:
-        after = query_number(request.query, "after", 0) or 0
+    async def _events(self, request: Request) -> RawResponse:
+        after = parse_query_number(request.query, "after", 0) or 0
         if self._event_feed is None:
             # loaded at need: few control nodes are asked for events
             from petrelhaven.control.interface.event_feed import EventFeed
 
             self._event_feed = EventFeed(self._node.chain)
-        body = json.dumps(self._event_feed.since(after)).encode()
+        body = json.dumps(self._event_feed.events_after(after)).encode()
         return 200, body, (("Content-Type", EVENTS_CONTENT_TYPE),)
 
     async def _announce(self, request: Request) -> Document:
--- a/src/petrelhaven/control/interface/documents.py
+++ b/src/petrelhaven/control/interface/documents.py
@@ -9,7 +9,7 @@
 from petrelhaven.runtime.errors import Malformed, NoRoute, NotReady
 
 if TYPE_CHECKING:
-    from petrelhaven.control.interface.contracts import Document, RawAnswer
+    from petrelhaven.control.interface.contracts import Document, RawResponse
 
 __all__ = [
     "EVENTS_CONTENT_TYPE",
@@ -28,7 +28,9 @@
 _GROUP_SHOWN = 60
 
 
-def query_number(query: Mapping[str, str], name: str, default: int | None = None) -> int | None:
+def parse_query_number(
+    query: Mapping[str, str], name: str, default: int | None = None
+) -> int | None:
     """A whole number of a query, or `default` where it is not given.
 
     Raises:
@@ -55,19 +57,19 @@
     Raises:
         NoRoute: there is no such group, or its leadership of that number is not stored any more.
     """
-    group, number = query.get("group", ""), query_number(query, "n")
+    group, number = query.get("group", ""), parse_query_number(query, "n")
     if group not in state["offices"]:
         raise NoRoute(f"no office of {group[:_GROUP_SHOWN]}")
     past = state["past"].get(group) or [state["offices"][group]]
     if number is None:
-        return leadership_answer(past, len(past) - 1, wait_reason)
+        return leadership_response(past, len(past) - 1, wait_reason)
     for index, leadership in enumerate(past):
         if leadership["n"] == number:
-            return leadership_answer(past, index, wait_reason)
+            return leadership_response(past, index, wait_reason)
     raise NoRoute(f"office {number} of {group[:_GROUP_SHOWN]} is not kept")
 
 
-def leadership_answer(past: Sequence[Document], index: int, wait_reason: str | None) -> Document:
+def leadership_response(past: Sequence[Document], index: int, wait_reason: str | None) -> Document:
     """The answer that shows the leadership at `index` of the `past` ones of a group."""
     return {
         "epoch": past[index],
@@ -77,7 +79,7 @@
     }
 
 
-def configuration_answer(text: str, is_confirmed: bool) -> RawAnswer:
+def configuration_response(text: str, is_confirmed: bool) -> RawResponse:
     """The answer that hands a configuration back byte for byte."""
     return 200, text.encode(), tuple(confirmation_headers(is_confirmed).items())
 
@@ -87,7 +89,7 @@
     return {"Confirmed-By-Majority": "yes" if is_confirmed else "no"}
 
 
-def lost_nodes(document: object) -> list[str]:
+def parse_lost_nodes(document: object) -> list[str]:
     """The names in an order to form the chain anew.
 
     Raises:
@@ -99,7 +101,7 @@
     return lost
 
 
-def ready_answer(is_ready: bool) -> Document:
+def readiness_response(is_ready: bool) -> Document:
     """The answer of a control node that is ready.
 
     Raises:
--- a/src/petrelhaven/control/interface/event_feed.py
+++ b/src/petrelhaven/control/interface/event_feed.py
@@ -28,7 +28,7 @@
         """Takes the records from `chain`."""
         self._chain = chain
 
-    def since(self, seq: int) -> list[Any]:
+    def events_after(self, seq: int) -> list[Any]:
         """A batch of CloudEvents in JSON.
 
         Args:
--- a/src/petrelhaven/control/resumable/control_interface.py
+++ b/src/petrelhaven/control/resumable/control_interface.py
@@ -9,9 +9,9 @@
 from petrelhaven.control.interface.documents import (
     EVENTS_CONTENT_TYPE,
     confirmation_headers,
-    leadership_answer,
-    lost_nodes,
-    ready_answer,
+    leadership_response,
+    parse_lost_nodes,
+    readiness_response,
 )
 from petrelhaven.control.interface.event_feed import EventFeed
 from petrelhaven.control.state.base import EVACUATED, OPEN
@@ -78,7 +78,7 @@
         )
 
     async def _reform(self, request: web.Request) -> Document:
-        lost = lost_nodes(await body_of(request))
+        lost = parse_lost_nodes(await body_of(request))
         answer: Document = await self._node.reform(lost, request.query.get("by", ""))
         return answer
 
@@ -103,7 +103,7 @@
         if not after.isdigit():
             raise Malformed("after must be a whole number")
         return web.json_response(
-            self._event_feed.since(int(after)), content_type=EVENTS_CONTENT_TYPE
+            self._event_feed.events_after(int(after)), content_type=EVENTS_CONTENT_TYPE
         )
 
     async def _why(self, request: web.Request) -> Document:
@@ -115,14 +115,14 @@
         past = state["past"][group]
         index = _index_of(past, request.query.get("n"), group)
         reason = self._node.duty.wait_reasons.get(group) if self._node.chain.head else None
-        return leadership_answer(past, index, reason)
+        return leadership_response(past, index, reason)
 
     async def _belief(self, _request: web.Request) -> Document:
         belief: Document = self._node.belief()
         return belief
 
     async def _ready(self, _request: web.Request) -> Document:
-        return ready_answer(self._node.ready)
+        return readiness_response(self._node.ready)
 
 
 def _index_of(past: list[Document], number: str | None, group: str) -> int:
--- a/src/petrelhaven/proxy/proxy_interface.py
+++ b/src/petrelhaven/proxy/proxy_interface.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from petrelhaven.control.interface.documents import configuration_answer, leadership_history
+from petrelhaven.control.interface.documents import configuration_response, leadership_history
 from petrelhaven.proxy.state_routes import serve_state
 from petrelhaven.runtime.errors import Malformed, NoRoute
 
@@ -84,5 +84,5 @@
         version = str(stored["version"])
         if request.query.get("version", version) != version:
             raise NoRoute("no such manifest")
-        answer: tuple[int, bytes, Any] = configuration_answer(stored["text"], False)
+        answer: tuple[int, bytes, Any] = configuration_response(stored["text"], False)
         return answer
--- a/tests/test_control_interface.py
+++ b/tests/test_control_interface.py
@@ -858,7 +858,12 @@
     async def go():
         row = {"member": "m1", "role": "replica", "log": 7, "term": 2}
         m = await opened(row)
-        assert await m.send_system_verb("status") == {"role": "replica", "term": 2, "pos": 7, "held": 0}
+        assert await m.send_system_verb("status") == {
+            "role": "replica",
+            "term": 2,
+            "pos": 7,
+            "held": 0,
+        }
         for verb in ("pause", "resume"):
             with pytest.raises(MemberDeclined):
                 await m.send_system_verb(verb, 3)
--- a/tests/test_proxy_interface.py
+++ b/tests/test_proxy_interface.py
@@ -10,7 +10,7 @@
 from virtual_io import LoopClock, run_in_virtual_time
 
 from petrelhaven.commands.diff import differences
-from petrelhaven.control.interface.documents import query_number
+from petrelhaven.control.interface.documents import parse_query_number
 from petrelhaven.control.state.control_state import ControlState
 from petrelhaven.proxy.core_connection import CoreConnection
 from petrelhaven.proxy.node import ProxyNode
@@ -215,7 +215,7 @@
         assert (s, d["note"]) == (400, "n must be a whole number")
 
     on_a_gate(go)
-    assert query_number({}, "n") is None and query_number({"n": "007"}, "n") == 7
+    assert parse_query_number({}, "n") is None and parse_query_number({"n": "007"}, "n") == 7
 
 
 JUNK = st.text(st.characters(min_codepoint=33, max_codepoint=255), max_size=20)
--- a/tests/test_tenant_bounds.py
+++ b/tests/test_tenant_bounds.py
@@ -140,5 +140,5 @@
     chain = SimpleNamespace(
         store=SimpleNamespace(recs=[(1, 1, record)]), commit=1, control_state=control_state
     )
-    events = EventFeed(chain).since(0)
+    events = EventFeed(chain).events_after(0)
     assert len(events) == 1 and KEY not in json.dumps(events)
--- a/tests/test_tenant_upgrades.py
+++ b/tests/test_tenant_upgrades.py
@@ -71,6 +71,6 @@
         store, commit = Store(), 1
         control_state = accepted(record(DOCUMENT))
 
-    events = json.dumps(EventFeed(Chain()).since(0))
+    events = json.dumps(EventFeed(Chain()).events_after(0))
     assert '"version": 7' in events
     assert KEY not in events
