--- a/src/petrelhaven/control/configuration/faults.py
+++ b/src/petrelhaven/control/configuration/faults.py
@@ -7,7 +7,7 @@
 
 from petrelhaven.runtime.errors import Invalid
 
-__all__ = ["ROOT", "ConfigurationFault", "declined", "join_path"]
+__all__ = ["ROOT", "ConfigurationFault", "invalid_document", "join_path"]
 
 ROOT = "$"
 """The path of a whole document."""
--- a/src/petrelhaven/control/failover/evidence.py
+++ b/src/petrelhaven/control/failover/evidence.py
@@ -1,7 +1,7 @@
 """What proves that a member holds every acknowledged commit of its group.
 
 Pure functions over values: no clock, no links. The control state keeps one `Evidence` for each
-group and replaces it with every record that changes it; failover only asks `decide`.
+group and replaces it with every record that changes it; failover calls `find_electable_members`.
 
 The invariant: every acknowledged commit is at or below `lower_bound`, or is in the log of a
 member that is still in the group, or in the log of a member named in `unproven`.
@@ -22,7 +22,7 @@
     "Position",
     "Proven",
     "Unproven",
-    "decide",
+    "find_electable_members",
 ]
 
 Position = tuple[int, int]
@@ -84,7 +84,7 @@
 
     @classmethod
     def from_document(cls, document: Mapping[str, Any] | None) -> Evidence:
-        """Reads what `document` wrote; nothing recorded is no evidence."""
+        """Reads what `to_document` wrote; nothing recorded is no evidence."""
         if not document:
             return NO_EVIDENCE
         order = document.get("order")
@@ -96,11 +96,11 @@
             order=ElectionOrder(**order) if order else None,
         )
 
-    def unproven_beside(self, primary: str) -> tuple[str, ...]:
+    def unproven_except(self, primary: str) -> tuple[str, ...]:
         """Who left unproven, but for the current primary."""
         return tuple(n for n in self.unproven if n != primary)
 
-    def document(self) -> dict[str, Any]:
+    def to_document(self) -> dict[str, Any]:
         """The evidence as plain JSON values."""
         order = self.order
         return {
@@ -118,7 +118,7 @@
             others[member] = position
         return replace(self, counted_out=others)
 
-    def with_bound(self, members: Iterable[str], position: Position) -> Evidence:
+    def with_bounded_logs(self, members: Iterable[str], position: Position) -> Evidence:
         """The logs of `members`, which have ended, are at or below `position`."""
         bounded = set(members)
         return replace(
@@ -127,7 +127,7 @@
             unproven=tuple(n for n in self.unproven if n not in bounded),
         )
 
-    def with_order(self, order: ElectionOrder) -> Evidence:
+    def with_election_order(self, order: ElectionOrder) -> Evidence:
         """The operator ordered an election without proof."""
         return replace(self, order=order)
 
@@ -143,7 +143,7 @@
             left_in_change=left_in_change,
         )
 
-    def with_successor(self, member: str) -> Evidence:
+    def with_replacement(self, member: str) -> Evidence:
         """Another member of the group came to the address of `member` and took its log along."""
         return replace(
             self.with_counted_out(member, None),
@@ -187,7 +187,7 @@
     lost_copies: bool = False
 
 
-def decide(
+def find_electable_members(
     evidence: Evidence, primary: str, replicas: Iterable[str], statuses: Mapping[str, MemberStatus]
 ) -> Proven | Unproven:
     """Decides who may be elected in place of an unresponsive primary.
@@ -206,7 +206,7 @@
     unresponsive = sorted(required - set(statuses))
     if unresponsive:
         return Unproven("not heard: " + ", ".join(unresponsive))
-    left = ", ".join(evidence.unproven_beside(primary))
+    left = ", ".join(evidence.unproven_except(primary))
     if left:
         return Unproven(f"{left} left and may have held the only copy of a commit", True)
     lower_bound = max([evidence.lower_bound, *evidence.counted_out.values()])
--- a/src/petrelhaven/control/failover/failover.py
+++ b/src/petrelhaven/control/failover/failover.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from petrelhaven.control.failover.change_steps import ChangeStep, Promote, Wait
-from petrelhaven.control.failover.evidence import Proven, Unproven, decide
+from petrelhaven.control.failover.evidence import Proven, Unproven, find_electable_members
 from petrelhaven.control.failover.wait_reasons import (
     LOST_MEMBER_BACK,
     PAUSE_FAILED,
@@ -83,7 +83,7 @@
 
     def _decide(self, survey: GroupSurvey, statuses: dict[str, MemberStatus]) -> Proven | Unproven:
         names = [handle.name for handle in survey.replicas]
-        return decide(self._evidence(), self._old_primary, names, statuses)
+        return find_electable_members(self._evidence(), self._old_primary, names, statuses)
 
     def _wait_for_proof(self, verdict: Unproven) -> Wait:
         reason = no_proof(verdict.reason, verdict.lost_copies)
--- a/src/petrelhaven/control/failover/switchover.py
+++ b/src/petrelhaven/control/failover/switchover.py
@@ -71,7 +71,7 @@
         unresponsive = survey.unresponsive(spared=())
         if unresponsive or not survey.statuses:
             return Wait(not_heard(unresponsive))
-        departed = self._context.evidence(self._group).unproven_beside(self._old_primary)
+        departed = self._context.evidence(self._group).unproven_except(self._old_primary)
         return Wait(departed_inspected(departed)) if departed else None
 
     async def _isolate(
--- a/src/petrelhaven/control/interface/contracts.py
+++ b/src/petrelhaven/control/interface/contracts.py
@@ -11,7 +11,7 @@
     from petrelhaven.runtime.clock import Clock
     from petrelhaven.transport.delivery import Delivery
 
-__all__ = ["Document", "Handler", "HttpRoutes", "NodeInterface", "RawAnswer", "Request"]
+__all__ = ["Document", "Handler", "HttpRoutes", "NodeInterface", "RawResponse", "Request"]
 
 Document: TypeAlias = dict[str, Any]
 Handler: TypeAlias = Callable[..., Awaitable[Any]]
--- a/src/petrelhaven/control/interface/documents.py
+++ b/src/petrelhaven/control/interface/documents.py
@@ -14,12 +14,12 @@
 __all__ = [
     "EVENTS_CONTENT_TYPE",
     "confirmation_headers",
-    "configuration_answer",
-    "leadership_answer",
+    "configuration_response",
+    "leadership_response",
     "leadership_history",
-    "lost_nodes",
-    "query_number",
-    "ready_answer",
+    "parse_lost_nodes",
+    "parse_query_number",
+    "readiness_response",
 ]
 
 EVENTS_CONTENT_TYPE = "application/cloudevents-batch+json"
--- a/src/petrelhaven/control/state/control_state.py
+++ b/src/petrelhaven/control/state/control_state.py
@@ -287,7 +287,7 @@
                 self._depart(name)
             return
         before = self.evidence(group)
-        after = before.with_successor(name)
+        after = before.with_replacement(name)
         if after != before:
             self._put_evidence(group, after)
 
@@ -297,7 +297,7 @@
         self.doc["sizes"][group] = max(least, self.doc["sizes"].get(group, 0) - 1)
 
     def _put_evidence(self, group: str, evidence: Evidence) -> None:
-        self.doc["evidence"][group] = evidence.document()
+        self.doc["evidence"][group] = evidence.to_document()
 
     def _evidence_of_older_version(self) -> None:
         """A version without evidence knew only how many members a group ever had at once."""
@@ -344,12 +344,14 @@
                 self._apply_bound(record, evidence)
                 return
             case ElectionOrderRecord():
-                evidence = evidence.with_order(ElectionOrder(record.member, record.by))
+                evidence = evidence.with_election_order(ElectionOrder(record.member, record.by))
         self._put_evidence(group, evidence)
 
     def _apply_bound(self, record: BoundedRecord, evidence: Evidence) -> None:
         resolved = len(set(record.members) & set(evidence.unproven))
-        self._put_evidence(record.group, evidence.with_bound(record.members, record.position))
+        self._put_evidence(
+            record.group, evidence.with_bounded_logs(record.members, record.position)
+        )
         for _ in range(resolved):
             self._shrink(record.group)
 
--- a/tests/test_failover_evidence.py
+++ b/tests/test_failover_evidence.py
@@ -14,7 +14,7 @@
     MemberStatus,
     Proven,
     Unproven,
-    decide,
+    find_electable_members,
 )
 from petrelhaven.control.state.control_state import ControlState
 from petrelhaven.runtime.errors import Fault
@@ -47,7 +47,7 @@
     the order that it keeps: paused before counted out, recorded before resumed, ended before bounded.
     """
 
-    check = staticmethod(decide)
+    check = staticmethod(find_electable_members)
 
     def __init__(self):
         super().__init__()
@@ -236,22 +236,26 @@
 
 
 def without_floor(evidence, *rest):
-    return decide(Evidence(counted_out=evidence.counted_out, unproven=evidence.unproven), *rest)
+    return find_electable_members(
+        Evidence(counted_out=evidence.counted_out, unproven=evidence.unproven), *rest
+    )
 
 
 def without_positions_of_those_counted_out(evidence, *rest):
     counted_out = dict.fromkeys(evidence.counted_out, (0, 0))
-    return decide(Evidence(evidence.lower_bound, counted_out, evidence.unproven), *rest)
+    return find_electable_members(
+        Evidence(evidence.lower_bound, counted_out, evidence.unproven), *rest
+    )
 
 
 def without_unproven(evidence, *rest):
-    return decide(
+    return find_electable_members(
         Evidence(lower_bound=evidence.lower_bound, counted_out=evidence.counted_out), *rest
     )
 
 
 def with_those_heard(evidence, primary, replicas, rows):
-    return decide(evidence, primary, rows, rows)
+    return find_electable_members(evidence, primary, rows, rows)
 
 
 @pytest.mark.parametrize(
@@ -308,7 +312,7 @@
 def test_those_with_the_highest_log_that_reaches_the_floor_may_be_elected(
     evidence, rows, candidates
 ):
-    assert decide(evidence, "p", ["a", "b"], rows) == Proven(candidates)
+    assert find_electable_members(evidence, "p", ["a", "b"], rows) == Proven(candidates)
 
 
 @pytest.mark.parametrize(
@@ -325,11 +329,13 @@
     ],
 )
 def test_without_proof_the_reason_is_told(evidence, rows, reason, lost):
-    verdict = decide(evidence, "p", ["a", "b"], rows)
+    verdict = find_electable_members(evidence, "p", ["a", "b"], rows)
     assert reason in verdict.reason and verdict.lost_copies == lost
-    behind = decide(Evidence(counted_out={"b": (1, 7)}), "p", ["a", "b"], {"a": row((1, 5))})
+    behind = find_electable_members(
+        Evidence(counted_out={"b": (1, 7)}), "p", ["a", "b"], {"a": row((1, 5))}
+    )
     assert behind == Unproven("nobody holds 1.7; the highest is 1.5", True)
-    assert decide(Evidence(), "p", [], {}) == Unproven("no replica is left")
+    assert find_electable_members(Evidence(), "p", [], {}) == Unproven("no replica is left")
 
 
 def test_a_control_state_of_an_older_version_counts_those_it_misses_as_unproven():
--- a/tests/test_member_proofs.py
+++ b/tests/test_member_proofs.py
@@ -80,7 +80,7 @@
             },
         )
     led.doc["sizes"]["g"] = size
-    led.doc["evidence"]["g"] = Evidence(lower_bound=floor).document()
+    led.doc["evidence"]["g"] = Evidence(lower_bound=floor).to_document()
     led.apply(
         led.seq + 1,
         {
