--- a/src/petrelhaven/commands/control.py
+++ b/src/petrelhaven/commands/control.py
@@ -61,7 +61,7 @@
         MemberWire(daemon.clock, Wire(daemon.clock, daemon.tasks)),
         _HEARTBEAT_US,
     )
-    ControlInterface(node, daemon.http_server, lambda: node.settings(), announced=True)
+    ControlInterface(node, daemon.http_server, lambda: node.settings(), accepts_announcements=True)
     return node
 
 
--- a/src/petrelhaven/control/failover/coordinator.py
+++ b/src/petrelhaven/control/failover/coordinator.py
@@ -45,7 +45,7 @@
         self.platform = platform
         self._context = FailoverContext(node, platform)
         self.observer = self._context.observer
-        self.answer_inspection = self.observer.answer
+        self.handle_inspection_request = self.observer.answer
         self.wait_reasons = self._context.wait_reasons
         self.resumption = ReplicaResumption(self._context)
         self._departures = DepartureWatch(self._context, self.resumption)
@@ -188,7 +188,7 @@
         """Records the member that answers that it is the primary, if another is recorded."""
         recorded = self._context.leadership(group).primary
         for member in self._context.members(group).values():
-            handle = MemberHandle(self._node.wire, self._clock, MemberEndpoint.of(member))
+            handle = MemberHandle(self._node.wire, self._clock, MemberEndpoint.from_member(member))
             status = await handle.status()
             handle.close()
             if status is not None and status.is_primary and member.name != recorded:
--- a/src/petrelhaven/control/failover/counting_out.py
+++ b/src/petrelhaven/control/failover/counting_out.py
@@ -53,9 +53,9 @@
         for name, member in self._members.items():
             if name not in self._handles:
                 self._handles[name] = MemberHandle(
-                    node.wire, self._clock, MemberEndpoint.of(member)
+                    node.wire, self._clock, MemberEndpoint.from_member(member)
                 )
-            self._handles[name].move_to(MemberEndpoint.of(member))
+            self._handles[name].move_to(MemberEndpoint.from_member(member))
 
     def handle(self, name: str) -> MemberHandle | None:
         """The connection to a member, if it was in the group at the last refresh."""
--- a/src/petrelhaven/control/failover/departures.py
+++ b/src/petrelhaven/control/failover/departures.py
@@ -185,7 +185,7 @@
     async def _is_lost(self, member: Member) -> bool:
         """Whether the port of a member has been closed for a while; drops refuted suspicions."""
         group, name = member.group, member.name
-        observation = await self._observer.inspect(MemberEndpoint.of(member))
+        observation = await self._observer.inspect(MemberEndpoint.from_member(member))
         if observation == REFUSED:
             return self._seen_us(group, _REFUSING + name) > _REFUSING_US
         self._not_seen(group, _REFUSING + name)
@@ -204,7 +204,7 @@
                 ended.append(name)
                 continue
             member = Member.from_row(name, row)
-            observation = await self._observer.inspect(MemberEndpoint.of(member))
+            observation = await self._observer.inspect(MemberEndpoint.from_member(member))
             if observation == REFUSED or (observation == UNREACHABLE and seen_us > _ENDED_US):
                 ended.append(name)
         return ended
@@ -222,7 +222,7 @@
             if self._drained_us(member.name) < _SIGN_OFF_AFTER_US:
                 continue
             refusing = _REFUSING + member.name
-            if await self._observer.inspect(MemberEndpoint.of(member)) != REFUSED:
+            if await self._observer.inspect(MemberEndpoint.from_member(member)) != REFUSED:
                 self._not_seen(group, refusing)
             elif self._seen_us(group, refusing) > _REFUSING_US:
                 record = DepartureRecord(member.name, member.address)
--- a/src/petrelhaven/control/failover/group_members.py
+++ b/src/petrelhaven/control/failover/group_members.py
@@ -93,7 +93,7 @@
         for name, member in members.items():
             if name not in self.handles:
                 self.handles[name] = MemberHandle(
-                    self._node.wire, self._node.clock, MemberEndpoint.of(member)
+                    self._node.wire, self._node.clock, MemberEndpoint.from_member(member)
                 )
                 self._zones[name] = member.zone
 
--- a/src/petrelhaven/control/failover/group_state.py
+++ b/src/petrelhaven/control/failover/group_state.py
@@ -49,7 +49,7 @@
     address: str
 
     @classmethod
-    def of(cls, member: Member) -> MemberEndpoint:
+    def from_member(cls, member: Member) -> MemberEndpoint:
         """Where a recorded member is reached."""
         return cls(member.name, member.group, member.address)
 
--- a/src/petrelhaven/control/failover/observation.py
+++ b/src/petrelhaven/control/failover/observation.py
@@ -93,7 +93,7 @@
         view = self._node.chain.view
         if view is None:
             return Survey((), 0)
-        endpoint = MemberEndpoint.of(member)
+        endpoint = MemberEndpoint.from_member(member)
         observations = await asyncio.gather(
             *[self._request_inspection(node, endpoint) for node in view.chain]
         )
--- a/src/petrelhaven/control/failover/resumption.py
+++ b/src/petrelhaven/control/failover/resumption.py
@@ -52,7 +52,7 @@
         node = self._context.node
         members = self._context.members(group)
         handles = {
-            name: MemberHandle(node.wire, node.clock, MemberEndpoint.of(members[name]))
+            name: MemberHandle(node.wire, node.clock, MemberEndpoint.from_member(members[name]))
             for name in self.pending[group]
             if name in members
         }
--- a/src/petrelhaven/control/interface/control_interface.py
+++ b/src/petrelhaven/control/interface/control_interface.py
@@ -48,7 +48,7 @@
         node: NodeInterface,
         http_server: HttpRoutes,
         settings: Callable[[], Document] = dict,
-        announced: bool = False,
+        accepts_announcements: bool = False,
     ) -> None:
         """Adds the routes to a server.
 
@@ -77,7 +77,7 @@
             ("GET", "/events", self._events),
         ):
             http_server.on(verb, path, handler)
-        if announced:
+        if accepts_announcements:
             http_server.on("POST", "/announce", self._announce)
 
     async def _apply_configuration(self, request: Request) -> Document:
--- a/src/petrelhaven/control/node.py
+++ b/src/petrelhaven/control/node.py
@@ -156,7 +156,7 @@
             MessageKind.CHAIN_IN_FORCE: self.lease_table.report,
             MessageKind.LEASE_RENEW: self._renew_lease,
             MessageKind.MEMBER_SUSPECT: self._suspected,
-            MessageKind.MEMBER_CHECK: self.duty.answer_inspection,
+            MessageKind.MEMBER_CHECK: self.duty.handle_inspection_request,
             MessageKind.WALL_CLOCK_READ: self._read_wall_clock,
             MessageKind.AGREED_TIME_READ: self._true_time,
             MessageKind.QUOTA_REPORT: self.counting.report,
--- a/tests/test_control_interface.py
+++ b/tests/test_control_interface.py
@@ -90,7 +90,7 @@
         1_200_000,
     )
     http_server = LightHttpServer("127.0.0.1", 0)
-    ControlInterface(node, http_server, lambda: SETTINGS, announced=True)
+    ControlInterface(node, http_server, lambda: SETTINGS, accepts_announcements=True)
     await http_server.start()
     node.start()
     try:
