--- a/src/petrelhaven/control/interface/control_interface.py
+++ b/src/petrelhaven/control/interface/control_interface.py
@@ -56,7 +56,7 @@
             node: the control node.
             http_server: where they are added.
             settings: answers the node's settings, for the status.
-            announced: whether members announce themselves here.
+            accepts_announcements: whether members announce themselves here.
         """
         self._node = node
         self._settings = settings
