--- a/tests/test_member_proofs.py
+++ b/tests/test_member_proofs.py
@@ -27,7 +27,7 @@
     async def _row(self):
         return {"role": "replica", "term": 1, "pos": LOGS[self._name], "held": 0}
 
-    def own(self, verb):
+    def send_system_verb(self, verb):
         return self._row()
 
     def close(self):
@@ -80,7 +80,7 @@
             },
         )
     led.doc["sizes"]["g"] = size
-    led.doc["evidence"]["g"] = Evidence(lower_bound=floor).document()
+    led.doc["evidence"]["g"] = Evidence(lower_bound=floor).to_document()
     led.apply(
         led.seq + 1,
         {
