--- a/src/petrelhaven/control/base_node.py
+++ b/src/petrelhaven/control/base_node.py
@@ -13,8 +13,8 @@
 from transitions import Machine
 
 from petrelhaven.control.consensus.chain import Chain
-from petrelhaven.control.consensus.core_report import CoreReport
 from petrelhaven.control.consensus.disk_watch import DiskWatch
+from petrelhaven.control.consensus.node_report import NodeReport
 from petrelhaven.control.consensus.reform import Reform
 from petrelhaven.control.consensus.register import Voter
 from petrelhaven.control.consensus.view_maintenance import ViewMaintenance
@@ -193,11 +193,11 @@
         return {
             MessageKind.REGISTER_PREPARE: self.voter.prepare,
             MessageKind.REGISTER_ACCEPT: self.voter.accept,
-            MessageKind.VIEW_READ: self.views.answer,
-            MessageKind.VIEW_LEARN: self.views.learn,
-            MessageKind.VIEW_CONFIRM: self.chain.confirmation.answer,
-            MessageKind.CHAIN_APPEND: self.chain.append,
-            MessageKind.DISK_STATE_CHANGED: self.disk_watch.receive,
+            MessageKind.VIEW_READ: self.views.handle_report_request,
+            MessageKind.VIEW_LEARN: self.views.handle_view,
+            MessageKind.VIEW_CONFIRM: self.chain.confirmation.handle_confirm,
+            MessageKind.CHAIN_APPEND: self.chain.handle_append,
+            MessageKind.DISK_STATE_CHANGED: self.disk_watch.handle_notice,
             MessageKind.CHAIN_ENTER: self._handle_enter,
             MessageKind.CHAIN_READ: self._handle_read,
             MessageKind.CHAIN_IN_FORCE: self.lease_table.report,
@@ -246,7 +246,7 @@
             event = Events.CHAIN_REJOINED if view.number > _FIRST_VIEW_NUMBER else Events.NODE_READY
             emit(self.log, event, view=view.number)
 
-    def report(self) -> CoreReport:
+    def report(self) -> NodeReport:
         """Returns this node's report to the other control nodes.
 
         Raises:
@@ -254,15 +254,15 @@
         """
         store, chain = self.store, self.chain
         store.require_identity()
-        return CoreReport(
+        return NodeReport(
             name=self.name,
             disk=store.disk_id,
             fresh=store.fresh,
             view=chain.view,
-            complete_in=store.complete_view,
+            last_complete_view=store.complete_view,
             seq=store.control_state.seq,
-            commit=chain.commit,
-            up_us=self.clock.now() - chain.confirmation.boot,
+            committed_seq=chain.committed_seq,
+            up_us=self.clock.now() - chain.confirmation.started_at_us,
             granted_us=chain.confirmation.granted_ages_us(),
         )
 
@@ -274,7 +274,7 @@
 
     async def append_as_head(self, request: SubmitRequest) -> SubmitAnswer:
         """Appends a record to the chain as its head; with `force`, waits until it is in force."""
-        seq = await self.chain.enter(request.record)
+        seq = await self.chain.append_record(request.record)
         in_force_us = await self.lease_table.wait_in_force(seq) if request.force else 0
         return SubmitAnswer(seq, request.force, in_force_us)
 
@@ -282,7 +282,7 @@
         self, _channel: Channel | None, _body: Mapping[str, Any]
     ) -> dict[str, Any]:
         """Handles a `chain.read` message."""
-        return {"doc": self.chain.read()}
+        return {"doc": self.chain.read_control_state()}
 
     async def reform(self, lost: Sequence[str], by: str = "") -> dict[str, Any]:
         """Forms a new chain without the disks of the nodes `lost`, as the operator requested."""
@@ -305,7 +305,7 @@
             "name": self.name,
             "role": "core",
             "state": self.state,
-            "commit": self.chain.commit,
+            "commit": self.chain.committed_seq,
             "view": None if view is None else view.to_document(),
             "kith": {row[0]: row[5] for row in self.roster.all_rows()},
         }
@@ -319,4 +319,4 @@
     @property
     def ready(self) -> bool:
         """Whether this node is in the chain, has all its records and was confirmed recently."""
-        return self.chain.ruling
+        return self.chain.is_confirmed
--- a/src/petrelhaven/control/counting/service.py
+++ b/src/petrelhaven/control/counting/service.py
@@ -151,8 +151,8 @@
         if request.view_number not in (newest, newest - 1):
             raise NotReady("copies of another view")
         now = self._clock.now()
-        expiry = Expiry.read(list(request.expiry))
-        if expiry is None or not expiry.stands(self._node.chain.confirmation.boot, now):
+        expiry = Expiry.from_document(list(request.expiry))
+        if expiry is None or not expiry.is_valid(self._node.chain.confirmation.started_at_us, now):
             raise NotReady("the copies are out of date")
         until = expiry.moment_us
         taken = [self._take_copy(copy, request, until, now) for copy in request.copies]
@@ -200,7 +200,7 @@
     def _count_all(self, view_number: int, rows: Sequence[ReportRow]) -> list[Grant | None]:
         """Grants for reports; NotReady where this node does not count in that view."""
         self.follow_view()
-        if not self._node.chain.active or self._view_number != view_number:
+        if not self._node.chain.is_active or self._view_number != view_number:
             raise NotReady("not counting in this view")
         now = self._clock.now()
         return [self._count(proxy, report, now) for proxy, report in rows]
@@ -255,7 +255,7 @@
             await self._clock.sleep(_TICK_US)
             self.follow_view()
             self._settle_starts()
-            if not self._table.quotas or not self._node.chain.active:
+            if not self._table.quotas or not self._node.chain.is_active:
                 continue
             self._take_tenants()
             self._copy_to_successors()
@@ -355,7 +355,7 @@
             if start is not None and start.view_number == view_number:
                 until = self._clock.now() + self._table.terms.quarantine_us
                 self._fresh_start = start._replace(until=until)
-                if self._node.chain.active:
+                if self._node.chain.is_active:
                     self._take_tenants()
         except Fault:
             pass
@@ -364,7 +364,7 @@
 
     def _settle_starts(self) -> None:
         """As the head, has beginnings that are over recorded so."""
-        if not self._node.chain.head or not self._node.chain.active:
+        if not self._node.chain.is_head or not self._node.chain.is_active:
             self._starts_seen.clear()
             return
         now = self._clock.now()
@@ -400,17 +400,17 @@
         self, name: str, tenants: Mapping[str, _Counted], view_number: int
     ) -> None:
         clocks = self._node.chain.confirmation.peer_clocks
-        if not clocks.knows(name):
+        if not clocks.has_recent_reading(name):
             return
         now = self._clock.now()
-        expiry = clocks.expiry(name, STANDBY_LIFE_US)
+        expiry = clocks.expiry_at(name, STANDBY_LIFE_US)
         for tenant, counted in tenants.items():
             counted.follow(self._table, tenant, now)
         made = {tenant: counted.make_copy(tenant, now) for tenant, counted in tenants.items()}
         copies = [copy for copy, _ in made.values()]
         self._life = self._life or self._draw_life()
         self._copy_number += 1
-        request = CopyList(view_number, self._life, self._copy_number, expiry.document(), copies)
+        request = CopyList(view_number, self._life, self._copy_number, expiry.to_document(), copies)
         arrived = False
         try:
             await self._node.call(name, MessageKind.QUOTA_COPY, request.to_body(), _COPY_LIMIT_US)
--- a/src/petrelhaven/control/interface/contracts.py
+++ b/src/petrelhaven/control/interface/contracts.py
@@ -11,12 +11,12 @@
     from petrelhaven.runtime.clock import Clock
     from petrelhaven.transport.delivery import Delivery
 
-__all__ = ["Document", "Handler", "HttpRoutes", "NodeInterface", "RawAnswer", "Request"]
+__all__ = ["Document", "Handler", "HttpRoutes", "NodeInterface", "RawResponse", "Request"]
 
 Document: TypeAlias = dict[str, Any]
 Handler: TypeAlias = Callable[..., Awaitable[Any]]
 """Takes a request and the part of the path that is `{}`; answers a Document or a RawAnswer."""
-RawAnswer: TypeAlias = tuple[int, bytes, tuple[tuple[str, str], ...]]
+RawResponse: TypeAlias = tuple[int, bytes, tuple[tuple[str, str], ...]]
 """A status, a body and headers, sent as they are."""
 
 
--- a/src/petrelhaven/control/leases.py
+++ b/src/petrelhaven/control/leases.py
@@ -16,7 +16,7 @@
 from collections.abc import Awaitable, Callable, Mapping, Sequence
 from typing import TYPE_CHECKING, Any
 
-from petrelhaven.control.consensus.chain import DRIFT
+from petrelhaven.control.consensus.chain import MAX_CLOCK_RATE_RATIO
 from petrelhaven.control.state.record import record_kind
 from petrelhaven.control.state.records import ConfigurationRecord, SupersededConfiguration
 from petrelhaven.control.state_push import ChangeSignal, StatePusher
@@ -50,7 +50,7 @@
         lease_us: How long a lease lasts from the proxy's request, in microseconds.
         confirm_us: How long a node grants leases after a confirmation by a majority.
     """
-    return int((lease_us + confirm_us) * DRIFT)
+    return int((lease_us + confirm_us) * MAX_CLOCK_RATE_RATIO)
 
 
 class LeaseTable:
@@ -92,7 +92,7 @@
 
     def grant(self, proxy: str, lease_us: int) -> None:
         """Records that `proxy` may have a lease for `lease_us` from now."""
-        self.lease_ends[proxy] = self._clock.now() + int(lease_us * DRIFT)
+        self.lease_ends[proxy] = self._clock.now() + int(lease_us * MAX_CLOCK_RATE_RATIO)
 
     def condense(self, records: list[NumberedRecord]) -> list[NumberedRecord]:
         """Returns the records of one push, without the content that proxies don't need."""
@@ -105,7 +105,7 @@
             acknowledged=dict(self.acknowledged),
             lease_us={proxy: end - now for proxy, end in self.lease_ends.items() if end > now},
             unknown_leases_us=max(self.unknown_leases_end - now, 0),
-            commit=self._chain.commit,
+            commit=self._chain.committed_seq,
         )
         return report.to_body()
 
@@ -124,7 +124,7 @@
             NotReady: This node has no view.
         """
         started_at = self._clock.now()
-        all_expired_at = started_at + self._certain_expiry_us + int(grace_us * DRIFT)
+        all_expired_at = started_at + self._certain_expiry_us + int(grace_us * MAX_CLOCK_RATE_RATIO)
         while True:
             view = self._chain.view
             if view is None:
--- a/src/petrelhaven/control/request_router.py
+++ b/src/petrelhaven/control/request_router.py
@@ -128,7 +128,7 @@
             await self._reach.call(head, MessageKind.CHAIN_ENTER, request.to_body(), timeout_us)
         )
 
-    async def read_control_state(self, within_us: int) -> Document:
+    async def read(self, within_us: int) -> Document:
         """Reads the control state from the tail of the chain, within `within_us` microseconds.
 
         Raises:
@@ -138,7 +138,7 @@
 
         async def attempt(tail: str, timeout_us: int) -> Document:
             if tail == self._name:
-                own_document: Document = self._chain.read()
+                own_document: Document = self._chain.read_control_state()
                 return own_document
             answer = await self._reach.call(
                 tail, MessageKind.CHAIN_READ, {"what": None}, timeout_us
@@ -169,16 +169,16 @@
         Raises:
             Expired: The call to the node that forwarded the request has ended.
         """
-        boot = self._chain.confirmation.boot
-        if expiry is not None and not expiry.stands(boot, self._clock.now()):
+        boot = self._chain.confirmation.started_at_us
+        if expiry is not None and not expiry.is_valid(boot, self._clock.now()):
             raise Expired("the request arrived after its caller was answered")
 
     async def _expiry(self, head: str, timeout_us: int) -> Expiry:
         """Returns the expiry of a request by the head's clock, which is read first if needed."""
         clocks = self._chain.confirmation.peer_clocks
-        if not clocks.knows(head):
-            await self._chain.confirmation.ask(head)
-        return clocks.expiry(head, timeout_us)
+        if not clocks.has_recent_reading(head):
+            await self._chain.confirmation.request_confirmation(head)
+        return clocks.expiry_at(head, timeout_us)
 
     async def _call_chain_node(
         self, chain_index: int, attempt: Attempt[_Answer], within_us: int
@@ -242,7 +242,7 @@
         chain = self._chain
         if chain.view is None:
             raise NotReady("no view yet")
-        in_transition = self._clock.now() - chain.adopted <= _VIEW_TRANSITION_US
+        in_transition = self._clock.now() - chain.adopted_at_us <= _VIEW_TRANSITION_US
         if not chain.confirmation.is_recent and not in_transition:
             raise NotReady("no majority of the control nodes answers", details=dict(_FINAL_DETAILS))
 
@@ -266,8 +266,8 @@
 
         Requests carry no time, so a node can't tell how long a request waited during the pause.
         """
-        self._chain.confirmation.note_pause()
-        ended_us, paused_us = self._chain.confirmation.pause
+        self._chain.confirmation.record_pause()
+        ended_us, paused_us = self._chain.confirmation.last_pause
         is_recent = self._clock.now() - ended_us < _AFTER_PAUSE_US
         if is_recent and paused_us > within_us * _MAX_PAUSE_SHARE:
             raise NotReady("this control node was paused a moment ago; send the request again")
--- a/src/petrelhaven/control/state_push.py
+++ b/src/petrelhaven/control/state_push.py
@@ -86,7 +86,7 @@
         each connection has its own push task, and the proxy closes the connections that it doesn't
         need.
         """
-        if not self._chain.complete:
+        if not self._chain.is_complete:
             return SubscriptionAnswer(False, "not in the chain").to_body()
         previous = self._push_tasks.pop(channel, None)
         if previous:
@@ -111,10 +111,10 @@
         """
         while not channel.gone.done():
             event = self._changed.event
-            if not self._chain.complete:
+            if not self._chain.is_complete:
                 channel.close()
                 return
-            if applied_seq >= 0 and applied_seq >= self._chain.commit:
+            if applied_seq >= 0 and applied_seq >= self._chain.committed_seq:
                 await self._wait_for_change(channel, event)
                 continue
             body = self._next_body(applied_seq)
@@ -136,7 +136,7 @@
 
         Returns None if a snapshot is needed while the control state has uncommitted records.
         """
-        commit, control_state = self._chain.commit, self._chain.control_state
+        commit, control_state = self._chain.committed_seq, self._chain.control_state
         rows = self._chain.store.records_since(applied_seq) if applied_seq >= 0 else None
         if rows is None or applied_seq == 0:
             if commit != control_state.seq:
--- a/src/petrelhaven/control/submit_messages.py
+++ b/src/petrelhaven/control/submit_messages.py
@@ -27,13 +27,13 @@
 
     def to_body(self) -> dict[str, Any]:
         """Returns the body of the message."""
-        expiry = None if self.expiry is None else self.expiry.document()
+        expiry = None if self.expiry is None else self.expiry.to_document()
         return {"rec": self.record, "force": self.force, "bound": expiry}
 
     @classmethod
     def from_body(cls, body: Mapping[str, Any]) -> SubmitRequest:
         """Reads the body of a message."""
-        return cls(body["rec"], body["force"], Expiry.read(body["bound"]))
+        return cls(body["rec"], body["force"], Expiry.from_document(body["bound"]))
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/control_mutants.py
+++ b/tests/control_mutants.py
@@ -18,7 +18,7 @@
 
 
 def votes_under_any_identity(mp):
-    mp.setattr(register.Voter, "_fits", lambda self, ids: True)
+    mp.setattr(register.Voter, "_fits", lambda self, members: True)
 
 
 def promise_ignored(mp):
@@ -34,46 +34,46 @@
 
 
 def minority_decides(mp):
-    real = register.Proposer._round
+    real = register.Proposer._run_phase
 
-    async def one_round(self, ids, kind, body, read, is_enough):
-        answers = await real(self, ids, kind, body, read, is_enough)
-        silent = read({"ok": True, "num": 0, "who": "", "value": None, "seen": 0})
-        return {**dict.fromkeys(ids, silent), **answers}
+    async def one_phase(self, members, kind, body, parse, is_enough):
+        answers = await real(self, members, kind, body, parse, is_enough)
+        silent = parse({"ok": True, "num": 0, "who": "", "value": None, "seen": 0})
+        return {**dict.fromkeys(members, silent), **answers}
 
-    mp.setattr(register.Proposer, "_round", one_round)
+    mp.setattr(register.Proposer, "_run_phase", one_phase)
 
 
 def confirmed_without_majority(mp):
-    def count(self, view):
-        latest = max(self._confirmed_at.get(name, 0) for name in view.ids)
-        self.until_us = max(self.until_us, latest + self._confirm_us)
+    def update_validity(self, view):
+        latest = max(self._confirmed_at.get(name, 0) for name in view.members)
+        self.valid_until_us = max(self.valid_until_us, latest + self._validity_us)
 
-    mp.setattr(confirmation.Confirmation, "_count", count)
+    mp.setattr(confirmation.Confirmation, "_update_validity", update_validity)
 
 
 def confirms_an_older_view(mp):
-    real = confirmation.Confirmation.answer
+    real = confirmation.Confirmation.handle_confirm
 
-    async def answer(self, channel, body):
+    async def handle_confirm(self, channel, body):
         return {**await real(self, channel, body), "ok": True, "view": None}
 
-    mp.setattr(confirmation.Confirmation, "answer", answer)
+    mp.setattr(confirmation.Confirmation, "handle_confirm", handle_confirm)
 
 
 def tail_reads_while_not_active(mp):
-    def read(self):
-        if not self.tail:
+    def read_control_state(self):
+        if not self.is_tail:
             raise NotReady("not the tail")
         return self.control_state.doc
 
-    mp.setattr(chain.Chain, "read", read)
+    mp.setattr(chain.Chain, "read_control_state", read_control_state)
 
 
 def complete_without_handover(mp):
     mp.setattr(
         chain.Chain,
-        "complete",
+        "is_complete",
         property(lambda self: self.view is not None and self._position() is not None),
     )
 
@@ -83,23 +83,23 @@
 
     def adopt(self, view):
         real(self, view)
-        self.active_at = 0
+        self.active_at_us = 0
 
     mp.setattr(chain.Chain, "adopt", adopt)
 
 
 def informed_by_any_core(mp):
-    def report_received(self):
-        chain = self._core.chain
+    def on_report(self):
+        chain = self._node.chain
         if chain.view is None:
             return
         reports = (
-            report for at, report in self._reports.values() if report and at >= chain.adopted
+            report for at, report in self._reports.values() if report and at >= chain.adopted_at_us
         )
-        if any(report.name != self._core.name for report in reports):
-            chain.active_at = self._core.clock.now()
+        if any(report.name != self._node.name for report in reports):
+            chain.active_at_us = self._node.clock.now()
 
-    mp.setattr(member_maintenance.MemberMaintenance, "report_received", report_received)
+    mp.setattr(member_maintenance.MemberMaintenance, "on_report", on_report)
 
 
 def swap_decided_by_any_majority(mp):
@@ -146,15 +146,15 @@
 
 
 def fence_before_commit(mp):
-    real = chain.Chain.enter
+    real = chain.Chain.append_record
 
-    async def enter(self, record, *args):
-        if record["t"] != "office" or not (self.head and self.active):
+    async def append_record(self, record, *args):
+        if record["t"] != "office" or not (self.is_head and self.is_active):
             return await real(self, record, *args)
         self.tasks.spawn(real(self, record, *args))
         return self.control_state.seq + 1
 
-    mp.setattr(chain.Chain, "enter", enter)
+    mp.setattr(chain.Chain, "append_record", append_record)
 
 
 __all__ = [
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -7,7 +7,7 @@
 import pytest
 
 from petrelhaven.control.consensus.chain import Chain
-from petrelhaven.control.consensus.core_report import CoreReport
+from petrelhaven.control.consensus.node_report import NodeReport
 from petrelhaven.control.consensus.view import View
 from petrelhaven.control.request_router import ANSWER_TIMEOUT_US
 from petrelhaven.runtime.errors import Duplicate, Fault
@@ -16,7 +16,9 @@
 
 def head_of(fleet):
     return next(
-        b for b in fleet.cores if b.node is not None and b.node.chain.head and b.node.chain.active
+        b
+        for b in fleet.cores
+        if b.node is not None and b.node.chain.is_head and b.node.chain.is_active
     )
 
 
@@ -46,7 +48,7 @@
         cut_off(f, head, 3_000_000)
         await asyncio.sleep(0.05)
         lost = head.tasks.spawn(
-            outcome(head.node.chain.enter({"t": "hall", "hall": "a", "state": "emptied"}))
+            outcome(head.node.chain.append_record({"t": "hall", "hall": "a", "state": "emptied"}))
         )
         await asyncio.sleep(2.0)
         other = others(f, head)[0]
@@ -149,7 +151,7 @@
             {
                 "rec": {"t": "hall", "hall": "a", "state": "emptied"},
                 "force": False,
-                "bound": (await near.node.request_router._expiry(head.name, 850_000)).document(),
+                "bound": (await near.node.request_router._expiry(head.name, 850_000)).to_document(),
             },
             20_000_000,
         )
@@ -191,13 +193,13 @@
         cut_off(f, head, 5_000_000)
         rest = others(f, head)
         while True:
-            now = [b for b in rest if b.node.chain.head and b.node.chain.active]
+            now = [b for b in rest if b.node.chain.is_head and b.node.chain.is_active]
             if now and now[0].node.chain.view.number > 1:
                 break
             await asyncio.sleep(0.005)
-        assert not head.node.chain.active
+        assert not head.node.chain.is_active
         chain = now[0].node.chain
-        return chain.clock.now() - chain.adopted
+        return chain.clock.now() - chain.adopted_at_us
 
     assert max(inside(go, seed)[0] for seed in range(6)) < 200_000
 
@@ -217,7 +219,7 @@
 
 def report(name, view_n, up_us=10_000_000, **granted_us):
     view = View(view_n, (), {})
-    return CoreReport(name, f"disk-{name}", False, view, 0, 0, 0, up_us, granted_us)
+    return NodeReport(name, f"disk-{name}", False, view, 0, 0, 0, up_us, granted_us)
 
 
 class Now:
@@ -239,17 +241,23 @@
     ],
 )
 def test_the_wait_after_a_new_view_ends_when_no_former_core_can_rule_any_more(cores, left_us):
-    chain = Chain(Now(), None, SimpleNamespace(name="a", disk="disk-a"), None, confirm_us=600_000)
+    chain = Chain(
+        Now(),
+        None,
+        SimpleNamespace(name="a", disk="disk-a"),
+        None,
+        confirmation_validity_us=600_000,
+    )
     ids = {n: f"disk-{n}" for n in "abc"}
-    chain.view = View(8, ("a", "b"), {"a": "disk-a", "b": "disk-b"}, before=(ids,))
+    chain.view = View(8, ("a", "b"), {"a": "disk-a", "b": "disk-b"}, former_members=(ids,))
     now = chain.clock.now()
-    chain.active_at = now + 630_000
-    chain.shorten_wait(cores, now)
-    assert chain.active_at - now == left_us
-    chain.active_at = now + 630_000
-    chain.view = dataclasses.replace(chain.view, before=None)
-    chain.shorten_wait(cores, now)
-    assert chain.active_at - now == 630_000
+    chain.active_at_us = now + 630_000
+    chain.shorten_activation_wait(cores, now)
+    assert chain.active_at_us - now == left_us
+    chain.active_at_us = now + 630_000
+    chain.view = dataclasses.replace(chain.view, former_members=None)
+    chain.shorten_activation_wait(cores, now)
+    assert chain.active_at_us - now == 630_000
 
 
 def announcement(state):
