--- a/src/petrelhaven/control/leases.py
+++ b/src/petrelhaven/control/leases.py
@@ -43,14 +43,14 @@
 Reports = Sequence[AcknowledgementReport | None]
 
 
-def lease_expiry_us(lease_us: int, confirm_us: int) -> int:
+def lease_expiry_us(lease_us: int, confirmation_validity_us: int) -> int:
     """Returns after how long every lease has expired, for any permitted clock drift.
 
     Args:
         lease_us: How long a lease lasts from the proxy's request, in microseconds.
-        confirm_us: How long a node grants leases after a confirmation by a majority.
+        confirmation_validity_us: How long a node grants leases after a confirmation by a majority.
     """
-    return int((lease_us + confirm_us) * MAX_CLOCK_RATE_RATIO)
+    return int((lease_us + confirmation_validity_us) * MAX_CLOCK_RATE_RATIO)
 
 
 class LeaseTable:
--- a/src/petrelhaven/control/request_router.py
+++ b/src/petrelhaven/control/request_router.py
@@ -128,7 +128,7 @@
             await self._reach.call(head, MessageKind.CHAIN_ENTER, request.to_body(), timeout_us)
         )
 
-    async def read(self, within_us: int) -> Document:
+    async def read_control_state(self, within_us: int) -> Document:
         """Reads the control state from the tail of the chain, within `within_us` microseconds.
 
         Raises:
@@ -169,8 +169,8 @@
         Raises:
             Expired: The call to the node that forwarded the request has ended.
         """
-        boot = self._chain.confirmation.started_at_us
-        if expiry is not None and not expiry.is_valid(boot, self._clock.now()):
+        started_at_us = self._chain.confirmation.started_at_us
+        if expiry is not None and not expiry.is_valid(started_at_us, self._clock.now()):
             raise Expired("the request arrived after its caller was answered")
 
     async def _expiry(self, head: str, timeout_us: int) -> Expiry:
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -244,7 +244,7 @@
     chain = Chain(
         Now(),
         None,
-        SimpleNamespace(name="a", disk="disk-a"),
+        SimpleNamespace(name="a", disk_id="disk-a"),
         None,
         confirmation_validity_us=600_000,
     )
