--- a/tests/test_control_state.py
+++ b/tests/test_control_state.py
@@ -132,7 +132,7 @@
 
 @DRAWN
 @given(st.lists(RECORD, max_size=40))
-def test_what_is_legal_and_what_it_leaves_is_what_the_model_says(records):
+def test_control_state_matches_the_model(records):
     led, model = ControlState(), Model()
     for i, r in enumerate(records):
         r = {**r, "count": i} if "count" in r else r
@@ -157,7 +157,7 @@
 
 @DRAWN
 @given(st.lists(RECORD, max_size=25), st.data())
-def test_a_frame_at_any_point_and_the_records_after_it_leave_the_same_state(records, data):
+def test_a_snapshot_and_later_records_give_the_same_state(records, data):
     led = ControlState()
     taken = [r for r in records if enter(led, r)]
     cut = data.draw(st.integers(0, len(taken)))
@@ -189,7 +189,7 @@
 
 @DRAWN
 @given(st.permutations([i for i, s in enumerate(STREAMS) for _ in s]))
-def test_records_about_different_things_leave_the_same_state_in_any_order(order):
+def test_independent_records_give_the_same_state_in_any_order(order):
     def played(order):
         led, at = ControlState(), [0] * len(STREAMS)
         for i in order:
@@ -211,7 +211,7 @@
     assert led.seq == led.doc["seq"] == 1 and led.zone_state("a") == "emptied"
 
 
-def test_a_version_taken_stands_once():
+def test_a_configuration_version_is_accepted_once():
     led = ControlState()
     assert enter(led, configuration(5, '{"x": 1}'))
     for r, fault in (
@@ -225,7 +225,7 @@
     assert enter(led, configuration(6, '{"x": 2}')) and led.configuration == {"x": 2}
 
 
-def test_a_version_that_was_accepted_is_known_by_its_content_after_later_ones():
+def test_earlier_versions_are_recognized_by_their_content():
     led = ControlState()
     for version in (3, 5, 9):
         assert enter(led, configuration(version, f'{{"x": {version}}}'))
@@ -243,7 +243,7 @@
         assert told.value.details["version"] == (r["version"] if fault is Duplicate else 9)
 
 
-def test_the_versions_that_were_accepted_are_forgotten_in_the_end():
+def test_the_number_of_stored_versions_is_limited():
     led = ControlState()
     for version in range(1, 1_001):
         assert enter(led, configuration(version, f'{{"x": {version}}}'))
@@ -271,7 +271,7 @@
         ([leadership("g", 1)], leadership("g", 3), Conflict),
     ],
 )
-def test_what_is_declined(records, bad, fault):
+def test_invalid_records_are_declined(records, bad, fault):
     led = ControlState()
     for r in records:
         assert enter(led, r)
@@ -281,7 +281,7 @@
     assert state(led) == before
 
 
-def test_a_new_member_at_an_address_takes_the_place_of_the_old_one():
+def test_a_new_member_replaces_the_one_at_its_address():
     led = ControlState()
     for r in (
         member("m1", addr="1.1.1.1:1"),
@@ -295,7 +295,7 @@
     }
 
 
-def test_a_late_word_that_a_member_is_gone_does_not_touch_the_one_at_its_address():
+def test_a_late_departure_keeps_the_member_at_the_same_address():
     led = ControlState()
     for r in (member("m1", addr="1.1.1.1:1"), member("m2", addr="1.1.1.1:2")):
         assert enter(led, r)
@@ -303,7 +303,7 @@
     assert set(led.group_members("g")) == {"m2"}
 
 
-def test_the_members_that_are_gone_are_forgotten_in_the_end():
+def test_the_number_of_stored_departed_members_is_limited():
     led = ControlState()
     for i in range(400):
         assert enter(led, member(f"m{i}"))
@@ -312,7 +312,7 @@
     assert len(led.doc["members"]) < 80 and set(led.group_members("g")) == {"m0", "m1", "m2"}
 
 
-def test_a_frame_is_a_copy():
+def test_a_snapshot_is_a_copy():
     led = ControlState()
     enter(led, member("m1"))
     f = led.snapshot()
--- a/tests/test_crash_points.py
+++ b/tests/test_crash_points.py
@@ -176,7 +176,7 @@
     return range(1, WRITES[-1] + 1)
 
 
-def test_a_loss_of_power_at_any_write_loses_nothing_that_was_acknowledged():
+def test_a_power_loss_at_any_write_loses_nothing_acknowledged():
     for point, (name, survives) in itertools.product(points(), SURVIVALS.items()):
         disk = CrashDisk({point: CrashDisk.stop})
         count = play(disk)
@@ -187,7 +187,7 @@
         go_on(store, left)
 
 
-def test_power_lost_again_during_the_restart_changes_nothing():
+def test_a_second_power_loss_during_the_restart_changes_nothing():
     for point, (name, survives) in itertools.product(points(), SURVIVALS.items()):
         disk = CrashDisk({point: CrashDisk.stop})
         count = play(disk)
@@ -201,7 +201,7 @@
             assert state_of(store) in allowed(count), (point, name, second)
 
 
-def test_what_a_restarted_process_found_in_an_unsynced_write_outlasts_the_power():
+def test_an_unsynced_write_read_after_a_restart_survives_a_power_loss():
     """Files stay as they were when a process dies: what it had not synced is read, and must not be told before."""
     for point in points():
         disk = CrashDisk({point: CrashDisk.stop})
@@ -212,7 +212,7 @@
         assert state_of(store) == told and not store.damaged, point
 
 
-def test_a_refused_write_changes_nothing_and_the_core_goes_on_under_its_identity():
+def test_a_refused_write_changes_nothing_and_keeps_the_identity():
     for point, (name, refusal) in itertools.product(points(), REFUSALS.items()):
         disk, chance = CrashDisk({point: refusal}), Chance()
         store = start(disk, chance)
@@ -227,7 +227,7 @@
         assert state_of(again) == STATES[-1] and not again.damaged, (point, name)
 
 
-def test_power_lost_after_a_refused_write_finds_what_was_acknowledged():
+def test_a_power_loss_after_a_refused_write_loses_nothing_acknowledged():
     for point, (name, refusal), (how, survives) in itertools.product(
         points(), REFUSALS.items(), SURVIVALS.items()
     ):
@@ -245,7 +245,7 @@
         assert state_of(again) in allowed(count), (point, name, how)
 
 
-def test_once_the_disk_takes_writes_again_a_refused_one_is_gone_for_good():
+def test_a_refused_write_does_not_reappear_after_recovery():
     for point, (name, refusal) in itertools.product(points(), REFUSALS.items()):
         disk, chance = CrashDisk({point: refusal}), Chance()
         store = start(disk, chance)
@@ -263,7 +263,7 @@
         go_on(store, disk)
 
 
-def test_another_and_smaller_write_that_succeeds_after_a_refused_one_is_kept():
+def test_a_smaller_write_after_a_refused_one_is_kept():
     """The refused one may have been the first of the next file; whatever is left of that must not win."""
     for point, (name, refusal) in itertools.product(points(), REFUSALS.items()):
         disk, chance = CrashDisk({point: refusal}), Chance()
@@ -280,7 +280,7 @@
         assert state_of(start(disk.restarted())) == told, (point, name)
 
 
-def test_a_disk_that_refuses_many_writes_in_a_row_is_tried_again_until_it_takes_them():
+def test_writes_refused_several_times_succeed_on_retry():
     for point in points():
         plan = {point + i: r for i, r in enumerate(REFUSALS.values())}
         disk, chance = CrashDisk(plan), Chance()
@@ -297,7 +297,7 @@
         assert state_of(again) == STATES[-1] and not again.damaged, point
 
 
-def test_a_core_that_cannot_write_at_its_start_takes_part_in_nothing_until_it_can():
+def test_a_node_that_cannot_write_at_start_refuses_until_it_can():
     disk = CrashDisk({i: Refuse(0.0) for i in range(1, 4)})
     store = start(disk)
     assert store.refuses_writes and disk.durable == {}
@@ -311,7 +311,7 @@
     assert start(disk.after_power_loss(SURVIVALS["missing"])).disk_id == store.disk_id
 
 
-def test_the_issue_a_refused_write_then_space_again_four_records_and_a_restart():
+def test_records_after_a_refused_write_survive_a_restart():
     disk, chance = CrashDisk({4: Refuse(0.0)}), Chance()
     store = start(disk, chance)
     with pytest.raises((DiskRefused, OSError)):
@@ -322,7 +322,7 @@
     assert (again.damaged, again.control_state.seq, again.disk_id) == (False, 4, store.disk_id)
 
 
-def test_damage_is_copied_before_the_core_starts_anew_and_dropped_once_it_was_fed():
+def test_damaged_files_are_copied_before_an_empty_start_and_removed_after_catching_up():
     disk, chance = CrashDisk(), Chance()
     store = start(disk, chance)
     for i in range(4):
@@ -348,7 +348,7 @@
         assert not [n for n in left.seen if n.startswith("aside")]
 
 
-def test_a_damaged_core_whose_disk_refuses_the_copies_empties_nothing():
+def test_damaged_files_are_kept_while_the_disk_refuses_their_copies():
     disk, chance = CrashDisk(), Chance()
     store = start(disk, chance)
     for i in range(3):
@@ -436,7 +436,7 @@
 
 
 @pytest.mark.parametrize("together", [True, False])
-def test_all_three_cores_losing_power_at_one_point_form_a_majority_with_all_that_was_acknowledged(
+def test_three_nodes_keep_acknowledged_records_after_losing_power_together(
     together,
 ):
     async def go(point, survivals):
@@ -470,7 +470,7 @@
     assert asyncio.run(all_points()) > 40
 
 
-def remembered_before_it_is_written(mp):
+def vote_applied_before_it_is_written(mp):
     real = ControlNodeStore.save_vote
 
     def save_vote(self, done=None, **changes):
@@ -480,7 +480,7 @@
     mp.setattr(ControlNodeStore, "save_vote", save_vote)
 
 
-def numbered_before_it_is_written(mp):
+def number_used_up_by_a_refused_write(mp):
     real = RecordLog.append
 
     def append(self, document, frame):
@@ -494,28 +494,28 @@
     mp.setattr(RecordLog, "append", append)
 
 
-def what_a_start_has_read_is_not_written_anew(mp):
+def loaded_records_not_synced_again(mp):
     def ensure_synced(self, frame):
         self._may_be_unsynced = False
 
     mp.setattr(RecordLog, "ensure_synced", ensure_synced)
 
 
-def an_unfinished_turn_is_forgotten(mp):
+def interrupted_switch_not_completed(mp):
     off = property(lambda self: False, lambda self, value: None)
     mp.setattr(RecordLog, "_switching", off, raising=False)
 
 
-def what_a_refused_write_left_stays(mp):
+def leftover_of_a_refused_write_not_cleared(mp):
     none = property(lambda self: 0, lambda self, value: None)
     mp.setattr(RecordLog, "_leftover_bytes", none, raising=False)
 
 
-def any_byte_behind_a_bad_record_is_damage(mp):
+def trailing_bytes_treated_as_damage(mp):
     mp.setattr(record_log, "contains_record", lambda raw, start, lap, number=0: any(raw[start:]))
 
 
-def the_lead_goes_first(mp):
+def file_header_written_first(mp):
     real = RecordLog._write
 
     def write(self, name, offset, data):
@@ -530,52 +530,52 @@
     mp.setattr(ControlNodeStore, "_copy_damaged_files", lambda self: None)
 
 
-def copies_dropped_before_the_core_was_fed(mp):
+def copies_removed_before_catching_up(mp):
     mp.setattr(node_store, "replay", lambda documents, state: None)
 
 
 GUARDS = [
     (
-        remembered_before_it_is_written,
-        test_a_refused_write_changes_nothing_and_the_core_goes_on_under_its_identity,
+        vote_applied_before_it_is_written,
+        test_a_refused_write_changes_nothing_and_keeps_the_identity,
     ),
     (
-        numbered_before_it_is_written,
-        test_the_issue_a_refused_write_then_space_again_four_records_and_a_restart,
+        number_used_up_by_a_refused_write,
+        test_records_after_a_refused_write_survive_a_restart,
     ),
     (
-        what_a_start_has_read_is_not_written_anew,
-        test_what_a_restarted_process_found_in_an_unsynced_write_outlasts_the_power,
+        loaded_records_not_synced_again,
+        test_an_unsynced_write_read_after_a_restart_survives_a_power_loss,
     ),
     (
-        an_unfinished_turn_is_forgotten,
-        test_another_and_smaller_write_that_succeeds_after_a_refused_one_is_kept,
+        interrupted_switch_not_completed,
+        test_a_smaller_write_after_a_refused_one_is_kept,
     ),
     (
-        what_a_refused_write_left_stays,
-        test_once_the_disk_takes_writes_again_a_refused_one_is_gone_for_good,
+        leftover_of_a_refused_write_not_cleared,
+        test_a_refused_write_does_not_reappear_after_recovery,
     ),
     (
-        any_byte_behind_a_bad_record_is_damage,
-        test_a_loss_of_power_at_any_write_loses_nothing_that_was_acknowledged,
+        trailing_bytes_treated_as_damage,
+        test_a_power_loss_at_any_write_loses_nothing_acknowledged,
     ),
     (
-        the_lead_goes_first,
-        test_a_loss_of_power_at_any_write_loses_nothing_that_was_acknowledged,
+        file_header_written_first,
+        test_a_power_loss_at_any_write_loses_nothing_acknowledged,
     ),
     (
         no_copies_of_damaged_files,
-        test_damage_is_copied_before_the_core_starts_anew_and_dropped_once_it_was_fed,
+        test_damaged_files_are_copied_before_an_empty_start_and_removed_after_catching_up,
     ),
     (
-        copies_dropped_before_the_core_was_fed,
-        test_damage_is_copied_before_the_core_starts_anew_and_dropped_once_it_was_fed,
+        copies_removed_before_catching_up,
+        test_damaged_files_are_copied_before_an_empty_start_and_removed_after_catching_up,
     ),
 ]
 
 
 @pytest.mark.parametrize("guard,test", GUARDS)
-def test_without_its_guard_a_point_is_found(guard, test):
+def test_each_mutant_is_detected(guard, test):
     with pytest.MonkeyPatch.context() as mp:
         guard(mp)
         with pytest.raises((AssertionError, ValueError, AttributeError)):
--- a/tests/test_entered_record.py
+++ b/tests/test_entered_record.py
@@ -4,7 +4,7 @@
 import random
 
 import pytest
-from test_record_log import Bytes
+from test_record_log import MemoryDisk
 
 from petrelhaven.control.consensus.chain import Chain
 from petrelhaven.control.consensus.view import View
@@ -34,7 +34,7 @@
 
 def test_a_deposed_head_that_rejoins_does_not_confirm_what_was_thrown_away(warp):
     async def go():
-        store = ControlNodeStore(Bytes(), "a", random.Random(1), state=ControlState)
+        store = ControlNodeStore(MemoryDisk(), "a", random.Random(1), state=ControlState)
         tasks = BackgroundTasks()
         chain = Chain(LoopClock(), tasks, store, _others_confirm)
         ids = {"a": store.disk_id, "b": "other", "c": "third"}
--- a/tests/test_held_up_orders.py
+++ b/tests/test_held_up_orders.py
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize("leave_after", [0, 0.02])
-def test_an_order_behind_which_its_caller_has_left_is_not_carried_out(tmp_path, leave_after):
+def test_a_request_whose_caller_has_left_is_not_executed(tmp_path, leave_after):
     async def go(node, http_server):
         await configured(http_server)
         assert await sent(http_server, EVACUATE, leave_after=leave_after) is None
@@ -59,7 +59,7 @@
         pytest.param([EVACUATE[:20], EVACUATE[20:]], [0, HELD_S], id="the last byte comes late"),
     ],
 )
-def test_an_order_that_took_as_long_as_callers_wait_is_declined_and_may_be_sent_again(
+def test_a_request_delayed_as_long_as_callers_wait_is_rejected_and_can_be_retried(
     tmp_path, parts, pauses
 ):
     async def go(node, http_server):
@@ -72,7 +72,7 @@
     on_a_node(tmp_path, go)
 
 
-def test_a_caller_that_rests_between_two_requests_is_not_taken_for_one_held_up(tmp_path):
+def test_a_pause_between_two_requests_is_not_treated_as_a_delay(tmp_path):
     async def go(node, http_server):
         await configured(http_server)
         host, port = http_server.addr.split(":")
@@ -90,7 +90,7 @@
     on_a_node(tmp_path, go)
 
 
-def test_without_the_check_an_order_that_was_given_up_empties_a_zone(tmp_path, monkeypatch):
+def test_without_the_check_an_abandoned_request_evacuates_a_zone(tmp_path, monkeypatch):
     async def no_check(self, delivery):
         return
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -41,7 +41,7 @@
     return "acknowledged"
 
 
-def test_an_order_whose_number_went_to_another_record_is_not_acknowledged():
+def test_a_request_whose_record_number_was_reused_is_not_acknowledged():
     async def go(f):
         await f.start()
         head = head_of(f)
@@ -65,7 +65,7 @@
         assert (answer, state) == ("not-ready", "open")
 
 
-def test_a_core_that_is_cut_off_says_so_at_once():
+def test_an_isolated_control_node_rejects_requests_at_once():
     async def go(f):
         await f.start()
         head = head_of(f)
@@ -85,7 +85,7 @@
     assert max(inside(go, 1)[0]) < 0.1
 
 
-def test_every_core_answers_an_order_within_a_second_whatever_happens_to_the_head():
+def test_every_control_node_answers_within_a_second_of_a_head_failure():
     async def go(f):
         await f.start()
         head = head_of(f)
@@ -116,7 +116,7 @@
             assert inside(go, seed)[0] < 0.95, (how.__name__, seed)
 
 
-def test_an_order_to_a_core_of_the_majority_is_acknowledged_within_2_s_of_the_loss_of_the_head():
+def test_the_majority_acknowledges_a_request_within_2_s_of_losing_the_head():
     async def go(f):
         await f.start()
         head = head_of(f)
@@ -140,7 +140,7 @@
             assert inside(go, seed)[0] < 2.0, (frozen, seed)
 
 
-def test_an_order_held_in_a_cut_is_not_applied_after_the_contrary_was_acknowledged():
+def test_a_request_delayed_by_a_partition_is_not_applied_after_its_opposite():
     async def go(f):
         await f.start()
         head = head_of(f)
@@ -166,7 +166,7 @@
         assert inside(go, seed)[0] == ("expired", "open")
 
 
-def test_an_order_that_lay_in_a_frozen_core_is_not_taken_when_it_thaws():
+def test_a_request_to_a_paused_control_node_is_rejected_when_it_resumes():
     async def go(f):
         await f.start()
         head = head_of(f)
@@ -186,7 +186,7 @@
     assert inside(go, 2)[0] == ("not-ready", "open")
 
 
-def test_a_new_view_begins_as_soon_as_the_core_that_was_lost_has_lapsed():
+def test_a_new_view_is_active_as_soon_as_the_lost_node_is_no_longer_confirmed():
     async def go(f):
         await f.start()
         head = head_of(f)
@@ -204,7 +204,7 @@
     assert max(inside(go, seed)[0] for seed in range(6)) < 200_000
 
 
-def test_a_late_answer_does_not_part_the_last_two_cores():
+def test_a_late_answer_does_not_separate_the_last_two_control_nodes():
     async def go(f):
         await f.start()
         head = head_of(f)
@@ -240,7 +240,7 @@
         ([report("a", 8, c=900_000)], 630_000),
     ],
 )
-def test_the_wait_after_a_new_view_ends_when_no_former_core_can_rule_any_more(cores, left_us):
+def test_the_activation_wait_ends_when_no_former_member_can_be_confirmed(cores, left_us):
     chain = Chain(
         Now(),
         None,
@@ -274,7 +274,7 @@
 
 
 @pytest.mark.parametrize("farewell", [False, True])
-def test_what_a_member_says_again_is_acknowledged_only_once_it_is_committed(farewell):
+def test_a_repeated_announcement_is_acknowledged_only_once_committed(farewell):
     async def go(f):
         await f.start()
         head = head_of(f)
--- a/tests/test_platform_orders.py
+++ b/tests/test_platform_orders.py
@@ -83,7 +83,7 @@
     return asyncio.run(go())
 
 
-def test_an_order_that_was_taken_is_acknowledged_as_often_as_it_comes():
+def test_a_repeated_request_is_acknowledged_every_time():
     assert answers(None) == [(200, None)] * 3
 
 
@@ -96,7 +96,7 @@
         (Invalid("manifest declined"), 422),
     ],
 )
-def test_a_configuration_that_is_not_above_the_one_held(fault, replace):
+def test_a_configuration_that_is_not_newer_than_the_accepted_one(fault, replace):
     async def go():
         http_server = LightHttpServer("127.0.0.1", 0)
         ControlRoutes(
@@ -113,6 +113,6 @@
     "fault",
     [NotReady("no majority of the control nodes answers"), DeadlineExceeded("not confirmed yet")],
 )
-def test_without_an_outcome_the_caller_is_told_when_to_come_again(fault):
+def test_a_request_without_an_outcome_is_answered_with_a_retry_time(fault):
     for status, back in answers(fault):
         assert status in (503, 504) and back == "1"
--- a/tests/test_record_log.py
+++ b/tests/test_record_log.py
@@ -17,7 +17,7 @@
 from petrelhaven.simulator.resumable.world import configuration
 
 
-class Bytes:
+class MemoryDisk:
     """A disk in memory."""
 
     def __init__(self, files=None):
@@ -36,7 +36,7 @@
 
 
 def filled(count, size=2048):
-    d = Bytes()
+    d = MemoryDisk()
     r = RecordLog(d, size=size)
     docs = []
     for i in range(count):
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize("count", [1, 5, 40, 400])
-def test_what_was_appended_is_read_back_over_many_laps(count):
+def test_appended_records_are_read_back_across_files(count):
     d, _ = filled(count)
     got = RecordLog(d, size=2048).load()
     assert got[0] == {"frame": got[0]["frame"]}
@@ -54,7 +54,7 @@
     assert len(d.files) <= 4
 
 
-def test_a_torn_tail_is_dropped_and_what_came_before_is_kept():
+def test_a_torn_tail_is_dropped_and_earlier_records_are_kept():
     for cut in range(1, 60):
         d, r = filled(8)
         off = r._offset
@@ -74,13 +74,13 @@
         files = {k: bytearray(v) for k, v in d.files.items()}
         files["ring-0"][at] ^= 1 << rng.randrange(8)
         try:
-            got = RecordLog(Bytes(files), size=2048).load()
+            got = RecordLog(MemoryDisk(files), size=2048).load()
         except Damaged:
             continue
         assert at >= last and got == good[:-1], f"damage at {at} read as good"
 
 
-def test_without_checksums_damage_is_read_as_good(monkeypatch):
+def test_without_checksums_damage_is_not_detected(monkeypatch):
     monkeypatch.setattr(record_format, "zlib", SimpleNamespace(crc32=lambda b: 0))
     rng = random.Random(1)
     d, r = filled(30)
@@ -90,13 +90,13 @@
         files = {k: bytearray(v) for k, v in d.files.items()}
         files["ring-0"][rng.randrange(r._offset)] ^= 1 << rng.randrange(8)
         try:
-            taken += RecordLog(Bytes(files), size=2048).load() != good
+            taken += RecordLog(MemoryDisk(files), size=2048).load() != good
         except (Damaged, ValueError):
             pass
     assert taken
 
 
-def test_a_core_with_a_damaged_disk_rejoins_as_empty_under_another_identity(tmp_path):
+def test_a_node_with_a_damaged_disk_starts_empty_with_a_new_identity(tmp_path):
     rng = random.Random(1)
     f = FolderDisk(str(tmp_path))
     m = ControlNodeStore(f, "c1", rng)
@@ -123,7 +123,7 @@
         ControlNodeStore(FolderDisk(str(tmp_path)), "c2", random.Random(1))
 
 
-def test_a_short_write_goes_on_and_a_refused_one_is_raised(tmp_path, monkeypatch):
+def test_a_short_write_is_continued_and_a_refused_one_raises(tmp_path, monkeypatch):
     folder = FolderDisk(str(tmp_path / "a" / "b"))
     real = os.pwrite
     monkeypatch.setattr(os, "pwrite", lambda fd, data, off: real(fd, bytes(data[:3]), off))
@@ -134,7 +134,7 @@
         folder.write("x", 0, b"01")
 
 
-def test_a_new_file_counts_only_once_its_folder_was_synced(tmp_path, monkeypatch):
+def test_a_new_file_is_written_only_after_its_folder_is_synced(tmp_path, monkeypatch):
     folder = FolderDisk(str(tmp_path / "a"))
     synced = []
     real = os.fsync
@@ -151,7 +151,7 @@
     assert len(synced) == 1 and folder.read("x") == b"0123"
 
 
-def test_every_new_folder_is_synced_into_the_one_above_it(tmp_path, monkeypatch):
+def test_the_parent_of_every_new_folder_is_synced(tmp_path, monkeypatch):
     synced = []
     real = os.fsync
     monkeypatch.setattr(
@@ -161,7 +161,7 @@
     assert synced == [str(tmp_path), str(tmp_path / "a")]
 
 
-def test_a_folder_of_the_log_before_this_one_loads(tmp_path):
+def test_a_data_folder_of_an_older_version_loads(tmp_path):
     """Records as they were written when the first document of a file was the `id`, inside its frame."""
     frame = {
         "t": "frame",
@@ -183,7 +183,7 @@
     assert (store.disk_id, store.vote["num"], store.complete_view) == ("0123456789abcdef", 4, 2)
 
 
-def test_what_can_be_read_of_a_damaged_folder_is_salvaged_before_and_after_the_core_started_anew(
+def test_a_damaged_folder_is_salvaged_before_and_after_the_node_starts_empty(
     tmp_path,
 ):
     folder = FolderDisk(str(tmp_path))
--- a/tests/test_stored_data_compatibility.py
+++ b/tests/test_stored_data_compatibility.py
@@ -180,7 +180,7 @@
     return Writer(path, state, fixture["name"], fixture["seed"] + 1)
 
 
-def test_there_is_a_folder_of_each_sort_for_both_control_states():
+def test_the_fixtures_cover_every_kind_of_folder_for_both_control_states():
     sorts = ("damaged", "laps", "records", "reset", "turned", "wiped")
     assert FOLDER_NAMES == [f"{kind}_{sort}" for kind in ("ledger", "realm") for sort in sorts]
     assert all(name.startswith(expected(name)["state"]) for name in FOLDER_NAMES)
@@ -207,7 +207,7 @@
 
 
 @pytest.mark.parametrize("name", FOLDER_NAMES)
-def test_a_stored_folder_goes_on_with_the_expected_bytes(name, tmp_path):
+def test_changes_to_a_stored_folder_write_the_expected_bytes(name, tmp_path):
     fixture = expected(name)
     later = fixture["later"]
     folder = unpacked(name, tmp_path)
@@ -231,7 +231,7 @@
 
 
 @pytest.mark.parametrize("kind", sorted(CONTROL_STATES))
-def test_records_leave_the_expected_document_step_by_step(kind):
+def test_records_produce_the_expected_document_step_by_step(kind):
     state = CONTROL_STATES[kind]()
     for step in json.loads(STEPS.read_text())[kind]["steps"]:
         record = step["record"]
@@ -253,7 +253,7 @@
     assert plain(state.doc) == fixture["steps"][-1]["document"]
 
 
-def test_a_document_from_before_the_evidence_is_read_as_expected():
+def test_a_document_without_evidence_is_read_as_expected():
     for case in json.loads(STEPS.read_text())["without_evidence"]:
         assert plain(ControlState(plain(case["before"])).doc) == case["after"]
 
--- a/tests/test_tenant_upgrades.py
+++ b/tests/test_tenant_upgrades.py
@@ -36,7 +36,7 @@
     return state
 
 
-def test_a_document_sent_again_is_known_although_another_version_made_another_text_of_it():
+def test_a_resent_document_is_a_duplicate_although_another_version_made_another_text():
     """Guards against CONFIG: an acknowledged change that is sent again is refused (409)."""
     state = accepted(record(DOCUMENT, quota_slack=20))
     with pytest.raises(Duplicate):
@@ -50,7 +50,7 @@
         state.check(record({**DOCUMENT, "Tenants": []}))
 
 
-def test_a_configuration_that_an_older_version_made_still_asks_for_its_tenants_keys():
+def test_a_configuration_of_an_older_version_still_requires_tenant_keys():
     """Guards against ROUTE after a roll-out: everybody is let in until the next configuration."""
     change = record(DOCUMENT)
     older = json.loads(change["text"])
@@ -61,7 +61,7 @@
     assert [row["keys"] for row in configuration["tenants"]] == [[key_digest(KEY)]]
 
 
-def test_events_of_a_control_node_tell_no_key():
+def test_events_of_a_control_node_contain_no_key():
     """Guards against keys in a support bundle: the record holds the operator's document."""
 
     class Store:
--- a/tests/test_view_register.py
+++ b/tests/test_view_register.py
@@ -5,7 +5,7 @@
 
 import mutants
 import pytest
-from test_record_log import Bytes
+from test_record_log import MemoryDisk
 
 from petrelhaven.control.consensus.register import NoMajorityPromised, Proposer, Voter
 from petrelhaven.control.consensus.view import View
@@ -18,7 +18,9 @@
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
-        self.mems = {n: ControlNodeStore(Bytes(), n, random.Random(f"{seed}{n}")) for n in "abc"}
+        self.mems = {
+            n: ControlNodeStore(MemoryDisk(), n, random.Random(f"{seed}{n}")) for n in "abc"
+        }
         self.late = []
         self.chosen = []
 
