--- a/tests/crash_disk.py
+++ b/tests/crash_disk.py
@@ -1,19 +1,19 @@
-"""A disk whose every write can be refused, or be the last before the power goes."""
+"""A disk in memory on which any write can be refused or be the last before a power loss."""
 
 import errno
 from dataclasses import dataclass
 from typing import ClassVar
 
-PAGE = 48
+PAGE_BYTES = 48
 
 
 class PowerCut(BaseException):
-    """The machine stops here; no handler of the code under test may catch it."""
+    """The machine loses its power; a BaseException, so that the tested code doesn't catch it."""
 
 
 @dataclass(frozen=True)
 class Refuse:
-    """The write is refused once `part` of it was written; with `dropped`, no later sync covers that part."""
+    """Refuses a write after a share `part` of it; with `dropped`, no later sync stores that share."""
 
     part: float
     dropped: bool = False
@@ -21,11 +21,14 @@
 
 @dataclass(frozen=True)
 class Stop:
-    """The machine stops before the write is synced."""
+    """Stops the machine before the write is synced."""
 
 
 class CrashDisk:
-    """Keeps what the process sees (`seen`) apart from what a loss of power leaves (`durable`)."""
+    """Keeps the files that the process reads (`seen`) apart from those after a power loss (`durable`).
+
+    `plan` maps the numbers of writes, counted from 1, to what happens to them.
+    """
 
     stop: ClassVar = Stop()
 
@@ -39,29 +42,29 @@
 
     def write(self, name, offset, data):
         self.count += 1
-        trouble = self.plan.get(self.count)
-        if isinstance(trouble, Refuse):
-            part = data[: round(len(data) * trouble.part)]
+        planned = self.plan.get(self.count)
+        if isinstance(planned, Refuse):
+            part = data[: round(len(data) * planned.part)]
             self._put(self.seen, name, offset, part)
-            if not trouble.dropped:
+            if not planned.dropped:
                 self.unsynced.append((name, offset, part))
             raise OSError(errno.ENOSPC, "no space left on device")
         self._put(self.seen, name, offset, data)
         self.unsynced.append((name, offset, data))
-        if trouble is not None:
+        if planned is not None:
             raise PowerCut
-        rest = []
+        remaining = []
         for write in self.unsynced:
             if write[0] == name:
                 self._put(self.durable, *write)
             else:
-                rest.append(write)
-        self.unsynced = rest
+                remaining.append(write)
+        self.unsynced = remaining
 
     def remove(self, name):
         self.seen.pop(name, None)
         self.durable.pop(name, None)
-        self.unsynced = [w for w in self.unsynced if w[0] != name]
+        self.unsynced = [write for write in self.unsynced if write[0] != name]
 
     @staticmethod
     def _put(files, name, offset, data):
@@ -70,7 +73,7 @@
         file[offset : offset + len(data)] = data
 
     def restarted(self, plan=None):
-        """The same disk after the process alone has ended: it finds all that was written."""
+        """Returns the disk after a restart of the process, which finds every write."""
         disk = CrashDisk(plan)
         disk.seen = {k: bytearray(v) for k, v in self.seen.items()}
         disk.durable = {k: bytearray(v) for k, v in self.durable.items()}
@@ -78,7 +81,10 @@
         return disk
 
     def after_power_loss(self, survives, plan=None):
-        """The disk after a loss of power; `survives(data)` names the ranges of each unsynced write that are there."""
+        """Returns the disk after a power loss.
+
+        `survives(data)` returns the ranges of an unsynced write that are stored nevertheless.
+        """
         disk = CrashDisk(plan)
         disk.durable = {k: bytearray(v) for k, v in self.durable.items()}
         for name, offset, data in self.unsynced:
@@ -89,27 +95,29 @@
 
 
 def _pages(data):
-    return [(at, min(at + PAGE, len(data))) for at in range(0, len(data), PAGE)]
+    return [
+        (start, min(start + PAGE_BYTES, len(data))) for start in range(0, len(data), PAGE_BYTES)
+    ]
 
 
 def _without_page(number):
     return lambda data: [p for i, p in enumerate(_pages(data)) if i != number % len(_pages(data))]
 
 
-def _prefix(share):
-    return lambda data: [(0, int(len(data) * share))]
+def _prefix(fraction):
+    return lambda data: [(0, int(len(data) * fraction))]
 
 
 def _first_bytes(count):
     return lambda data: [(0, min(count, len(data)))]
 
 
-#: What the pages of a machine's disk allow of a write that was not synced.
+#: The parts of an unsynced write that may be stored after a power loss, as pages are written singly.
 SURVIVALS = {
     "missing": lambda data: [],
     "present": lambda data: [(0, len(data))],
     "all but the last byte": lambda data: [(0, len(data) - 1)],
-    "its end alone": lambda data: [(len(data) - min(PAGE, len(data)), len(data))],
+    "only its end": lambda data: [(len(data) - min(PAGE_BYTES, len(data)), len(data))],
     "every other page": lambda data: _pages(data)[::2],
     "the other pages": lambda data: _pages(data)[1::2],
     **{f"first {n} bytes": _first_bytes(n) for n in (1, 8, 19, 20, 27, 28, 29)},
@@ -119,8 +127,8 @@
 
 REFUSALS = {
     "before it": Refuse(0.0),
-    "after a byte or so": Refuse(0.02),
-    "half way": Refuse(0.5),
+    "after 2 %": Refuse(0.02),
+    "after 50 %": Refuse(0.5),
     "its sync, pages kept": Refuse(1.0),
     "its sync, pages dropped": Refuse(1.0, dropped=True),
 }
--- a/tests/test_control_state.py
+++ b/tests/test_control_state.py
@@ -1,4 +1,4 @@
-"""The ledger of control state: legal records leave the state that a plain model has; illegal ones are declined."""
+"""The control state against a plain model: valid records change it as the model says; others are declined."""
 
 import copy
 import json
@@ -10,7 +10,7 @@
 from petrelhaven.control.state.control_state import ControlState
 from petrelhaven.runtime.errors import Conflict, Duplicate, Invalid, Stale, VersionTaken
 
-DRAWN = settings(
+DRAWN_EXAMPLES = settings(
     max_examples=200, phases=[Phase.generate], deadline=None, derandomize=True, database=None
 )
 
@@ -44,80 +44,82 @@
     }
 
 
-def leadership(group, n, primary="m1", phase="serve"):
+def leadership(group, number, primary="m1", phase="serve"):
     return {
         "t": "office",
         "group": group,
-        "n": n,
+        "n": number,
         "phase": phase,
         "primary": primary,
-        "term": n,
+        "term": number,
         "cause": "x",
         "by": "c",
     }
 
 
-def legal(led, r):
+def is_valid(control_state, record):
     try:
-        led.check(r)
+        control_state.check(record)
     except (Duplicate, Invalid, Conflict, Stale):
         return False
     return True
 
 
-def enter(led, r):
-    """Applies a record if it is legal."""
-    if legal(led, r):
-        led.apply(led.seq + 1, r)
+def apply_if_valid(control_state, record):
+    """Applies a record if it is valid; returns whether it is."""
+    if is_valid(control_state, record):
+        control_state.apply(control_state.seq + 1, record)
         return True
     return False
 
 
 class Model:
-    """What the records mean, told plainly: the newest version, halls, offices, and the members that are there."""
+    """A plain model of the records: the newest version, zones, leaderships and the present members."""
 
     def __init__(self):
-        self.version, self.zones, self.leaderships, self.here = 0, {}, {}, {}
-
-    def enter(self, r):
-        """Whether the record is legal now; takes it if so."""
-        t = r["t"]
-        if t == "manifest":
-            ok = r["version"] > self.version
-            self.version = max(self.version, r["version"])
-        elif t == "hall":
-            ok = (
-                r["state"] in ("open", "emptied")
-                and self.zones.get(r["hall"], "open") != r["state"]
+        self.version, self.zones, self.leaderships, self.members = 0, {}, {}, {}
+
+    def apply(self, record):
+        """Applies the record if it is valid; returns whether it is."""
+        kind = record["t"]
+        if kind == "manifest":
+            is_valid = record["version"] > self.version
+            self.version = max(self.version, record["version"])
+        elif kind == "hall":
+            is_valid = (
+                record["state"] in ("open", "emptied")
+                and self.zones.get(record["hall"], "open") != record["state"]
             )
-            if ok:
-                self.zones[r["hall"]] = r["state"]
-        elif t == "office":
-            ok = r["n"] == self.leaderships.get(r["group"], 0) + 1
-            if ok:
-                self.leaderships[r["group"]] = r["n"]
-        elif r["state"] == "gone":
-            ok = self.here.pop(r["name"], None) is not None
+            if is_valid:
+                self.zones[record["hall"]] = record["state"]
+        elif kind == "office":
+            is_valid = record["n"] == self.leaderships.get(record["group"], 0) + 1
+            if is_valid:
+                self.leaderships[record["group"]] = record["n"]
+        elif record["state"] == "gone":
+            is_valid = self.members.pop(record["name"], None) is not None
         else:
-            now = {k: v for k, v in r.items() if k not in ("t", "name", "count")}
-            ok = self.here.get(r["name"]) != now
-            if ok:
-                self.here = {
-                    n: m for n, m in self.here.items() if m["addr"] != r["addr"] or n == r["name"]
+            fields = {k: v for k, v in record.items() if k not in ("t", "name", "count")}
+            is_valid = self.members.get(record["name"]) != fields
+            if is_valid:
+                self.members = {
+                    n: m
+                    for n, m in self.members.items()
+                    if m["addr"] != record["addr"] or n == record["name"]
                 }
-                self.here[r["name"]] = now
-        return ok
+                self.members[record["name"]] = fields
+        return is_valid
 
 
-ADDR = st.sampled_from(["1.1.1.1:1", "1.1.1.1:2", "1.1.1.1:3"])
-RECORD = (
+ADDRESSES = st.sampled_from(["1.1.1.1:1", "1.1.1.1:2", "1.1.1.1:3"])
+RECORDS = (
     st.builds(configuration, st.integers(1, 6), st.sampled_from([None, "{}"]))
     | st.builds(zone, st.sampled_from("ab"), st.sampled_from(["open", "emptied", "shut"]))
     | st.builds(
         member,
         st.sampled_from(["m1", "m2", "m3"]),
         st.sampled_from(["ready", "draining", "gone"]),
-        ADDR,
+        ADDRESSES,
         st.sampled_from(["primary", "replica"]),
         st.sampled_from("gh"),
         st.integers(1, 9),
@@ -126,57 +128,61 @@
 )
 
 
-def state(led):
-    return json.dumps(led.doc, sort_keys=True)
+def state_text(control_state):
+    return json.dumps(control_state.doc, sort_keys=True)
 
 
-@DRAWN
-@given(st.lists(RECORD, max_size=40))
+@DRAWN_EXAMPLES
+@given(st.lists(RECORDS, max_size=40))
 def test_control_state_matches_the_model(records):
-    led, model = ControlState(), Model()
-    for i, r in enumerate(records):
-        r = {**r, "count": i} if "count" in r else r
-        before, sent = state(led), copy.deepcopy(r)
-        want = model.enter(r)
-        assert enter(led, r) == want, r
-        assert r == sent and (want or state(led) == before)
-        here = {
+    control_state, model = ControlState(), Model()
+    for count, record in enumerate(records):
+        record = {**record, "count": count} if "count" in record else record
+        before, original = state_text(control_state), copy.deepcopy(record)
+        expected = model.apply(record)
+        assert apply_if_valid(control_state, record) == expected, record
+        assert record == original and (expected or state_text(control_state) == before)
+        members = {
             n: {k: v for k, v in m.items() if k != "count"}
-            for n, m in led.doc["members"].items()
+            for n, m in control_state.doc["members"].items()
             if m["state"] != "gone"
         }
-        assert here == model.here
-        assert {g: o["n"] for g, o in led.doc["offices"].items()} == model.leaderships
-        assert (led.doc["manifest"] or {"version": 0})["version"] == model.version
-        assert {h: led.zone_state(h) for h in "ab"} == {"a": "open", "b": "open", **model.zones}
+        assert members == model.members
+        assert {g: o["n"] for g, o in control_state.doc["offices"].items()} == model.leaderships
+        assert (control_state.doc["manifest"] or {"version": 0})["version"] == model.version
+        assert {h: control_state.zone_state(h) for h in "ab"} == {
+            "a": "open",
+            "b": "open",
+            **model.zones,
+        }
         for g in "gh":
-            assert set(led.group_members(g)) == {
-                n for n, m in model.here.items() if m["group"] == g
+            assert set(control_state.group_members(g)) == {
+                n for n, m in model.members.items() if m["group"] == g
             }
 
 
-@DRAWN
-@given(st.lists(RECORD, max_size=25), st.data())
+@DRAWN_EXAMPLES
+@given(st.lists(RECORDS, max_size=25), st.data())
 def test_a_snapshot_and_later_records_give_the_same_state(records, data):
-    led = ControlState()
-    taken = [r for r in records if enter(led, r)]
-    cut = data.draw(st.integers(0, len(taken)))
-    a = ControlState()
-    for r in taken[:cut]:
-        a.apply(a.seq + 1, r)
-    b = ControlState(json.loads(json.dumps(a.snapshot())))
-    at = state(a)
-    for r in taken[cut:]:
-        b.apply(b.seq + 1, r)
+    control_state = ControlState()
+    applied = [record for record in records if apply_if_valid(control_state, record)]
+    cut = data.draw(st.integers(0, len(applied)))
+    prefix_state = ControlState()
+    for record in applied[:cut]:
+        prefix_state.apply(prefix_state.seq + 1, record)
+    restored_state = ControlState(json.loads(json.dumps(prefix_state.snapshot())))
+    text_at_cut = state_text(prefix_state)
+    for record in applied[cut:]:
+        restored_state.apply(restored_state.seq + 1, record)
     assert (
-        state(b) == state(led)
-        and state(a) == at
-        and b.reported_state() == led.reported_state()
-        and b.configuration == led.configuration
+        state_text(restored_state) == state_text(control_state)
+        and state_text(prefix_state) == text_at_cut
+        and restored_state.reported_state() == control_state.reported_state()
+        and restored_state.configuration == control_state.configuration
     )
 
 
-STREAMS = [
+INDEPENDENT_STREAMS = [
     [configuration(2), configuration(5)],
     [zone("a", "emptied"), zone("a", "open"), zone("a", "emptied")],
     [zone("b", "emptied")],
@@ -187,76 +193,87 @@
 ]
 
 
-@DRAWN
-@given(st.permutations([i for i, s in enumerate(STREAMS) for _ in s]))
+@DRAWN_EXAMPLES
+@given(st.permutations([stream for stream, s in enumerate(INDEPENDENT_STREAMS) for _ in s]))
 def test_independent_records_give_the_same_state_in_any_order(order):
-    def played(order):
-        led, at = ControlState(), [0] * len(STREAMS)
-        for i in order:
-            assert enter(led, copy.deepcopy(STREAMS[i][at[i]]))
-            at[i] += 1
-        for o in (o for past in led.doc.get("past", {}).values() for o in past):
-            del o["seq"]
-        return state(led)
+    def apply_in_order(order):
+        control_state, next_index = ControlState(), [0] * len(INDEPENDENT_STREAMS)
+        for stream in order:
+            assert apply_if_valid(
+                control_state, copy.deepcopy(INDEPENDENT_STREAMS[stream][next_index[stream]])
+            )
+            next_index[stream] += 1
+        for leadership_row in (
+            leadership_row
+            for history in control_state.doc.get("past", {}).values()
+            for leadership_row in history
+        ):
+            del leadership_row["seq"]
+        return state_text(control_state)
 
-    assert played(order) == played(sorted(order))
+    assert apply_in_order(order) == apply_in_order(sorted(order))
 
 
 def test_each_number_is_applied_once_and_in_order():
-    led = ControlState()
-    led.apply(1, zone("a", "emptied"))
+    control_state = ControlState()
+    control_state.apply(1, zone("a", "emptied"))
     for seq in (1, 3, 0):
         with pytest.raises(AssertionError):
-            led.apply(seq, zone("a", "open"))
-    assert led.seq == led.doc["seq"] == 1 and led.zone_state("a") == "emptied"
+            control_state.apply(seq, zone("a", "open"))
+    assert (
+        control_state.seq == control_state.doc["seq"] == 1
+        and control_state.zone_state("a") == "emptied"
+    )
 
 
 def test_a_configuration_version_is_accepted_once():
-    led = ControlState()
-    assert enter(led, configuration(5, '{"x": 1}'))
-    for r, fault in (
+    control_state = ControlState()
+    assert apply_if_valid(control_state, configuration(5, '{"x": 1}'))
+    for record, fault in (
         (configuration(5, '{"x": 1}'), Duplicate),
         (configuration(5, '{"x": 2}'), Stale),
         (configuration(4), Stale),
     ):
         with pytest.raises(fault):
-            led.check(r)
-    assert led.configuration == {"x": 1}
-    assert enter(led, configuration(6, '{"x": 2}')) and led.configuration == {"x": 2}
+            control_state.check(record)
+    assert control_state.configuration == {"x": 1}
+    assert apply_if_valid(
+        control_state, configuration(6, '{"x": 2}')
+    ) and control_state.configuration == {"x": 2}
 
 
 def test_earlier_versions_are_recognized_by_their_content():
-    led = ControlState()
+    control_state = ControlState()
     for version in (3, 5, 9):
-        assert enter(led, configuration(version, f'{{"x": {version}}}'))
-    led = ControlState(json.loads(json.dumps(led.snapshot())))
-    for r, fault in (
+        assert apply_if_valid(control_state, configuration(version, f'{{"x": {version}}}'))
+    control_state = ControlState(json.loads(json.dumps(control_state.snapshot())))
+    for record, fault in (
         (configuration(5, '{"x": 5}'), Duplicate),
         (configuration(3, '{"x": 3}'), Duplicate),
         (configuration(5, '{"x": 6}'), VersionTaken),
         (configuration(9, '{"x": 5}'), VersionTaken),
         (configuration(4, '{"x": 4}'), Stale),
     ):
-        with pytest.raises(fault) as told:
-            led.check(r)
-        assert type(told.value) is fault and told.value.status == 409
-        assert told.value.details["version"] == (r["version"] if fault is Duplicate else 9)
+        with pytest.raises(fault) as raised:
+            control_state.check(record)
+        assert type(raised.value) is fault and raised.value.status == 409
+        assert raised.value.details["version"] == (record["version"] if fault is Duplicate else 9)
 
 
 def test_the_number_of_stored_versions_is_limited():
-    led = ControlState()
+    control_state = ControlState()
     for version in range(1, 1_001):
-        assert enter(led, configuration(version, f'{{"x": {version}}}'))
-    assert len(led.doc["accepted"]) < 200
+        assert apply_if_valid(control_state, configuration(version, f'{{"x": {version}}}'))
+    assert len(control_state.doc["accepted"]) < 200
     with pytest.raises(Duplicate):
-        led.check(configuration(950, '{"x": 950}'))
-    with pytest.raises(Stale) as told:
-        led.check(configuration(1, '{"x": 1}'))
-    assert type(told.value) is Stale
+        control_state.check(configuration(950, '{"x": 950}'))
+    with pytest.raises(Stale) as raised:
+        control_state.check(configuration(1, '{"x": 1}'))
+    assert type(raised.value) is Stale
 
 
 @pytest.mark.parametrize(
-    ("records", "bad", "fault"),
+    ("records", "invalid_record", "fault"),
     [
         ([], zone("a", "open"), Duplicate),
         ([], zone("a", "shut"), Invalid),
@@ -271,51 +288,57 @@
         ([leadership("g", 1)], leadership("g", 3), Conflict),
     ],
 )
-def test_invalid_records_are_declined(records, bad, fault):
-    led = ControlState()
-    for r in records:
-        assert enter(led, r)
-    before = state(led)
+def test_invalid_records_are_declined(records, invalid_record, fault):
+    control_state = ControlState()
+    for record in records:
+        assert apply_if_valid(control_state, record)
+    before = state_text(control_state)
     with pytest.raises(fault):
-        led.check(bad)
-    assert state(led) == before
+        control_state.check(invalid_record)
+    assert state_text(control_state) == before
 
 
 def test_a_new_member_replaces_the_one_at_its_address():
-    led = ControlState()
-    for r in (
+    control_state = ControlState()
+    for record in (
         member("m1", addr="1.1.1.1:1"),
         member("m2", addr="1.1.1.1:2"),
         member("m3", addr="1.1.1.1:1"),
     ):
-        assert enter(led, r)
-    assert set(led.group_members("g")) == {"m2", "m3"}
-    assert enter(led, member("m3", "gone", addr="1.1.1.1:1")) and set(led.group_members("g")) == {
-        "m2"
-    }
+        assert apply_if_valid(control_state, record)
+    assert set(control_state.group_members("g")) == {"m2", "m3"}
+    assert apply_if_valid(control_state, member("m3", "gone", addr="1.1.1.1:1")) and set(
+        control_state.group_members("g")
+    ) == {"m2"}
 
 
 def test_a_late_departure_keeps_the_member_at_the_same_address():
-    led = ControlState()
-    for r in (member("m1", addr="1.1.1.1:1"), member("m2", addr="1.1.1.1:2")):
-        assert enter(led, r)
-    led.apply(3, member("m1", "gone", addr="1.1.1.1:2"))
-    assert set(led.group_members("g")) == {"m2"}
+    control_state = ControlState()
+    for record in (member("m1", addr="1.1.1.1:1"), member("m2", addr="1.1.1.1:2")):
+        assert apply_if_valid(control_state, record)
+    control_state.apply(3, member("m1", "gone", addr="1.1.1.1:2"))
+    assert set(control_state.group_members("g")) == {"m2"}
 
 
 def test_the_number_of_stored_departed_members_is_limited():
-    led = ControlState()
-    for i in range(400):
-        assert enter(led, member(f"m{i}"))
-        if i >= 3:
-            assert enter(led, member(f"m{i}", "gone"))
-    assert len(led.doc["members"]) < 80 and set(led.group_members("g")) == {"m0", "m1", "m2"}
+    control_state = ControlState()
+    for index in range(400):
+        assert apply_if_valid(control_state, member(f"m{index}"))
+        if index >= 3:
+            assert apply_if_valid(control_state, member(f"m{index}", "gone"))
+    assert len(control_state.doc["members"]) < 80 and set(control_state.group_members("g")) == {
+        "m0",
+        "m1",
+        "m2",
+    }
 
 
 def test_a_snapshot_is_a_copy():
-    led = ControlState()
-    enter(led, member("m1"))
-    f = led.snapshot()
-    f["members"]["m1"]["state"] = "gone"
-    f["halls"]["a"] = "emptied"
-    assert set(led.group_members("g")) == {"m1"} and led.zone_state("a") == "open"
+    control_state = ControlState()
+    apply_if_valid(control_state, member("m1"))
+    snapshot = control_state.snapshot()
+    snapshot["members"]["m1"]["state"] = "gone"
+    snapshot["halls"]["a"] = "emptied"
+    assert (
+        set(control_state.group_members("g")) == {"m1"} and control_state.zone_state("a") == "open"
+    )
--- a/tests/test_crash_points.py
+++ b/tests/test_crash_points.py
@@ -1,6 +1,7 @@
-"""Every write of a core's memory, refused or cut short in each way that the disk allows, and what a restart finds.
+"""Every write of a control node's store is refused or interrupted in every way that a disk allows.
 
-Nothing acknowledged is lost, nothing that was refused counts, the identity stays.
+After a restart nothing acknowledged is lost, nothing refused is applied, and the disk identity is
+unchanged.
 """
 
 import asyncio
@@ -21,12 +22,12 @@
 
 @pytest.fixture(autouse=True)
 def small_files(monkeypatch):
-    """Files so small that the scenario turns them several times."""
+    """Sets files so small that the operations switch files several times."""
     monkeypatch.setattr(node_store, "_log_file_bytes", lambda name: 1100)
 
 
-class Tiny:
-    """A control state that costs nothing."""
+class SumState:
+    """A minimal control state: the sum of the records' values."""
 
     def __init__(self, doc=None):
         self.doc = doc or {"seq": 0, "sum": 0}
@@ -41,21 +42,21 @@
         self.doc["sum"] += record["x"]
 
 
-class Chance:
-    """Draws the identity that it is told to."""
+class FixedIdentity:
+    """A random generator that returns a fixed disk identity."""
 
-    def __init__(self, life=1):
-        self.life = life
+    def __init__(self, disk_number=1):
+        self.disk_number = disk_number
 
     def getrandbits(self, count):
-        return self.life
+        return self.disk_number
 
 
-def start(disk, chance=None):
-    return ControlNodeStore(disk, "a", chance or Chance(), state=Tiny)
+def start(disk, identity=None):
+    return ControlNodeStore(disk, "a", identity or FixedIdentity(), state=SumState)
 
 
-def state_of(store):
+def stored_text(store):
     return json.dumps(
         [
             store.disk_id,
@@ -69,32 +70,32 @@
 
 
 def record(number, pad=0):
-    def op(store, chance):
+    def operation(store, identity):
         store.append_record(
             store.control_state.seq + 1, 1, {"t": "x", "x": number, "pad": "p" * pad}
         )
 
-    return op
+    return operation
 
 
 def vote(number):
-    return lambda store, chance: store.save_vote(num=number, who="a")
+    return lambda store, identity: store.save_vote(num=number, who="a")
 
 
 def done(view):
-    return lambda store, chance: store.mark_view_complete(view)
+    return lambda store, identity: store.mark_view_complete(view)
 
 
 def reset(seq, pad=0):
-    return lambda store, chance: store.reset({"seq": seq, "sum": 1, "pad": "r" * pad}, 2)
+    return lambda store, identity: store.reset({"seq": seq, "sum": 1, "pad": "r" * pad}, 2)
 
 
-def wipe(life):
-    def op(store, chance):
-        chance.life = life
+def wipe(disk_number):
+    def operation(store, identity):
+        identity.disk_number = disk_number
         store.wipe()
 
-    return op
+    return operation
 
 
 OPERATIONS = [
@@ -124,13 +125,13 @@
 
 
 def expected():
-    """The state after each number of operations, and the number of writes up to it."""
-    disk, chance = CrashDisk(), Chance()
-    store = start(disk, chance)
-    states, writes = [state_of(store)], [disk.count]
-    for op in OPERATIONS:
-        op(store, chance)
-        states.append(state_of(store))
+    """Returns the state after each number of operations, and the number of writes until then."""
+    disk, identity = CrashDisk(), FixedIdentity()
+    store = start(disk, identity)
+    states, writes = [stored_text(store)], [disk.count]
+    for operation in OPERATIONS:
+        operation(store, identity)
+        states.append(stored_text(store))
         writes.append(disk.count)
     return states, writes
 
@@ -143,158 +144,184 @@
     STATES[:], WRITES[:] = expected()
 
 
-def play(disk):
-    """Runs the scenario until the power goes; returns how many operations were acknowledged (-1: no start)."""
-    chance = Chance()
-    count = -1
+def run_operations(disk):
+    """Runs the operations until the power loss.
+
+    Returns how many were acknowledged, or -1 if the store didn't start.
+    """
+    identity = FixedIdentity()
+    acknowledged_count = -1
     try:
-        store = start(disk, chance)
-        count = 0
-        for op in OPERATIONS:
-            op(store, chance)
-            count += 1
+        store = start(disk, identity)
+        acknowledged_count = 0
+        for operation in OPERATIONS:
+            operation(store, identity)
+            acknowledged_count += 1
     except PowerCut:
         pass
-    return count
+    return acknowledged_count
 
 
-def allowed(count):
-    return STATES[max(count, 0) : max(count, 0) + 2] if count >= 0 else STATES[:1]
+def allowed(acknowledged_count):
+    return (
+        STATES[max(acknowledged_count, 0) : max(acknowledged_count, 0) + 2]
+        if acknowledged_count >= 0
+        else STATES[:1]
+    )
 
 
-def go_on(store, disk):
-    """Does what is left of the scenario and restarts: nothing is in the way of it."""
-    at = STATES.index(state_of(store))
-    for i, op in enumerate(OPERATIONS[at:]):
-        op(store, store._rng)
-        assert state_of(store) == STATES[at + i + 1]
-    again = start(disk.after_power_loss(SURVIVALS["missing"]))
-    assert state_of(again) == STATES[-1] and not again.damaged
+def finish_operations(store, disk):
+    """Runs the remaining operations without faults and restarts."""
+    done_count = STATES.index(stored_text(store))
+    for index, operation in enumerate(OPERATIONS[done_count:]):
+        operation(store, store._rng)
+        assert stored_text(store) == STATES[done_count + index + 1]
+    restarted = start(disk.after_power_loss(SURVIVALS["missing"]))
+    assert stored_text(restarted) == STATES[-1] and not restarted.damaged
 
 
-def points():
+def write_numbers():
     return range(1, WRITES[-1] + 1)
 
 
 def test_a_power_loss_at_any_write_loses_nothing_acknowledged():
-    for point, (name, survives) in itertools.product(points(), SURVIVALS.items()):
-        disk = CrashDisk({point: CrashDisk.stop})
-        count = play(disk)
-        left = disk.after_power_loss(survives)
-        store = start(left)
-        assert not store.damaged, (point, name)
-        assert state_of(store) in allowed(count), (point, name)
-        go_on(store, left)
+    for write_number, (survival_name, survives) in itertools.product(
+        write_numbers(), SURVIVALS.items()
+    ):
+        disk = CrashDisk({write_number: CrashDisk.stop})
+        acknowledged_count = run_operations(disk)
+        disk_after = disk.after_power_loss(survives)
+        store = start(disk_after)
+        assert not store.damaged, (write_number, survival_name)
+        assert stored_text(store) in allowed(acknowledged_count), (write_number, survival_name)
+        finish_operations(store, disk_after)
 
 
 def test_a_second_power_loss_during_the_restart_changes_nothing():
-    for point, (name, survives) in itertools.product(points(), SURVIVALS.items()):
-        disk = CrashDisk({point: CrashDisk.stop})
-        count = play(disk)
+    for write_number, (name, survives) in itertools.product(write_numbers(), SURVIVALS.items()):
+        disk = CrashDisk({write_number: CrashDisk.stop})
+        acknowledged_count = run_operations(disk)
         for second in ("missing", "every other page", "first 19 bytes", "present"):
-            left = disk.after_power_loss(survives, {1: CrashDisk.stop})
+            disk_after = disk.after_power_loss(survives, {1: CrashDisk.stop})
             with pytest.raises(PowerCut):
-                start(left)
-            last = left.after_power_loss(SURVIVALS[second])
+                start(disk_after)
+            last = disk_after.after_power_loss(SURVIVALS[second])
             store = start(last)
-            assert not store.damaged, (point, name, second)
-            assert state_of(store) in allowed(count), (point, name, second)
+            assert not store.damaged, (write_number, name, second)
+            assert stored_text(store) in allowed(acknowledged_count), (write_number, name, second)
 
 
 def test_an_unsynced_write_read_after_a_restart_survives_a_power_loss():
-    """Files stay as they were when a process dies: what it had not synced is read, and must not be told before."""
-    for point in points():
-        disk = CrashDisk({point: CrashDisk.stop})
-        play(disk)
-        left = disk.restarted()
-        told = state_of(start(left))
-        store = start(left.after_power_loss(SURVIVALS["missing"]))
-        assert state_of(store) == told and not store.damaged, point
+    """A restarted process reads writes that the ended one hadn't synced, so it must sync them first."""
+    for write_number in write_numbers():
+        disk = CrashDisk({write_number: CrashDisk.stop})
+        run_operations(disk)
+        disk_after = disk.restarted()
+        text_before = stored_text(start(disk_after))
+        store = start(disk_after.after_power_loss(SURVIVALS["missing"]))
+        assert stored_text(store) == text_before and not store.damaged, write_number
 
 
 def test_a_refused_write_changes_nothing_and_keeps_the_identity():
-    for point, (name, refusal) in itertools.product(points(), REFUSALS.items()):
-        disk, chance = CrashDisk({point: refusal}), Chance()
-        store = start(disk, chance)
-        for i, op in enumerate(OPERATIONS):
+    for write_number, (name, refusal) in itertools.product(write_numbers(), REFUSALS.items()):
+        disk, identity = CrashDisk({write_number: refusal}), FixedIdentity()
+        store = start(disk, identity)
+        for index, operation in enumerate(OPERATIONS):
             try:
-                op(store, chance)
+                operation(store, identity)
             except DiskRefused:
-                assert state_of(store) == STATES[i] and store.refuses_writes, (point, name)
-                op(store, chance)
-            assert state_of(store) == STATES[i + 1] and not store.refuses_writes, (point, name)
-        again = start(disk.after_power_loss(SURVIVALS["missing"]))
-        assert state_of(again) == STATES[-1] and not again.damaged, (point, name)
+                assert stored_text(store) == STATES[index] and store.refuses_writes, (
+                    write_number,
+                    name,
+                )
+                operation(store, identity)
+            assert stored_text(store) == STATES[index + 1] and not store.refuses_writes, (
+                write_number,
+                name,
+            )
+        restarted = start(disk.after_power_loss(SURVIVALS["missing"]))
+        assert stored_text(restarted) == STATES[-1] and not restarted.damaged, (write_number, name)
 
 
 def test_a_power_loss_after_a_refused_write_loses_nothing_acknowledged():
-    for point, (name, refusal), (how, survives) in itertools.product(
-        points(), REFUSALS.items(), SURVIVALS.items()
+    for write_number, (name, refusal), (survival_name, survives) in itertools.product(
+        write_numbers(), REFUSALS.items(), SURVIVALS.items()
     ):
-        disk, chance = CrashDisk({point: refusal}), Chance()
-        store = start(disk, chance)
-        count = 0
+        disk, identity = CrashDisk({write_number: refusal}), FixedIdentity()
+        store = start(disk, identity)
+        acknowledged_count = 0
         try:
-            for op in OPERATIONS:
-                op(store, chance)
-                count += 1
+            for operation in OPERATIONS:
+                operation(store, identity)
+                acknowledged_count += 1
         except DiskRefused:
             pass
-        again = start(disk.after_power_loss(survives))
-        assert not again.damaged, (point, name, how)
-        assert state_of(again) in allowed(count), (point, name, how)
+        restarted = start(disk.after_power_loss(survives))
+        assert not restarted.damaged, (write_number, name, survival_name)
+        assert stored_text(restarted) in allowed(acknowledged_count), (
+            write_number,
+            name,
+            survival_name,
+        )
 
 
 def test_a_refused_write_does_not_reappear_after_recovery():
-    for point, (name, refusal) in itertools.product(points(), REFUSALS.items()):
-        disk, chance = CrashDisk({point: refusal}), Chance()
-        store = start(disk, chance)
-        count = 0
+    for write_number, (name, refusal) in itertools.product(write_numbers(), REFUSALS.items()):
+        disk, identity = CrashDisk({write_number: refusal}), FixedIdentity()
+        store = start(disk, identity)
+        acknowledged_count = 0
         try:
-            for op in OPERATIONS:
-                op(store, chance)
-                count += 1
+            for operation in OPERATIONS:
+                operation(store, identity)
+                acknowledged_count += 1
         except DiskRefused:
             store.recover()
         assert not store.refuses_writes
-        for left in (disk.restarted(), disk.after_power_loss(SURVIVALS["present"])):
-            again = start(left)
-            assert state_of(again) == STATES[count] and not again.damaged, (point, name)
-        go_on(store, disk)
+        for disk_after in (disk.restarted(), disk.after_power_loss(SURVIVALS["present"])):
+            restarted = start(disk_after)
+            assert stored_text(restarted) == STATES[acknowledged_count] and not restarted.damaged, (
+                write_number,
+                name,
+            )
+        finish_operations(store, disk)
 
 
 def test_a_smaller_write_after_a_refused_one_is_kept():
-    """The refused one may have been the first of the next file; whatever is left of that must not win."""
-    for point, (name, refusal) in itertools.product(points(), REFUSALS.items()):
-        disk, chance = CrashDisk({point: refusal}), Chance()
-        store = start(disk, chance)
+    """The refused write may have been the first of the next file; its remains must not be loaded."""
+    for write_number, (name, refusal) in itertools.product(write_numbers(), REFUSALS.items()):
+        disk, identity = CrashDisk({write_number: refusal}), FixedIdentity()
+        store = start(disk, identity)
         try:
-            for op in OPERATIONS:
-                op(store, chance)
+            for operation in OPERATIONS:
+                operation(store, identity)
         except DiskRefused:
             store.save_vote(num=77, who="a")
-        told = state_of(store)
-        for how, survives in SURVIVALS.items():
-            again = start(disk.after_power_loss(survives))
-            assert state_of(again) == told and not again.damaged, (point, name, how)
-        assert state_of(start(disk.restarted())) == told, (point, name)
+        text_before = stored_text(store)
+        for survival_name, survives in SURVIVALS.items():
+            restarted = start(disk.after_power_loss(survives))
+            assert stored_text(restarted) == text_before and not restarted.damaged, (
+                write_number,
+                name,
+                survival_name,
+            )
+        assert stored_text(start(disk.restarted())) == text_before, (write_number, name)
 
 
 def test_writes_refused_several_times_succeed_on_retry():
-    for point in points():
-        plan = {point + i: r for i, r in enumerate(REFUSALS.values())}
-        disk, chance = CrashDisk(plan), Chance()
-        store = start(disk, chance)
-        for i, op in enumerate(OPERATIONS):
+    for write_number in write_numbers():
+        plan = {write_number + index: refusal for index, refusal in enumerate(REFUSALS.values())}
+        disk, identity = CrashDisk(plan), FixedIdentity()
+        store = start(disk, identity)
+        for index, operation in enumerate(OPERATIONS):
             for _ in range(len(plan) + 1):
                 try:
-                    op(store, chance)
+                    operation(store, identity)
                     break
                 except DiskRefused:
-                    assert state_of(store) == STATES[i]
-            assert state_of(store) == STATES[i + 1], point
-        again = start(disk.after_power_loss(SURVIVALS["missing"]))
-        assert state_of(again) == STATES[-1] and not again.damaged, point
+                    assert stored_text(store) == STATES[index]
+            assert stored_text(store) == STATES[index + 1], write_number
+        restarted = start(disk.after_power_loss(SURVIVALS["missing"]))
+        assert stored_text(restarted) == STATES[-1] and not restarted.damaged, write_number
 
 
 def test_a_node_that_cannot_write_at_start_refuses_until_it_can():
@@ -312,80 +339,89 @@
 
 
 def test_records_after_a_refused_write_survive_a_restart():
-    disk, chance = CrashDisk({4: Refuse(0.0)}), Chance()
-    store = start(disk, chance)
+    disk, identity = CrashDisk({4: Refuse(0.0)}), FixedIdentity()
+    store = start(disk, identity)
     with pytest.raises((DiskRefused, OSError)):
         store.append_record(1, 1, {"t": "x", "x": 1})
     for _ in range(4):
-        record(1)(store, chance)
-    again = start(disk.restarted(), Chance(9))
-    assert (again.damaged, again.control_state.seq, again.disk_id) == (False, 4, store.disk_id)
+        record(1)(store, identity)
+    restarted = start(disk.restarted(), FixedIdentity(9))
+    assert (restarted.damaged, restarted.control_state.seq, restarted.disk_id) == (
+        False,
+        4,
+        store.disk_id,
+    )
 
 
 def test_damaged_files_are_copied_before_an_empty_start_and_removed_after_catching_up():
-    disk, chance = CrashDisk(), Chance()
-    store = start(disk, chance)
-    for i in range(4):
-        record(i)(store, chance)
+    disk, identity = CrashDisk(), FixedIdentity()
+    store = start(disk, identity)
+    for index in range(4):
+        record(index)(store, identity)
     disk.seen["ring-0"][store._log._last_offset - 5] ^= 255
-    for point in range(1, 20):
-        left = disk.restarted({point: CrashDisk.stop})
+    for write_number in range(1, 20):
+        disk_after = disk.restarted({write_number: CrashDisk.stop})
         try:
-            start(left, Chance(5))
+            start(disk_after, FixedIdentity(5))
         except PowerCut:
             pass
-        left = left.restarted()
-        again = start(left, Chance(5))
-        assert again.disk_id == f"{5:016x}" and again.fresh
-        kept = node_store.replay(again._damaged_copies.documents(), Tiny)
-        assert kept.seq == 2
-        again.reset({"seq": 1, "sum": 1}, 1)
-        again.mark_view_complete(1)
-        assert again._damaged_copies.present
-        again.reset({"seq": 3, "sum": 1}, 1)
-        again.mark_view_complete(2)
-        assert not again._damaged_copies.present
-        assert not [n for n in left.seen if n.startswith("aside")]
+        disk_after = disk_after.restarted()
+        restarted = start(disk_after, FixedIdentity(5))
+        assert restarted.disk_id == f"{5:016x}" and restarted.fresh
+        copied_state = node_store.replay(restarted._damaged_copies.documents(), SumState)
+        assert copied_state.seq == 2
+        restarted.reset({"seq": 1, "sum": 1}, 1)
+        restarted.mark_view_complete(1)
+        assert restarted._damaged_copies.present
+        restarted.reset({"seq": 3, "sum": 1}, 1)
+        restarted.mark_view_complete(2)
+        assert not restarted._damaged_copies.present
+        assert not [name for name in disk_after.seen if name.startswith("aside")]
 
 
 def test_damaged_files_are_kept_while_the_disk_refuses_their_copies():
-    disk, chance = CrashDisk(), Chance()
-    store = start(disk, chance)
-    for i in range(3):
-        record(i)(store, chance)
+    disk, identity = CrashDisk(), FixedIdentity()
+    store = start(disk, identity)
+    for index in range(3):
+        record(index)(store, identity)
     disk.seen["ring-0"][store._log._last_offset - 5] ^= 255
-    left = disk.restarted({i: Refuse(0.3) for i in range(1, 5)})
-    was = bytes(left.seen["ring-0"])
-    again = start(left, Chance(5))
-    assert again.refuses_writes and bytes(left.seen["ring-0"]) == was
-    again = start(left.restarted(), Chance(6))
-    assert again.damaged and not again.refuses_writes and again._damaged_copies.present
+    disk_after = disk.restarted({index: Refuse(0.3) for index in range(1, 5)})
+    content_before = bytes(disk_after.seen["ring-0"])
+    restarted = start(disk_after, FixedIdentity(5))
+    assert restarted.refuses_writes and bytes(disk_after.seen["ring-0"]) == content_before
+    restarted = start(disk_after.restarted(), FixedIdentity(6))
+    assert restarted.damaged and not restarted.refuses_writes and restarted._damaged_copies.present
 
 
-class Trio:
-    """Three cores' voters and stores; one that has lost its power answers nobody."""
+class ThreeNodes:
+    """The voters and stores of three control nodes; a node without power doesn't answer."""
 
     def __init__(self, disks):
         self.disks = disks
         self.dead = set()
         self.stores = {}
-        for life, (n, disk) in enumerate(disks.items(), 1):
-            self.stores[n] = self._on(n, lambda n=n, d=disk, life=life: self._start(n, d, life))
+        for disk_number, (name, disk) in enumerate(disks.items(), 1):
+            self.stores[name] = self._on(
+                name,
+                lambda name=name, disk=disk, disk_number=disk_number: self._start(
+                    name, disk, disk_number
+                ),
+            )
 
     @staticmethod
-    def _start(name, disk, life):
-        return ControlNodeStore(disk, name, Chance(life), state=Tiny)
+    def _start(name, disk, disk_number):
+        return ControlNodeStore(disk, name, FixedIdentity(disk_number), state=SumState)
 
-    def _on(self, name, fn):
+    def _on(self, name, action):
         if name in self.dead:
             return None
         try:
-            return fn()
+            return action()
         except PowerCut:
             self.dead.add(name)
             return None
 
-    async def call(self, name, kind, body, us):
+    async def call(self, name, kind, body, timeout_us):
         if name in self.dead:
             raise NotSent(name)
         voter = Voter(self.stores[name])
@@ -398,143 +434,164 @@
 
     @property
     def ids(self):
-        return {n: s.disk_id for n, s in self.stores.items() if s}
+        return {name: store.disk_id for name, store in self.stores.items() if store}
 
-    async def decide(self, who, number):
+    async def decide_view(self, proposer, number):
         def next_view(newest):
             if newest and newest.number >= number:
                 return newest
             return View(number, tuple(sorted(self.stores)), self.ids)
 
-        return await Proposer(self.stores[who], self.call).change(self.ids, next_view)
+        return await Proposer(self.stores[proposer], self.call).change(self.ids, next_view)
 
 
-async def live(trio, acked):
-    """Founds a view, enters records down the chain and decides another view, as long as a core is there to do it."""
-    if len(trio.ids) < 3:
+async def run_three_nodes(nodes, acknowledged):
+    """Decides views and stores records on the nodes in turn, while a node has power."""
+    if len(nodes.ids) < 3:
         return
     for number in (1, 2, 3):
-        for who in sorted(trio.stores):
-            if who not in trio.dead:
+        for proposer in sorted(nodes.stores):
+            if proposer not in nodes.dead:
                 try:
-                    view = await trio.decide(who, number)
-                    acked["view"] = max(acked["view"], view.number)
+                    view = await nodes.decide_view(proposer, number)
+                    acknowledged["view"] = max(acknowledged["view"], view.number)
                     break
                 except (Fault, NoMajorityPromised):
                     return
         for seq in range(6 * number - 5, 6 * number + 1):
-            held = 0
-            for n in sorted(trio.stores):
-                if n not in trio.dead and trio.stores[n].control_state.seq == seq - 1:
-                    rec = {"t": "x", "x": seq, "pad": "p" * 90}
-                    trio._on(
-                        n, lambda n=n, s=seq, r=rec: trio.stores[n].append_record(s, number, r)
+            stored = 0
+            for name in sorted(nodes.stores):
+                if name not in nodes.dead and nodes.stores[name].control_state.seq == seq - 1:
+                    record_document = {"t": "x", "x": seq, "pad": "p" * 90}
+                    nodes._on(
+                        name,
+                        lambda name=name, s=seq, r=record_document: nodes.stores[
+                            name
+                        ].append_record(s, number, r),
                     )
-                    held += n not in trio.dead
-            if held == 3:
-                acked["seq"] = seq
+                    stored += name not in nodes.dead
+            if stored == 3:
+                acknowledged["seq"] = seq
 
 
 @pytest.mark.parametrize("together", [True, False])
 def test_three_nodes_keep_acknowledged_records_after_losing_power_together(
     together,
 ):
-    async def go(point, survivals):
-        plans = [point] * 3 if together else [point, point + 3, point + 7]
-        disks = {n: CrashDisk({p: CrashDisk.stop}) for n, p in zip("abc", plans, strict=True)}
-        acked = {"view": 0, "seq": 0}
-        trio = Trio(disks)
-        await live(trio, acked)
-        was = dict(trio.ids)
-        left = {
-            n: d.after_power_loss(SURVIVALS[s])
-            for (n, d), s in zip(disks.items(), survivals, strict=True)
+    async def lose_power_at(write_number, survival_names):
+        plans = (
+            [write_number] * 3 if together else [write_number, write_number + 3, write_number + 7]
+        )
+        disks = {
+            name: CrashDisk({write_number: CrashDisk.stop})
+            for name, write_number in zip("abc", plans, strict=True)
         }
-        again = Trio(left)
-        assert not any(s.damaged for s in again.stores.values()), (point, survivals)
-        assert all(again.ids[n] == i for n, i in was.items()), (point, survivals)
-        view = await again.decide("b", 1)
-        assert view.number >= acked["view"], (point, survivals)
-        assert min(s.control_state.seq for s in again.stores.values()) >= acked["seq"]
-        return len(trio.dead)
+        acknowledged = {"view": 0, "seq": 0}
+        nodes = ThreeNodes(disks)
+        await run_three_nodes(nodes, acknowledged)
+        ids_before = dict(nodes.ids)
+        disks_after = {
+            name: disk.after_power_loss(SURVIVALS[survival])
+            for (name, disk), survival in zip(disks.items(), survival_names, strict=True)
+        }
+        restarted = ThreeNodes(disks_after)
+        assert not any(store.damaged for store in restarted.stores.values()), (
+            write_number,
+            survival_names,
+        )
+        assert all(restarted.ids[name] == index for name, index in ids_before.items()), (
+            write_number,
+            survival_names,
+        )
+        view = await restarted.decide_view("b", 1)
+        assert view.number >= acknowledged["view"], (write_number, survival_names)
+        assert (
+            min(store.control_state.seq for store in restarted.stores.values())
+            >= acknowledged["seq"]
+        )
+        return len(nodes.dead)
 
     async def all_points():
         names = sorted(SURVIVALS)
-        for point in itertools.count(1):
-            for i, name in enumerate(names):
-                mixed = (name, names[(i + 7) % len(names)], names[(i + 13) % len(names)])
-                died = [await go(point, s) for s in ((name,) * 3, mixed)]
-            if not any(died):
-                return point
+        for write_number in itertools.count(1):
+            for index, name in enumerate(names):
+                mixed = (name, names[(index + 7) % len(names)], names[(index + 13) % len(names)])
+                stopped_counts = [
+                    await lose_power_at(write_number, survival) for survival in ((name,) * 3, mixed)
+                ]
+            if not any(stopped_counts):
+                return write_number
 
     assert asyncio.run(all_points()) > 40
 
 
-def vote_applied_before_it_is_written(mp):
-    real = ControlNodeStore.save_vote
+def vote_applied_before_it_is_written(monkeypatch):
+    original = ControlNodeStore.save_vote
 
     def save_vote(self, done=None, **changes):
         self.vote = {**self.vote, **changes}
-        real(self, done, **changes)
+        original(self, done, **changes)
 
-    mp.setattr(ControlNodeStore, "save_vote", save_vote)
+    monkeypatch.setattr(ControlNodeStore, "save_vote", save_vote)
 
 
-def number_used_up_by_a_refused_write(mp):
-    real = RecordLog.append
+def number_used_up_by_a_refused_write(monkeypatch):
+    original = RecordLog.append
 
-    def append(self, document, frame):
-        was = self._number
+    def append(self, document, snapshot):
+        number_before = self._number
         try:
-            real(self, document, frame)
+            original(self, document, snapshot)
         except DiskRefused:
-            self._number = was + 1
+            self._number = number_before + 1
             raise
 
-    mp.setattr(RecordLog, "append", append)
+    monkeypatch.setattr(RecordLog, "append", append)
 
 
-def loaded_records_not_synced_again(mp):
-    def ensure_synced(self, frame):
+def loaded_records_not_synced_again(monkeypatch):
+    def ensure_synced(self, snapshot):
         self._may_be_unsynced = False
 
-    mp.setattr(RecordLog, "ensure_synced", ensure_synced)
+    monkeypatch.setattr(RecordLog, "ensure_synced", ensure_synced)
 
 
-def interrupted_switch_not_completed(mp):
-    off = property(lambda self: False, lambda self, value: None)
-    mp.setattr(RecordLog, "_switching", off, raising=False)
+def interrupted_switch_not_completed(monkeypatch):
+    always_false = property(lambda self: False, lambda self, value: None)
+    monkeypatch.setattr(RecordLog, "_switching", always_false, raising=False)
 
 
-def leftover_of_a_refused_write_not_cleared(mp):
-    none = property(lambda self: 0, lambda self, value: None)
-    mp.setattr(RecordLog, "_leftover_bytes", none, raising=False)
+def leftover_of_a_refused_write_not_cleared(monkeypatch):
+    always_zero = property(lambda self: 0, lambda self, value: None)
+    monkeypatch.setattr(RecordLog, "_leftover_bytes", always_zero, raising=False)
 
 
-def trailing_bytes_treated_as_damage(mp):
-    mp.setattr(record_log, "contains_record", lambda raw, start, lap, number=0: any(raw[start:]))
+def trailing_bytes_treated_as_damage(monkeypatch):
+    monkeypatch.setattr(
+        record_log, "contains_record", lambda raw, start, generation, number=0: any(raw[start:])
+    )
 
 
-def file_header_written_first(mp):
-    real = RecordLog._write
+def file_header_written_first(monkeypatch):
+    original = RecordLog._write
 
     def write(self, name, offset, data):
         if self._switching and offset == record_format.FILE_HEADER_BYTES:
-            real(self, name, 0, record_format.encode_file_header(self._generation + 1))
-        real(self, name, offset, data)
+            original(self, name, 0, record_format.encode_file_header(self._generation + 1))
+        original(self, name, offset, data)
 
-    mp.setattr(RecordLog, "_write", write)
+    monkeypatch.setattr(RecordLog, "_write", write)
 
 
-def no_copies_of_damaged_files(mp):
-    mp.setattr(ControlNodeStore, "_copy_damaged_files", lambda self: None)
+def no_copies_of_damaged_files(monkeypatch):
+    monkeypatch.setattr(ControlNodeStore, "_copy_damaged_files", lambda self: None)
 
 
-def copies_removed_before_catching_up(mp):
-    mp.setattr(node_store, "replay", lambda documents, state: None)
+def copies_removed_before_catching_up(monkeypatch):
+    monkeypatch.setattr(node_store, "replay", lambda documents, state: None)
 
 
-GUARDS = [
+MUTANTS = [
     (
         vote_applied_before_it_is_written,
         test_a_refused_write_changes_nothing_and_keeps_the_identity,
@@ -574,9 +631,9 @@
 ]
 
 
-@pytest.mark.parametrize("guard,test", GUARDS)
-def test_each_mutant_is_detected(guard, test):
-    with pytest.MonkeyPatch.context() as mp:
-        guard(mp)
+@pytest.mark.parametrize("mutant,test_function", MUTANTS)
+def test_each_mutant_is_detected(mutant, test_function):
+    with pytest.MonkeyPatch.context() as monkeypatch:
+        mutant(monkeypatch)
         with pytest.raises((AssertionError, ValueError, AttributeError)):
-            test()
+            test_function()
--- a/tests/test_held_up_orders.py
+++ b/tests/test_held_up_orders.py
@@ -1,25 +1,25 @@
-"""An order that was held up between the operator and a control node, and given up meanwhile, changes nothing."""
+"""A request that is delayed on its way to a control node and given up by its caller changes nothing."""
 
 import asyncio
 import json
 
 import pytest
 from test_control_interface import ask, on_a_node
-from test_control_interface import configuration as small
+from test_control_interface import configuration as configuration_text
 
 from petrelhaven.control.request_router import RequestRouter
 
 EVACUATE = b"POST /halls/a/evacuate HTTP/1.1\r\nHost: c\r\nContent-Length: 0\r\n\r\n"
-HELD_S = 0.8
+DELAY_S = 0.8
 
 
-async def configured(http_server):
-    document = {**json.loads(small("small", 1)), "halls": ["a", "b"]}
+async def apply_configuration(http_server):
+    document = {**json.loads(configuration_text("small", 1)), "halls": ["a", "b"]}
     assert (await ask(http_server, "POST", "/manifest", document))[0] == 200
 
 
-async def sent(http_server, *parts, pauses=(), leave_after=None):
-    """The status of one request sent in parts; None if the caller leaves before an answer."""
+async def send_request(http_server, *parts, pauses=(), leave_after=None):
+    """Sends a request in parts; returns the status, or None if the caller leaves before an answer."""
     host, port = http_server.addr.split(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     try:
@@ -29,8 +29,8 @@
         if leave_after is not None:
             await asyncio.sleep(leave_after)
             return None
-        line = await reader.readline()
-        return int(line.split()[1])
+        status_line = await reader.readline()
+        return int(status_line.split()[1])
     finally:
         writer.close()
 
@@ -41,40 +41,40 @@
 
 @pytest.mark.parametrize("leave_after", [0, 0.02])
 def test_a_request_whose_caller_has_left_is_not_executed(tmp_path, leave_after):
-    async def go(node, http_server):
-        await configured(http_server)
-        assert await sent(http_server, EVACUATE, leave_after=leave_after) is None
+    async def scenario(node, http_server):
+        await apply_configuration(http_server)
+        assert await send_request(http_server, EVACUATE, leave_after=leave_after) is None
         await asyncio.sleep(2)
         assert zone_of(node) == "open"
-        assert await sent(http_server, EVACUATE) == 200
+        assert await send_request(http_server, EVACUATE) == 200
         assert zone_of(node) == "emptied"
 
-    on_a_node(tmp_path, go)
+    on_a_node(tmp_path, scenario)
 
 
 @pytest.mark.parametrize(
     "parts,pauses",
     [
-        pytest.param([EVACUATE], [HELD_S], id="the first byte comes late"),
-        pytest.param([EVACUATE[:20], EVACUATE[20:]], [0, HELD_S], id="the last byte comes late"),
+        pytest.param([EVACUATE], [DELAY_S], id="the first byte comes late"),
+        pytest.param([EVACUATE[:20], EVACUATE[20:]], [0, DELAY_S], id="the last byte comes late"),
     ],
 )
 def test_a_request_delayed_as_long_as_callers_wait_is_rejected_and_can_be_retried(
     tmp_path, parts, pauses
 ):
-    async def go(node, http_server):
-        await configured(http_server)
-        assert await sent(http_server, *parts, pauses=pauses) == 503
+    async def scenario(node, http_server):
+        await apply_configuration(http_server)
+        assert await send_request(http_server, *parts, pauses=pauses) == 503
         assert zone_of(node) == "open"
-        assert await sent(http_server, *parts, pauses=[0, 0]) == 200
+        assert await send_request(http_server, *parts, pauses=[0, 0]) == 200
         assert zone_of(node) == "emptied"
 
-    on_a_node(tmp_path, go)
+    on_a_node(tmp_path, scenario)
 
 
 def test_a_pause_between_two_requests_is_not_treated_as_a_delay(tmp_path):
-    async def go(node, http_server):
-        await configured(http_server)
+    async def scenario(node, http_server):
+        await apply_configuration(http_server)
         host, port = http_server.addr.split(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         for verb in (b"evacuate", b"restore", b"evacuate"):
@@ -87,7 +87,7 @@
         writer.close()
         assert zone_of(node) == "emptied"
 
-    on_a_node(tmp_path, go)
+    on_a_node(tmp_path, scenario)
 
 
 def test_without_the_check_an_abandoned_request_evacuates_a_zone(tmp_path, monkeypatch):
@@ -96,10 +96,10 @@
 
     monkeypatch.setattr(RequestRouter, "require_waiting_caller", no_check)
 
-    async def go(node, http_server):
-        await configured(http_server)
-        await sent(http_server, EVACUATE, leave_after=0)
+    async def scenario(node, http_server):
+        await apply_configuration(http_server)
+        await send_request(http_server, EVACUATE, leave_after=0)
         await asyncio.sleep(2)
         assert zone_of(node) == "emptied"
 
-    on_a_node(tmp_path, go)
+    on_a_node(tmp_path, scenario)
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""The operator's orders while cores are cut off, frozen or replaced: acknowledged is kept, and no answer is late."""
+"""Operators' requests while control nodes are isolated or paused: acknowledged ones stay, none is late."""
 
 import asyncio
 import dataclasses
@@ -16,135 +16,139 @@
 
 def head_of(fleet):
     return next(
-        b
-        for b in fleet.cores
-        if b.node is not None and b.node.chain.is_head and b.node.chain.is_active
+        machine
+        for machine in fleet.cores
+        if machine.node is not None and machine.node.chain.is_head and machine.node.chain.is_active
     )
 
 
 def others(fleet, machine):
-    return [b for b in fleet.cores if b is not machine]
+    return [other for other in fleet.cores if other is not machine]
 
 
-def cut_off(fleet, machine, us, both=True):
-    fleet.cut([machine.name], [b.name for b in others(fleet, machine)], us, both)
+def cut_off(fleet, machine, duration_us, both_ways=True):
+    fleet.cut(
+        [machine.name], [other.name for other in others(fleet, machine)], duration_us, both_ways
+    )
 
 
-async def outcome(order):
-    """`acknowledged`, or the code of the fault that answered."""
+async def outcome(request):
+    """Returns `acknowledged`, or the code of the fault."""
     try:
-        await order
+        await request
     except Duplicate:
         return "acknowledged"
-    except Fault as e:
-        return e.code
+    except Fault as fault:
+        return fault.code
     return "acknowledged"
 
 
 def test_a_request_whose_record_number_was_reused_is_not_acknowledged():
-    async def go(f):
-        await f.start()
-        head = head_of(f)
-        cut_off(f, head, 3_000_000)
+    async def scenario(fleet):
+        await fleet.start()
+        head = head_of(fleet)
+        cut_off(fleet, head, 3_000_000)
         await asyncio.sleep(0.05)
         lost = head.tasks.spawn(
             outcome(head.node.chain.append_record({"t": "hall", "hall": "a", "state": "emptied"}))
         )
         await asyncio.sleep(2.0)
-        other = others(f, head)[0]
+        other = others(fleet, head)[0]
         for zone, state in (("b", "emptied"), ("b", "open"), ("c", "emptied")):
             assert await outcome(other.node.set_zone_state(zone, state)) == "acknowledged"
         await asyncio.sleep(6.5)
         assert head.node.chain.control_state.zone_state("c") == "emptied", (
-            "the core that was cut off has caught up"
+            "the isolated control node must have caught up"
         )
         return lost.result(), head.node.chain.control_state.zone_state("a")
 
     for seed in range(4):
-        (answer, state), _ = inside(go, seed)
+        (answer, state), _ = inside(scenario, seed)
         assert (answer, state) == ("not-ready", "open")
 
 
 def test_an_isolated_control_node_rejects_requests_at_once():
-    async def go(f):
-        await f.start()
-        head = head_of(f)
-        cut_off(f, head, 6_000_000)
+    async def scenario(fleet):
+        await fleet.start()
+        head = head_of(fleet)
+        cut_off(fleet, head, 6_000_000)
         await asyncio.sleep(1.5)
-        took = []
-        for order in (
+        durations_s = []
+        for request in (
             head.node.set_zone_state("a", "emptied"),
-            head.node.apply(f.configuration(9)),
+            head.node.apply(fleet.configuration(9)),
             head.node.control_state(),
         ):
-            at = f.loop.time()
-            assert await outcome(order) == "not-ready"
-            took.append(f.loop.time() - at)
-        return took
+            started_at = fleet.loop.time()
+            assert await outcome(request) == "not-ready"
+            durations_s.append(fleet.loop.time() - started_at)
+        return durations_s
 
-    assert max(inside(go, 1)[0]) < 0.1
+    assert max(inside(scenario, 1)[0]) < 0.1
 
 
 def test_every_control_node_answers_within_a_second_of_a_head_failure():
-    async def go(f):
-        await f.start()
-        head = head_of(f)
-        how(f, head)
-        took = []
-
-        async def order(machine, at):
-            await asyncio.sleep(at)
-            start = f.loop.time()
+    async def scenario(fleet):
+        await fleet.start()
+        head = head_of(fleet)
+        inject_fault(fleet, head)
+        durations_s = []
+
+        async def send_request(machine, delay_s):
+            await asyncio.sleep(delay_s)
+            started_at = fleet.loop.time()
             await outcome(machine.node.set_zone_state("a", "emptied", within_us=ANSWER_TIMEOUT_US))
-            took.append(f.loop.time() - start)
+            durations_s.append(fleet.loop.time() - started_at)
 
-        machines = others(f, head) if how is freeze else f.cores
-        await asyncio.gather(*[order(b, at / 10) for b in machines for at in range(30)])
-        return max(took)
+        machines = others(fleet, head) if inject_fault is freeze else fleet.cores
+        await asyncio.gather(
+            *[send_request(b, delay_s / 10) for b in machines for delay_s in range(30)]
+        )
+        return max(durations_s)
 
-    def freeze(f, head):
+    def freeze(fleet, head):
         head.freeze(4_000_000)
 
-    def silent(f, head):
-        cut_off(f, head, 3_500_000)
+    def silent(fleet, head):
+        cut_off(fleet, head, 3_500_000)
 
-    def one_way(f, head):
-        cut_off(f, head, 3_500_000, both=False)
+    def one_way(fleet, head):
+        cut_off(fleet, head, 3_500_000, both_ways=False)
 
-    for how in (freeze, silent, one_way):
+    for inject_fault in (freeze, silent, one_way):
         for seed in range(3):
-            assert inside(go, seed)[0] < 0.95, (how.__name__, seed)
+            assert inside(scenario, seed)[0] < 0.95, (inject_fault.__name__, seed)
 
 
 def test_the_majority_acknowledges_a_request_within_2_s_of_losing_the_head():
-    async def go(f):
-        await f.start()
-        head = head_of(f)
-        lost = f.loop.time()
-        head.freeze(5_000_000) if frozen else cut_off(f, head, 5_000_000)
-        tries = 0
+    async def scenario(fleet):
+        await fleet.start()
+        head = head_of(fleet)
+        lost_at = fleet.loop.time()
+        head.freeze(5_000_000) if is_paused else cut_off(fleet, head, 5_000_000)
+        attempts = 0
         while (
             await outcome(
-                others(f, head)[tries % 2].node.set_zone_state(
+                others(fleet, head)[attempts % 2].node.set_zone_state(
                     "a", "emptied", within_us=ANSWER_TIMEOUT_US
                 )
             )
             != "acknowledged"
         ):
-            tries += 1
-            await asyncio.sleep(0.1 * tries)
-        return f.loop.time() - lost
+            attempts += 1
+            await asyncio.sleep(0.1 * attempts)
+        return fleet.loop.time() - lost_at
 
-    for frozen in (False, True):
+    for is_paused in (False, True):
         for seed in range(4):
-            assert inside(go, seed)[0] < 2.0, (frozen, seed)
+            assert inside(scenario, seed)[0] < 2.0, (is_paused, seed)
 
 
 def test_a_request_delayed_by_a_partition_is_not_applied_after_its_opposite():
-    async def go(f):
-        await f.start()
-        head = head_of(f)
-        near, far = others(f, head)
+    async def scenario(fleet):
+        await fleet.start()
+        head = head_of(fleet)
+        near, far = others(fleet, head)
         head_call = near.node.reach.call(
             head.name,
             "chain.enter",
@@ -155,82 +159,86 @@
             },
             20_000_000,
         )
-        f.net.cut([near.name], [head.name], 1_500_000, both=False)
-        held = near.tasks.spawn(outcome(head_call))
+        fleet.net.cut([near.name], [head.name], 1_500_000, both=False)
+        delayed = near.tasks.spawn(outcome(head_call))
         await asyncio.sleep(0.9)
         assert await outcome(far.node.set_zone_state("a", "open")) == "acknowledged"
         await asyncio.sleep(3)
-        return held.result(), head.node.chain.control_state.zone_state("a")
+        return delayed.result(), head.node.chain.control_state.zone_state("a")
 
     for seed in range(3):
-        assert inside(go, seed)[0] == ("expired", "open")
+        assert inside(scenario, seed)[0] == ("expired", "open")
 
 
 def test_a_request_to_a_paused_control_node_is_rejected_when_it_resumes():
-    async def go(f):
-        await f.start()
-        head = head_of(f)
-        near = others(f, head)[0]
+    async def scenario(fleet):
+        await fleet.start()
+        head = head_of(fleet)
+        near = others(fleet, head)[0]
         head.freeze(900_000)
         await asyncio.sleep(1.0)
 
-        async def there():
+        async def send_evacuation():
             return await outcome(
                 head.node.set_zone_state("a", "emptied", within_us=ANSWER_TIMEOUT_US)
             )
 
-        begin = near.tasks.spawn(f.net.trip(f.out, head, there, 20_000_000))
+        evacuation = near.tasks.spawn(fleet.net.trip(fleet.out, head, send_evacuation, 20_000_000))
         await asyncio.sleep(4)
-        return begin.result(), near.node.chain.control_state.zone_state("a")
+        return evacuation.result(), near.node.chain.control_state.zone_state("a")
 
-    assert inside(go, 2)[0] == ("not-ready", "open")
+    assert inside(scenario, 2)[0] == ("not-ready", "open")
 
 
 def test_a_new_view_is_active_as_soon_as_the_lost_node_is_no_longer_confirmed():
-    async def go(f):
-        await f.start()
-        head = head_of(f)
-        cut_off(f, head, 5_000_000)
-        rest = others(f, head)
+    async def scenario(fleet):
+        await fleet.start()
+        head = head_of(fleet)
+        cut_off(fleet, head, 5_000_000)
+        remaining = others(fleet, head)
         while True:
-            now = [b for b in rest if b.node.chain.is_head and b.node.chain.is_active]
-            if now and now[0].node.chain.view.number > 1:
+            active_heads = [
+                machine
+                for machine in remaining
+                if machine.node.chain.is_head and machine.node.chain.is_active
+            ]
+            if active_heads and active_heads[0].node.chain.view.number > 1:
                 break
             await asyncio.sleep(0.005)
         assert not head.node.chain.is_active
-        chain = now[0].node.chain
+        chain = active_heads[0].node.chain
         return chain.clock.now() - chain.adopted_at_us
 
-    assert max(inside(go, seed)[0] for seed in range(6)) < 200_000
+    assert max(inside(scenario, seed)[0] for seed in range(6)) < 200_000
 
 
 def test_a_late_answer_does_not_separate_the_last_two_control_nodes():
-    async def go(f):
-        await f.start()
-        head = head_of(f)
+    async def scenario(fleet):
+        await fleet.start()
+        head = head_of(fleet)
         head.kill()
         await asyncio.sleep(3)
-        one, two = others(f, head)
+        one, two = others(fleet, head)
         one.node.reach._failed_until[two.name] = one.clock.now() + 1_500_000
         return await outcome(one.node.reach.call(two.name, "view.ask", {"name": one.name}, 400_000))
 
-    assert inside(go, 1)[0] == "acknowledged"
+    assert inside(scenario, 1)[0] == "acknowledged"
 
 
-def report(name, view_n, up_us=10_000_000, **granted_us):
-    view = View(view_n, (), {})
+def report(name, view_number, up_us=10_000_000, **granted_us):
+    view = View(view_number, (), {})
     return NodeReport(name, f"disk-{name}", False, view, 0, 0, 0, up_us, granted_us)
 
 
-class Now:
-    """A clock that stands."""
+class FixedClock:
+    """A clock with a fixed time."""
 
     def now(self):
         return 50_000_000
 
 
 @pytest.mark.parametrize(
-    ("cores", "left_us"),
+    ("reports", "left_us"),
     [
         ([report("a", 8), report("b", 8), report("c", 8)], 0),
         ([report("a", 8, c=700_000), report("b", 8, c=900_000)], 0),
@@ -240,23 +248,23 @@
         ([report("a", 8, c=900_000)], 630_000),
     ],
 )
-def test_the_activation_wait_ends_when_no_former_member_can_be_confirmed(cores, left_us):
+def test_the_activation_wait_ends_when_no_former_member_can_be_confirmed(reports, left_us):
     chain = Chain(
-        Now(),
+        FixedClock(),
         None,
         SimpleNamespace(name="a", disk_id="disk-a"),
         None,
         confirmation_validity_us=600_000,
     )
-    ids = {n: f"disk-{n}" for n in "abc"}
+    ids = {name: f"disk-{name}" for name in "abc"}
     chain.view = View(8, ("a", "b"), {"a": "disk-a", "b": "disk-b"}, former_members=(ids,))
     now = chain.clock.now()
     chain.active_at_us = now + 630_000
-    chain.shorten_activation_wait(cores, now)
+    chain.shorten_activation_wait(reports, now)
     assert chain.active_at_us - now == left_us
     chain.active_at_us = now + 630_000
     chain.view = dataclasses.replace(chain.view, former_members=None)
-    chain.shorten_activation_wait(cores, now)
+    chain.shorten_activation_wait(reports, now)
     assert chain.active_at_us - now == 630_000
 
 
@@ -273,26 +281,29 @@
     }
 
 
-@pytest.mark.parametrize("farewell", [False, True])
-def test_a_repeated_announcement_is_acknowledged_only_once_committed(farewell):
-    async def go(f):
-        await f.start()
-        head = head_of(f)
+@pytest.mark.parametrize("is_departure", [False, True])
+def test_a_repeated_announcement_is_acknowledged_only_once_committed(is_departure):
+    async def scenario(fleet):
+        await fleet.start()
+        head = head_of(fleet)
         assert await outcome(head.node.announce(announcement("ready"))) == "acknowledged"
-        cut_off(f, head, 4_000_000)
+        cut_off(fleet, head, 4_000_000)
 
-        def say():
-            if farewell:
+        def send():
+            if is_departure:
                 return head.node.deregister_member("m9")
             return head.node.announce(announcement("draining"))
 
-        first = head.tasks.spawn(outcome(say()))
+        first = head.tasks.spawn(outcome(send()))
         await asyncio.sleep(0.03)
-        said_again = await outcome(say())
+        repeated = await outcome(send())
         first = await first
         await asyncio.sleep(10)
-        kept = {b.node.chain.control_state.doc["members"]["m9"]["state"] for b in f.cores}
-        return first, said_again, kept
-
-    first, said_again, kept = inside(go, 3)[0]
-    assert kept == {"ready"} and first != "acknowledged" and said_again != "acknowledged"
+        stored_states = {
+            machine.node.chain.control_state.doc["members"]["m9"]["state"]
+            for machine in fleet.cores
+        }
+        return first, repeated, stored_states
+
+    first, repeated, stored_states = inside(scenario, 3)[0]
+    assert stored_states == {"ready"} and first != "acknowledged" and repeated != "acknowledged"
--- a/tests/test_platform_orders.py
+++ b/tests/test_platform_orders.py
@@ -1,4 +1,4 @@
-"""The operator's calls at a core on the platform: what each outcome of an order is answered with."""
+"""The platform's operator interface of a control node: the response to each outcome of a request."""
 
 import asyncio
 import json
@@ -35,15 +35,15 @@
 
 
 class ControlNode:
-    """A core whose orders all have one outcome; it notes how long each may take."""
+    """A control node whose requests all have one outcome; it records their time limits."""
 
     log = None
 
     def __init__(self, fault):
-        self.fault, self.within = fault, []
+        self.fault, self.time_limits_us = fault, []
 
     async def _answer(self, within_us):
-        self.within.append(within_us)
+        self.time_limits_us.append(within_us)
         if self.fault:
             raise self.fault
 
@@ -57,8 +57,8 @@
         await self._answer(within_us)
 
 
-def answers(fault):
-    async def go():
+def collect_answers(fault):
+    async def send_all():
         node, http_server = ControlNode(fault), LightHttpServer("127.0.0.1", 0)
         ControlRoutes(
             node,
@@ -68,23 +68,23 @@
         replace = await http_server.answer(Request("POST", "/v1/Config.Replace", CONFIGURATION))
         begin = await http_server.answer(Request("POST", "/v1/Evacuations.Begin/a", b""))
         finish = await http_server.answer(Request("POST", "/v1/Evacuations.Finish/a", b""))
-        assert node.within == [ANSWER_TIMEOUT_US] * 3 and ANSWER_TIMEOUT_US < 1_000_000
+        assert node.time_limits_us == [ANSWER_TIMEOUT_US] * 3 and ANSWER_TIMEOUT_US < 1_000_000
         if fault:
             fetch = await http_server.answer(Request("GET", "/v1/Config.Fetch", b""))
-            assert node.within[3] == ANSWER_TIMEOUT_US and (fetch[0], fetch[2]) == (
+            assert node.time_limits_us[3] == ANSWER_TIMEOUT_US and (fetch[0], fetch[2]) == (
                 begin[0],
                 begin[2],
             )
         return [
-            (status, dict(heads).get("Retry-After"))
-            for status, _, heads in (replace, begin, finish)
+            (status, dict(headers).get("Retry-After"))
+            for status, _, headers in (replace, begin, finish)
         ]
 
-    return asyncio.run(go())
+    return asyncio.run(send_all())
 
 
 def test_a_repeated_request_is_acknowledged_every_time():
-    assert answers(None) == [(200, None)] * 3
+    assert collect_answers(None) == [(200, None)] * 3
 
 
 @pytest.mark.parametrize(
@@ -97,7 +97,7 @@
     ],
 )
 def test_a_configuration_that_is_not_newer_than_the_accepted_one(fault, replace):
-    async def go():
+    async def send_all():
         http_server = LightHttpServer("127.0.0.1", 0)
         ControlRoutes(
             ControlNode(fault),
@@ -106,7 +106,7 @@
         )
         return (await http_server.answer(Request("POST", "/v1/Config.Replace", CONFIGURATION)))[0]
 
-    assert asyncio.run(go()) == replace
+    assert asyncio.run(send_all()) == replace
 
 
 @pytest.mark.parametrize(
@@ -114,5 +114,5 @@
     [NotReady("no majority of the control nodes answers"), DeadlineExceeded("not confirmed yet")],
 )
 def test_a_request_without_an_outcome_is_answered_with_a_retry_time(fault):
-    for status, back in answers(fault):
-        assert status in (503, 504) and back == "1"
+    for status, retry_after in collect_answers(fault):
+        assert status in (503, 504) and retry_after == "1"
--- a/tests/test_stored_data_compatibility.py
+++ b/tests/test_stored_data_compatibility.py
@@ -1,4 +1,4 @@
-"""Data folders and control states written by commit 3ca81ad are read, and written, exactly as then."""
+"""Data folders and control states written by commit 3ca81ad are read and written identically."""
 
 import hashlib
 import json
@@ -23,23 +23,23 @@
 FOLDER_NAMES = sorted(path.stem for path in FOLDERS.glob("*.json"))
 STEPS = FIXTURES / "control_state_steps_2026_12.json"
 
-_LEAD_SIZE = 20
-_HEADER = struct.Struct(">IIQQI")
-_LEAD = struct.Struct(">8sQI")
+_FILE_HEADER_BYTES = 20
+_RECORD_HEADER = struct.Struct(">IIQQI")
+_FILE_HEADER = struct.Struct(">8sQI")
 
 
 def plain(value):
-    """A value as it is after a way through JSON."""
+    """Returns a value after a round trip through JSON."""
     return json.loads(json.dumps(value))
 
 
 def digest(raw):
-    """The SHA-256 of some bytes."""
+    """Returns the SHA-256 digest of some bytes."""
     return hashlib.sha256(raw).hexdigest()
 
 
 class Writer:
-    """Carries out a script of changes on a data folder."""
+    """Executes a script of changes on a data folder."""
 
     def __init__(self, path, state, name, seed):
         self._path, self._state, self._name = path, state, name
@@ -51,9 +51,9 @@
         return ControlNodeStore(self._disk, self._name, self._rng, state=self._state)
 
     def run(self, script):
-        """Carries out every change in turn."""
-        for what, *arguments in script:
-            getattr(self, "_" + what)(*arguments)
+        """Executes all changes in order."""
+        for change, *arguments in script:
+            getattr(self, "_" + change)(*arguments)
 
     def close(self):
         """Closes the files."""
@@ -71,7 +71,7 @@
         )
 
     def _padded(self, view, record, length):
-        """A record whose operator has a name of `length` letters: it fills a file."""
+        """Adds a record with an operator's name of `length` letters, to fill a file."""
         self._record(view, {**record, "by": "p" * length})
 
     def _reset(self, document, mark):
@@ -85,7 +85,7 @@
         self.store = self._opened()
 
     def _damage(self, file_name, offset):
-        """One byte of a file turns over while the node is down."""
+        """Inverts one byte of a file while the node is stopped."""
         self.close()
         path = self._path / file_name
         raw = bytearray(path.read_bytes())
@@ -95,7 +95,7 @@
 
 
 def store_values(store):
-    """Everything that a store remembers, as plain values."""
+    """Returns the complete state of a store as plain values."""
     return plain(
         {
             "name": store.name,
@@ -115,10 +115,10 @@
 
 
 def reader_values(path):
-    """What the read-only reader says of a folder."""
+    """Returns what the read-only reader finds in a folder."""
     folder = DataFolder(str(path))
-    found = salvage(str(path))
-    same = found.control_state.doc == folder.control_state.doc
+    salvaged = salvage(str(path))
+    is_same = salvaged.control_state.doc == folder.control_state.doc
     return plain(
         {
             "name": folder.name,
@@ -126,21 +126,21 @@
             "seq": folder.control_state.seq,
             "document": folder.control_state.doc,
             "kind": type_name(folder.control_state),
-            "salvage_name": found.name,
-            "salvage_seq": found.control_state.seq,
-            "salvage_document": "the same" if same else found.control_state.doc,
-            "salvage_kind": type_name(found.control_state),
+            "salvage_name": salvaged.name,
+            "salvage_seq": salvaged.control_state.seq,
+            "salvage_document": "the same" if is_same else salvaged.control_state.doc,
+            "salvage_kind": type_name(salvaged.control_state),
         }
     )
 
 
 def type_name(state):
-    """Which kind of control state it is, in the words of the fixtures."""
+    """Returns the name of a kind of control state in the fixtures."""
     return next(name for name, kind in CONTROL_STATES.items() if type(state) is kind)
 
 
 def file_values(path):
-    """Size and digest of every file of a folder."""
+    """Returns size and digest of every file of a folder."""
     return {
         file.name: {"size": file.stat().st_size, "digest": digest(file.read_bytes())}
         for file in sorted(path.iterdir())
@@ -148,34 +148,34 @@
 
 
 def newest_entries(path):
-    """The JSON texts in the newest log file, read here without the product's code."""
+    """Returns the JSON texts in the newest log file, read independently of the product's code."""
     files = [file.read_bytes() for file in sorted(path.glob("ring-*"))]
-    raw = max(files, key=lambda file: _LEAD.unpack(file[:_LEAD_SIZE])[1])
-    lap = _LEAD.unpack(raw[:_LEAD_SIZE])[1]
-    texts, offset = [], _LEAD_SIZE
+    raw = max(files, key=lambda file: _FILE_HEADER.unpack(file[:_FILE_HEADER_BYTES])[1])
+    generation = _FILE_HEADER.unpack(raw[:_FILE_HEADER_BYTES])[1]
+    texts, offset = [], _FILE_HEADER_BYTES
     while True:
-        length, _, record_lap, _, _ = _HEADER.unpack_from(raw, offset)
-        start = offset + _HEADER.size
-        if not length or record_lap != lap:
+        length, _, record_generation, _, _ = _RECORD_HEADER.unpack_from(raw, offset)
+        start = offset + _RECORD_HEADER.size
+        if not length or record_generation != generation:
             return texts
         texts.append(raw[start : start + length].decode())
         offset = start + length + 1
 
 
 def unpacked(name, path):
-    """The data folder of a fixture, laid out under `path`."""
+    """Unpacks the data folder of a fixture under `path`."""
     with tarfile.open(FOLDERS / f"{name}.tar.xz") as archive:
         archive.extractall(path, filter="data")
     return path / name
 
 
 def expected(name):
-    """What a fixture says of a data folder."""
+    """Returns the expected values of a data folder."""
     return json.loads((FOLDERS / f"{name}.json").read_text())
 
 
 def opened(path, fixture):
-    """A writer over an unpacked folder; it draws another identity than the folder's, if any."""
+    """Opens an unpacked folder with a seed that would draw another disk identity."""
     state = CONTROL_STATES[fixture["state"]]
     return Writer(path, state, fixture["name"], fixture["seed"] + 1)
 
--- a/tests/test_tenant_upgrades.py
+++ b/tests/test_tenant_upgrades.py
@@ -1,4 +1,4 @@
-"""Tenants across a roll-out of the programs, and keys in what control nodes show."""
+"""Tenants during an upgrade of the programs, and tenant keys in the events of control nodes."""
 
 import json
 import sys
@@ -29,7 +29,7 @@
     return {"t": "manifest", "text": text, "version": document["Revision"], "by": "operator"}
 
 
-def accepted(change):
+def state_after(change):
     state = ControlState()
     state.check(change)
     state.apply(1, change)
@@ -37,39 +37,39 @@
 
 
 def test_a_resent_document_is_a_duplicate_although_another_version_made_another_text():
-    """Guards against CONFIG: an acknowledged change that is sent again is refused (409)."""
-    state = accepted(record(DOCUMENT, quota_slack=20))
+    """Guards against CONFIG: an acknowledged change that is sent again is refused with 409."""
+    state = state_after(record(DOCUMENT, quota_slack=20))
     with pytest.raises(Duplicate):
         state.check(record(DOCUMENT, quota_slack=21))
 
 
 def test_another_document_under_the_version_in_force_is_still_refused():
-    """Guards against CONFIG: other content under the version held is taken."""
-    state = accepted(record(DOCUMENT))
+    """Guards against CONFIG: different content with the version in force is accepted."""
+    state = state_after(record(DOCUMENT))
     with pytest.raises(VersionTaken):
         state.check(record({**DOCUMENT, "Tenants": []}))
 
 
 def test_a_configuration_of_an_older_version_still_requires_tenant_keys():
-    """Guards against ROUTE after a roll-out: everybody is let in until the next configuration."""
+    """Guards against ROUTE after an upgrade: clients without a key are admitted until the next change."""
     change = record(DOCUMENT)
-    older = json.loads(change["text"])
-    del older["keyed"], older["tenants"]
-    state = accepted({**change, "text": json.dumps(older)})
+    older_text = json.loads(change["text"])
+    del older_text["keyed"], older_text["tenants"]
+    state = state_after({**change, "text": json.dumps(older_text)})
     configuration = state.configuration
     assert configuration["keyed"]
     assert [row["keys"] for row in configuration["tenants"]] == [[key_digest(KEY)]]
 
 
 def test_events_of_a_control_node_contain_no_key():
-    """Guards against keys in a support bundle: the record holds the operator's document."""
+    """Guards against keys in a support bundle: records contain the operator's document."""
 
     class Store:
         recent_records = [(1, 1, record(DOCUMENT))]
 
     class Chain:
-        store, commit = Store(), 1
-        control_state = accepted(record(DOCUMENT))
+        store, committed_seq = Store(), 1
+        control_state = state_after(record(DOCUMENT))
 
     events = json.dumps(EventFeed(Chain()).events_after(0))
     assert '"version": 7' in events
