--- a/src/petrelhaven/control/configuration/faults.py
+++ b/src/petrelhaven/control/configuration/faults.py
@@ -7,7 +7,7 @@
 
 from petrelhaven.runtime.errors import Invalid
 
-__all__ = ["ROOT", "ConfigurationFault", "declined", "join_path"]
+__all__ = ["ROOT", "ConfigurationFault", "invalid_document", "join_path"]
 
 ROOT = "$"
 """The path of a whole document."""
@@ -21,7 +21,7 @@
     message: str
 
 
-def declined(note: str, faults: Iterable[ConfigurationFault]) -> Invalid:
+def invalid_document(note: str, faults: Iterable[ConfigurationFault]) -> Invalid:
     """The error that declines a document; its `details` carries all `faults` as pairs."""
     return Invalid(note, details={"faults": [[fault.path, fault.message] for fault in faults]})
 
--- a/src/petrelhaven/control/failover/interfaces.py
+++ b/src/petrelhaven/control/failover/interfaces.py
@@ -37,7 +37,7 @@
 
     lost: bool
 
-    def own(self, verb: str, *args: int) -> Awaitable[dict[str, Any]]:
+    def send_system_verb(self, verb: str, *args: int) -> Awaitable[dict[str, Any]]:
         """The member's status, as its answer to one of the system's own verbs."""
 
     def close(self) -> None:
@@ -99,11 +99,11 @@
     """The replication chain of the control nodes."""
 
     @property
-    def head(self) -> bool:
+    def is_head(self) -> bool:
         """Whether this node is the head."""
 
     @property
-    def active(self) -> bool:
+    def is_active(self) -> bool:
         """Whether a majority has confirmed this node's view, and no older one can be in force."""
 
     @property
@@ -114,7 +114,7 @@
     def control_state(self) -> ControlState:
         """The control state, with all records that this node holds."""
 
-    async def enter(self, record: dict[str, Any], /) -> int:
+    async def append_record(self, record: dict[str, Any], /) -> int:
         """Commits a record; its number."""
 
 
--- a/src/petrelhaven/control/interface/control_interface.py
+++ b/src/petrelhaven/control/interface/control_interface.py
@@ -10,15 +10,15 @@
 from typing import TYPE_CHECKING, Any
 from urllib.parse import unquote
 
-from petrelhaven.control.configuration.faults import ConfigurationFault, declined
+from petrelhaven.control.configuration.faults import ConfigurationFault, invalid_document
 from petrelhaven.control.embargo.interface import add_routes
 from petrelhaven.control.interface.documents import (
     EVENTS_CONTENT_TYPE,
-    configuration_answer,
+    configuration_response,
     leadership_history,
-    lost_nodes,
-    query_number,
-    ready_answer,
+    parse_lost_nodes,
+    parse_query_number,
+    readiness_response,
 )
 from petrelhaven.control.state.base import ZONE_EVACUATED, ZONE_OPEN
 from petrelhaven.runtime.errors import Malformed, NoRoute
@@ -28,7 +28,7 @@
         Document,
         HttpRoutes,
         NodeInterface,
-        RawAnswer,
+        RawResponse,
         Request,
     )
     from petrelhaven.control.interface.event_feed import EventFeed
@@ -48,7 +48,7 @@
         node: NodeInterface,
         http_server: HttpRoutes,
         settings: Callable[[], Document] = dict,
-        announced: bool = False,
+        accepts_announcements: bool = False,
     ) -> None:
         """Adds the routes to a server.
 
@@ -56,7 +56,7 @@
             node: the control node.
             http_server: where they are added.
             settings: answers the node's settings, for the status.
-            announced: whether members announce themselves here.
+            accepts_announcements: whether members announce themselves here.
         """
         self._node = node
         self._settings = settings
@@ -77,7 +77,7 @@
             ("GET", "/events", self._events),
         ):
             http_server.on(verb, path, handler)
-        if announced:
+        if accepts_announcements:
             http_server.on("POST", "/announce", self._announce)
 
     async def _apply_configuration(self, request: Request) -> Document:
@@ -94,19 +94,19 @@
             "in_force_us": await self._node.lease_table.wait_in_force(answer["change"]),
         }
 
-    async def _show_configuration(self, request: Request) -> RawAnswer:
+    async def _show_configuration(self, request: Request) -> RawResponse:
         is_confirmed = request.query.get("unconfirmed") != "true"
         if is_confirmed:
             state = await self._node.control_state()
         else:
             state = self._node.unconfirmed_state()
         configuration = state["manifest"]
-        version = query_number(request.query, "version")
+        version = parse_query_number(request.query, "version")
         if version is not None:
             configuration = self._version(version, configuration, is_confirmed)
         if configuration is None:
             raise NoRoute("no such manifest")
-        return configuration_answer(configuration["text"], is_confirmed)
+        return configuration_response(configuration["text"], is_confirmed)
 
     def _version(
         self, version: int, in_force: Document | None, is_confirmed: bool
@@ -116,7 +116,7 @@
             return in_force
         chain = self._node.chain
         for seq, _view, record in reversed(chain.store.recent_records):
-            is_committed = seq <= chain.commit
+            is_committed = seq <= chain.committed_seq
             if record["t"] != "manifest" or (is_confirmed and not is_committed):
                 continue
             if record["version"] == version:
@@ -136,13 +136,13 @@
         zones = configuration["halls"] if configuration else ()
         if zone not in zones:
             message = f"no hall {zone[:_ZONE_SHOWN]}"
-            raise declined(message, [ConfigurationFault("hall", message)])
+            raise invalid_document(message, [ConfigurationFault("hall", message)])
         others_open = any(
             other != zone and control_state.zone_state(other) == ZONE_OPEN for other in zones
         )
         if state == ZONE_EVACUATED and not others_open:
             fault = ConfigurationFault("hall", "the last open hall can't be emptied")
-            raise declined("last open hall", [fault])
+            raise invalid_document("last open hall", [fault])
         answer = await self._node.set_zone_state(
             zone, state, _caller(request), delivery=request.delivery
         )
@@ -151,18 +151,18 @@
     async def _elect(self, request: Request, group: str) -> Document:
         """Elects a member without proof, where the caller accepts that commits may be lost."""
         member = request.query.get("member", "")
-        leadership = query_number(request.query, "office")
+        leadership = parse_query_number(request.query, "office")
         if not member or leadership is None:
             raise Malformed("member and office must be said")
         if request.query.get("accept_loss") != "true":
             fault = ConfigurationFault("accept_loss", "must be true")
-            raise declined("acknowledged commits may be lost", [fault])
+            raise invalid_document("acknowledged commits may be lost", [fault])
         return await self._node.record_election_order(
             unquote(group), member, leadership, _caller(request)
         )
 
     async def _reform(self, request: Request) -> Document:
-        return await self._node.reform(lost_nodes(request.doc()), _caller(request))
+        return await self._node.reform(parse_lost_nodes(request.doc()), _caller(request))
 
     async def _status(self, _request: Request) -> Document:
         now_us = self._node.clock.now()
@@ -176,7 +176,7 @@
     async def _why(self, request: Request) -> Document:
         group = request.query.get("group", "")
         state = await self._node.control_state()
-        wait_reason = self._node.duty.wait_reasons.get(group) if self._node.chain.head else None
+        wait_reason = self._node.duty.wait_reasons.get(group) if self._node.chain.is_head else None
         answer = leadership_history(state, request.query, wait_reason)
         return {**answer, "evidence": state["evidence"].get(group)}
 
@@ -184,19 +184,19 @@
         return self._node.reported_state()
 
     async def _ready(self, _request: Request) -> Document:
-        return ready_answer(self._node.ready)
+        return readiness_response(self._node.ready)
 
     async def _control_state(self, _request: Request) -> Document:
         return await self._node.control_state()
 
-    async def _events(self, request: Request) -> RawAnswer:
-        after = query_number(request.query, "after", 0) or 0
+    async def _events(self, request: Request) -> RawResponse:
+        after = parse_query_number(request.query, "after", 0) or 0
         if self._event_feed is None:
             # loaded at need: few control nodes are asked for events
             from petrelhaven.control.interface.event_feed import EventFeed
 
             self._event_feed = EventFeed(self._node.chain)
-        body = json.dumps(self._event_feed.since(after)).encode()
+        body = json.dumps(self._event_feed.events_after(after)).encode()
         return 200, body, (("Content-Type", EVENTS_CONTENT_TYPE),)
 
     async def _announce(self, request: Request) -> Document:
--- a/src/petrelhaven/control/interface/event_feed.py
+++ b/src/petrelhaven/control/interface/event_feed.py
@@ -28,7 +28,7 @@
         """Takes the records from `chain`."""
         self._chain = chain
 
-    def since(self, seq: int) -> list[Any]:
+    def events_after(self, seq: int) -> list[Any]:
         """A batch of CloudEvents in JSON.
 
         Args:
@@ -39,7 +39,9 @@
         """
         form = JSONFormat()
         rows = [
-            row for row in self._chain.store.recent_records if seq < row[0] <= self._chain.commit
+            row
+            for row in self._chain.store.recent_records
+            if seq < row[0] <= self._chain.committed_seq
         ]
         return [
             json.loads(form.write(self._event(number, view, record)))
--- a/src/petrelhaven/control/node.py
+++ b/src/petrelhaven/control/node.py
@@ -108,14 +108,14 @@
         self.clock, self.tasks, self.name = resources.clock, resources.tasks, identity.name
         self.counting = CountingService(self, lambda: resources.rng.getrandbits(_LIFE_BITS))
         super().__init__(identity, resources, platform)
-        self.views.may_found = may_decide_first_view and self.link.addr in self.seeds
+        self.views.may_decide_first_view = may_decide_first_view and self.link.addr in self.seeds
         self.request_router = RequestRouter(
             self.clock, self.chain, self.reach, self.name, self.roster.state
         )
         self.roster.spread_limit = _SPREAD_LIMIT
         self.prober.join_us = _JOIN_INTERVAL_US
-        self.chain.confirmation.asks_minority = True
-        self.chain.confirmation.connected_proxies = lambda: len(self.connected_proxies)
+        self.chain.confirmation.asks_only_quorum = True
+        self.chain.confirmation.count_connected_proxies = lambda: len(self.connected_proxies)
         self.chain.on_commit.append(self._committed)
         self.chain.on_view.append(self.counting.follow_view)
 
@@ -158,7 +158,7 @@
             MessageKind.CHAIN_IN_FORCE: self.lease_table.report,
             MessageKind.LEASE_RENEW: self._renew_lease,
             MessageKind.MEMBER_SUSPECT: self._suspected,
-            MessageKind.MEMBER_CHECK: self.duty.answer_inspection,
+            MessageKind.MEMBER_CHECK: self.duty.handle_inspection_request,
             MessageKind.WALL_CLOCK_READ: self._read_wall_clock,
             MessageKind.AGREED_TIME_READ: self._true_time,
             MessageKind.QUOTA_REPORT: self.counting.report,
@@ -169,14 +169,14 @@
 
     async def snapshots(self) -> dict[str, dict[str, Any]]:
         """The control states that living proxies hold, by name; each is asked as it comes by."""
-        return await self.proxy_survey.gather()
+        return await self.proxy_survey.collect()
 
     # Proxies
 
     async def _hold_connection(self, channel: Channel, body: Mapping[str, Any]) -> dict[str, Any]:
         """A proxy opens its core connection, for records to be pushed down it."""
-        if not self.chain.active:
-            await self.proxy_survey.ask(channel, body["edge"])
+        if not self.chain.is_active:
+            await self.proxy_survey.request_snapshot(channel, body["edge"])
             return {"ok": False, "note": "not confirmed by a majority"}
         self._note_applied(body["edge"], body["applied"])
         answer: dict[str, Any] = await self.lease_table.subscribe(channel, body)
@@ -192,11 +192,11 @@
         now = self.clock.now()
         self._note_applied(request.proxy, request.applied_seq)
         self.connected_proxies.record_renewal(request.proxy, now)
-        if self.proxy_survey.open:
-            self.tasks.spawn(self.proxy_survey.ask(channel, request.proxy))
+        if self.proxy_survey.is_open:
+            self.tasks.spawn(self.proxy_survey.request_snapshot(channel, request.proxy))
         for suspicion in request.suspicions:
             self.tasks.spawn(self._report_suspicion(suspicion))
-        granted = self.chain.active
+        granted = self.chain.is_active
         if granted:
             self.lease_table.grant(request.proxy, CONNECTION_LEASE_US)
         view = self.chain.view
@@ -216,7 +216,7 @@
     def _addresses(self, view: View) -> tuple[ControlNodeAddress, ...]:
         """Where the members of the view listen, as far as is known."""
         addresses = []
-        for name in sorted(view.ids):
+        for name in sorted(view.members):
             address = self.roster.addr_of(name)
             if address:
                 zone = self.zone if name == self.name else self.roster.peers[name].zone
@@ -279,7 +279,7 @@
             seq = self.chain.control_state.seq
             committed = self.chain.wait_committed(seq, self.chain.store.entered_view)
             await self.clock.limit(committed, _COMMIT_TIMEOUT_US)
-            if not self.chain.active:
+            if not self.chain.is_active:
                 raise NotReady("not the active head any more") from None
             if request.force and isinstance(fault, Duplicate):
                 await self.lease_table.wait_in_force(seq)
@@ -369,9 +369,9 @@
         embargoes = self._embargoes
         return {
             **self.reported_state(),
-            "ruling": self.chain.ruling,
-            "active": self.chain.active,
-            "head": self.chain.head,
+            "ruling": self.chain.is_confirmed,
+            "active": self.chain.is_active,
+            "head": self.chain.is_head,
             "waiting": dict(self.duty.wait_reasons),
             "tied": self.connected_proxies.names(),
             "garbage": self.link.garbage,
--- a/src/petrelhaven/control/request_router.py
+++ b/src/petrelhaven/control/request_router.py
@@ -126,7 +126,7 @@
             await self._reach.call(head, MessageKind.CHAIN_ENTER, request.to_body(), timeout_us)
         )
 
-    async def read_control_state(self, within_us: int) -> Document:
+    async def read(self, within_us: int) -> Document:
         """The control state as the tail answers it, within a time in microseconds.
 
         Raises:
@@ -136,7 +136,7 @@
 
         async def attempt(tail: str, timeout_us: int) -> Document:
             if tail == self._name:
-                own: Document = self._chain.read()
+                own: Document = self._chain.read_control_state()
                 return own
             answer = await self._reach.call(
                 tail, MessageKind.CHAIN_READ, {"what": None}, timeout_us
@@ -167,16 +167,16 @@
         Raises:
             Expired: it has outlived the call that brought it to another node.
         """
-        boot = self._chain.confirmation.boot
-        if expiry is not None and not expiry.stands(boot, self._clock.now()):
+        boot = self._chain.confirmation.started_at_us
+        if expiry is not None and not expiry.is_valid(boot, self._clock.now()):
             raise Expired("the order came after its caller was answered")
 
     async def _expiry(self, head: str, timeout_us: int) -> Expiry:
         """The end of an order by the head's clock, which is asked for where it isn't known."""
         clocks = self._chain.confirmation.peer_clocks
-        if not clocks.knows(head):
-            await self._chain.confirmation.ask(head)
-        return clocks.expiry(head, timeout_us)
+        if not clocks.has_recent_reading(head):
+            await self._chain.confirmation.request_confirmation(head)
+        return clocks.expiry_at(head, timeout_us)
 
     async def _follow(self, place: int, attempt: Attempt[_Answer], within_us: int) -> _Answer:
         """What the node at `place` of the chain answers, through changes of the view."""
@@ -233,7 +233,7 @@
         chain = self._chain
         if chain.view is None:
             raise NotReady("no view yet")
-        in_transition = self._clock.now() - chain.adopted <= _TRANSITION_US
+        in_transition = self._clock.now() - chain.adopted_at_us <= _TRANSITION_US
         if not chain.confirmation.is_recent and not in_transition:
             raise NotReady("no majority of the cores answers", details=dict(_FINAL))
 
@@ -256,8 +256,8 @@
         A request tells no time, so how long one that is read after a pause has lain here can't be
         known.
         """
-        self._chain.confirmation.note_pause()
-        ended_us, paused_us = self._chain.confirmation.pause
+        self._chain.confirmation.record_pause()
+        ended_us, paused_us = self._chain.confirmation.last_pause
         is_recent = self._clock.now() - ended_us < _AFTER_PAUSE_US
         if is_recent and paused_us > within_us * _PAUSE_SHARE:
             raise NotReady("this core stood still a moment ago; send the order again")
--- a/src/petrelhaven/control/resumable/interfaces.py
+++ b/src/petrelhaven/control/resumable/interfaces.py
@@ -27,15 +27,15 @@
     """The replication chain of the control nodes."""
 
     @property
-    def me(self) -> str:
+    def node_name(self) -> str:
         """The name of this node."""
 
     @property
-    def head(self) -> bool:
+    def is_head(self) -> bool:
         """Whether this node is the head."""
 
     @property
-    def active(self) -> bool:
+    def is_active(self) -> bool:
         """Whether a majority has confirmed this node's view, and no older one can be in force."""
 
     @property
@@ -46,7 +46,7 @@
     def control_state(self) -> ControlState:
         """The control state, with all records that this node holds."""
 
-    async def enter(self, record: dict[str, Any], /) -> int:
+    async def append_record(self, record: dict[str, Any], /) -> int:
         """Commits a record; its number."""
 
 
--- a/src/petrelhaven/control/resumable/leases.py
+++ b/src/petrelhaven/control/resumable/leases.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING, Any
 
-from petrelhaven.control.consensus.chain import CONFIRM_US
+from petrelhaven.control.consensus.chain import CONFIRMATION_VALIDITY_US
 from petrelhaven.control.leases import (
     Call,
     LeaseTable,
@@ -26,7 +26,7 @@
 __all__ = ["EXPIRY_US", "LEASE_US", "ResumableLeaseTable"]
 
 LEASE_US = 1_500_000
-EXPIRY_US = lease_expiry_us(LEASE_US, CONFIRM_US)
+EXPIRY_US = lease_expiry_us(LEASE_US, CONFIRMATION_VALIDITY_US)
 
 
 class ResumableLeaseTable(LeaseTable):
@@ -55,7 +55,7 @@
         if known:
             self.acknowledge(request.proxy, request.acknowledged_seq)
             self._changed.wake()
-        granted = bool(self._chain.ruling and known and row["state"] != "gone")
+        granted = bool(self._chain.is_confirmed and known and row["state"] != "gone")
         required_seq = self._chain.control_state.seq
         if granted:
             self.grant(request.proxy, LEASE_US)
--- a/src/petrelhaven/control/state/control_state.py
+++ b/src/petrelhaven/control/state/control_state.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING, Any
 
-from petrelhaven.control.configuration.faults import ConfigurationFault, declined
+from petrelhaven.control.configuration.faults import ConfigurationFault, invalid_document
 from petrelhaven.control.failover.evidence import NO_POSITION, ElectionOrder, Evidence
 from petrelhaven.control.state.base import BaseControlState, configuration_digest
 from petrelhaven.control.state.counting_record import CountingRecord, CountingStart
@@ -137,7 +137,7 @@
             ):
                 self._check_evidence(record)
             case SupersededConfiguration():
-                raise declined(
+                raise invalid_document(
                     "a placeholder record cannot be submitted",
                     [ConfigurationFault("t", "must be another kind")],
                 )
@@ -206,7 +206,7 @@
         removed = {group["name"] for group in configuration["groups"]} - remaining
         served = sorted(removed & set(self.doc["offices"]))
         if served:
-            raise declined(
+            raise invalid_document(
                 "manifest declined",
                 [
                     ConfigurationFault(
@@ -306,7 +306,7 @@
                 self._mark_departed(name)
             return
         evidence = self.evidence(group)
-        updated = evidence.with_successor(name)
+        updated = evidence.with_replacement(name)
         if updated != evidence:
             self._put_evidence(group, updated)
 
@@ -316,7 +316,7 @@
         self.doc["sizes"][group] = max(minimum, self.doc["sizes"].get(group, 0) - 1)
 
     def _put_evidence(self, group: str, evidence: Evidence) -> None:
-        self.doc["evidence"][group] = evidence.document()
+        self.doc["evidence"][group] = evidence.to_document()
 
     def _add_missing_evidence(self) -> None:
         """Derives evidence for a document written before evidence was recorded.
@@ -345,14 +345,16 @@
         group, member = record.group[:_MAX_SHOWN_NAME_LENGTH], record.member
         if leadership.phase is not LeadershipPhase.FAILOVER:
             served = f"group {group} is served by {leadership.primary}"
-            raise declined("no election is waited for", [ConfigurationFault("group", served)])
+            raise invalid_document(
+                "no election is waited for", [ConfigurationFault("group", served)]
+            )
         if record.number != leadership.number:
             raise Conflict(
                 f"leadership {leadership.number} of {group} is waiting, not {record.number}"
             )
         if member not in self.group_members(record.group):
             missing = f"no member {member[:_MAX_SHOWN_NAME_LENGTH]} in group {group}"
-            raise declined("no such member", [ConfigurationFault("member", missing)])
+            raise invalid_document("no such member", [ConfigurationFault("member", missing)])
         order = self.evidence(record.group).order
         if order is not None and order.member == member:
             raise Duplicate(f"{order.by} ordered {member} already")
@@ -367,12 +369,14 @@
                 self._apply_log_bound(record, evidence)
                 return
             case ElectionOrderRecord():
-                evidence = evidence.with_order(ElectionOrder(record.member, record.by))
+                evidence = evidence.with_election_order(ElectionOrder(record.member, record.by))
         self._put_evidence(group, evidence)
 
     def _apply_log_bound(self, record: LogBoundRecord, evidence: Evidence) -> None:
         resolved = len(set(record.members) & set(evidence.unproven))
-        self._put_evidence(record.group, evidence.with_bound(record.members, record.position))
+        self._put_evidence(
+            record.group, evidence.with_bounded_logs(record.members, record.position)
+        )
         for _ in range(resolved):
             self._reduce_known_size(record.group)
 
--- a/src/petrelhaven/control/state_push.py
+++ b/src/petrelhaven/control/state_push.py
@@ -70,7 +70,7 @@
         Connections may be heard in another order than they were opened in. Each has pushes of its
         own, which end with it, and the proxy closes those that it doesn't need.
         """
-        if not self._chain.complete:
+        if not self._chain.is_complete:
             return SubscriptionAnswer(False, "not in the chain").to_body()
         old = self._pushes.pop(channel, None)
         if old:
@@ -92,10 +92,10 @@
         """Pushes until the connection ends; closes it where this node can't go on."""
         while not channel.gone.done():
             event = self._changed.event
-            if not self._chain.complete:
+            if not self._chain.is_complete:
                 channel.close()
                 return
-            if applied >= 0 and applied >= self._chain.commit:
+            if applied >= 0 and applied >= self._chain.committed_seq:
                 await self._wait(channel, event)
                 continue
             body = self._next_body(applied)
@@ -114,7 +114,7 @@
 
     def _next_body(self, applied: int) -> dict[str, Any] | None:
         """What follows record `applied`; None if that is a snapshot with uncommitted records."""
-        commit, control_state = self._chain.commit, self._chain.control_state
+        commit, control_state = self._chain.committed_seq, self._chain.control_state
         rows = self._chain.store.records_since(applied) if applied >= 0 else None
         if rows is None or applied == 0:
             if commit != control_state.seq:
--- a/src/petrelhaven/simulator/connection_sessions/control_fleet.py
+++ b/src/petrelhaven/simulator/connection_sessions/control_fleet.py
@@ -132,12 +132,12 @@
         counted = max(
             (s.chain.view for s in nodes if s.chain.view and s.chain.view.number == newest),
             key=lambda view: view.number,
-        ).ids
+        ).members
         positions = [s.store.control_state.seq for s in nodes]
         return (
             len(counted) == len(chain)
             and all(s.chain.view and s.chain.view.number == newest for s in nodes)
-            and all(s.chain.complete for s in nodes)
+            and all(s.chain.is_complete for s in nodes)
             and max(positions) - min(positions) <= _UNDER_WAY
         )
 
--- a/tests/test_crash_points.py
+++ b/tests/test_crash_points.py
@@ -11,7 +11,7 @@
 import pytest
 from crash_disk import REFUSALS, SURVIVALS, CrashDisk, PowerCut, Refuse
 
-from petrelhaven.control.consensus.register import NoPromise, Proposer, Voter
+from petrelhaven.control.consensus.register import NoMajorityPromised, Proposer, Voter
 from petrelhaven.control.consensus.view import View
 from petrelhaven.control.storage import node_store, record_format, record_log
 from petrelhaven.control.storage.node_store import ControlNodeStore
@@ -420,7 +420,7 @@
                     view = await trio.decide(who, number)
                     acked["view"] = max(acked["view"], view.number)
                     break
-                except (Fault, NoPromise):
+                except (Fault, NoMajorityPromised):
                     return
         for seq in range(6 * number - 5, 6 * number + 1):
             held = 0
