--- a/src/petrelhaven/control/request_router.py
+++ b/src/petrelhaven/control/request_router.py
@@ -126,7 +126,7 @@
             await self._reach.call(head, MessageKind.CHAIN_ENTER, request.to_body(), timeout_us)
         )
 
-    async def read(self, within_us: int) -> Document:
+    async def read_control_state(self, within_us: int) -> Document:
         """The control state as the tail answers it, within a time in microseconds.
 
         Raises:
