--- a/src/petrelhaven/control/configuration/__init__.py
+++ b/src/petrelhaven/control/configuration/__init__.py
@@ -1,4 +1,5 @@
-"""The operator's configuration: its types (`document`), how it is read and how it is checked.
+"""The operator's configuration: its types (`document`), its parsing and its validation.
 
-`parsing` reads the text, `type_check` compares it with the types, `validation` checks its meaning.
+`parsing` reads the text, `type_check` compares it with the types, and `validation` checks ranges,
+references and other rules.
 """
--- a/src/petrelhaven/control/configuration/defaults.py
+++ b/src/petrelhaven/control/configuration/defaults.py
@@ -1,4 +1,7 @@
-"""Defaults of the configuration, for readers that save the memory of the types of `document`."""
+"""Defaults of the configuration, for processes that don't load the types of `document`.
+
+Loading those types costs memory, which connection sessions save.
+"""
 
 from __future__ import annotations
 
@@ -31,11 +34,11 @@
     "quota_excess": 100,
     "quota_slack": 20,
 }
-"""Those that connection sessions need."""
+"""Only the bounds that connection sessions need."""
 
 
 def with_defaults(document: dict[str, Any]) -> dict[str, Any]:
-    """Fills a parsed, checked configuration with a value for each field that those readers need."""
+    """Adds the defaults of missing fields to a parsed and validated configuration."""
     return {
         **document,
         "groups": [{**GROUP_DEFAULTS, **group} for group in document["groups"]],
--- a/src/petrelhaven/control/configuration/document.py
+++ b/src/petrelhaven/control/configuration/document.py
@@ -1,7 +1,7 @@
-"""The operator's configuration: what it consists of.
+"""The types of the operator's configuration.
 
-`parsing` reads it from text and `validation` checks it. docs/settings.md describes the fields for
-operators.
+`parsing` reads a configuration from text and `validation` checks it. docs/settings.md describes the
+fields for operators.
 """
 
 import dataclasses
@@ -12,7 +12,7 @@
 __all__ = ["NO_LIMIT", "Bounds", "Configuration", "Group", "Route", "Tenant"]
 
 NO_LIMIT = -1
-"""Stands for no limit in a tenant's `rate` or `burst`."""
+"""Value of a tenant's `rate` or `burst` that means no limit."""
 
 
 @serde(deny_unknown_fields=True)
@@ -21,29 +21,29 @@
     """Limits of the data plane; names that end in `_us` are microseconds.
 
     Attributes:
-        fetch_us: a fetch of a read position that is older is stuck, and blocks nobody.
-        join_us: longest wait of a read for its position.
-        wait_us: longest wait for a log, over replicas.
+        fetch_us: age after which a pending fetch of a read position no longer delays other reads.
+        join_us: maximum wait of a read for its read position.
+        wait_us: maximum total wait for replicas to reach the read position.
         statement_us: time limit of a statement.
-        commit_us: longest wait for in-sync replicas.
-        browse_us: greatest age of a browsing read.
-        margin_us: part of `browse_us` that is left unused.
-        grace_us: what open transactions get when a member leaves.
-        lost_us: silence after which a member is lost.
-        stall_us: a replica that lacks what the primary had this long ago is stalled.
-        warm_us: ramp of a member that is new, restarted or taken back.
-        idle_txn_us: an idle transaction is ended after this.
-        slots: request slots of a proxy.
-        queue: statements that may wait in a session.
-        lanes: fetches of a read position in flight.
-        sessions: sessions of a proxy.
-        keepers: proxies that hold a replica of each session beside its home.
-        wall_us: widest interval around true time by which an embargoed record is released.
-        skew_us: how far a good wall clock may be from true time.
-        spread_us: time after a release over which waiting readers are asked to come back.
-        quota_window_us: length of the windows in which tenants' limits hold.
+        commit_us: maximum wait of a commit for in-sync replicas.
+        browse_us: maximum age of the data that a browsing read returns.
+        margin_us: safety margin that is subtracted from `browse_us`.
+        grace_us: time for open transactions to finish when a member leaves.
+        lost_us: time without heartbeats after which a member is lost.
+        stall_us: a replica whose log is behind by more than this is stalled.
+        warm_us: duration over which load on a new, restarted or returning member is ramped up.
+        idle_txn_us: time after which an idle transaction is ended.
+        slots: maximum number of concurrent requests of a proxy.
+        queue: maximum number of statements queued in a session.
+        lanes: maximum number of concurrent fetches of a read position.
+        sessions: maximum number of sessions of a proxy.
+        keepers: number of proxies that hold a replica of each session besides its own proxy.
+        wall_us: maximum width of the time interval by which an embargoed record may be released.
+        skew_us: maximum deviation of a correct wall clock from true time.
+        spread_us: period after a release over which the retries of waiting readers are spread.
+        quota_window_us: length of the windows to which tenants' limits apply.
         quota_excess: thousandths by which a window may exceed a tenant's limit.
-        quota_slack: operations by which it may exceed it beside that.
+        quota_slack: operations by which a window may exceed it in addition.
     """
 
     fetch_us: int = 150_000
@@ -78,10 +78,10 @@
 
     Attributes:
         name: its name, by which routes refer to it.
-        members: how many members it is planned for.
-        cap: connections that a member takes.
-        least: members below which the group does not go.
-        sync: replicas that have a commit before it is acknowledged.
+        members: planned number of members.
+        cap: maximum number of connections of a member.
+        least: minimum number of members.
+        sync: number of replicas that must hold a commit before it is acknowledged.
     """
 
     name: str
@@ -94,19 +94,19 @@
 @serde(deny_unknown_fields=True)
 @dataclasses.dataclass(slots=True)
 class Route:
-    """What a client names: a group and the kind of its reads.
+    """A route, which clients select: a group and the kind of its reads.
 
     Attributes:
         name: its name.
         group: the name of its group.
         reads: `strong` or `browsing`.
-        host: the host that a client asks for; empty where no client does.
-        prefix: the beginning of the things that it is for.
+        host: the host name that clients request; empty if no client selects the route by host.
+        prefix: the prefix of the record keys that the route serves.
         timeout_us: time limit of a statement.
-        aim_us: latency target; a slow read is hedged after a part of it.
-        stale_us: how old a browsing read may be.
-        rank: the lower, the sooner served.
-        public: whether clients need no key on it.
+        aim_us: latency target; a read that has used a fraction of it is hedged.
+        stale_us: maximum age of the data that a browsing read returns.
+        rank: priority; lower ranks are served first.
+        public: whether clients may use the route without a key.
     """
 
     name: str
@@ -124,14 +124,14 @@
 @serde(deny_unknown_fields=True)
 @dataclasses.dataclass(slots=True)
 class Tenant:
-    """A customer whose clients show one of its keys.
+    """A tenant, whose clients authenticate with one of its keys.
 
     Attributes:
-        name: its name, which members are told.
-        keys: digests of its keys, as `runtime.key_digest` makes them.
-        rate: operations a second over all proxies, or `NO_LIMIT`.
-        burst: how many more may come at once.
-        rank: the lower, the sooner served.
+        name: its name, which is sent to members.
+        keys: digests of its keys, as computed by `runtime.key_digest`.
+        rate: operations per second over all proxies, or `NO_LIMIT`.
+        burst: number of operations that may exceed the rate at once.
+        rank: priority; lower ranks are served first.
     """
 
     name: str
@@ -144,18 +144,18 @@
 @serde(deny_unknown_fields=True)
 @dataclasses.dataclass(slots=True)
 class Configuration:
-    """The operator's whole document.
+    """The complete configuration document.
 
     Attributes:
         name: the name of the fleet.
-        version: which configuration this is; it only grows.
-        zones: names of the zones, `halls` in the document.
+        version: its version number, which only increases.
+        zones: names of the zones; the JSON key is `halls`.
         groups: the database groups.
-        routes: what clients may name.
+        routes: the routes that clients may select.
         bounds: limits of the data plane.
-        origin: where the document came from; free text.
+        origin: the document from which it was generated; free text.
         embargoing: groups whose records may be embargoed.
-        embargoes: rules as documents, which `embargoes.EmbargoRule` describes.
+        embargoes: embargo rules as JSON objects, as described by `embargoes.EmbargoRule`.
         keyed: whether clients need a tenant's key on routes that are not public.
         tenants: the tenants.
     """
@@ -163,7 +163,7 @@
     name: str
     version: int
     zones: list[str] = dataclasses.field(metadata={"serde_rename": "halls"})
-    # mypy takes the field before for one with a default, as serde does not announce its fields
+    # mypy assumes that `zones` has a default, since serde's decorator is no dataclass transform.
     groups: list[Group]  # type: ignore[misc]
     routes: list[Route]  # type: ignore[misc]
     bounds: Bounds = dataclasses.field(default_factory=Bounds)
@@ -175,5 +175,5 @@
 
     @property
     def has_embargoes(self) -> bool:
-        """Whether it embargoes anything, or names groups in which records may be embargoed."""
+        """Whether it has embargo rules or names groups whose records may be embargoed."""
         return bool(self.embargoing or self.embargoes)
--- a/src/petrelhaven/control/configuration/embargoes.py
+++ b/src/petrelhaven/control/configuration/embargoes.py
@@ -1,7 +1,7 @@
-"""Embargo rules as operators write them, in a configuration or in a call, and their checks.
+"""Embargo rules as operators write them, in a configuration or a request, and their validation.
 
-A rule keeps records unseen until a release time. `control.embargo` puts rules into the control
-state. Loaded only where something is embargoed: instants and time zones cost memory.
+A rule withholds records until a release time. `control.embargo` puts rules into the control state.
+The module is loaded only where embargoes are used, since time zone data costs memory.
 """
 
 from __future__ import annotations
@@ -19,23 +19,23 @@
 
 __all__ = ["EmbargoRule", "embargo_faults", "embargo_rules", "rule_faults"]
 
-_RECORD_NAME_BYTES = 512
-_EARLY_CLIENTS = 32
-_CLIENT_NAME_LENGTH = 128
+_MAX_RECORD_KEY_BYTES = 512
+_MAX_EARLY_CLIENTS = 32
+_MAX_CLIENT_NAME_LENGTH = 128
 
 
 @dataclass(slots=True)
 class EmbargoRule:
-    """A rule as it is written.
+    """An embargo rule as an operator writes it.
 
     Attributes:
         name: the name of the rule.
         group: the database group of the records.
         until: the release time: an RFC 3339 instant, or a local time in `zone`.
-        thing: the one record that it covers; either this or `prefix` is given.
-        prefix: it covers all records whose names begin so.
-        zone: an IANA zone, where `until` has no offset.
-        early: names of clients that may see the records before.
+        thing: key of the one record that it covers; either this or `prefix` is given.
+        prefix: key prefix of the records that it covers.
+        zone: an IANA time zone, if `until` has no offset.
+        early: names of clients that may see the records before the release.
     """
 
     name: str
@@ -48,7 +48,7 @@
 
 
 def embargo_faults(configuration: Configuration) -> Iterator[ConfigurationFault]:
-    """Yields what is wrong with a configuration's embargoes."""
+    """Yields the faults of a configuration's embargoes."""
     groups = {group.name for group in configuration.groups}
     names: set[str] = set()
     for index, document in enumerate(configuration.embargoes):
@@ -72,22 +72,22 @@
 
 
 def embargo_rules(configuration: Configuration) -> list[EmbargoRule]:
-    """The rules of a configuration that has been checked."""
+    """Returns the embargo rules of a validated configuration."""
     return [EmbargoRule(**document) for document in configuration.embargoes]
 
 
 def rule_faults(rule: EmbargoRule, path: str = "") -> Iterator[ConfigurationFault]:
-    """Yields what is wrong with one rule, whose types are right, at `path` of its document."""
+    """Yields the faults of one rule, whose types are valid, at `path` of its document."""
     if not NAME.fullmatch(rule.name):
         yield ConfigurationFault(join_path(path, "name"), NAME_EXPECTED)
     if bool(rule.thing) == bool(rule.prefix):
         yield ConfigurationFault(join_path(path, "thing"), "say either a thing or a prefix")
     for field, text in (("thing", rule.thing), ("prefix", rule.prefix)):
-        if len(text.encode("utf-8", "surrogatepass")) > _RECORD_NAME_BYTES:
-            message = f"must be at most {_RECORD_NAME_BYTES} bytes"
+        if len(text.encode("utf-8", "surrogatepass")) > _MAX_RECORD_KEY_BYTES:
+            message = f"must be at most {_MAX_RECORD_KEY_BYTES} bytes"
             yield ConfigurationFault(join_path(path, field), message)
-    if len(rule.early) > _EARLY_CLIENTS or not all(map(_is_client_name, rule.early)):
-        message = f"must be at most {_EARLY_CLIENTS} visitors' names of 1 to 128 letters"
+    if len(rule.early) > _MAX_EARLY_CLIENTS or not all(map(_is_client_name, rule.early)):
+        message = f"must be at most {_MAX_EARLY_CLIENTS} visitors' names of 1 to 128 letters"
         yield ConfigurationFault(join_path(path, "early"), message)
     try:
         parse_instant(rule.until, rule.zone)
@@ -96,4 +96,4 @@
 
 
 def _is_client_name(name: str) -> bool:
-    return 0 < len(name) <= _CLIENT_NAME_LENGTH
+    return 0 < len(name) <= _MAX_CLIENT_NAME_LENGTH
--- a/src/petrelhaven/control/configuration/faults.py
+++ b/src/petrelhaven/control/configuration/faults.py
@@ -1,4 +1,4 @@
-"""What is wrong in a document of the operator's, by path, and the error that reports it."""
+"""Faults of an operator's document, each with its path, and the error that reports them."""
 
 from __future__ import annotations
 
@@ -10,22 +10,27 @@
 __all__ = ["ROOT", "ConfigurationFault", "invalid_document", "join_path"]
 
 ROOT = "$"
-"""The path of a whole document."""
+"""The path of the document itself."""
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationFault:
-    """One thing that is wrong: `path` is like `groups[2].cap`, `message` says what is expected."""
+    """One fault of a document.
+
+    Attributes:
+        path: the place in the document, such as `groups[2].cap`.
+        message: what is expected there.
+    """
 
     path: str
     message: str
 
 
 def invalid_document(note: str, faults: Iterable[ConfigurationFault]) -> Invalid:
-    """The error that declines a document; its `details` carries all `faults` as pairs."""
+    """Returns the error that rejects a document, with all `faults` as pairs in its `details`."""
     return Invalid(note, details={"faults": [[fault.path, fault.message] for fault in faults]})
 
 
 def join_path(path: str, key: str) -> str:
-    """The path of field `key` of the object at `path`, which is empty for the whole document."""
+    """Returns the path of field `key` of the object at `path`; the root object's path is empty."""
     return f"{path}.{key}".lstrip(".")
--- a/src/petrelhaven/control/configuration/parser_loader.py
+++ b/src/petrelhaven/control/configuration/parser_loader.py
@@ -1,7 +1,7 @@
-"""Loads what reads configurations beside the event loop, so that no start waits for it.
+"""Loads the configuration parser lazily, without blocking the event loop.
 
-The libraries that check types take as long to load as all else of a control node together. After
-a loss of all power every client waits for the control nodes, which need no parser then.
+The libraries for type checks take as long to load as the rest of a control node. When all nodes
+restart after a power failure, clients wait for the control nodes, which need no parser then.
 """
 
 from __future__ import annotations
@@ -17,46 +17,46 @@
 
 __all__ = ["ParserLoader"]
 
-_MODULE = "petrelhaven.control.configuration.parsing"
+_PARSER_MODULE = "petrelhaven.control.configuration.parsing"
 
 
 class ParserLoader:
-    """Reads configurations; loads the parser when it is first needed, or ahead of that.
+    """Parses configurations; loads the parser at first use, or earlier with `load`.
 
     Attributes:
-        uses_thread: Whether a thread loads it, which only a process with a real event loop may use;
-            else the caller loads it itself.
+        uses_thread: Whether a thread loads the parser, which requires a real event loop; else the
+            caller of `load` imports it directly.
     """
 
     def __init__(self) -> None:
-        """Loads nothing yet."""
+        """Creates the loader without loading the parser."""
         self.uses_thread = False
         self._loading: asyncio.Future[object] | None = None
 
     @property
     def is_loaded(self) -> bool:
-        """Whether the parser is there."""
-        return _MODULE in sys.modules and (self._loading is None or self._loading.done())
+        """Whether the parser is loaded."""
+        return _PARSER_MODULE in sys.modules and (self._loading is None or self._loading.done())
 
     async def load(self) -> None:
-        """Returns once the parser is loaded; several callers wait for the same loading."""
+        """Loads the parser; concurrent callers wait for the same load."""
         if self.is_loaded:
             return
         if not self.uses_thread:
-            importlib.import_module(_MODULE)
+            importlib.import_module(_PARSER_MODULE)
             return
         if self._loading is None:
             executor = ThreadPoolExecutor(max_workers=1)
             loop = asyncio.get_running_loop()
-            self._loading = loop.run_in_executor(executor, importlib.import_module, _MODULE)
+            self._loading = loop.run_in_executor(executor, importlib.import_module, _PARSER_MODULE)
             executor.shutdown(wait=False)
         await asyncio.shield(self._loading)
 
     async def parse(self, text: str) -> Configuration:
-        """Reads and checks a configuration.
+        """Parses and validates a configuration.
 
         Raises:
-            Invalid: as `parse_configuration`.
+            Invalid: as raised by `parse_configuration`.
         """
         await self.load()
         from petrelhaven.control.configuration.parsing import parse_configuration
--- a/src/petrelhaven/control/configuration/parsing.py
+++ b/src/petrelhaven/control/configuration/parsing.py
@@ -1,4 +1,4 @@
-"""Reads the operator's configuration from JSON: its text, its types, then its meaning."""
+"""Parses the operator's configuration from JSON and validates its types and values."""
 
 from __future__ import annotations
 
@@ -16,28 +16,28 @@
 
 
 def parse_configuration(text: str | bytes) -> Configuration:
-    """Reads and checks a configuration.
+    """Parses and validates a configuration.
 
     Args:
         text: a JSON document.
 
     Raises:
-        Invalid: it is declined; `details` names every fault by its path. Types are checked first,
-            and the meaning only where all types are right.
+        Invalid: the configuration has faults, which `details` lists by path. Values are checked
+            only if all types are valid.
     """
     document = _parse_json(text)
     faults = list(type_faults(Configuration, document))
     if faults:
-        raise invalid_document("manifest declined", faults)
+        raise invalid_document("invalid configuration", faults)
     try:
         configuration: Configuration = from_dict(Configuration, document)
     except SerdeError as error:
         raise invalid_document(
-            "manifest declined", [ConfigurationFault(ROOT, str(error))]
+            "invalid configuration", [ConfigurationFault(ROOT, str(error))]
         ) from None
     faults = list(configuration_faults(configuration))
     if faults:
-        raise invalid_document("manifest declined", faults)
+        raise invalid_document("invalid configuration", faults)
     return configuration
 
 
@@ -46,14 +46,14 @@
         return json.loads(text, object_pairs_hook=_object_without_duplicates)
     except (ValueError, RecursionError) as error:
         fault = ConfigurationFault(ROOT, str(error))
-        raise invalid_document("manifest is not JSON", [fault]) from None
+        raise invalid_document("configuration is not valid JSON", [fault]) from None
 
 
 def _object_without_duplicates(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
-    """A JSON object; ValueError where a key stands twice, of which json.loads would drop one."""
-    result: dict[str, Any] = {}
+    """Builds a JSON object; raises ValueError on duplicate keys, which json.loads would drop."""
+    fields: dict[str, Any] = {}
     for key, value in pairs:
-        if key in result:
+        if key in fields:
             raise ValueError(f"field {key} twice")
-        result[key] = value
-    return result
+        fields[key] = value
+    return fields
--- a/src/petrelhaven/control/configuration/type_check.py
+++ b/src/petrelhaven/control/configuration/type_check.py
@@ -1,4 +1,4 @@
-"""Compares a parsed JSON document with the types of a dataclass; every difference has a path."""
+"""Compares a parsed JSON document with the field types of a dataclass."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 __all__ = ["type_faults"]
 
-_SCALARS = {int: "a whole number", str: "a string", bool: "true or false"}
+_SCALAR_DESCRIPTIONS = {int: "a whole number", str: "a string", bool: "true or false"}
 
 
 def type_faults(
@@ -18,16 +18,15 @@
     value: object,
     path: str = "",
 ) -> Iterator[ConfigurationFault]:
-    """Yields where `value` differs from `expected`.
+    """Yields a fault for each place where `value` doesn't have the type `expected`.
 
     Args:
-        expected: a dataclass, `list[...]` of anything named here, `dict[...]`, `int`, `bool` or
-            `str`.
-        value: what the JSON document has at `path`. A bool is no int.
-        path: where `value` stands; empty for the whole document.
+        expected: a dataclass, `int`, `bool`, `str`, `dict[...]`, or a `list[...]` of any of these.
+        value: the part of the JSON document at `path`. A bool doesn't count as an int.
+        path: the place of `value` in the document; empty for the document itself.
 
     Returns:
-        The faults in the order of the document: unknown fields first, then the known ones.
+        The faults; those of unknown fields of an object come before those of its known fields.
     """
     origin = typing.get_origin(expected)
     if dataclasses.is_dataclass(expected):
@@ -38,7 +37,7 @@
         if not isinstance(value, dict):
             yield ConfigurationFault(path, "must be an object")
     elif type(value) is not expected:
-        yield ConfigurationFault(path, f"must be {_SCALARS[expected]}")
+        yield ConfigurationFault(path, f"must be {_SCALAR_DESCRIPTIONS[expected]}")
 
 
 def _object_faults(expected: typing.Any, value: object, path: str) -> Iterator[ConfigurationFault]:  # noqa: ANN401
--- a/src/petrelhaven/control/configuration/validation.py
+++ b/src/petrelhaven/control/configuration/validation.py
@@ -1,6 +1,6 @@
-"""Checks what a configuration means: names, references, ranges, limits that rest on each other.
+"""Validates the values of a configuration: names, references, ranges and dependent limits.
 
-The types are right by then: `type_check` compares the document with them before.
+`type_check` has checked the types before.
 """
 
 from __future__ import annotations
@@ -23,10 +23,10 @@
 
 NAME_EXPECTED = "must be a name of lower-case letters, digits and hyphens"
 
-_VERSION_END = 1 << 53
-_ROUTE_TIME_MAX_US = 1 << 40
-_READS = ("strong", "browsing")
-_MOST_OPERATIONS = 1 << 40
+_VERSION_LIMIT = 1 << 53
+_MAX_ROUTE_TIME_US = 1 << 40
+_READ_KINDS = ("strong", "browsing")
+_MAX_OPERATIONS = 1 << 40
 
 _GROUP_RANGES = {
     "members": IntegerRange(1, 9),
@@ -35,14 +35,14 @@
     "sync": IntegerRange(0, 8),
 }
 _ROUTE_RANGES = {
-    "timeout_us": IntegerRange(1, _ROUTE_TIME_MAX_US),
-    "aim_us": IntegerRange(0, _ROUTE_TIME_MAX_US),
-    "stale_us": IntegerRange(0, _ROUTE_TIME_MAX_US),
+    "timeout_us": IntegerRange(1, _MAX_ROUTE_TIME_US),
+    "aim_us": IntegerRange(0, _MAX_ROUTE_TIME_US),
+    "stale_us": IntegerRange(0, _MAX_ROUTE_TIME_US),
     "rank": IntegerRange(-(1 << 31), 1 << 31),
 }
 _TENANT_RANGES = {
-    "rate": IntegerRange(NO_LIMIT, _MOST_OPERATIONS),
-    "burst": IntegerRange(0, _MOST_OPERATIONS),
+    "rate": IntegerRange(NO_LIMIT, _MAX_OPERATIONS),
+    "burst": IntegerRange(0, _MAX_OPERATIONS),
     "rank": IntegerRange(-(1 << 31), 1 << 31),
 }
 _BOUNDS_RANGES = {
@@ -73,11 +73,11 @@
 
 
 def configuration_faults(configuration: Configuration) -> Iterator[ConfigurationFault]:
-    """Yields everything that is wrong with a configuration whose types are right."""
+    """Yields all faults of a configuration whose types are valid."""
     yield from _name_faults(configuration.zones, "halls")
     yield from _name_faults([group.name for group in configuration.groups], "groups")
     yield from _name_faults([route.name for route in configuration.routes], "routes")
-    if not 1 <= configuration.version < _VERSION_END:
+    if not 1 <= configuration.version < _VERSION_LIMIT:
         yield ConfigurationFault("version", "must be from 1 to 2^53")
     if not NAME.fullmatch(configuration.name):
         yield ConfigurationFault("name", NAME_EXPECTED)
@@ -86,7 +86,7 @@
     yield from _bounds_faults(configuration.bounds)
     yield from _tenant_faults(configuration.tenants)
     if configuration.has_embargoes:
-        # loaded at need: time zones and instants cost memory, and most fleets embargo nothing
+        # Imported lazily: time zone data costs memory, and most fleets use no embargoes.
         from petrelhaven.control.configuration.embargoes import embargo_faults
 
         yield from embargo_faults(configuration)
@@ -122,22 +122,22 @@
 
 
 def _route_faults(routes: Sequence[Route], groups: set[str]) -> Iterator[ConfigurationFault]:
-    first_with: dict[tuple[str, str], int] = {}
+    first_index: dict[tuple[str, str], int] = {}
     for index, route in enumerate(routes):
         path = f"routes[{index}]"
         if route.group not in groups:
             yield ConfigurationFault(f"{path}.group", f"no group {route.group}")
-        if route.reads not in _READS:
+        if route.reads not in _READ_KINDS:
             yield ConfigurationFault(f"{path}.reads", "must be strong or browsing")
         yield from _range_faults(route, _ROUTE_RANGES, path)
-        first = first_with.setdefault((route.host, route.prefix), index)
+        first = first_index.setdefault((route.host, route.prefix), index)
         if route.host and first != index:
             message = f"host {route.host} with this prefix stands in routes[{first}] already"
             yield ConfigurationFault(f"{path}.host", message)
 
 
 def _tenant_faults(tenants: Sequence[Tenant]) -> Iterator[ConfigurationFault]:
-    """Names, limits, and keys that more than one tenant has; a key itself is never shown."""
+    """Checks names, limits and keys shared by tenants; messages never contain a key."""
     seen: set[str] = set()
     owners: dict[str, int] = {}
     for index, tenant in enumerate(tenants):
@@ -148,12 +148,12 @@
             yield ConfigurationFault(f"{path}.name", f"duplicate name {tenant.name}")
         seen.add(tenant.name)
         yield from _range_faults(tenant, _TENANT_RANGES, path)
-        for position, key in enumerate(tenant.keys):
+        for key_index, key in enumerate(tenant.keys):
             if not KEY_DIGEST.fullmatch(key):
-                yield ConfigurationFault(f"{path}.keys[{position}]", "must be a digest of a key")
+                yield ConfigurationFault(f"{path}.keys[{key_index}]", "must be a digest of a key")
             elif owners.setdefault(key, index) != index:
                 message = f"tenants[{owners[key]}] has this key already"
-                yield ConfigurationFault(f"{path}.keys[{position}]", message)
+                yield ConfigurationFault(f"{path}.keys[{key_index}]", message)
 
 
 def _bounds_faults(bounds: Bounds) -> Iterator[ConfigurationFault]:
--- a/src/petrelhaven/control/failover/change_steps.py
+++ b/src/petrelhaven/control/failover/attempt_outcome.py
@@ -1,4 +1,4 @@
-"""What one attempt of a leader change comes to."""
+"""The possible outcomes of one attempt of a leader change."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
     from petrelhaven.control.failover.member_access import MemberHandle
     from petrelhaven.control.failover.wait_reasons import WaitReason
 
-__all__ = ["ChangeStep", "GiveBack", "Promote", "Wait"]
+__all__ = ["AttemptOutcome", "KeepOldPrimary", "Promote", "Wait"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -18,7 +18,7 @@
 
     Attributes:
         candidate: The member.
-        accepted_loss: The operator who accepted that commits may be lost, or "".
+        accepted_loss: The operator who accepted the loss of commits, or "" if nobody did.
     """
 
     candidate: MemberHandle
@@ -26,17 +26,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class GiveBack:
-    """The old primary is to stay."""
+class KeepOldPrimary:
+    """The leader change is cancelled and the old primary stays in place."""
 
     cause: str
 
 
 @dataclass(frozen=True, slots=True)
 class Wait:
-    """Another attempt is needed; `reason` is noted unless it is None."""
+    """Another attempt is needed; `reason` is reported to operators unless it is None."""
 
     reason: WaitReason | None = None
 
 
-ChangeStep = Promote | GiveBack | Wait
+AttemptOutcome = Promote | KeepOldPrimary | Wait
--- a/src/petrelhaven/control/failover/context.py
+++ b/src/petrelhaven/control/failover/context.py
@@ -1,4 +1,4 @@
-"""What the parts of the failover coordinator share: reads of the control state, records, waits."""
+"""Shared access of the failover modules to the control state, its records and the wait reasons."""
 
 from __future__ import annotations
 
@@ -20,23 +20,24 @@
 
 __all__ = ["FailoverContext"]
 
-_OPEN = "open"
+_ZONE_OPEN = "open"
 
 
 class FailoverContext:
-    """One control node's view of all groups.
+    """State and helpers that the failover modules of one control node share, for all groups.
 
     Attributes:
         node: The control node.
-        platform: What promotes members.
+        platform: The platform, which promotes members.
         observer: Inspects members.
         suspicions: Members that are suspected to have failed.
-        wait_reasons: For each group that waits, the reason.
-        candidates: Who is to take over each changing leadership; it must go on receiving.
+        wait_reasons: By group, why no primary can be elected or moved at the moment.
+        candidates: By group, the member that a switchover is going to promote; it must not be
+            paused.
     """
 
     def __init__(self, node: ControlServices, platform: Platform) -> None:
-        """Has no suspicions and nobody waiting yet."""
+        """Starts without suspicions or wait reasons."""
         self.node, self.platform = node, platform
         self.clock, self.log = node.clock, node.log
         self.observer = Observer(node)
@@ -47,70 +48,70 @@
 
     @property
     def is_active_head(self) -> bool:
-        """Whether this control node may act for all."""
+        """Whether this control node is the active head, which alone changes leaders."""
         return bool(self.node.chain.head and self.node.chain.active)
 
     def groups(self) -> list[str]:
-        """The names of the configured groups."""
+        """Returns the names of the configured groups."""
         configuration = self.node.chain.control_state.configuration
         return [group["name"] for group in configuration["groups"]]
 
     def leaderships(self) -> dict[str, Leadership]:
-        """The leadership of each group that has one."""
+        """Returns the leadership of each group that has one."""
         rows = self.node.chain.control_state.doc["offices"]
         return {group: Leadership.from_row(row) for group, row in rows.items()}
 
     def leadership(self, group: str) -> Leadership:
-        """The leadership of a group that has one."""
+        """Returns the leadership of a group that has one."""
         return Leadership.from_row(self.node.chain.control_state.doc["offices"][group])
 
     def find_leadership(self, group: str) -> Leadership | None:
-        """The leadership of a group, or None before the first."""
+        """Returns the leadership of a group, or None if none has been recorded."""
         row = self.node.chain.control_state.doc["offices"].get(group)
         return Leadership.from_row(row) if row else None
 
     def members(self, group: str) -> dict[str, Member]:
-        """The members of a group that are not gone, by name."""
+        """Returns the members of a group by name, without those that signed off."""
         rows = self.node.chain.control_state.group(group)
         return {name: Member.from_row(name, row) for name, row in rows.items()}
 
     def evidence(self, group: str) -> Evidence:
-        """What is recorded about the logs of a group's members."""
+        """Returns the recorded facts about the logs of a group's members."""
         return self.node.chain.control_state.evidence(group)
 
-    def is_open(self, zone: str) -> bool:
-        """Whether a zone is open, that is, not evacuated."""
-        return self.node.chain.control_state.zone(zone) == _OPEN
+    def is_zone_open(self, zone: str) -> bool:
+        """Returns whether a zone is open, that is, not evacuated."""
+        return self.node.chain.control_state.zone(zone) == _ZONE_OPEN
 
-    def staying_replicas(self, group: str, primary: str) -> list[str]:
-        """Replicas that may take over from `primary`: ready, in an open zone."""
+    def eligible_replicas(self, group: str, primary: str) -> list[str]:
+        """Returns the replicas that may replace `primary`: ready members in open zones."""
         return [
             name
             for name, member in self.members(group).items()
-            if name != primary and member.is_ready and self.is_open(member.zone)
+            if name != primary and member.is_ready and self.is_zone_open(member.zone)
         ]
 
     def pause_lock(self, group: str) -> asyncio.Lock:
-        """Locked while replicas of the group are paused or resumed together with their records."""
+        """Returns the lock under which replicas of a group are paused or resumed and recorded."""
         return self._pause_locks.setdefault(group, asyncio.Lock())
 
-    def wait(self, group: str, reason: WaitReason) -> None:
-        """Notes why a group waits, and logs each reason once."""
+    def note_wait_reason(self, group: str, reason: WaitReason) -> None:
+        """Stores why a group waits, and logs the reason if it is a new one."""
         if self.wait_reasons.get(group) != reason:
             emit(self.log, Events.LEADER_CHANGE_WAITS, group=group, note=reason)
         self.wait_reasons[group] = reason
 
-    def end_change(self, group: str) -> None:
-        """The leader change of a group is over."""
+    def clear_change(self, group: str) -> None:
+        """Drops the candidate and the wait reason of a group whose leader change has ended."""
         self.candidates.pop(group, None)
         self.wait_reasons.pop(group, None)
 
-    async def enter_leadership(self, group: str, new: NewLeadership) -> int:
-        """Enters a leadership record; its number is the fencing token of what follows."""
-        last = self.find_leadership(group)
+    async def record_leadership(self, group: str, new: NewLeadership) -> int:
+        """Commits a leadership record; returns its number, which serves as a fencing token."""
+        previous = self.find_leadership(group)
         record = LeadershipRecord(
             group=group,
-            number=(last.number if last else 0) + 1,
+            number=(previous.number if previous else 0) + 1,
             phase=new.phase.value,
             primary=new.primary,
             term=new.term,
@@ -136,7 +137,7 @@
         return number
 
     async def record_counted_out(self, group: str, member: str, position: Position | None) -> None:
-        """Records that a leaving member is paused at `position`, or receives again if None."""
+        """Records that a member is counted out at `position`, or counts again if that is None."""
         await self.node.chain.enter(CountedOutRecord(group, member, position).to_document())
         if position is not None:
             emit(self.log, Events.MEMBER_COUNTED_OUT, group=group, member=member, pos=position)
--- a/src/petrelhaven/control/failover/counting_out.py
+++ b/src/petrelhaven/control/failover/counting_out.py
@@ -1,9 +1,9 @@
-"""Counts members out of a group: from then on, no election needs their logs.
+"""Counts members out of a group, so that elections no longer need their logs.
 
-A member that is counted out is paused, and recorded with the position of its log. While another
-replica that stays receives, a leaving one may be counted out: every commit acknowledged from then
-on is held by one that stays. A replica that ended unannounced is counted out at the position that
-the primary had after its end.
+A member is counted out by pausing it and recording the position of its log. A draining member may
+be counted out while a replica that stays in the group receives the log: every commit acknowledged
+from then on is held by a replica that stays. A replica that ended without signing off is counted
+out at a position that the primary's log had after that end.
 """
 
 from __future__ import annotations
@@ -23,21 +23,21 @@
 
 __all__ = ["CountingOut"]
 
-_REACH_US = 600_000
-_REACH_CHECK_US = 40_000
-_UNFOLLOWED_US = 500_000
+_CATCH_UP_TIMEOUT_US = 600_000
+_CATCH_UP_POLL_US = 40_000
+_MAX_UNREPLICATED_US = 500_000
 
 
 class CountingOut:
-    """Pauses, records and resumes the members of one group; used by the active head only."""
+    """Counts the members of one group out and in again; used by the active head only."""
 
     def __init__(self, context: FailoverContext, resumption: ReplicaResumption, group: str) -> None:
-        """Knows nobody before `refresh`."""
+        """Creates no connection before the first `refresh`."""
         self._context, self._resumption, self._group = context, resumption, group
         self._clock = context.clock
         self._handles: dict[str, MemberHandle] = {}
         self._members: dict[str, Member] = {}
-        self._unfollowed_since: int | None = None
+        self._unreplicated_since: int | None = None
 
     def close(self) -> None:
         """Closes the connections to the members."""
@@ -45,34 +45,37 @@
             handle.close()
 
     def refresh(self) -> None:
-        """Takes the members that the group has now."""
+        """Connects to the members that the group has now, and drops those that left."""
         node = self._context.node
         self._members = self._context.members(self._group)
-        for name in [known for known in self._handles if known not in self._members]:
+        for name in [name for name in self._handles if name not in self._members]:
             self._handles.pop(name).close()
         for name, member in self._members.items():
             if name not in self._handles:
                 self._handles[name] = MemberHandle(
                     node.wire, self._clock, MemberEndpoint.from_member(member)
                 )
-            self._handles[name].move_to(MemberEndpoint.from_member(member))
+            self._handles[name].set_endpoint(MemberEndpoint.from_member(member))
 
-    def handle(self, name: str) -> MemberHandle | None:
-        """The connection to a member, if it was in the group at the last refresh."""
+    def find_handle(self, name: str) -> MemberHandle | None:
+        """Returns the connection to a member that was in the group at the last refresh, or None."""
         return self._handles.get(name)
 
-    async def is_followed(self, primary: str, position: Position) -> bool:
-        """Whether a replica that stays receives: it reaches what the primary had a moment ago."""
-        staying = self._staying_replicas(primary)
-        end = self._clock.now() + _REACH_US
-        while staying and self._clock.now() < end:
-            statuses = await asyncio.gather(*[handle.status() for handle in staying])
-            if any(s and not s.paused_term and s.position >= position for s in statuses):
+    async def is_replicated(self, primary: str, position: Position) -> bool:
+        """Returns whether a replica that stays in the group reaches `position` of the primary."""
+        staying_replicas = self._find_staying_replicas(primary)
+        deadline = self._clock.now() + _CATCH_UP_TIMEOUT_US
+        while staying_replicas and self._clock.now() < deadline:
+            statuses = await asyncio.gather(*[handle.status() for handle in staying_replicas])
+            if any(
+                status and not status.paused_term and status.position >= position
+                for status in statuses
+            ):
                 return True
-            await self._clock.sleep(_REACH_CHECK_US)
+            await self._clock.sleep(_CATCH_UP_POLL_US)
         return False
 
-    def _staying_replicas(self, primary: str) -> list[MemberHandle]:
+    def _find_staying_replicas(self, primary: str) -> list[MemberHandle]:
         counted_out = self._counted_out()
         present = self._context.members(self._group)
         return [
@@ -91,53 +94,55 @@
         self,
         primary: str,
         term: int,
-        followed: bool,
+        is_replicated: bool,
         is_overdue: Callable[[str], bool],
-        lost: list[str],
+        lost_replicas: list[str],
     ) -> None:
-        """Pauses those that leave while another receives, and undoes that while none does.
+        """Counts draining members out while another replica receives, else counts them in again.
 
-        Nobody receives again while the leader changes: only the candidate may.
+        No member is counted in during a leader change, in which only the candidate may receive.
 
         Args:
             primary: The current primary.
             term: A term above that of the primary.
-            followed: Whether a replica that stays receives.
-            is_overdue: Whether a leaving member is to be counted out in any case.
-            lost: Replicas that ended unannounced.
+            is_replicated: Whether a replica that stays in the group receives the log.
+            is_overdue: Whether a draining member has to be counted out in any case.
+            lost_replicas: Replicas that ended without signing off.
         """
-        before = self._counted_out()
-        for name in self._leaving():
+        counted_out_before = self._counted_out()
+        for name in self._draining_members():
             if name == primary:
                 continue
-            if followed or is_overdue(name):
-                self._unfollowed_since = None
-                await self._pause(name, term)
-            elif name in before:
-                await self._undo_if_unfollowed(name)
+            if is_replicated or is_overdue(name):
+                self._unreplicated_since = None
+                await self._pause_and_record(name, term)
+            elif name in counted_out_before:
+                await self._count_in_if_unreplicated(name)
         if self._context.leadership(self._group).is_serving:
-            await self._undo_returned(before, lost)
+            await self._count_in_returned(counted_out_before, lost_replicas)
 
-    def _leaving(self) -> list[str]:
+    def _draining_members(self) -> list[str]:
         members = self._context.members(self._group)
         return [name for name, member in members.items() if member.is_draining]
 
-    async def _undo_returned(self, counted_out: Iterable[str], lost: list[str]) -> None:
-        """Lets members receive again that are counted out and neither leave nor are lost."""
+    async def _count_in_returned(
+        self, counted_out: Iterable[str], lost_replicas: list[str]
+    ) -> None:
+        """Counts members in again that are neither draining nor lost any more."""
         for name in counted_out:
             member = self._context.members(self._group).get(name)
-            if member is not None and member.is_ready and name not in lost:
-                await self._undo(name)
+            if member is not None and member.is_ready and name not in lost_replicas:
+                await self._count_in(name)
 
-    async def count_out_lost(self, lost: list[str], position: Position) -> None:
-        """What only they held is at or below `position`, which one that stays has reached."""
+    async def count_out_lost(self, lost_replicas: list[str], position: Position) -> None:
+        """Counts lost replicas out at `position`, which a replica that stays has reached."""
         async with self._context.pause_lock(self._group):
-            for name in lost:
+            for name in lost_replicas:
                 self._context.suspicions.remove_replica(self._group, name)
                 if name not in self._counted_out():
-                    await self._record(name, position)
+                    await self._record_counted_out(name, position)
 
-    async def _pause(self, name: str, term: int) -> None:
+    async def _pause_and_record(self, name: str, term: int) -> None:
         handle = self._handles.get(name)
         if handle is None:
             return
@@ -150,32 +155,35 @@
                 return
             if status.paused_term < term:
                 if recorded is not None:
-                    await self._record(name, None)
+                    await self._record_counted_out(name, None)
                     recorded = None
                 status = await handle.pause(term)
             if status is not None and status.position != recorded:
-                await self._record(name, status.position)
+                await self._record_counted_out(name, status.position)
 
     def _may_be_promoted(self, name: str) -> bool:
-        """Whether the member is to take over, or was requested by whoever was the head before."""
+        """Returns whether the member is the candidate or has a pending promotion request."""
         is_candidate = self._context.candidates.get(self._group) == name
         return is_candidate or name in self._context.leadership(self._group).pending
 
-    async def _undo_if_unfollowed(self, name: str) -> None:
-        """Lets a member receive again if nobody else has received for a while."""
-        if self._unfollowed_since is None:
-            self._unfollowed_since = self._clock.now()
-        unfollowed_us = self._clock.now() - self._unfollowed_since
-        if self._context.leadership(self._group).is_serving and unfollowed_us > _UNFOLLOWED_US:
-            await self._undo(name)
-
-    async def _undo(self, name: str) -> None:
-        """Lets a counted out member receive again; the record goes first."""
+    async def _count_in_if_unreplicated(self, name: str) -> None:
+        """Counts a member in again if no other replica has received the log for a while."""
+        if self._unreplicated_since is None:
+            self._unreplicated_since = self._clock.now()
+        unreplicated_us = self._clock.now() - self._unreplicated_since
+        if (
+            self._context.leadership(self._group).is_serving
+            and unreplicated_us > _MAX_UNREPLICATED_US
+        ):
+            await self._count_in(name)
+
+    async def _count_in(self, name: str) -> None:
+        """Counts a member in again; that is recorded before the member is resumed."""
         async with self._context.pause_lock(self._group):
-            await self._record(name, None)
+            await self._record_counted_out(name, None)
             handle = self._handles.get(name)
             if handle is not None and not await handle.resume():
                 self._resumption.add(self._group, name)
 
-    async def _record(self, name: str, position: Position | None) -> None:
+    async def _record_counted_out(self, name: str, position: Position | None) -> None:
         await self._context.record_counted_out(self._group, name, position)
--- a/src/petrelhaven/control/failover/departures.py
+++ b/src/petrelhaven/control/failover/departures.py
@@ -1,11 +1,12 @@
-"""Keeps a leaving member's copy from being the only one, and bounds the logs of those that left.
+"""Handles members that drain, sign off or end unannounced, so that no later failover needs them.
 
-A replica that drains still counts for `SyncReplicas`, and takes its log along when it ends. So it
-is counted out before (see `counting_out`). Of a member that left without that, the log is at or
-below the primary's position read after its end.
+A draining replica still counts for `SyncReplicas`, and its log is lost when it ends. It is
+therefore counted out before (see `counting_out`). If a member left without being counted out, its
+log is known to end at or below a position of the primary that was read after the member's end; this
+bound is recorded.
 
-A replica that ended unannounced, and may never come back, is counted out as well: else the next
-failover would wait for it for good.
+A replica that ended unannounced may never return. It is counted out as well, since otherwise the
+next failover would wait for it forever.
 """
 
 from __future__ import annotations
@@ -30,87 +31,87 @@
 __all__ = ["DepartureWatch"]
 
 _ROUND_INTERVAL_US = 300_000
-_SIGN_OFF_AFTER_US = 7_000_000
-_COUNT_OUT_AFTER_US = 5_500_000
-_ENDED_US = 2_000_000
-_REFUSING_US = 1_000_000
-_SUSPECTED_US = 10_000_000
-_UNFOLLOWED_END = "unfollowed end"
-_REFUSING, _UNPROVEN = "refusing ", "unproven "
+_SIGN_OFF_AFTER_DRAINING_US = 7_000_000
+_COUNT_OUT_AFTER_DRAINING_US = 5_500_000
+_ASSUMED_ENDED_AFTER_US = 2_000_000
+_LOST_AFTER_REFUSING_US = 1_000_000
+_SUSPICION_LIFETIME_US = 10_000_000
+_UNREPLICATED_END = "unreplicated end"
+_REFUSING_PREFIX, _UNPROVEN_PREFIX = "refusing ", "unproven "
 
 
 class DepartureWatch:
-    """Attends to the leaving and departed members of every group; only the active head uses it."""
+    """Handles draining, departed and lost members of all groups; used by the active head only."""
 
     def __init__(self, context: FailoverContext, resumption: ReplicaResumption) -> None:
-        """Knows of no departures yet."""
+        """Creates the watch; `start_rounds` starts its work."""
         self._context, self._resumption = context, resumption
         self._node, self._clock = context.node, context.clock
         self._suspicions, self._observer = context.suspicions, context.observer
         self._tasks: dict[str, asyncio.Task[None]] = {}
-        self._counting: dict[str, CountingOut] = {}
-        self._first_seen: dict[tuple[str, str], int] = {}
+        self._counting_out: dict[str, CountingOut] = {}
+        self._first_observed: dict[tuple[str, str], int] = {}
         self._draining_since: dict[str, int] = {}
 
-    def note_draining(self) -> None:
-        """Notes since when members drain; every node does, so that a new head knows it."""
+    def update_draining_times(self) -> None:
+        """Tracks since when members drain; done on every control node, as any may become head."""
         now = self._clock.now()
         draining = draining_members(self._node.chain.control_state.doc["members"])
         self._draining_since = {name: self._draining_since.get(name, now) for name in draining}
 
     def start_rounds(self) -> None:
-        """Starts a round for each group that needs one and has none running."""
+        """Starts a round of work for each group that needs one and has none running."""
         for group in self._node.chain.control_state.doc["offices"]:
             if group in self._tasks:
                 continue
             if self._needs_round(group):
-                self._tasks[group] = self._node.tasks.spawn(self._round(group))
+                self._tasks[group] = self._node.tasks.spawn(self._run_round(group))
             else:
-                self._forget(group)
+                self._forget_group(group)
 
     def stop(self) -> None:
-        """This node is not the active head any more; a round that runs forgets at its end."""
-        for group in [group for group in self._counting if group not in self._tasks]:
-            self._forget(group)
+        """Drops the state of all groups without a running round; a running round drops its own."""
+        for group in [group for group in self._counting_out if group not in self._tasks]:
+            self._forget_group(group)
 
-    def _drained_us(self, name: str) -> int:
-        """Microseconds since this node first knew that the member drains."""
+    def _draining_for_us(self, name: str) -> int:
+        """Returns for how many microseconds this node has seen the member drain."""
         now = self._clock.now()
         return now - self._draining_since.get(name, now)
 
     def _evidence(self, group: str) -> Evidence:
         return self._context.evidence(group)
 
-    def _leaving(self, group: str) -> list[Member]:
-        return [m for m in self._context.members(group).values() if m.is_draining]
+    def _draining_members(self, group: str) -> list[Member]:
+        return [member for member in self._context.members(group).values() if member.is_draining]
 
     def _needs_round(self, group: str) -> bool:
         evidence = self._evidence(group)
         return bool(
-            self._leaving(group)
+            self._draining_members(group)
             or evidence.unproven
             or evidence.counted_out
             or self._suspicions.replicas_of(group)
         )
 
-    def _forget(self, group: str) -> None:
-        counting = self._counting.pop(group, None)
-        if counting is not None:
-            counting.close()
-        for key in [key for key in self._first_seen if key[0] == group]:
-            del self._first_seen[key]
+    def _forget_group(self, group: str) -> None:
+        counting_out = self._counting_out.pop(group, None)
+        if counting_out is not None:
+            counting_out.close()
+        for key in [key for key in self._first_observed if key[0] == group]:
+            del self._first_observed[key]
 
-    def _seen_us(self, group: str, condition: str) -> int:
-        """Microseconds since this head first saw a condition of the group, now at the latest."""
+    def _observed_for_us(self, group: str, condition: str) -> int:
+        """Returns the microseconds since a condition was first observed, now at the latest."""
         now = self._clock.now()
-        return now - self._first_seen.setdefault((group, condition), now)
+        return now - self._first_observed.setdefault((group, condition), now)
 
-    def _not_seen(self, group: str, condition: str) -> None:
-        self._first_seen.pop((group, condition), None)
+    def _clear_condition(self, group: str, condition: str) -> None:
+        self._first_observed.pop((group, condition), None)
 
-    async def _round(self, group: str) -> None:
+    async def _run_round(self, group: str) -> None:
         try:
-            await self._attend(group)
+            await self._process_departures(group)
         except Fault as fault:
             emit(
                 self._node.log,
@@ -123,107 +124,116 @@
             await self._clock.sleep(_ROUND_INTERVAL_US)
             self._tasks.pop(group, None)
             if not self._context.is_active_head:
-                self._forget(group)
+                self._forget_group(group)
 
-    async def _attend(self, group: str) -> None:
+    async def _process_departures(self, group: str) -> None:
         leadership = self._context.leadership(group)
         await self._sign_off_overdue(group)
         if leadership.phase is LeadershipPhase.FAILOVER or not self._context.is_active_head:
             return
-        ended = await self._ended_members(group)
-        lost = await self._lost_replicas(group, leadership.primary)
-        if self._has_work(group, lost):
-            await self._count_and_bound(group, leadership.primary, ended, lost)
+        ended_members = await self._find_ended_members(group)
+        lost_replicas = await self._find_lost_replicas(group, leadership.primary)
+        if self._has_work(group, lost_replicas):
+            await self._update_evidence(group, leadership.primary, ended_members, lost_replicas)
 
-    def _has_work(self, group: str, lost: list[str]) -> bool:
-        """Whether more is to be done than to wait for lost members that are counted out already."""
+    def _has_work(self, group: str, lost_replicas: list[str]) -> bool:
+        """Returns whether any member is to be counted out, counted in or bounded."""
         evidence = self._evidence(group)
-        all_counted_out = set(lost) == set(evidence.counted_out)
-        return bool(self._leaving(group) or evidence.unproven or not all_counted_out)
+        all_counted_out = set(lost_replicas) == set(evidence.counted_out)
+        return bool(self._draining_members(group) or evidence.unproven or not all_counted_out)
 
-    async def _count_and_bound(
-        self, group: str, primary: str, ended: list[str], lost: list[str]
+    async def _update_evidence(
+        self, group: str, primary: str, ended_members: list[str], lost_replicas: list[str]
     ) -> None:
-        """What is done against the log of the primary, if it answers."""
-        if group not in self._counting:
-            self._counting[group] = CountingOut(self._context, self._resumption, group)
-        counting = self._counting[group]
-        counting.refresh()
-        handle = counting.handle(primary)
+        """Counts members out and bounds their logs by the primary's position, if it answers."""
+        if group not in self._counting_out:
+            self._counting_out[group] = CountingOut(self._context, self._resumption, group)
+        counting_out = self._counting_out[group]
+        counting_out.refresh()
+        handle = counting_out.find_handle(primary)
         status = await handle.status() if handle is not None else None
         if status is None or not status.is_primary:
             return
-        followed = await counting.is_followed(primary, status.position)
-        if ended and (followed or self._seen_us(group, _UNFOLLOWED_END) > _ENDED_US):
-            self._not_seen(group, _UNFOLLOWED_END)
-            await self._bound(group, ended, status.position)
+        is_replicated = await counting_out.is_replicated(primary, status.position)
+        if ended_members and (
+            is_replicated
+            or self._observed_for_us(group, _UNREPLICATED_END) > _ASSUMED_ENDED_AFTER_US
+        ):
+            self._clear_condition(group, _UNREPLICATED_END)
+            await self._record_bounded_logs(group, ended_members, status.position)
 
         def is_overdue(name: str) -> bool:
             return self._is_overdue(group, primary, name)
 
-        await counting.update(primary, status.term + 1, followed, is_overdue, lost)
-        if followed:
-            await counting.count_out_lost(lost, status.position)
+        await counting_out.update(
+            primary, status.term + 1, is_replicated, is_overdue, lost_replicas
+        )
+        if is_replicated:
+            await counting_out.count_out_lost(lost_replicas, status.position)
 
     def _is_overdue(self, group: str, primary: str, name: str) -> bool:
-        """Whether a leaving member must be counted out now, since the primary leaves too."""
-        leaving = [member.name for member in self._leaving(group)]
-        return primary in leaving and self._drained_us(name) > _COUNT_OUT_AFTER_US
+        """Returns whether a draining member must be counted out as the primary drains as well."""
+        draining = [member.name for member in self._draining_members(group)]
+        return primary in draining and self._draining_for_us(name) > _COUNT_OUT_AFTER_DRAINING_US
 
-    async def _lost_replicas(self, group: str, primary: str) -> list[str]:
-        """Which replicas ended unannounced: at their addresses nobody answers for a while."""
+    async def _find_lost_replicas(self, group: str, primary: str) -> list[str]:
+        """Returns the replicas that ended unannounced: their ports have been closed for a while."""
         suspects = self._suspicions.replicas_of(group) | set(self._evidence(group).counted_out)
-        lost = []
+        lost_replicas = []
         for name in sorted(suspects):
             member = self._context.members(group).get(name)
             if member is None or not member.is_ready or name == primary:
                 self._suspicions.remove_replica(group, name)
             elif await self._is_lost(member):
-                lost.append(name)
-        return lost
+                lost_replicas.append(name)
+        return lost_replicas
 
     async def _is_lost(self, member: Member) -> bool:
-        """Whether the port of a member has been closed for a while; drops refuted suspicions."""
+        """Returns whether a member's port has been closed for a while; drops refuted suspicions."""
         group, name = member.group, member.name
         observation = await self._observer.inspect(MemberEndpoint.from_member(member))
         if observation == REFUSED:
-            return self._seen_us(group, _REFUSING + name) > _REFUSING_US
-        self._not_seen(group, _REFUSING + name)
+            return self._observed_for_us(group, _REFUSING_PREFIX + name) > _LOST_AFTER_REFUSING_US
+        self._clear_condition(group, _REFUSING_PREFIX + name)
         suspected_us = self._clock.now() - self._suspicions.replicas.get((group, name), 0)
-        if observation != UNREACHABLE or suspected_us > _SUSPECTED_US:
+        if observation != UNREACHABLE or suspected_us > _SUSPICION_LIFETIME_US:
             self._suspicions.remove_replica(group, name)
         return False
 
-    async def _ended_members(self, group: str) -> list[str]:
-        """Which of the members whose logs are not bounded have certainly ended."""
-        ended = []
+    async def _find_ended_members(self, group: str) -> list[str]:
+        """Returns the members with unbounded logs that have ended."""
+        ended_members = []
         for name in self._evidence(group).unproven:
             row = self._node.chain.control_state.doc["members"].get(name)
-            seen_us = self._seen_us(group, _UNPROVEN + name)
+            observed_for_us = self._observed_for_us(group, _UNPROVEN_PREFIX + name)
             if row is None:
-                ended.append(name)
+                ended_members.append(name)
                 continue
             member = Member.from_row(name, row)
             observation = await self._observer.inspect(MemberEndpoint.from_member(member))
-            if observation == REFUSED or (observation == UNREACHABLE and seen_us > _ENDED_US):
-                ended.append(name)
-        return ended
-
-    async def _bound(self, group: str, ended: list[str], position: Position) -> None:
-        """Records that the logs of ended members are at or below `position`."""
-        record = BoundedRecord(group, tuple(ended), position)
+            if observation == REFUSED or (
+                observation == UNREACHABLE and observed_for_us > _ASSUMED_ENDED_AFTER_US
+            ):
+                ended_members.append(name)
+        return ended_members
+
+    async def _record_bounded_logs(
+        self, group: str, ended_members: list[str], position: Position
+    ) -> None:
+        """Records that the logs of ended members end at or below `position`."""
+        record = BoundedRecord(group, tuple(ended_members), position)
         await self._node.chain.enter(record.to_document())
-        names = ",".join(ended)
+        names = ",".join(ended_members)
         emit(self._node.log, Events.DEPARTED_LOG_BOUNDED, group=group, members=names, pos=position)
 
     async def _sign_off_overdue(self, group: str) -> None:
-        """Signs off members that drained for their time and refuse: they ended unannounced."""
-        for member in self._leaving(group):
-            if self._drained_us(member.name) < _SIGN_OFF_AFTER_US:
+        """Signs off draining members that are past their drain time and whose ports are closed."""
+        for member in self._draining_members(group):
+            if self._draining_for_us(member.name) < _SIGN_OFF_AFTER_DRAINING_US:
                 continue
-            refusing = _REFUSING + member.name
+            condition = _REFUSING_PREFIX + member.name
             if await self._observer.inspect(MemberEndpoint.from_member(member)) != REFUSED:
-                self._not_seen(group, refusing)
-            elif self._seen_us(group, refusing) > _REFUSING_US:
+                self._clear_condition(group, condition)
+            elif self._observed_for_us(group, condition) > _LOST_AFTER_REFUSING_US:
                 record = DepartureRecord(member.name, member.address)
                 await self._node.chain.enter(record.to_document())
--- a/src/petrelhaven/control/failover/evidence.py
+++ b/src/petrelhaven/control/failover/evidence.py
@@ -1,7 +1,8 @@
-"""What proves that a member holds every acknowledged commit of its group.
+"""Proves which members hold every acknowledged commit of their group.
 
-Pure functions over values: no clock, no links. The control state keeps one `Evidence` for each
-group and replaces it with every record that changes it; failover calls `find_electable_members`.
+The functions are pure: they use no clock and no connections. The control state holds one `Evidence`
+per group and replaces it with every record that changes it; failover calls
+`find_electable_members`.
 
 The invariant: every acknowledged commit is at or below `lower_bound`, or is in the log of a
 member that is still in the group, or in the log of a member named in `unproven`.
@@ -39,12 +40,12 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberStatus:
-    """A member's own answer to STATUS.
+    """A member's answer to STATUS.
 
     Attributes:
-        role: `primary` or `replica`, as it sees itself.
+        role: `primary` or `replica`, as the member reports it.
         term: The term of its log.
-        position: Where its log ends.
+        position: The end of its log.
         paused_term: The term under which it is paused, or 0 if it receives.
     """
 
@@ -55,12 +56,12 @@
 
     @property
     def is_primary(self) -> bool:
-        """Whether it is a primary, as it sees itself."""
+        """Whether the member reports to be a primary."""
         return self.role == "primary"
 
     @classmethod
     def from_wire(cls, answer: Mapping[str, Any]) -> MemberStatus:
-        """Reads the answer that a member's connection gives."""
+        """Parses the answer of a member's connection."""
         return cls(answer["role"], answer["term"], tuple(answer["pos"]), answer["held"])
 
 
@@ -69,10 +70,12 @@
     """The recorded facts about the logs of one group's members.
 
     Attributes:
-        lower_bound: An elected member must hold at least this position.
-        counted_out: Leaving members that are paused, with the position each was paused at.
-        unproven: Members that left while theirs may have been the only copy of a commit.
-        left_in_change: Members that left counted out while a promotion may have ended their pause.
+        lower_bound: An elected member's log must reach at least this position.
+        counted_out: Draining or lost members whose logs elections don't need, each with a
+            position that its log doesn't exceed.
+        unproven: Members that left and may have held the only copy of a commit.
+        left_in_change: Counted out members that left during a leader change, when a promotion may
+            have ended their pause.
         order: An operator's order to elect a member without proof.
     """
 
@@ -84,59 +87,66 @@
 
     @classmethod
     def from_document(cls, document: Mapping[str, Any] | None) -> Evidence:
-        """Reads what `to_document` wrote; nothing recorded is no evidence."""
+        """Parses the result of `to_document`; without a document there is no evidence."""
         if not document:
             return NO_EVIDENCE
         order = document.get("order")
         return cls(
             lower_bound=tuple(document["floor"]),
-            counted_out={n: tuple(at) for n, at in document["counted_out"].items()},
+            counted_out={
+                name: tuple(position) for name, position in document["counted_out"].items()
+            },
             unproven=tuple(document["unproven"]),
             left_in_change=tuple(document["left_in_move"]),
             order=ElectionOrder(**order) if order else None,
         )
 
     def unproven_except(self, primary: str) -> tuple[str, ...]:
-        """Who left unproven, but for the current primary."""
-        return tuple(n for n in self.unproven if n != primary)
+        """Returns the members that left unproven, without the current primary."""
+        return tuple(name for name in self.unproven if name != primary)
 
     def to_document(self) -> dict[str, Any]:
-        """The evidence as plain JSON values."""
+        """Returns the evidence as plain JSON values."""
         order = self.order
         return {
             "floor": list(self.lower_bound),
-            "counted_out": {n: list(at) for n, at in sorted(self.counted_out.items())},
+            "counted_out": {
+                name: list(position) for name, position in sorted(self.counted_out.items())
+            },
             "unproven": list(self.unproven),
             "left_in_move": list(self.left_in_change),
             "order": {"member": order.member, "by": order.by} if order else None,
         }
 
     def with_counted_out(self, member: str, position: Position | None) -> Evidence:
-        """The member is paused at `position`, or receives again if that is None."""
-        others = {n: at for n, at in self.counted_out.items() if n != member}
+        """Returns the evidence with a member counted out at `position`, or no longer if None."""
+        others = {name: paused_at for name, paused_at in self.counted_out.items() if name != member}
         if position is not None:
             others[member] = position
         return replace(self, counted_out=others)
 
     def with_bounded_logs(self, members: Iterable[str], position: Position) -> Evidence:
-        """The logs of `members`, which have ended, are at or below `position`."""
+        """Returns the evidence after the logs of ended `members` were bounded by `position`."""
         bounded = set(members)
         return replace(
             self,
             lower_bound=max(self.lower_bound, position),
-            unproven=tuple(n for n in self.unproven if n not in bounded),
+            unproven=tuple(name for name in self.unproven if name not in bounded),
         )
 
     def with_election_order(self, order: ElectionOrder) -> Evidence:
-        """The operator ordered an election without proof."""
+        """Returns the evidence with an operator's order to elect a member without proof."""
         return replace(self, order=order)
 
-    def with_departure(self, member: str, changing: bool) -> Evidence:
-        """A member signed off; `changing`: a promotion may be under way, which ends its pause."""
+    def with_departure(self, member: str, during_change: bool) -> Evidence:
+        """Returns the evidence after a member signed off.
+
+        With `during_change`, a promotion may be in progress, which ends every pause.
+        """
         position = self.counted_out.get(member)
         if position is None:
             return replace(self, unproven=(*self.unproven, member))
-        left_in_change = (*self.left_in_change, member) if changing else self.left_in_change
+        left_in_change = (*self.left_in_change, member) if during_change else self.left_in_change
         return replace(
             self.with_counted_out(member, None),
             lower_bound=max(self.lower_bound, position),
@@ -144,26 +154,27 @@
         )
 
     def with_replacement(self, member: str) -> Evidence:
-        """Another member of the group came to the address of `member` and took its log along."""
+        """Returns the evidence after another member took over the address and log of `member`."""
         return replace(
             self.with_counted_out(member, None),
-            unproven=tuple(n for n in self.unproven if n != member),
-            left_in_change=tuple(n for n in self.left_in_change if n != member),
+            unproven=tuple(name for name in self.unproven if name != member),
+            left_in_change=tuple(name for name in self.left_in_change if name != member),
         )
 
     def with_primary(
         self, changed: bool, position: Position, accepted_loss: bool = False
     ) -> Evidence:
-        """A primary took over, or stayed; its log reaches `position`.
+        """Returns the evidence after a primary was promoted, or kept, with its log at `position`.
 
-        A promotion ends every pause, so whoever left meanwhile may have received again.
+        A promotion ends every pause, so a member that left meanwhile may have received again and
+        becomes unproven.
         """
         unproven = () if accepted_loss else self.unproven
         return replace(
             self,
             lower_bound=position if accepted_loss else max(self.lower_bound, position),
             counted_out={} if changed else self.counted_out,
-            unproven=(*unproven, *(n for n in self.left_in_change if n not in unproven)),
+            unproven=(*unproven, *(name for name in self.left_in_change if name not in unproven)),
             left_in_change=(),
             order=None,
         )
@@ -174,14 +185,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Proven:
-    """Each of `candidates` holds every acknowledged commit."""
+    """Each of the `candidates` holds every acknowledged commit."""
 
     candidates: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Unproven:
-    """Nobody may be elected yet; `lost_copies`: the group can't end the wait alone."""
+    """No member may be elected yet.
+
+    Attributes:
+        reason: Why, for operators.
+        lost_copies: Whether a needed log is gone, so that the wait may need an operator to end it.
+    """
 
     reason: str
     lost_copies: bool = False
@@ -190,40 +206,44 @@
 def find_electable_members(
     evidence: Evidence, primary: str, replicas: Iterable[str], statuses: Mapping[str, MemberStatus]
 ) -> Proven | Unproven:
-    """Decides who may be elected in place of an unresponsive primary.
+    """Finds the members that may be elected in place of an unresponsive primary.
 
-    The log of the current primary is not needed: a commit was only acknowledged once a replica
-    had it.
+    The current primary's log is not needed, since a commit is acknowledged only once a replica has
+    it.
 
     Args:
         evidence: The recorded facts.
         primary: The current primary.
         replicas: All members of the group but the current primary.
-        statuses: The status of those that answered, each read while its member was paused.
+        statuses: The status of each replica that answered, read while it was paused.
     """
     names = set(replicas)
     required = names - set(evidence.counted_out)
     unresponsive = sorted(required - set(statuses))
     if unresponsive:
         return Unproven("not heard: " + ", ".join(unresponsive))
-    left = ", ".join(evidence.unproven_except(primary))
-    if left:
-        return Unproven(f"{left} left and may have held the only copy of a commit", True)
+    departed = ", ".join(evidence.unproven_except(primary))
+    if departed:
+        return Unproven(f"{departed} left and may have held the only copy of a commit", True)
     lower_bound = max([evidence.lower_bound, *evidence.counted_out.values()])
-    best = _highest(required, statuses)
-    if best is None or best < lower_bound:
+    highest = _highest(required, statuses)
+    if highest is None or highest < lower_bound:
+        # A counted out member that answered may hold what the others lack.
         required = names & set(statuses)
-        best = _highest(required, statuses)
-    if best is None:
+        highest = _highest(required, statuses)
+    if highest is None:
         return Unproven("no replica is left")
-    if best < lower_bound:
-        return Unproven(f"nobody holds {_text(lower_bound)}; the highest is {_text(best)}", True)
-    return Proven(tuple(sorted(n for n in required if statuses[n].position == best)))
+    if highest < lower_bound:
+        return Unproven(
+            f"nobody holds {_format(lower_bound)}; the highest is {_format(highest)}",
+            True,
+        )
+    return Proven(tuple(sorted(name for name in required if statuses[name].position == highest)))
 
 
 def _highest(names: Iterable[str], statuses: Mapping[str, MemberStatus]) -> Position | None:
-    return max((statuses[n].position for n in names), default=None)
+    return max((statuses[name].position for name in names), default=None)
 
 
-def _text(position: Position) -> str:
+def _format(position: Position) -> str:
     return f"{position[0]}.{position[1]}"
--- a/src/petrelhaven/control/failover/failover.py
+++ b/src/petrelhaven/control/failover/failover.py
@@ -1,19 +1,19 @@
-"""An unplanned leader change: replicas are paused, and one whose log is complete is elected."""
+"""The unplanned leader change: pauses all replicas and elects one with a complete log."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from typing import TYPE_CHECKING
 
-from petrelhaven.control.failover.change_steps import ChangeStep, Promote, Wait
+from petrelhaven.control.failover.attempt_outcome import AttemptOutcome, Promote, Wait
 from petrelhaven.control.failover.evidence import Proven, Unproven, find_electable_members
 from petrelhaven.control.failover.wait_reasons import (
     LOST_MEMBER_BACK,
     PAUSE_FAILED,
     PAUSE_LOST,
     no_proof,
-    not_heard,
     order_unanswered,
+    unresponsive_members,
 )
 from petrelhaven.runtime.events import Events, emit
 
@@ -28,7 +28,7 @@
 
 
 class Failover:
-    """Prepares the promotion of a candidate that provably has every acknowledged commit."""
+    """Prepares the promotion of a candidate that provably holds every acknowledged commit."""
 
     def __init__(
         self,
@@ -38,50 +38,54 @@
         members: GroupMembers,
         requests: PromotionRequests,
     ) -> None:
-        """Works for one leader change: its members and requests."""
+        """Uses the members and promotion requests of one leader change."""
         self._context, self._group, self._old_primary = context, group, old_primary
         self._members, self._requests = members, requests
 
-    async def prepare(self, survey: GroupSurvey) -> ChangeStep:
-        """Pauses all replicas, chooses a candidate and confirms it after the proxies know."""
+    async def prepare(self, survey: GroupSurvey) -> AttemptOutcome:
+        """Pauses all replicas, chooses a candidate and confirms it once the proxies know."""
         order = self._evidence().order
         if order is not None:
-            return await self._obey(order, survey)
-        unresponsive = survey.unresponsive(self._members.spared(survey.replicas))
+            return await self._execute_order(order, survey)
+        unresponsive = survey.unresponsive(self._members.excused(survey.replicas))
         if unresponsive or not survey.replicas:
             await self._count_out_leaving(survey)
-            return Wait(not_heard(unresponsive))
+            return Wait(unresponsive_members(unresponsive))
         if not await self._members.pause(survey.responsive, survey.next_term):
             return Wait(PAUSE_FAILED)
         await self._count_out_leaving(survey)
-        verdict = self._decide(survey, _last_statuses(survey.responsive))
+        verdict = self._find_electable(survey, _last_statuses(survey.responsive))
         if isinstance(verdict, Unproven):
             return self._wait_for_proof(verdict)
         candidate = self._choose_candidate(verdict.candidates)
-        await self._announce(candidate)
-        return await self._confirm(candidate, survey)
+        await self._record_candidate(candidate)
+        return await self._confirm_candidate(candidate, survey)
 
     def _evidence(self) -> Evidence:
         return self._context.evidence(self._group)
 
-    async def _announce(self, candidate: MemberHandle) -> None:
-        """Records who is to be promoted; returns once every proxy knows of the failover."""
-        await self._requests.announce(candidate.name)
+    async def _record_candidate(self, candidate: MemberHandle) -> None:
+        """Records the candidate; returns once every proxy has applied the failover record."""
+        await self._requests.record_candidate(candidate.name)
         await self._context.node.lease_table.in_force(self._requests.change_number)
 
-    async def _confirm(self, candidate: MemberHandle, survey: GroupSurvey) -> ChangeStep:
-        """Whether the proof still holds after the wait for the proxies."""
+    async def _confirm_candidate(
+        self, candidate: MemberHandle, survey: GroupSurvey
+    ) -> AttemptOutcome:
+        """Checks that the proof still holds after the wait for the proxies."""
         statuses = await self._members.paused_statuses(survey.responsive, survey.next_term)
-        if statuses is None or self._members.have_changed(survey.replicas):
+        if statuses is None or self._members.has_membership_changed(survey.replicas):
             return Wait(PAUSE_LOST)
-        if not await self._members.stay_away(survey.replicas, survey.responsive):
+        if not await self._members.are_still_excused(survey.replicas, survey.responsive):
             return Wait(LOST_MEMBER_BACK)
-        verdict = self._decide(survey, statuses)
+        verdict = self._find_electable(survey, statuses)
         if isinstance(verdict, Unproven) or candidate.name not in verdict.candidates:
             return Wait(PAUSE_LOST)
         return Promote(candidate)
 
-    def _decide(self, survey: GroupSurvey, statuses: dict[str, MemberStatus]) -> Proven | Unproven:
+    def _find_electable(
+        self, survey: GroupSurvey, statuses: dict[str, MemberStatus]
+    ) -> Proven | Unproven:
         names = [handle.name for handle in survey.replicas]
         return find_electable_members(self._evidence(), self._old_primary, names, statuses)
 
@@ -99,13 +103,17 @@
         return Wait(reason)
 
     def _choose_candidate(self, names: Iterable[str]) -> MemberHandle:
-        """Among equals one that was requested before, one that stays, one in this node's zone."""
-        staying = set(self._context.staying_replicas(self._group, self._old_primary))
+        """Chooses among equal logs.
+
+        Preferred are, in this order, members that were requested before, those that stay, and
+        those in this node's zone.
+        """
+        eligible = set(self._context.eligible_replicas(self._group, self._old_primary))
 
         def rank(name: str) -> tuple[bool, bool, bool, str]:
             return (
                 name not in self._requests.requested,
-                name not in staying,
+                name not in eligible,
                 self._members.zone_of(name) != self._context.node.zone,
                 name,
             )
@@ -113,7 +121,7 @@
         return self._members.handles[min(names, key=rank)]
 
     async def _count_out_leaving(self, survey: GroupSurvey) -> None:
-        """Pauses and records the members that leave: their logs may go with them at any time."""
+        """Counts out draining members, whose logs may be lost with them at any time."""
         counted_out = self._evidence().counted_out
         for handle in survey.responsive:
             member = self._context.members(self._group).get(handle.name)
@@ -125,14 +133,14 @@
             if status is not None and counted_out.get(handle.name) != status.position:
                 await self._context.record_counted_out(self._group, handle.name, status.position)
 
-    async def _obey(self, order: ElectionOrder, survey: GroupSurvey) -> ChangeStep:
-        """Elects the member that an operator named, whatever is lost by that."""
+    async def _execute_order(self, order: ElectionOrder, survey: GroupSurvey) -> AttemptOutcome:
+        """Elects the member that an operator named, even if commits are lost."""
         candidate = self._members.handles.get(order.member)
         if candidate is None or order.member not in survey.statuses:
             return Wait(order_unanswered(order.member, order.by))
         others = [handle for handle in survey.responsive if handle is not candidate]
         await self._members.pause(others, survey.next_term)
-        await self._announce(candidate)
+        await self._record_candidate(candidate)
         emit(
             self._context.log,
             Events.MEMBER_ELECTED_BY_ORDER,
--- a/src/petrelhaven/control/failover/group_members.py
+++ b/src/petrelhaven/control/failover/group_members.py
@@ -1,4 +1,4 @@
-"""The members of a group, as one leader change asks them."""
+"""Connections to the members of a group during one leader change."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from petrelhaven.control.failover.group_state import MemberEndpoint
-from petrelhaven.control.failover.member_access import REQUEST_US, MemberHandle
+from petrelhaven.control.failover.member_access import REQUEST_TIMEOUT_US, MemberHandle
 from petrelhaven.runtime.errors import DeadlineExceeded
 
 if TYPE_CHECKING:
@@ -17,12 +17,12 @@
 
 __all__ = ["GroupMembers", "GroupSurvey"]
 
-_FAILED_PRIMARY_US = 60_000
+_FAILED_PRIMARY_TIMEOUT_US = 60_000
 
 
 @dataclass(frozen=True, slots=True)
 class GroupSurvey:
-    """The status of every member of a group at the begin of one attempt.
+    """The status of every member of a group at the start of an attempt.
 
     Attributes:
         replicas: All members but the old primary.
@@ -36,7 +36,7 @@
 
     @property
     def responsive(self) -> list[MemberHandle]:
-        """The replicas that answered."""
+        """Replicas that answered."""
         return [handle for handle in self.replicas if handle.name in self.statuses]
 
     @property
@@ -48,33 +48,33 @@
         return max(terms, default=0) + 1
 
     @property
-    def promoted(self) -> str | None:
-        """A replica that is the primary now."""
-        return next((name for name, s in self.statuses.items() if s.is_primary), None)
+    def promoted_replica(self) -> str | None:
+        """The replica that has become the primary, or None."""
+        return next((name for name, status in self.statuses.items() if status.is_primary), None)
 
     @property
-    def old_primary_leads(self) -> bool:
-        """Whether the old primary answered that it still is one."""
+    def is_old_primary_leading(self) -> bool:
+        """Whether the old primary answered that it is still a primary."""
         return self.old_primary is not None and self.old_primary.is_primary
 
-    def unresponsive(self, spared: Iterable[str]) -> str:
-        """Replicas that did not answer and are not spared, each with the error; or nothing."""
+    def unresponsive(self, excused: Iterable[str]) -> str:
+        """Lists the replicas that did not answer and are not excused, each with its error."""
         return ", ".join(
             f"{handle.name} {handle.fault}"
             for handle in self.replicas
-            if handle.name not in self.statuses and handle.name not in spared
+            if handle.name not in self.statuses and handle.name not in excused
         )
 
 
 class GroupMembers:
-    """Connections to the members of a group, and requests to several of them at once.
+    """Connections to the members of a group, and requests to several members at once.
 
     Attributes:
         handles: The connection of each member, by its name.
     """
 
     def __init__(self, context: FailoverContext, group: str, old_primary: str) -> None:
-        """Knows nobody before `refresh`; `old_primary` is to be replaced."""
+        """Creates no connection before `refresh`; `old_primary` is the primary to replace."""
         self.handles: dict[str, MemberHandle] = {}
         self._zones: dict[str, str] = {}
         self._context, self._node = context, context.node
@@ -86,9 +86,9 @@
             handle.close()
 
     def refresh(self) -> None:
-        """Takes the members that the group has now."""
+        """Connects to the members that the group has now, and drops those that left."""
         members = self._context.members(self._group)
-        for name in [known for known in self.handles if known not in members]:
+        for name in [name for name in self.handles if name not in members]:
             self.handles.pop(name).close()
         for name, member in members.items():
             if name not in self.handles:
@@ -98,13 +98,14 @@
                 self._zones[name] = member.zone
 
     def zone_of(self, name: str) -> str:
-        """The zone of a member that was in the group at the last refresh."""
+        """Returns the zone of a member that was in the group at the last refresh."""
         return self._zones[name]
 
-    async def survey(self, patient: bool) -> GroupSurvey:
-        """Asks all members for their status.
+    async def survey(self, wait_for_old_primary: bool) -> GroupSurvey:
+        """Requests the status of all members.
 
-        An old primary that is taken for failed is not waited for, unless `patient`.
+        Without `wait_for_old_primary`, the old primary is presumed failed and gets only a short
+        time to answer.
         """
         replicas = self._replicas()
         primary = self.handles.get(self._old_primary)
@@ -115,11 +116,11 @@
         statuses = await self._statuses(replicas)
         if primary is None:
             return GroupSurvey(replicas, statuses, None)
-        limit_us = REQUEST_US if patient else _FAILED_PRIMARY_US
+        limit_us = REQUEST_TIMEOUT_US if wait_for_old_primary else _FAILED_PRIMARY_TIMEOUT_US
         return GroupSurvey(replicas, statuses, await self._pending_status(primary, limit_us))
 
     def _replicas(self) -> list[MemberHandle]:
-        """All members but the old primary."""
+        """Returns all members but the old primary."""
         return [handle for name, handle in self.handles.items() if name != self._old_primary]
 
     async def _pending_status(self, primary: MemberHandle, limit_us: int) -> MemberStatus | None:
@@ -132,7 +133,7 @@
 
     @staticmethod
     async def _statuses(handles: list[MemberHandle]) -> dict[str, MemberStatus]:
-        """The status of each member that answers."""
+        """Returns the status of each member that answers, by name."""
         answers = await asyncio.gather(*[handle.status() for handle in handles])
         return {
             handle.name: status
@@ -140,8 +141,11 @@
             if status is not None
         }
 
-    def spared(self, replicas: Iterable[MemberHandle]) -> list[str]:
-        """Who need not answer: members that left paused, and the lost while nobody is there."""
+    def excused(self, replicas: Iterable[MemberHandle]) -> list[str]:
+        """Returns the replicas that need not answer.
+
+        These are counted out members that are not ready, or whose ports are closed.
+        """
         members = self._context.members(self._group)
         counted_out = self._context.evidence(self._group).counted_out
         return [
@@ -152,43 +156,45 @@
             and (handle.is_refused or not members[handle.name].is_ready)
         ]
 
-    async def stay_away(self, replicas: list[MemberHandle], responsive: list[MemberHandle]) -> bool:
-        """Whether those that did not answer are still spared, asked once more."""
+    async def are_still_excused(
+        self, replicas: list[MemberHandle], responsive: list[MemberHandle]
+    ) -> bool:
+        """Asks the missing replicas again; returns whether all are still absent and excused."""
         missing = [handle for handle in replicas if handle not in responsive]
         answered = await self._statuses(missing)
-        spared = self.spared(missing)
-        return not answered and all(handle.name in spared for handle in missing)
+        excused = self.excused(missing)
+        return not answered and all(handle.name in excused for handle in missing)
 
     async def paused_statuses(
         self, handles: list[MemberHandle], term: int
     ) -> dict[str, MemberStatus] | None:
-        """The status of replicas that are all still paused under `term`, or None."""
+        """Returns the status of each replica if all are still paused under `term`, else None."""
         statuses = await self._statuses(handles)
         if len(statuses) < len(handles):
             return None
-        if any(s.paused_term < term or s.is_primary for s in statuses.values()):
+        if any(status.paused_term < term or status.is_primary for status in statuses.values()):
             return None
         return statuses
 
     @staticmethod
     async def pause(handles: list[MemberHandle], term: int) -> bool:
-        """Pauses replicas; whether all of them certainly are."""
+        """Pauses replicas; returns whether all of them confirmed it."""
         return all(await asyncio.gather(*[handle.pause(term) for handle in handles]))
 
-    def have_changed(self, replicas: list[MemberHandle]) -> bool:
-        """Whether the group has other replicas now."""
-        now = set(self._context.members(self._group)) - {self._old_primary}
-        return now != {handle.name for handle in replicas}
+    def has_membership_changed(self, replicas: list[MemberHandle]) -> bool:
+        """Returns whether the group's replicas differ from `replicas`."""
+        current = set(self._context.members(self._group)) - {self._old_primary}
+        return current != {handle.name for handle in replicas}
 
-    async def pause_newcomers(self, term: int) -> None:
-        """A member that came after the others were paused must not be the only one to receive."""
-        known = set(self.handles)
+    async def pause_joined_members(self, term: int) -> None:
+        """Pauses members that joined later, so that none is the only one that receives."""
+        known_names = set(self.handles)
         self.refresh()
-        for name in sorted(set(self.handles) - known):
+        for name in sorted(set(self.handles) - known_names):
             await self.handles[name].pause(term)
 
     async def pause_all(self) -> None:
-        """Nothing is acknowledged by a primary whose replicas are all paused."""
+        """Pauses all replicas, so that the primary can acknowledge no commit."""
         replicas = self._replicas()
         statuses = await self._statuses(replicas)
         term = max((status.term for status in statuses.values()), default=0) + 1
--- a/src/petrelhaven/control/failover/group_state.py
+++ b/src/petrelhaven/control/failover/group_state.py
@@ -1,4 +1,4 @@
-"""What failover records of a group, and where it reaches the group's members."""
+"""Contents of a leadership record, and addresses of a group's members."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
 @dataclass(frozen=True, slots=True)
 class NewLeadership:
-    """What is to be recorded of a group's leadership next.
+    """The contents of a group's next leadership record.
 
     Attributes:
-        phase: What holds from the record on.
-        primary: The primary, or the last one.
+        phase: Whether the primary serves, or which kind of leader change is in progress.
+        primary: The primary, or the last one during a failover.
         term: The term of that primary's log.
         cause: Why, for operators.
-        stuck: Whether proxies are to send writers away, since no primary is near.
+        stuck: Whether proxies reject writes, since no primary is expected soon.
         position: The new primary's position in its log, if it is known.
-        accepted_loss: The operator who accepted that commits may be lost, or "".
+        accepted_loss: The operator who accepted the loss of commits, or "" if nobody did.
         requested: Members whose promotion may be requested under this record.
     """
 
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberEndpoint:
-    """Where a member is reached, and as whom it must answer there."""
+    """The address of a member, and the name and group under which it must answer there."""
 
     name: str
     group: str
@@ -50,19 +50,19 @@
 
     @classmethod
     def from_member(cls, member: Member) -> MemberEndpoint:
-        """Where a recorded member is reached."""
+        """Returns the endpoint of a recorded member."""
         return cls(member.name, member.group, member.address)
 
     @classmethod
     def from_body(cls, body: Mapping[str, Any]) -> MemberEndpoint:
-        """Reads the body of the message `warden.look`."""
+        """Parses the body of the message `warden.look`."""
         return cls(body["member"], body["group"], body["addr"])
 
     def to_body(self) -> dict[str, Any]:
-        """The body of the message `warden.look`."""
+        """Returns the body of the message `warden.look`."""
         return {"member": self.name, "addr": self.address, "group": self.group}
 
 
 def draining_members(rows: Mapping[str, Mapping[str, Any]]) -> set[str]:
-    """The names of the members that are about to leave, among the stored rows of all groups."""
+    """Returns the names of the draining members among the stored rows of all groups."""
     return {name for name, row in rows.items() if row["state"] == _DRAINING}
--- a/src/petrelhaven/control/failover/heartbeats.py
+++ b/src/petrelhaven/control/failover/heartbeats.py
@@ -1,4 +1,4 @@
-"""Suspects members whose heartbeats this control node received and receives no longer."""
+"""Suspects members whose heartbeats no longer arrive at this control node."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 
 __all__ = ["HeartbeatMonitor"]
 
-_MISSED_HEARTBEATS = 2.3
-_FORGOTTEN_HEARTBEATS = 12
-_REASON = "no beats"
+_SUSPECT_AFTER_MISSED_HEARTBEATS = 2.3
+_IGNORE_AFTER_MISSED_HEARTBEATS = 12
+_SUSPICION_REASON = "no beats"
 
 
 class HeartbeatMonitor:
-    """Reports each unresponsive primary or replica to the head, once for each last heartbeat."""
+    """Reports unresponsive members to the head, at most once per received heartbeat."""
 
     def __init__(self, context: FailoverContext) -> None:
-        """Reads the heartbeats that the control node receives."""
+        """Monitors the heartbeats that the control node receives."""
         self._context, self._node = context, context.node
         self._next_report: dict[str, int] = {}
 
     def check(self) -> None:
-        """Reports the members that are unresponsive now, primaries first."""
+        """Reports the members that are unresponsive, primaries first."""
         unresponsive = [name for name in self._node.heard if self._is_unresponsive(name)]
         if not unresponsive:
             return
@@ -39,14 +39,18 @@
                 self._report_replica(name)
 
     def _is_unresponsive(self, name: str) -> bool:
-        """Whether heartbeats are missing, but not for so long that this was dealt with."""
+        """Returns whether heartbeats are missing, though not so long that it was handled before."""
         last_heartbeat, _count = self._node.heard[name]
         silent_us = self._node.clock.now() - last_heartbeat
         interval_us = self._node.heartbeat_us
-        return _MISSED_HEARTBEATS * interval_us < silent_us < _FORGOTTEN_HEARTBEATS * interval_us
+        return (
+            _SUSPECT_AFTER_MISSED_HEARTBEATS * interval_us
+            < silent_us
+            < _IGNORE_AFTER_MISSED_HEARTBEATS * interval_us
+        )
 
     def _report_primary(self, group: str, name: str) -> None:
-        """At most one primary of a group is reported in each heartbeat interval."""
+        """Reports a primary, at most once per group and heartbeat interval."""
         now = self._node.clock.now()
         if self._next_report.get(group, 0) <= now:
             self._next_report[group] = now + self._node.heartbeat_us
@@ -61,4 +65,4 @@
 
     def _report(self, group: str, name: str) -> None:
         self._node.heard.pop(name, None)
-        self._node.tasks.spawn(self._node.suspect(group, name, _REASON))
+        self._node.tasks.spawn(self._node.suspect(group, name, _SUSPICION_REASON))
--- a/src/petrelhaven/control/failover/interfaces.py
+++ b/src/petrelhaven/control/failover/interfaces.py
@@ -1,4 +1,4 @@
-"""The contracts of failover: what it needs of its control node, of members and of the platform."""
+"""Protocols that failover requires of its control node, of members and of the platform."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
     "LeaseTable",
     "MemberWire",
     "Platform",
-    "Reach",
+    "ControlNodeCalls",
     "Tasks",
 ]
 
 UNREACHABLE = "mute"
-"""Note of the `NotSent` that `MemberWire.open` raises when nothing came back from the address."""
+"""Note of the `NotSent` that `MemberWire.open` raises if the address did not answer at all."""
 
 _Result = TypeVar("_Result")
 
@@ -38,46 +38,48 @@
     lost: bool
 
     def send_system_verb(self, verb: str, *args: int) -> Awaitable[dict[str, Any]]:
-        """The member's status, as its answer to one of the system's own verbs."""
+        """Sends a verb that is not a client statement, such as `status`; returns the status."""
 
     def close(self) -> None:
-        """Closes it; what is still on its way is dropped."""
+        """Closes the connection and drops data in transit."""
 
 
 class MemberWire(Protocol):
     """Opens connections to members."""
 
     async def open(self, addr: str, group: str, member: str, us: int) -> Connection:
-        """A connection to a member that answers under its name, within `us` microseconds.
+        """Connects within `us` microseconds to a member that answers under its name.
 
         Raises:
-            NotSent: With the note `UNREACHABLE` if nothing came back, else its port is closed.
-            MemberReplaced: Another member answers at the address.
+            NotSent: The port is closed, or with the note `UNREACHABLE`, there was no answer.
+            MemberReplaced: A different member answers at the address.
         """
 
 
 class Platform(Protocol):
-    """The platform that promotes members."""
+    """The platform, which promotes members."""
 
-    async def promote(self, group: str, member: str, fence: int, holder: str, /) -> object:
+    async def promote(
+        self, group: str, member: str, fencing_token: int, requester: str, /
+    ) -> object:
         """Makes a member the primary of its group.
 
         Raises:
             Fenced: The platform has seen a higher fencing token.
-            NotSent: The request has certainly not arrived.
-            Fault: Any other; the request may still take effect.
+            NotSent: The request did not reach the platform.
+            Fault: Any other failure; the request may still take effect.
         """
 
 
 class Tasks(Protocol):
-    """Starts tasks that end with the control node."""
+    """Starts tasks that are cancelled with the control node."""
 
-    def spawn(self, work: Coroutine[Any, Any, _Result], /) -> asyncio.Task[_Result]:
-        """Starts one."""
+    def spawn(self, coroutine: Coroutine[Any, Any, _Result], /) -> asyncio.Task[_Result]:
+        """Starts a task."""
 
 
 class ControlState(Protocol):
-    """The control state as far as failover reads it."""
+    """The part of the control state that failover reads."""
 
     doc: dict[str, Any]
 
@@ -86,13 +88,13 @@
         """The configuration in force, or None."""
 
     def group(self, name: str, /) -> Mapping[str, Mapping[str, Any]]:
-        """The rows of the members of a group that are not gone, by their names."""
+        """Returns the rows of a group's members by name, without those that signed off."""
 
     def evidence(self, group: str) -> Evidence:
-        """What is recorded about the logs of a group's members."""
+        """Returns the recorded facts about the logs of a group's members."""
 
     def zone(self, name: str, /) -> str:
-        """The state of a zone."""
+        """Returns the state of a zone."""
 
 
 class Chain(Protocol):
@@ -104,25 +106,27 @@
 
     @property
     def active(self) -> bool:
-        """Whether a majority has confirmed this node's view, and no older one can be in force."""
+        """Whether a majority has confirmed this node's view and no older view can be in force."""
 
     @property
     def view(self) -> View | None:
-        """The view that this node follows, or None."""
+        """The view that this node has adopted, or None."""
 
     @property
     def control_state(self) -> ControlState:
-        """The control state, with all records that this node holds."""
+        """The control state after all records that this node stores."""
 
     async def enter(self, record: dict[str, Any], /) -> int:
-        """Commits a record; its number."""
+        """Commits a record; returns its number."""
 
 
-class Reach(Protocol):
-    """Calls to other control nodes."""
+class ControlNodeCalls(Protocol):
+    """Remote calls to other control nodes."""
 
-    async def call(self, name: str, kind: str, body: dict[str, Any], us: int, /) -> dict[str, Any]:
-        """The answer of a control node within `us` microseconds."""
+    async def call(
+        self, node: str, kind: str, body: dict[str, Any], timeout_us: int, /
+    ) -> dict[str, Any]:
+        """Sends a message to a control node and returns its answer."""
 
 
 class LeaseTable(Protocol):
@@ -133,11 +137,11 @@
 
 
 class ControlServices(Protocol):
-    """One control node, as failover uses it.
+    """The part of a control node that failover uses.
 
     Attributes:
-        heard: When each member's heartbeat came last (clock microseconds) and its count.
-        heartbeat_us: How often a member sends heartbeats.
+        heard: By member, when its last heartbeat arrived (clock microseconds) and its count.
+        heartbeat_us: The interval of a member's heartbeats.
     """
 
     name: str
@@ -147,10 +151,10 @@
     log: logbook.Logger | None
     wire: MemberWire
     chain: Chain
-    reach: Reach
+    reach: ControlNodeCalls
     lease_table: LeaseTable
     heard: dict[str, tuple[int, int]]
     heartbeat_us: int
 
-    async def suspect(self, group: str, member: str, how: str) -> None:
-        """Reports a suspicion to the head."""
+    async def suspect(self, group: str, member: str, suspicion: str) -> None:
+        """Reports to the head that a member is suspected to have failed."""
--- a/src/petrelhaven/control/failover/member_access.py
+++ b/src/petrelhaven/control/failover/member_access.py
@@ -1,4 +1,4 @@
-"""The coordinator's connection to one member: STATUS, PAUSE and RESUME, each within a bound."""
+"""The coordinator's connection to one member, for STATUS, PAUSE and RESUME requests."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
     from petrelhaven.control.failover.interfaces import Connection, MemberWire
     from petrelhaven.runtime.clock import Clock
 
-__all__ = ["REQUEST_US", "MemberHandle"]
+__all__ = ["REQUEST_TIMEOUT_US", "MemberHandle"]
 
-REQUEST_US = 600_000
-"""How long a member may take to answer, in microseconds."""
+REQUEST_TIMEOUT_US = 600_000
+"""Time limit of a connection attempt and of a request, in microseconds."""
 
 
 class MemberHandle:
-    """One member as the active head asks it; the connection is opened with the first request.
+    """Sends requests to one member; the first request opens the connection.
 
-    A request without an answer closes the connection, so what was sent over it and is still on
-    its way is dropped instead of taking effect later.
+    An unanswered request closes the connection, so that a request still in transit is dropped
+    instead of taking effect later.
 
     Attributes:
         name: The member's name.
-        last_status: The last status that it answered, or None.
-        fault: Why the last request had no answer.
-        is_refused: Whether that was because nobody, or somebody else, is at its address.
-        pending_status: The running STATUS request to a primary that is not waited for, or None.
+        last_status: The last status that the member answered, or None.
+        fault: Why the last failed request failed.
+        is_refused: Whether it failed since the port is closed or another member answers there.
+        pending_status: A STATUS request that runs in the background, or None.
     """
 
     __slots__ = (
@@ -48,7 +48,7 @@
     )
 
     def __init__(self, wire: MemberWire, clock: Clock, endpoint: MemberEndpoint) -> None:
-        """Opens no connection yet."""
+        """Stores the endpoint; opens no connection."""
         self.name, self._endpoint = endpoint.name, endpoint
         self.last_status: MemberStatus | None = None
         self.fault = ""
@@ -57,19 +57,21 @@
         self._wire, self._clock = wire, clock
         self._connection: Connection | None = None
 
-    def move_to(self, endpoint: MemberEndpoint) -> None:
-        """The next connection goes to this address."""
+    def set_endpoint(self, endpoint: MemberEndpoint) -> None:
+        """Sets the endpoint of the next connection."""
         self._endpoint = endpoint
 
-    async def ask(self, verb: str, *args: int) -> MemberStatus:
-        """The member's status as the answer to one request.
+    async def request(self, verb: str, *args: int) -> MemberStatus:
+        """Sends one request; returns the status that the member answers.
 
         Raises:
-            Fault: It did not answer within `REQUEST_US`, or declined.
+            Fault: The member did not answer within `REQUEST_TIMEOUT_US`, or declined.
         """
         try:
             connection = await self._connect()
-            answer = await self._clock.limit(connection.send_system_verb(verb, *args), REQUEST_US)
+            answer = await self._clock.limit(
+                connection.send_system_verb(verb, *args), REQUEST_TIMEOUT_US
+            )
         except Fault:
             self.close()
             raise
@@ -80,42 +82,46 @@
         if self._connection is None or self._connection.lost:
             endpoint = self._endpoint
             self._connection = await self._wire.open(
-                endpoint.address, endpoint.group, endpoint.name, REQUEST_US
+                endpoint.address, endpoint.group, endpoint.name, REQUEST_TIMEOUT_US
             )
         return self._connection
 
     async def status(self) -> MemberStatus | None:
-        """The member's status, or None with the reason in `fault`."""
+        """Returns the member's status, or None with the reason in `fault`."""
         try:
-            return await self.ask("status")
+            return await self.request("status")
         except Fault as fault:
-            self._note(fault)
+            self._record_failure(fault)
             return None
 
     async def pause(self, term: int) -> MemberStatus | None:
-        """Keeps a replica from receiving; its status once that is certain, else None."""
+        """Stops a replica from receiving the log.
+
+        Returns:
+            The replica's status if it confirmed the pause, else None.
+        """
         try:
-            status = await self.ask("pause", term)
+            status = await self.request("pause", term)
         except Fault as fault:
-            self._note(fault)
+            self._record_failure(fault)
             return None
         return status if status.paused_term >= term else None
 
     async def resume(self) -> bool:
-        """Lets a paused replica receive again; whether it answered."""
+        """Lets a paused replica receive the log again; returns whether it answered."""
         try:
-            await self.ask("resume")
+            await self.request("resume")
         except Fault as fault:
-            self._note(fault)
+            self._record_failure(fault)
             return False
         return True
 
-    def _note(self, fault: Fault) -> None:
+    def _record_failure(self, fault: Fault) -> None:
         self.fault = f"{fault.code} {fault.note}"
         self.is_refused = isinstance(fault, NotSent | MemberReplaced) and fault.note != UNREACHABLE
 
     def close(self) -> None:
-        """Closes the connection; the next request opens another one."""
+        """Closes the connection; the next request opens a new one."""
         if self._connection is not None:
             self._connection.close()
         self._connection = None
--- a/src/petrelhaven/control/failover/observation.py
+++ b/src/petrelhaven/control/failover/observation.py
@@ -1,4 +1,4 @@
-"""Inspection of a suspected primary: each control node asks it over a connection of its own."""
+"""Inspection of suspected members: each control node probes them over its own connection."""
 
 from __future__ import annotations
 
@@ -27,16 +27,16 @@
 __all__ = ["REFUSED", "UNREACHABLE", "Observer", "Survey"]
 
 REFUSED = "refused"
-_REACHED = "up:"
-_BUSY = _REACHED + "busy"
-_REPLICA = _REACHED + "replica"
-_INSPECTION_US = 400_000
+_REACHED_PREFIX = "up:"
+_REACHED_BUSY = _REACHED_PREFIX + "busy"
+_REACHED_REPLICA = _REACHED_PREFIX + "replica"
+_INSPECTION_TIMEOUT_US = 400_000
 _CALL_MARGIN_US = 200_000
 
 
 @dataclass(frozen=True, slots=True)
 class Survey:
-    """What the control nodes that answered found, and how many control nodes there are.
+    """The observations of the control nodes that answered.
 
     Attributes:
         observations: Each `REFUSED`, `UNREACHABLE`, or `up:` with the member's role.
@@ -48,13 +48,13 @@
 
     @property
     def is_reachable(self) -> bool:
-        """Whether a control node reached the member."""
-        return any(observation.startswith(_REACHED) for observation in self.observations)
+        """Whether any control node reached the member."""
+        return any(observation.startswith(_REACHED_PREFIX) for observation in self.observations)
 
     @property
     def reports_replica(self) -> bool:
-        """Whether the member answered a control node that it is a replica."""
-        return _REPLICA in self.observations
+        """Whether the member answered to any control node that it is a replica."""
+        return _REACHED_REPLICA in self.observations
 
     @property
     def is_majority(self) -> bool:
@@ -63,20 +63,20 @@
 
 
 class Observer:
-    """Inspects members for this control node, and has the others inspect them."""
+    """Inspects members from this control node and requests inspections by the others."""
 
     def __init__(self, node: ControlServices) -> None:
-        """Works for one control node."""
+        """Inspects members from `node`."""
         self._node = node
 
     async def inspect(self, endpoint: MemberEndpoint) -> str:
-        """What this node finds: `up:` with the member's role, `REFUSED` or `UNREACHABLE`."""
+        """Probes a member; returns `up:` with its role, `REFUSED` or `UNREACHABLE`."""
         handle = MemberHandle(self._node.wire, self._node.clock, endpoint)
         try:
-            status = await self._node.clock.limit(handle.ask("status"), _INSPECTION_US)
-            return _REACHED + status.role
+            status = await self._node.clock.limit(handle.request("status"), _INSPECTION_TIMEOUT_US)
+            return _REACHED_PREFIX + status.role
         except (Busy, MemberDeclined):
-            return _BUSY
+            return _REACHED_BUSY
         except (NotSent, MemberReplaced) as fault:
             return UNREACHABLE if fault.note == UNREACHABLE else REFUSED
         except (DeadlineExceeded, Unreachable):
@@ -84,12 +84,12 @@
         finally:
             handle.close()
 
-    async def answer(self, _channel: object, body: dict[str, Any]) -> dict[str, Any]:
-        """Answers `warden.look`: another control node asks what this one finds."""
+    async def handle_request(self, _channel: object, body: dict[str, Any]) -> dict[str, Any]:
+        """Handles `warden.look`, another control node's request to inspect a member."""
         return {"how": await self.inspect(MemberEndpoint.from_body(body))}
 
     async def survey(self, member: Member) -> Survey:
-        """What all control nodes of the chain find, each for itself."""
+        """Has all control nodes of the chain inspect a member independently."""
         view = self._node.chain.view
         if view is None:
             return Survey((), 0)
@@ -101,10 +101,10 @@
         return Survey(answered, len(view.ids))
 
     async def _request_inspection(self, node: str, endpoint: MemberEndpoint) -> str | None:
-        """What a control node finds, or None if it does not answer."""
+        """Returns the observation of a control node, or None if it does not answer."""
         if node == self._node.name:
             return await self.inspect(endpoint)
-        limit_us = _INSPECTION_US + _CALL_MARGIN_US
+        limit_us = _INSPECTION_TIMEOUT_US + _CALL_MARGIN_US
         try:
             answer = await self._node.reach.call(
                 node, MessageKind.MEMBER_CHECK, endpoint.to_body(), limit_us
--- a/src/petrelhaven/control/failover/promotion.py
+++ b/src/petrelhaven/control/failover/promotion.py
@@ -1,8 +1,9 @@
-"""The promotions that one leader change requests of the platform, and whose may still take effect.
+"""The promotions that one leader change requests of the platform, and which are still pending.
 
-A request that was accepted takes effect some time later, whatever fencing token is seen in between,
-and its answer may be lost. So the members that were requested stand in the leadership record before
-the request leaves, and nobody serves before a request for another member is certainly over.
+An accepted request takes effect some time later, even if the platform has seen a higher fencing
+token meanwhile, and its answer may be lost. The leadership record therefore names the requested
+members before a request is sent, and no primary is recorded as serving while a request for another
+member may still take effect.
 """
 
 from __future__ import annotations
@@ -19,23 +20,23 @@
 
 __all__ = ["PromotionRequests"]
 
-_TAKES_EFFECT_US = 2_500_000
+_MAX_PROMOTION_DELAY_US = 2_500_000
 _ACCEPTED_WAIT_US = 5_000_000
-_DECLINED_WAIT_US = 300_000
+_UNSENT_WAIT_US = 300_000
 
 
 class PromotionRequests:
-    """Requests of one leader change; the leadership record holds who was requested.
+    """Promotion requests of one leader change, which its leadership records name.
 
     Attributes:
-        planned: Whether the change is a switchover: the old primary serves meanwhile.
-        stuck: Whether proxies are to send writers away.
-        change_number: The number of the record that began the change.
+        planned: Whether the change is a switchover, during which the old primary serves.
+        stuck: Whether proxies reject writes, since no primary is expected soon.
+        change_number: The number of the record that started the change.
         requested: Members that may still be promoted by a request of this change.
     """
 
     def __init__(self, context: FailoverContext, group: str, planned: bool) -> None:
-        """Starts from what the record of the group says was requested."""
+        """Takes the pending requests from the group's leadership record."""
         self._context, self._group = context, group
         self.planned, self.stuck = planned, False
         self.change_number = 0
@@ -43,65 +44,69 @@
         self._primary, self._term = leadership.primary, leadership.term
         self.requested = leadership.pending
         self._fencing_token = 0
-        self._recorded = ""
+        self._recorded_candidate = ""
 
-    def pending_besides(self, member: str) -> bool:
-        """Whether somebody other than `member` may still be promoted."""
+    def has_pending_except(self, member: str) -> bool:
+        """Returns whether a member other than `member` may still be promoted."""
         return not self.requested <= {member}
 
-    async def begin(self, cause: str) -> None:
-        """Records that the change has begun."""
-        await self._enter(cause)
+    async def record_start(self, cause: str) -> None:
+        """Records the start of the change."""
+        await self._record_change(cause)
         self.change_number = self._fencing_token
 
-    async def mark_stuck(self, cause: str) -> None:
-        """Records that no primary is near."""
+    async def record_stuck(self, cause: str) -> None:
+        """Records that no primary is expected soon."""
         self.stuck = True
-        await self._enter(cause)
+        await self._record_change(cause)
 
-    async def announce(self, candidate: str) -> None:
-        """Records that `candidate` is to be requested, under a token that no request has used."""
-        if self._recorded != candidate:
-            await self._enter(f"{candidate} is to take over", candidate)
+    async def record_candidate(self, candidate: str) -> None:
+        """Records `candidate` as requested, which yields an unused fencing token."""
+        if self._recorded_candidate != candidate:
+            await self._record_change(f"{candidate} is to take over", candidate)
 
-    async def send(self, candidate: str) -> int:
-        """Requests the promotion of `candidate`, announced before.
+    async def request_promotion(self, candidate: str) -> int:
+        """Requests the promotion of the recorded `candidate`.
 
         Returns:
-            How long the promotion may take to show, in microseconds.
+            How long to wait for the promotion to take effect, in microseconds.
 
         Raises:
             Fenced: The platform has seen a higher fencing token.
         """
-        before = self.requested
-        self.requested = before | {candidate}
-        self._recorded = ""
+        requested_before = self.requested
+        self.requested = requested_before | {candidate}
+        self._recorded_candidate = ""
         try:
             await self._promote(candidate)
         except Fault as fault:
             self._log_failure(candidate, fault)
             if isinstance(fault, NotSent | Fenced):
-                self.requested = before
+                self.requested = requested_before
             if isinstance(fault, Fenced):
                 raise
-            return _DECLINED_WAIT_US if isinstance(fault, NotSent) else _TAKES_EFFECT_US
+            return _UNSENT_WAIT_US if isinstance(fault, NotSent) else _MAX_PROMOTION_DELAY_US
         return _ACCEPTED_WAIT_US
 
-    async def fence_off(self, member: str) -> None:
-        """Waits until no request can take effect any more; `member` leads and is named meanwhile.
+    async def fence_pending_requests(self, member: str) -> None:
+        """Waits until no earlier request can take effect any more.
 
-        Requests that the platform has not accepted yet are declined from its answer on; those that
-        it had accepted have taken effect by the end of the wait.
+        Requests the promotion of `member`, which leads already, under a new fencing token. Once the
+        platform has answered, it declines earlier requests that it had not accepted; those that it
+        had accepted have taken effect by the end of the wait.
         """
-        await self._enter("requests that may be under way are fenced off")
+        await self._record_change("requests that may be under way are fenced off")
         await self._promote(member)
-        await self._context.clock.sleep(_TAKES_EFFECT_US)
+        await self._context.clock.sleep(_MAX_PROMOTION_DELAY_US)
         self.requested = frozenset()
 
-    async def _enter(self, cause: str, candidate: str = "") -> None:
-        """Enters the record of the change, `candidate` among the requested: a new fencing token."""
+    async def _record_change(self, cause: str, candidate: str = "") -> None:
+        """Commits a record of the change, which yields a new fencing token.
+
+        The record names the pending requests and, if given, `candidate`.
+        """
         requested = self.requested | {candidate} if candidate else self.requested
-        self._recorded = candidate
+        self._recorded_candidate = candidate
         record = NewLeadership(
             phase=LeadershipPhase.SWITCHOVER if self.planned else LeadershipPhase.FAILOVER,
             primary=self._primary,
@@ -110,7 +115,7 @@
             stuck=self.stuck,
             requested=tuple(sorted(requested)),
         )
-        self._fencing_token = await self._context.enter_leadership(self._group, record)
+        self._fencing_token = await self._context.record_leadership(self._group, record)
 
     async def _promote(self, member: str) -> None:
         node = self._context.node
--- a/src/petrelhaven/control/failover/resumption.py
+++ b/src/petrelhaven/control/failover/resumption.py
@@ -1,4 +1,4 @@
-"""Lets the replicas that a leader change paused receive again."""
+"""Resumes the replicas that a leader change paused."""
 
 from __future__ import annotations
 
@@ -13,42 +13,42 @@
 
 __all__ = ["ReplicaResumption"]
 
-_RETRY_US = 200_000
+_RETRY_INTERVAL_US = 200_000
 
 
 class ReplicaResumption:
-    """Replicas that may be paused without need, each asked until it has answered.
+    """Asks replicas that may still be paused to resume, until each has answered.
 
     Attributes:
-        pending: Their names, by group.
+        pending: The names of the replicas that have not answered, by group.
     """
 
     def __init__(self, context: FailoverContext) -> None:
-        """Has nobody to resume yet."""
+        """Starts without pending replicas."""
         self._context = context
         self.pending: dict[str, set[str]] = {}
 
-    def take_over(self) -> None:
-        """A new head can't know which replicas the former one left paused: all are asked."""
+    def add_all_replicas(self) -> None:
+        """Adds the replicas of all groups, since a new head doesn't know which ones are paused."""
         self.pending = {
             group: set(self._context.members(group)) - {leadership.primary}
             for group, leadership in self._context.leaderships().items()
         }
 
     def add(self, group: str, member: str) -> None:
-        """A replica may be paused."""
+        """Adds a replica that may be paused."""
         self.pending.setdefault(group, set()).add(member)
 
     async def resume_all(
         self, group: str, members: Iterable[str], handles: Mapping[str, MemberHandle]
     ) -> None:
-        """Starts over with `members`, asked over connections that are open already."""
+        """Replaces the pending replicas of a group and asks them over open connections."""
         self.pending[group] = set(members)
-        left = await self._resume_pending(group, handles)
-        await self._finish(group, left)
+        remaining = await self._resume_pending(group, handles)
+        await self._finish_round(group, remaining)
 
     async def resume(self, group: str) -> None:
-        """Asks the pending replicas of a group once, over connections of its own."""
+        """Asks the pending replicas of a group once, over new connections."""
         node = self._context.node
         members = self._context.members(group)
         handles = {
@@ -57,30 +57,34 @@
             if name in members
         }
         try:
-            left = await self._resume_pending(group, handles)
+            remaining = await self._resume_pending(group, handles)
         finally:
             for handle in handles.values():
                 handle.close()
-        await self._finish(group, left)
+        await self._finish_round(group, remaining)
 
     async def _resume_pending(self, group: str, handles: Mapping[str, MemberHandle]) -> set[str]:
-        """Asks each pending replica once; those that have not answered."""
+        """Asks each pending replica once; returns those that have not answered."""
         pending = self.pending[group]
         members = self._context.members(group)
         for name in sorted(pending):
             departed = name not in members or name not in handles
-            if departed or await self._resume_one(group, handles[name]):
+            if departed or await self._resume_replica(group, handles[name]):
                 pending.discard(name)
         return pending
 
-    async def _finish(self, group: str, left: set[str]) -> None:
-        if left:
-            await self._context.clock.sleep(_RETRY_US)
+    async def _finish_round(self, group: str, remaining: set[str]) -> None:
+        if remaining:
+            await self._context.clock.sleep(_RETRY_INTERVAL_US)
         else:
             self.pending.pop(group, None)
 
-    async def _resume_one(self, group: str, handle: MemberHandle) -> bool:
-        """Whether the replica needs no further request; counted out, it stays paused."""
+    async def _resume_replica(self, group: str, handle: MemberHandle) -> bool:
+        """Asks a replica to resume, unless it is counted out.
+
+        Returns:
+            Whether the replica needs no further request.
+        """
         context = self._context
         async with context.pause_lock(group):
             if handle.name in context.evidence(group).counted_out:
--- a/src/petrelhaven/control/interface/contracts.py
+++ b/src/petrelhaven/control/interface/contracts.py
@@ -1,4 +1,4 @@
-"""What the operators' interface needs: an HTTP server with its requests, and a control node."""
+"""Protocols that the operators' interface requires: HTTP server, requests and control node."""
 
 from __future__ import annotations
 
@@ -15,38 +15,38 @@
 
 Document: TypeAlias = dict[str, Any]
 Handler: TypeAlias = Callable[..., Awaitable[Any]]
-"""Takes a request and the part of the path that is `{}`; answers a Document or a RawAnswer."""
+"""Receives a request and the path segment matched by `{}`; returns a Document or RawResponse."""
 RawResponse: TypeAlias = tuple[int, bytes, tuple[tuple[str, str], ...]]
-"""A status, a body and headers, sent as they are."""
+"""An HTTP status, a body and headers, sent unchanged."""
 
 
 class Request(Protocol):
-    """A request, as a server hands it to a handler."""
+    """An HTTP request as a handler receives it."""
 
     @property
     def query(self) -> dict[str, str]:
-        """The query of its path, by name."""
+        """The parameters of the query string."""
 
     @property
     def delivery(self) -> Delivery:
-        """How it came here."""
+        """How the request reached this node."""
 
     def text(self) -> str:
-        """The body as text; Malformed if it is not UTF-8."""
+        """Returns the body as text; raises Malformed if it isn't UTF-8."""
 
     def doc(self) -> Any:  # noqa: ANN401
-        """The body's JSON document; Malformed if it is not JSON."""
+        """Returns the parsed JSON body; raises Malformed if it isn't JSON."""
 
 
 class HttpRoutes(Protocol):
-    """A server to which routes are added."""
+    """An HTTP server to which routes are added."""
 
     def on(self, verb: str, path: str, handler: Handler) -> None:
-        """Has `handler` answer requests of `verb` for `path`, in which `{}` stands for any part."""
+        """Registers a handler for a method and a path, in which `{}` matches any segment."""
 
 
 class NodeInterface(Protocol):
-    """What operators and members can ask of a control node; `ControlNode` says what each means."""
+    """The operations of a control node for operators and members; see `ControlNode`."""
 
     clock: Clock
     chain: Chain
@@ -55,15 +55,15 @@
 
     @property
     def heard(self) -> Mapping[str, tuple[int, int]]:
-        """For each member, when its last heartbeat came, and its count."""
+        """By member, when its last heartbeat arrived (clock microseconds) and its count."""
 
     @property
     def embargoes(self) -> EmbargoService:
-        """What it does about embargoes."""
+        """The embargo service of the control node."""
 
     @property
     def ready(self) -> bool:
-        """Whether it takes orders."""
+        """Whether the control node accepts orders."""
 
     async def apply(self, text: str, by: str = "", retire: bool = True) -> Document:
         """Applies a configuration."""
@@ -74,22 +74,22 @@
         """Evacuates or restores a zone."""
 
     async def elect(self, group: str, member: str, leadership: int, by: str = "") -> Document:
-        """Orders the election of a member although acknowledged commits may be lost."""
+        """Orders the election of a member even if acknowledged commits are lost."""
 
     async def reform(self, lost: list[str], by: str = "") -> Document:
-        """Forms the chain anew without lost control nodes."""
+        """Reforms the chain without lost control nodes."""
 
     async def control_state(self) -> Document:
-        """The control state as the tail answers it."""
+        """Returns the control state as confirmed by the tail of the chain."""
 
     def unconfirmed(self) -> Document:
-        """The control state as this node has it."""
+        """Returns this node's control state, which may lack confirmation."""
 
     async def announce(self, doc: Document) -> None:
-        """Takes a member's announcement."""
+        """Processes a member's announcement."""
 
     def belief(self) -> Document:
-        """What this node believes."""
+        """Returns this node's local view of the fleet."""
 
     def status(self) -> Document:
-        """The belief and what the node waits for."""
+        """Returns the local view and what the node waits for."""
--- a/src/petrelhaven/control/interface/control_interface.py
+++ b/src/petrelhaven/control/interface/control_interface.py
@@ -1,4 +1,4 @@
-"""The HTTP interface of a control node for operators, and for members that announce themselves.
+"""The HTTP interface of a control node for operators and for announcements of members.
 
 docs/http.md describes the routes.
 """
@@ -35,13 +35,13 @@
 
 __all__ = ["ControlInterface"]
 
-_CALLER_SHOWN = 120
-_ZONE_SHOWN = 60
-_MOST_CONNECTIONS = 10_000
+_MAX_CALLER_LENGTH = 120
+_MAX_SHOWN_ZONE_LENGTH = 60
+_MAX_CONNECTIONS = 10_000
 
 
 class ControlInterface:
-    """Routes of the operators' interface, which a control node answers."""
+    """Routes of the operators' interface of a control node."""
 
     def __init__(
         self,
@@ -50,13 +50,13 @@
         settings: Callable[[], Document] = dict,
         accepts_announcements: bool = False,
     ) -> None:
-        """Adds the routes to a server.
+        """Registers the routes with an HTTP server.
 
         Args:
             node: the control node.
-            http_server: where they are added.
-            settings: answers the node's settings, for the status.
-            accepts_announcements: whether members announce themselves here.
+            http_server: the server.
+            settings: returns the node's settings, which the status contains.
+            accepts_announcements: whether to add the route for members' announcements.
         """
         self._node = node
         self._settings = settings
@@ -83,12 +83,12 @@
     async def _apply_configuration(self, request: Request) -> Document:
         text = request.text()
         retire = request.query.get("retire") == "true"
-        return await self._in_force(
+        return await self._wait_until_in_force(
             await self._node.apply(text, by=_caller(request), retire=retire)
         )
 
-    async def _in_force(self, answer: Document) -> Document:
-        """An order's answer, once what it entered is in force at every proxy."""
+    async def _wait_until_in_force(self, answer: Document) -> Document:
+        """Returns the answer to an order once its record is in force at every proxy."""
         return {**answer, "in_force_us": await self._node.lease_table.in_force(answer["change"])}
 
     async def _show_configuration(self, request: Request) -> RawResponse:
@@ -100,15 +100,15 @@
         configuration = state["manifest"]
         version = parse_query_number(request.query, "version")
         if version is not None:
-            configuration = self._version(version, configuration, is_confirmed)
+            configuration = self._find_version(version, configuration, is_confirmed)
         if configuration is None:
             raise NoRoute("no such manifest")
         return configuration_response(configuration["text"], is_confirmed)
 
-    def _version(
+    def _find_version(
         self, version: int, in_force: Document | None, is_confirmed: bool
     ) -> Document | None:
-        """The configuration of a version: the one in force, or one whose record is still stored."""
+        """Finds a version of the configuration: the one in force or one with a stored record."""
         if in_force and in_force["version"] == version:
             return in_force
         chain = self._node.chain
@@ -117,8 +117,8 @@
             if record["t"] != "manifest" or (is_confirmed and not is_committed):
                 continue
             if record["version"] == version:
-                found: Document = record
-                return found
+                configuration: Document = record
+                return configuration
         return None
 
     async def _evacuate(self, request: Request, zone: str) -> Document:
@@ -132,23 +132,23 @@
         configuration = control_state.configuration
         zones = configuration["halls"] if configuration else ()
         if zone not in zones:
-            message = f"no hall {zone[:_ZONE_SHOWN]}"
+            message = f"no hall {zone[:_MAX_SHOWN_ZONE_LENGTH]}"
             raise invalid_document(message, [ConfigurationFault("hall", message)])
         others_open = any(other != zone and control_state.zone(other) == OPEN for other in zones)
         if state == EVACUATED and not others_open:
-            fault = ConfigurationFault("hall", "the last open hall can't be emptied")
+            fault = ConfigurationFault("hall", "the last open hall can't be evacuated")
             raise invalid_document("last open hall", [fault])
         answer = await self._node.set_zone_state(
             zone, state, _caller(request), delivery=request.delivery
         )
-        return await self._in_force(answer)
+        return await self._wait_until_in_force(answer)
 
     async def _elect(self, request: Request, group: str) -> Document:
-        """Elects a member without proof, where the caller accepts that commits may be lost."""
+        """Orders an election without proof, if the caller accepts the loss of commits."""
         member = request.query.get("member", "")
         leadership = parse_query_number(request.query, "office")
         if not member or leadership is None:
-            raise Malformed("member and office must be said")
+            raise Malformed("member and office are required")
         if request.query.get("accept_loss") != "true":
             fault = ConfigurationFault("accept_loss", "must be true")
             raise invalid_document("acknowledged commits may be lost", [fault])
@@ -159,11 +159,11 @@
 
     async def _status(self, _request: Request) -> Document:
         now_us = self._node.clock.now()
-        heard = sorted(self._node.heard.items())
+        heartbeats = sorted(self._node.heard.items())
         return {
             **self._node.status(),
             "settings": self._settings(),
-            "heard_us": {name: now_us - heard_us for name, (heard_us, _count) in heard},
+            "heard_us": {name: now_us - received_us for name, (received_us, _count) in heartbeats},
         }
 
     async def _why(self, request: Request) -> Document:
@@ -185,7 +185,7 @@
     async def _events(self, request: Request) -> RawResponse:
         after = parse_query_number(request.query, "after", 0) or 0
         if self._event_feed is None:
-            # loaded at need: few control nodes are asked for events
+            # Imported lazily, since events are requested from few control nodes.
             from petrelhaven.control.interface.event_feed import EventFeed
 
             self._event_feed = EventFeed(self._node.chain)
@@ -193,23 +193,23 @@
         return 200, body, (("Content-Type", EVENTS_CONTENT_TYPE),)
 
     async def _announce(self, request: Request) -> Document:
-        await self._node.announce(_announcement(request.doc()))
+        await self._node.announce(_parse_announcement(request.doc()))
         return {"ok": True}
 
 
 def _caller(request: Request) -> str:
-    """Who asks, as they say themselves."""
-    return request.query.get("by", "")[:_CALLER_SHOWN]
+    """Returns the caller's self-declared name."""
+    return request.query.get("by", "")[:_MAX_CALLER_LENGTH]
 
 
-def _announcement(document: Any) -> Document:  # noqa: ANN401
-    """A member's announcement in the fields of a control node, which checks the other ones."""
+def _parse_announcement(document: Any) -> Document:  # noqa: ANN401
+    """Validates and maps the fields of an announcement; the control node validates the others."""
     if not isinstance(document, dict):
         raise Malformed("announcement must be an object")
     if type(document.get("draining")) is not bool:
         raise Malformed("announcement field draining must be bool")
     connections = document.get("cap")
-    if type(connections) is not int or not 1 <= connections <= _MOST_CONNECTIONS:
+    if type(connections) is not int or not 1 <= connections <= _MAX_CONNECTIONS:
         raise Malformed("announcement field cap must be from 1 to 10000")
     return {
         **{key: document.get(key) for key in ("member", "group", "hall", "addr", "role")},
--- a/src/petrelhaven/control/interface/documents.py
+++ b/src/petrelhaven/control/interface/documents.py
@@ -1,4 +1,4 @@
-"""What operators' interfaces of control nodes and proxies have in common: queries and answers."""
+"""Queries and responses that the operators' interfaces of control nodes and proxies share."""
 
 from __future__ import annotations
 
@@ -25,16 +25,16 @@
 EVENTS_CONTENT_TYPE = "application/cloudevents-batch+json"
 
 _NUMBER = re.compile(r"[0-9]{1,18}")
-_GROUP_SHOWN = 60
+_MAX_SHOWN_GROUP_LENGTH = 60
 
 
 def parse_query_number(
     query: Mapping[str, str], name: str, default: int | None = None
 ) -> int | None:
-    """A whole number of a query, or `default` where it is not given.
+    """Returns a query parameter as a whole number, or `default` if it is missing.
 
     Raises:
-        Malformed: it is no whole number.
+        Malformed: the parameter isn't a whole number.
     """
     text = query.get(name)
     if text is None:
@@ -47,30 +47,30 @@
 def leadership_history(
     state: Document, query: Mapping[str, str], wait_reason: str | None = None
 ) -> Document:
-    """A leadership of a group, the one before it, and which are still stored.
+    """Returns a leadership of a group, the one before it, and the numbers of the stored ones.
 
     Args:
         state: the control state's document.
-        query: `group`, and `n` for the number of a leadership other than the last one.
-        wait_reason: what the failover coordinator waits for in this group, if it does.
+        query: `group`, and optionally `n`, the number of the leadership; the default is the last.
+        wait_reason: why the failover coordinator waits in this group, or None.
 
     Raises:
-        NoRoute: there is no such group, or its leadership of that number is not stored any more.
+        NoRoute: there is no such group, or its leadership `n` is no longer stored.
     """
     group, number = query.get("group", ""), parse_query_number(query, "n")
     if group not in state["offices"]:
-        raise NoRoute(f"no office of {group[:_GROUP_SHOWN]}")
+        raise NoRoute(f"group {group[:_MAX_SHOWN_GROUP_LENGTH]} has no leadership")
     past = state["past"].get(group) or [state["offices"][group]]
     if number is None:
         return leadership_response(past, len(past) - 1, wait_reason)
     for index, leadership in enumerate(past):
         if leadership["n"] == number:
             return leadership_response(past, index, wait_reason)
-    raise NoRoute(f"office {number} of {group[:_GROUP_SHOWN]} is not kept")
+    raise NoRoute(f"leadership {number} of {group[:_MAX_SHOWN_GROUP_LENGTH]} is no longer stored")
 
 
 def leadership_response(past: Sequence[Document], index: int, wait_reason: str | None) -> Document:
-    """The answer that shows the leadership at `index` of the `past` ones of a group."""
+    """Returns the response for the leadership at `index` of a group's stored leaderships."""
     return {
         "epoch": past[index],
         "replaced": past[index - 1] if index else None,
@@ -80,33 +80,33 @@
 
 
 def configuration_response(text: str, is_confirmed: bool) -> RawResponse:
-    """The answer that hands a configuration back byte for byte."""
+    """Returns a response with the unchanged text of a configuration."""
     return 200, text.encode(), tuple(confirmation_headers(is_confirmed).items())
 
 
 def confirmation_headers(is_confirmed: bool) -> dict[str, str]:
-    """The header that says whether a majority of the control nodes confirms an answer."""
+    """Returns the header that says whether a majority of control nodes confirms a response."""
     return {"Confirmed-By-Majority": "yes" if is_confirmed else "no"}
 
 
 def parse_lost_nodes(document: object) -> list[str]:
-    """The names in an order to form the chain anew.
+    """Returns the names of the lost control nodes in an order to reform the chain.
 
     Raises:
-        Malformed: there are none.
+        Malformed: the order has no list of names.
     """
     lost = document.get("lost") if isinstance(document, dict) else None
     if not isinstance(lost, list) or not all(isinstance(name, str) for name in lost):
-        raise Malformed("lost must be a list of names of cores")
+        raise Malformed("lost must be a list of control node names")
     return lost
 
 
 def readiness_response(is_ready: bool) -> Document:
-    """The answer of a control node that is ready.
+    """Returns the response of a control node that is ready.
 
     Raises:
-        NotReady: it is not.
+        NotReady: the control node isn't ready.
     """
     if not is_ready:
-        raise NotReady("not ruling yet")
+        raise NotReady("the control node is not ready to accept orders")
     return {"ready": True}
--- a/src/petrelhaven/control/interface/event_feed.py
+++ b/src/petrelhaven/control/interface/event_feed.py
@@ -1,4 +1,4 @@
-"""Committed records as CloudEvents, for programs that follow the fleet from outside."""
+"""Committed records as CloudEvents, for external programs that monitor the fleet."""
 
 from __future__ import annotations
 
@@ -14,39 +14,39 @@
 
 __all__ = ["EventFeed"]
 
-_BATCH_SIZE = 200
+_MAX_BATCH_EVENTS = 200
 _INTERNAL_FIELDS = {"shares", "stores", "where"}
 _SUBJECT_FIELDS = ("group", "hall", "name")
 _MEMBER_SUBJECT_FIELDS = ("name",)
-_SUBJECT_OF_OTHERS = "manifest"
+_DEFAULT_SUBJECT = "manifest"
 
 
 class EventFeed:
-    """Reports the records of a control node's chain after a number, in order."""
+    """Returns the records of a control node's chain as events, in order."""
 
     def __init__(self, chain: Chain) -> None:
-        """Takes the records from `chain`."""
+        """Reads the records from `chain`."""
         self._chain = chain
 
     def events_after(self, seq: int) -> list[Any]:
-        """A batch of CloudEvents in JSON.
+        """Returns a batch of CloudEvents in JSON.
 
         Args:
-            seq: the number of the last record that the caller knows.
+            seq: the number of the last record that the caller has received.
 
         Returns:
-            The records after it that are committed here and still stored, 200 at most.
+            Up to 200 events, for later records that are committed and still stored here.
         """
-        form = JSONFormat()
+        json_format = JSONFormat()
         rows = [row for row in self._chain.store.recs if seq < row[0] <= self._chain.commit]
         return [
-            json.loads(form.write(self._event(number, view, record)))
-            for number, view, record in rows[:_BATCH_SIZE]
+            json.loads(json_format.write(self._event(number, view, record)))
+            for number, view, record in rows[:_MAX_BATCH_EVENTS]
         ]
 
     def _event(self, seq: int, view: int, record: Document) -> CloudEvent:
         fields = _MEMBER_SUBJECT_FIELDS if record["t"] == "member" else _SUBJECT_FIELDS
-        subject = next((record[key] for key in fields if record.get(key)), _SUBJECT_OF_OTHERS)
+        subject = next((record[key] for key in fields if record.get(key)), _DEFAULT_SUBJECT)
         shown = {key: value for key, value in record.items() if key not in _INTERNAL_FIELDS}
         if "text" in shown:
             shown["text"] = _without_origin(shown["text"])
@@ -63,7 +63,7 @@
         )
 
     def _fleet_name(self) -> str | None:
-        """The name in the configuration, which is a document or a typed one."""
+        """Returns the fleet's name from the configuration, a document or a typed object."""
         configuration = self._chain.control_state.configuration
         if configuration is None:
             return None
@@ -74,7 +74,7 @@
 
 
 def _without_origin(text: str) -> str:
-    """A configuration's text without the document it was made from, in which keys stand as such."""
+    """Removes `origin`, which may contain tenants' keys in clear text, from a configuration."""
     configuration = json.loads(text)
     if "origin" not in configuration:
         return text
