--- a/src/petrelhaven/control/configuration/embargoes.py
+++ b/src/petrelhaven/control/configuration/embargoes.py
@@ -81,13 +81,13 @@
     if not NAME.fullmatch(rule.name):
         yield ConfigurationFault(join_path(path, "name"), NAME_EXPECTED)
     if bool(rule.thing) == bool(rule.prefix):
-        yield ConfigurationFault(join_path(path, "thing"), "say either a thing or a prefix")
+        yield ConfigurationFault(join_path(path, "thing"), "exactly one of thing and prefix is required")
     for field, text in (("thing", rule.thing), ("prefix", rule.prefix)):
         if len(text.encode("utf-8", "surrogatepass")) > _MAX_RECORD_KEY_BYTES:
             message = f"must be at most {_MAX_RECORD_KEY_BYTES} bytes"
             yield ConfigurationFault(join_path(path, field), message)
     if len(rule.early) > _MAX_EARLY_CLIENTS or not all(map(_is_client_name, rule.early)):
-        message = f"must be at most {_MAX_EARLY_CLIENTS} visitors' names of 1 to 128 letters"
+        message = f"must be at most {_MAX_EARLY_CLIENTS} client names of 1 to 128 characters"
         yield ConfigurationFault(join_path(path, "early"), message)
     try:
         parse_instant(rule.until, rule.zone)
--- a/src/petrelhaven/control/failover/interfaces.py
+++ b/src/petrelhaven/control/failover/interfaces.py
@@ -37,7 +37,7 @@
 
     lost: bool
 
-    def send_system_verb(self, verb: str, *args: int) -> Awaitable[dict[str, Any]]:
+    def send_command(self, verb: str, *args: int) -> Awaitable[dict[str, Any]]:
         """Sends a verb that is not a client statement, such as `status`; returns the status."""
 
     def close(self) -> None:
--- a/src/petrelhaven/control/failover/member_access.py
+++ b/src/petrelhaven/control/failover/member_access.py
@@ -70,7 +70,7 @@
         try:
             connection = await self._connect()
             answer = await self._clock.limit(
-                connection.send_system_verb(verb, *args), REQUEST_TIMEOUT_US
+                connection.send_command(verb, *args), REQUEST_TIMEOUT_US
             )
         except Fault:
             self.close()
