--- a/src/petrelhaven/control/failover/context.py
+++ b/src/petrelhaven/control/failover/context.py
@@ -49,7 +49,7 @@
     @property
     def is_active_head(self) -> bool:
         """Whether this control node is the active head, which alone changes leaders."""
-        return bool(self.node.chain.head and self.node.chain.active)
+        return bool(self.node.chain.is_head and self.node.chain.is_active)
 
     def groups(self) -> list[str]:
         """Returns the names of the configured groups."""
@@ -122,7 +122,7 @@
             accepted_loss=new.accepted_loss,
             requested=new.requested,
         )
-        number = await self.node.chain.enter(record.to_document())
+        number = await self.node.chain.append_record(record.to_document())
         emit(
             self.log,
             Events.LEADERSHIP_CHANGED
@@ -138,7 +138,7 @@
 
     async def record_counted_out(self, group: str, member: str, position: Position | None) -> None:
         """Records that a member is counted out at `position`, or counts again if that is None."""
-        await self.node.chain.enter(CountedOutRecord(group, member, position).to_document())
+        await self.node.chain.append_record(CountedOutRecord(group, member, position).to_document())
         if position is not None:
             emit(self.log, Events.MEMBER_COUNTED_OUT, group=group, member=member, pos=position)
         else:
--- a/src/petrelhaven/control/failover/departures.py
+++ b/src/petrelhaven/control/failover/departures.py
@@ -222,7 +222,7 @@
     ) -> None:
         """Records that the logs of ended members end at or below `position`."""
         record = BoundedRecord(group, tuple(ended_members), position)
-        await self._node.chain.enter(record.to_document())
+        await self._node.chain.append_record(record.to_document())
         names = ",".join(ended_members)
         emit(self._node.log, Events.DEPARTED_LOG_BOUNDED, group=group, members=names, pos=position)
 
@@ -236,4 +236,4 @@
                 self._clear_condition(group, condition)
             elif self._observed_for_us(group, condition) > _LOST_AFTER_REFUSING_US:
                 record = DepartureRecord(member.name, member.address)
-                await self._node.chain.enter(record.to_document())
+                await self._node.chain.append_record(record.to_document())
--- a/src/petrelhaven/control/failover/interfaces.py
+++ b/src/petrelhaven/control/failover/interfaces.py
@@ -101,11 +101,11 @@
     """The replication chain of the control nodes."""
 
     @property
-    def head(self) -> bool:
+    def is_head(self) -> bool:
         """Whether this node is the head."""
 
     @property
-    def active(self) -> bool:
+    def is_active(self) -> bool:
         """Whether a majority has confirmed this node's view and no older view can be in force."""
 
     @property
@@ -116,7 +116,7 @@
     def control_state(self) -> ControlState:
         """The control state after all records that this node stores."""
 
-    async def enter(self, record: dict[str, Any], /) -> int:
+    async def append_record(self, record: dict[str, Any], /) -> int:
         """Commits a record; returns its number."""
 
 
--- a/src/petrelhaven/control/interface/control_interface.py
+++ b/src/petrelhaven/control/interface/control_interface.py
@@ -113,7 +113,7 @@
             return in_force
         chain = self._node.chain
         for seq, _view, record in reversed(chain.store.recs):
-            is_committed = seq <= chain.commit
+            is_committed = seq <= chain.committed_seq
             if record["t"] != "manifest" or (is_confirmed and not is_committed):
                 continue
             if record["version"] == version:
@@ -169,7 +169,7 @@
     async def _why(self, request: Request) -> Document:
         group = request.query.get("group", "")
         state = await self._node.control_state()
-        wait_reason = self._node.duty.wait_reasons.get(group) if self._node.chain.head else None
+        wait_reason = self._node.duty.wait_reasons.get(group) if self._node.chain.is_head else None
         answer = leadership_history(state, request.query, wait_reason)
         return {**answer, "evidence": state["evidence"].get(group)}
 
--- a/src/petrelhaven/control/interface/event_feed.py
+++ b/src/petrelhaven/control/interface/event_feed.py
@@ -38,7 +38,7 @@
             Up to 200 events, for later records that are committed and still stored here.
         """
         json_format = JSONFormat()
-        rows = [row for row in self._chain.store.recs if seq < row[0] <= self._chain.commit]
+        rows = [row for row in self._chain.store.recs if seq < row[0] <= self._chain.committed_seq]
         return [
             json.loads(json_format.write(self._event(number, view, record)))
             for number, view, record in rows[:_MAX_BATCH_EVENTS]
--- a/src/petrelhaven/control/resumable/planning_duty.py
+++ b/src/petrelhaven/control/resumable/planning_duty.py
@@ -77,12 +77,14 @@
         self.platform, self.log = platform, log
         self.wait_reasons: dict[str, str] = {}
         self._call = call
-        self._announcements = AnnouncementTable(clock, chain.me)
+        self._announcements = AnnouncementTable(clock, chain.node_name)
         self._running = DutyTasks(clock, tasks, log)
         self._proxy_watch = ProxyWatch(clock, chain, lease_table, roster, self._running, log)
         self._log_trackers: dict[str, LogTracker] = {}
         self._progress = EpochProgress(clock, tasks, lease_table)
-        self._requester = PromotionRequester(clock, platform, self._announcements, chain.me, log)
+        self._requester = PromotionRequester(
+            clock, platform, self._announcements, chain.node_name, log
+        )
         self._need_since: dict[str, tuple[object, int]] = {}
         self._acting_since: int | None = None
 
@@ -105,7 +107,7 @@
         while True:
             await self.clock.sleep(_CHECK_INTERVAL_US)
             self._announcements.forget_old(self._planned_members())
-            if self.chain.head and self.chain.active:
+            if self.chain.is_head and self.chain.is_active:
                 self._act()
             else:
                 self._stand_down()
@@ -141,9 +143,9 @@
         """While this node is the head, asks the other control nodes what they have heard."""
         while True:
             view = self.chain.view
-            if view and self.chain.head:
-                for node in view.ids:
-                    if node != self.chain.me:
+            if view and self.chain.is_head:
+                for node in view.members:
+                    if node != self.chain.node_name:
                         self.tasks.spawn(self._request_report(node))
             await self.clock.sleep(_REPORT_INTERVAL_US)
 
@@ -151,7 +153,7 @@
         requested_at = self.clock.now()
         try:
             answer = await self._call(
-                node, MessageKind.PLANNER_OBSERVATIONS, {"name": self.chain.me}, _REPORT_US
+                node, MessageKind.PLANNER_OBSERVATIONS, {"name": self.chain.node_name}, _REPORT_US
             )
             report = NodeReport.from_document(answer["doc"], requested_at)
         except Fault:
@@ -187,7 +189,7 @@
         if not self._progress.is_in_force(key) or is_settled or epoch.phase != SERVING:
             return False
         record = EpochInForceRecord(epoch.group, epoch.number)
-        self._running.start(epoch.group, self.chain.enter, record.to_document())
+        self._running.start(epoch.group, self.chain.append_record, record.to_document())
         return True
 
     def _take(
@@ -285,8 +287,8 @@
         view = self.chain.view
         if view is None:
             raise NotHead("no view yet")
-        epoch = replace(planned, by=self.chain.me, view=view.number)
-        await self.chain.enter(epoch.to_document())
+        epoch = replace(planned, by=self.chain.node_name, view=view.number)
+        await self.chain.append_record(epoch.to_document())
         emit(
             self.log,
             Events.GROUP_HALTED if epoch.phase == HALTED else Events.LEADERSHIP_CHANGED,
@@ -302,7 +304,7 @@
         self, group: Group, configuration: Configuration, key: EpochKey, target: str
     ) -> None:
         """Has the platform promote a member, and enters the epoch that follows."""
-        if not self.chain.active:
+        if not self.chain.is_active:
             return
         try:
             await self._requester.request(group.name, target, key[1])
--- a/tests/test_control_interface.py
+++ b/tests/test_control_interface.py
@@ -94,7 +94,7 @@
     await http_server.start()
     node.start()
     try:
-        await until(lambda: node.chain.active, 10)
+        await until(lambda: node.chain.is_active, 10)
         yield node, http_server
     finally:
         await http_server.close()
@@ -464,7 +464,7 @@
             document = json.loads(body)
             typed = status in (400, 404, 409, 422, 503) and set(document) >= {"fault", "note"}
             assert status == 200 or typed, (request.verb, request.path, request.body, status, body)
-        assert node.chain.control_state.seq == 0 and node.chain.active
+        assert node.chain.control_state.seq == 0 and node.chain.is_active
 
     run_on_node(tmp_path, go)
 
@@ -846,7 +846,7 @@
 
 def test_only_one_reform_surveys_proxies_at_a_time(tmp_path):
     async def go(node, http_server):
-        node.proxy_survey.open = True
+        node.proxy_survey.is_open = True
         with pytest.raises(Fault):
             await node.snapshots()
         status, document, _ = await send_request(http_server, "POST", "/reform", {"lost": ["c1"]})
--- a/tests/test_entered_record.py
+++ b/tests/test_entered_record.py
@@ -45,7 +45,7 @@
         tasks.spawn(chain.confirmation.run())
         chain.adopt(view(1, "a", "b", "c"))
         await asyncio.sleep(1)
-        order = tasks.spawn(chain.enter(zone("lost")))
+        order = tasks.spawn(chain.append_record(zone("lost")))
         await asyncio.sleep(0.5)
         chain.adopt(view(2, "b", "c"))
         await asyncio.sleep(0.5)
@@ -61,8 +61,8 @@
             "frame": control_state.snapshot(),
             "done": True,
         }
-        await chain.append(None, body)
-        assert chain.active and chain.commit == 1
+        await chain.handle_append(None, body)
+        assert chain.is_active and chain.committed_seq == 1
         with pytest.raises(NotReady):
             await order
         tasks.kill()
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -103,9 +103,9 @@
         control_state = ControlState()
         self.chain = types.SimpleNamespace(
             control_state=control_state,
-            head=True,
-            active=True,
-            enter=self.enter,
+            is_head=True,
+            is_active=True,
+            append_record=self.append_record,
             view=View(1, ("c1", "c2", "c3"), {"c1": "d1", "c2": "d2", "c3": "d3"}),
         )
         self.apply_record({"t": "manifest", "version": 1, "text": '{"groups":[{"name":"g"}]}'})
@@ -131,7 +131,7 @@
         control_state.apply(control_state.seq + 1, record)
         return control_state.seq
 
-    async def enter(self, record):
+    async def append_record(self, record):
         await asyncio.sleep(0.005)
         seq = self.apply_record(record)
         if record["t"] == "office":
@@ -739,11 +739,11 @@
         group.set_member_state("p", "draining")
         await group.wait_until(lambda: group.promoted_names)
         candidate = group.promoted_names[0]
-        group.chain.head = False
+        group.chain.is_head = False
         await asyncio.sleep(0.2)
         if drains:
             group.set_member_state(candidate, "draining")
-        group.chain.head = True
+        group.chain.is_head = True
         await group.wait_until(lambda: ("leads", candidate) in group.trace and group.settled)
         if not drains:
             assert set(group.promoted_names) == {candidate}
@@ -785,18 +785,18 @@
 
 def test_a_new_head_resumes_paused_replicas():
     async def go(group):
-        group.chain.head = False
+        group.chain.is_head = False
         await asyncio.sleep(1)
         group.members["r1"].paused_term = 7
         await asyncio.sleep(5)
         assert group.members["r1"].paused_term == 7
-        group.chain.head = True
+        group.chain.is_head = True
         await group.wait_until(lambda: not group.members["r1"].paused_term)
         group.members["r2"].reachable = False
-        group.chain.head = False
+        group.chain.is_head = False
         await asyncio.sleep(1)
         group.members["r2"].paused_term = 7
-        group.chain.head = True
+        group.chain.is_head = True
         await asyncio.sleep(5)
         group.members["r2"].reachable = True
         await group.wait_until(lambda: not group.members["r2"].paused_term)
@@ -955,11 +955,11 @@
     async def go(group):
         departure = asyncio.ensure_future(group.drain_and_end("r1", 12))
         await group.wait_until(lambda: group.evidence.counted_out)
-        group.chain.head = False
+        group.chain.is_head = False
         await asyncio.sleep(1)
         if restarted:
             group.members["r1"].paused_term = 0
-        group.chain.head = True
+        group.chain.is_head = True
         await asyncio.sleep(2)
         assert (
             group.members["r1"].paused_term
@@ -1113,13 +1113,13 @@
             elif "delay" in kind:
                 group.in_force_delay_s = 1.5 if kind == "long delay" else 0.0
             elif "head" in kind:
-                group.chain.head = kind == "head back"
+                group.chain.is_head = kind == "head back"
             else:
                 group.platform_outcomes = [
                     rng.choice(["unsent", "fenced", "unanswered"]) for _ in range(2)
                 ]
             await asyncio.sleep(seconds)
-        group.chain.head, group.in_force_delay_s, group.platform_outcomes = True, 0.0, []
+        group.chain.is_head, group.in_force_delay_s, group.platform_outcomes = True, 0.0, []
         for name, member in group.members.items():
             member.reachable = member.running = member.receiving = True
             member.loses_answers = False
@@ -1272,9 +1272,9 @@
         setattr(affected, attribute, True)
 
     async def _lose_head_role(self, choice, seconds):
-        self.group.chain.head = False
+        self.group.chain.is_head = False
         await asyncio.sleep(seconds)
-        self.group.chain.head = True
+        self.group.chain.is_head = True
 
     async def _suspect(self, choice, seconds):
         self.group.coordinator.suspect("g", self.group.leadership["primary"], "mute")
--- a/tests/test_interface_compatibility.py
+++ b/tests/test_interface_compatibility.py
@@ -89,7 +89,7 @@
     await fleet.start()
     members = {member.name for group in fleet.groups.values() for member in group.members}
     names = {*fleet.net.machines, *fleet.groups, *members, "a", "b", "c"}
-    control = next(machine.node for machine in fleet.cores if machine.node.chain.head)
+    control = next(machine.node for machine in fleet.cores if machine.node.chain.is_head)
     return {
         "control": await _fetch_documents(ControlInterface, control, names),
         "proxy": await _fetch_documents(ProxyInterface, fleet.edges[0].node, names),
@@ -106,7 +106,7 @@
     world = World(1, "small")
     await world.start()
     names = {*world.net.machines, "g1", "a", "b", "c"}
-    control = next(machine.node for machine in world.cores if machine.node.chain.head)
+    control = next(machine.node for machine in world.cores if machine.node.chain.is_head)
     nodes = {"control": control, "proxy": world.edges[0].node}
     return {
         role: {
