--- a/src/petrelhaven/control/failover/context.py
+++ b/src/petrelhaven/control/failover/context.py
@@ -31,7 +31,7 @@
         platform: The platform, which promotes members.
         observer: Inspects members.
         suspicions: Members that are suspected to have failed.
-        wait_reasons: By group, why no primary can be elected or moved at the moment.
+        wait_reasons: By group, why no primary can be elected or replaced now.
         candidates: By group, the member that a switchover is going to promote; it must not be
             paused.
     """
@@ -137,7 +137,7 @@
         return number
 
     async def record_counted_out(self, group: str, member: str, position: Position | None) -> None:
-        """Records that a member is counted out at `position`, or counts again if that is None."""
+        """Records that a member is counted out at `position`, or no longer if None."""
         await self.node.chain.append_record(CountedOutRecord(group, member, position).to_document())
         if position is not None:
             emit(self.log, Events.MEMBER_COUNTED_OUT, group=group, member=member, pos=position)
--- a/src/petrelhaven/control/failover/coordinator.py
+++ b/src/petrelhaven/control/failover/coordinator.py
@@ -34,9 +34,9 @@
     Attributes:
         platform: The platform, which promotes members.
         observer: Inspects members for this control node.
-        answer_inspection: The handler of other nodes' requests to inspect a member.
+        handle_inspection_request: Handles other control nodes' requests to inspect members.
         resumption: Lets paused replicas receive again.
-        wait_reasons: By group, why no primary can be elected or moved (see `wait_reasons`).
+        wait_reasons: By group, why no primary can be elected or replaced (see `wait_reasons`).
     """
 
     def __init__(self, node: ControlServices, platform: Platform) -> None:
--- a/src/petrelhaven/control/failover/failover.py
+++ b/src/petrelhaven/control/failover/failover.py
@@ -47,7 +47,7 @@
         order = self._evidence().order
         if order is not None:
             return await self._execute_order(order, survey)
-        unresponsive = survey.unresponsive(self._members.excused(survey.replicas))
+        unresponsive = survey.unresponsive(self._members.find_excused(survey.replicas))
         if unresponsive or not survey.replicas:
             await self._count_out_leaving(survey)
             return Wait(unresponsive_members(unresponsive))
--- a/src/petrelhaven/control/failover/group_members.py
+++ b/src/petrelhaven/control/failover/group_members.py
@@ -141,7 +141,7 @@
             if status is not None
         }
 
-    def excused(self, replicas: Iterable[MemberHandle]) -> list[str]:
+    def find_excused(self, replicas: Iterable[MemberHandle]) -> list[str]:
         """Returns the replicas that need not answer.
 
         These are counted out members that are not ready, or whose ports are closed.
@@ -162,7 +162,7 @@
         """Asks the missing replicas again; returns whether all are still absent and excused."""
         missing = [handle for handle in replicas if handle not in responsive]
         answered = await self._statuses(missing)
-        excused = self.excused(missing)
+        excused = self.find_excused(missing)
         return not answered and all(handle.name in excused for handle in missing)
 
     async def paused_statuses(
--- a/src/petrelhaven/control/failover/interfaces.py
+++ b/src/petrelhaven/control/failover/interfaces.py
@@ -33,7 +33,11 @@
 
 
 class Connection(Protocol):
-    """An open connection to a member."""
+    """An open connection to a member.
+
+    Attributes:
+        lost: Whether the connection has ended.
+    """
 
     lost: bool
 
--- a/src/petrelhaven/control/failover/leader_change.py
+++ b/src/petrelhaven/control/failover/leader_change.py
@@ -40,7 +40,7 @@
 
     Attributes:
         group: The group's name.
-        old_primary: The primary when the change began.
+        old_primary: The primary at the start of the change.
     """
 
     def __init__(
@@ -91,7 +91,7 @@
         return False
 
     async def _record_stuck_change(self, elapsed_us: int) -> None:
-        """Makes proxies reject writes with a retry delay once the change takes too long."""
+        """Records that the change is stuck once it takes too long; proxies then reject writes."""
         reason = self._context.wait_reasons.get(self.group)
         limit_us = (
             _SWITCHOVER_STUCK_AFTER_US if self._requests.planned else _FAILOVER_STUCK_AFTER_US
--- a/src/petrelhaven/control/failover/member_access.py
+++ b/src/petrelhaven/control/failover/member_access.py
@@ -30,8 +30,8 @@
     Attributes:
         name: The member's name.
         last_status: The last status that the member answered, or None.
-        fault: Why the last failed request failed.
-        is_refused: Whether it failed since the port is closed or another member answers there.
+        fault: Code and note of the last failed request, or an empty string.
+        is_refused: Whether it failed because the port is closed or another member answers.
         pending_status: A STATUS request that runs in the background, or None.
     """
 
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -654,8 +654,8 @@
     run_simulated(go)
 
 
-@pytest.mark.parametrize("lost", ["head", "active"])
-def test_a_control_node_that_loses_its_role_requests_no_promotion(lost):
+@pytest.mark.parametrize("role", ["is_head", "is_active"])
+def test_a_control_node_that_loses_its_role_requests_no_promotion(role):
     async def go(group):
         group.in_force_delay_s = 1.0
         group.set_reachability("p", running=False)
@@ -663,10 +663,10 @@
         await group.wait_until(
             lambda: all(group.members[name].paused_term for name in ("r1", "r2"))
         )
-        setattr(group.chain, lost, False)
+        setattr(group.chain, role, False)
         await asyncio.sleep(10)
         assert group.promoted_names == [] and group.leadership["phase"] == "move"
-        setattr(group.chain, lost, True)
+        setattr(group.chain, role, True)
         await group.wait_until(lambda: group.promoted_names and group.settled)
 
     run_simulated(go)
--- a/tests/test_tenant_bounds.py
+++ b/tests/test_tenant_bounds.py
@@ -150,7 +150,7 @@
     control_state = ControlState()
     control_state.apply(1, record)
     chain = SimpleNamespace(
-        store=SimpleNamespace(recs=[(1, 1, record)]), commit=1, control_state=control_state
+        store=SimpleNamespace(recs=[(1, 1, record)]), committed_seq=1, control_state=control_state
     )
     events = EventFeed(chain).events_after(0)
     assert len(events) == 1 and KEY not in json.dumps(events)
