--- a/src/petrelhaven/control/failover/context.py
+++ b/src/petrelhaven/control/failover/context.py
@@ -72,7 +72,7 @@
 
     def members(self, group: str) -> dict[str, Member]:
         """Returns the members of a group by name, without those that signed off."""
-        rows = self.node.chain.control_state.group(group)
+        rows = self.node.chain.control_state.group_members(group)
         return {name: Member.from_row(name, row) for name, row in rows.items()}
 
     def evidence(self, group: str) -> Evidence:
@@ -81,7 +81,7 @@
 
     def is_zone_open(self, zone: str) -> bool:
         """Returns whether a zone is open, that is, not evacuated."""
-        return self.node.chain.control_state.zone(zone) == _ZONE_OPEN
+        return self.node.chain.control_state.zone_state(zone) == _ZONE_OPEN
 
     def eligible_replicas(self, group: str, primary: str) -> list[str]:
         """Returns the replicas that may replace `primary`: ready members in open zones."""
--- a/src/petrelhaven/control/failover/departures.py
+++ b/src/petrelhaven/control/failover/departures.py
@@ -17,7 +17,7 @@
 from petrelhaven.control.failover.counting_out import CountingOut
 from petrelhaven.control.failover.group_state import MemberEndpoint, draining_members
 from petrelhaven.control.failover.observation import REFUSED, UNREACHABLE
-from petrelhaven.control.state.evidence_records import BoundedRecord
+from petrelhaven.control.state.evidence_records import LogBoundRecord
 from petrelhaven.control.state.records import DepartureRecord
 from petrelhaven.control.state.rows import LeadershipPhase, Member
 from petrelhaven.runtime.errors import Fault
@@ -221,7 +221,7 @@
         self, group: str, ended_members: list[str], position: Position
     ) -> None:
         """Records that the logs of ended members end at or below `position`."""
-        record = BoundedRecord(group, tuple(ended_members), position)
+        record = LogBoundRecord(group, tuple(ended_members), position)
         await self._node.chain.append_record(record.to_document())
         names = ",".join(ended_members)
         emit(self._node.log, Events.DEPARTED_LOG_BOUNDED, group=group, members=names, pos=position)
--- a/src/petrelhaven/control/failover/failover.py
+++ b/src/petrelhaven/control/failover/failover.py
@@ -67,7 +67,7 @@
     async def _record_candidate(self, candidate: MemberHandle) -> None:
         """Records the candidate; returns once every proxy has applied the failover record."""
         await self._requests.record_candidate(candidate.name)
-        await self._context.node.lease_table.in_force(self._requests.change_number)
+        await self._context.node.lease_table.wait_in_force(self._requests.change_number)
 
     async def _confirm_candidate(
         self, candidate: MemberHandle, survey: GroupSurvey
--- a/src/petrelhaven/control/failover/interfaces.py
+++ b/src/petrelhaven/control/failover/interfaces.py
@@ -91,13 +91,13 @@
     def configuration(self) -> Any:  # noqa: ANN401 (a JSON document)
         """The configuration in force, or None."""
 
-    def group(self, name: str, /) -> Mapping[str, Mapping[str, Any]]:
+    def group_members(self, name: str, /) -> Mapping[str, Mapping[str, Any]]:
         """Returns the rows of a group's members by name, without those that signed off."""
 
     def evidence(self, group: str) -> Evidence:
         """Returns the recorded facts about the logs of a group's members."""
 
-    def zone(self, name: str, /) -> str:
+    def zone_state(self, name: str, /) -> str:
         """Returns the state of a zone."""
 
 
@@ -136,7 +136,7 @@
 class LeaseTable(Protocol):
     """The leases of the proxies."""
 
-    async def in_force(self, seq: int) -> object:
+    async def wait_in_force(self, seq: int) -> object:
         """Returns once every proxy has acknowledged record `seq`, or its lease has expired."""
 
 
@@ -157,7 +157,7 @@
     chain: Chain
     reach: ControlNodeCalls
     lease_table: LeaseTable
-    heard: dict[str, tuple[int, int]]
+    last_heartbeats: dict[str, tuple[int, int]]
     heartbeat_us: int
 
     async def suspect(self, group: str, member: str, suspicion: str) -> None:
--- a/src/petrelhaven/control/interface/contracts.py
+++ b/src/petrelhaven/control/interface/contracts.py
@@ -54,7 +54,7 @@
     duty: Any
 
     @property
-    def heard(self) -> Mapping[str, tuple[int, int]]:
+    def last_heartbeats(self) -> Mapping[str, tuple[int, int]]:
         """By member, when its last heartbeat arrived (clock microseconds) and its count."""
 
     @property
@@ -73,7 +73,9 @@
     ) -> Document:
         """Evacuates or restores a zone."""
 
-    async def elect(self, group: str, member: str, leadership: int, by: str = "") -> Document:
+    async def record_election_order(
+        self, group: str, member: str, leadership: int, by: str = ""
+    ) -> Document:
         """Orders the election of a member even if acknowledged commits are lost."""
 
     async def reform(self, lost: list[str], by: str = "") -> Document:
@@ -82,13 +84,13 @@
     async def control_state(self) -> Document:
         """Returns the control state as confirmed by the tail of the chain."""
 
-    def unconfirmed(self) -> Document:
+    def unconfirmed_state(self) -> Document:
         """Returns this node's control state, which may lack confirmation."""
 
     async def announce(self, doc: Document) -> None:
         """Processes a member's announcement."""
 
-    def belief(self) -> Document:
+    def reported_state(self) -> Document:
         """Returns this node's local view of the fleet."""
 
     def status(self) -> Document:
--- a/src/petrelhaven/control/interface/control_interface.py
+++ b/src/petrelhaven/control/interface/control_interface.py
@@ -20,7 +20,7 @@
     parse_query_number,
     readiness_response,
 )
-from petrelhaven.control.state.base import EVACUATED, OPEN
+from petrelhaven.control.state.base import ZONE_EVACUATED, ZONE_OPEN
 from petrelhaven.runtime.errors import Malformed, NoRoute
 
 if TYPE_CHECKING:
@@ -89,14 +89,17 @@
 
     async def _wait_until_in_force(self, answer: Document) -> Document:
         """Returns the answer to an order once its record is in force at every proxy."""
-        return {**answer, "in_force_us": await self._node.lease_table.in_force(answer["change"])}
+        return {
+            **answer,
+            "in_force_us": await self._node.lease_table.wait_in_force(answer["change"]),
+        }
 
     async def _show_configuration(self, request: Request) -> RawResponse:
         is_confirmed = request.query.get("unconfirmed") != "true"
         if is_confirmed:
             state = await self._node.control_state()
         else:
-            state = self._node.unconfirmed()
+            state = self._node.unconfirmed_state()
         configuration = state["manifest"]
         version = parse_query_number(request.query, "version")
         if version is not None:
@@ -112,7 +115,7 @@
         if in_force and in_force["version"] == version:
             return in_force
         chain = self._node.chain
-        for seq, _view, record in reversed(chain.store.recs):
+        for seq, _view, record in reversed(chain.store.recent_records):
             is_committed = seq <= chain.committed_seq
             if record["t"] != "manifest" or (is_confirmed and not is_committed):
                 continue
@@ -122,10 +125,10 @@
         return None
 
     async def _evacuate(self, request: Request, zone: str) -> Document:
-        return await self._set_zone_state(request, unquote(zone), EVACUATED)
+        return await self._set_zone_state(request, unquote(zone), ZONE_EVACUATED)
 
     async def _restore(self, request: Request, zone: str) -> Document:
-        return await self._set_zone_state(request, unquote(zone), OPEN)
+        return await self._set_zone_state(request, unquote(zone), ZONE_OPEN)
 
     async def _set_zone_state(self, request: Request, zone: str, state: str) -> Document:
         control_state = self._node.chain.control_state
@@ -134,8 +137,10 @@
         if zone not in zones:
             message = f"no hall {zone[:_MAX_SHOWN_ZONE_LENGTH]}"
             raise invalid_document(message, [ConfigurationFault("hall", message)])
-        others_open = any(other != zone and control_state.zone(other) == OPEN for other in zones)
-        if state == EVACUATED and not others_open:
+        others_open = any(
+            other != zone and control_state.zone_state(other) == ZONE_OPEN for other in zones
+        )
+        if state == ZONE_EVACUATED and not others_open:
             fault = ConfigurationFault("hall", "the last open hall can't be evacuated")
             raise invalid_document("last open hall", [fault])
         answer = await self._node.set_zone_state(
@@ -152,14 +157,16 @@
         if request.query.get("accept_loss") != "true":
             fault = ConfigurationFault("accept_loss", "must be true")
             raise invalid_document("acknowledged commits may be lost", [fault])
-        return await self._node.elect(unquote(group), member, leadership, _caller(request))
+        return await self._node.record_election_order(
+            unquote(group), member, leadership, _caller(request)
+        )
 
     async def _reform(self, request: Request) -> Document:
         return await self._node.reform(parse_lost_nodes(request.doc()), _caller(request))
 
     async def _status(self, _request: Request) -> Document:
         now_us = self._node.clock.now()
-        heartbeats = sorted(self._node.heard.items())
+        heartbeats = sorted(self._node.last_heartbeats.items())
         return {
             **self._node.status(),
             "settings": self._settings(),
@@ -174,7 +181,7 @@
         return {**answer, "evidence": state["evidence"].get(group)}
 
     async def _belief(self, _request: Request) -> Document:
-        return self._node.belief()
+        return self._node.reported_state()
 
     async def _ready(self, _request: Request) -> Document:
         return readiness_response(self._node.ready)
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -98,7 +98,12 @@
         self.rng, self.in_force_delay_s, self.platform_outcomes = random.Random(1), 0.0, []
         self.promotion_delay_s = 0.2
         self.wire = self.platform = self.reach = self.lease_table = self
-        self.name, self.zone, self.heartbeat_us, self.heard = "c1", "a", HEARTBEAT_INTERVAL_US, {}
+        self.name, self.zone, self.heartbeat_us, self.last_heartbeats = (
+            "c1",
+            "a",
+            HEARTBEAT_INTERVAL_US,
+            {},
+        )
         self.observations = {"c2": "same", "c3": "same"}
         control_state = ControlState()
         self.chain = types.SimpleNamespace(
@@ -182,7 +187,7 @@
     def evidence(self):
         return self.chain.control_state.evidence("g")
 
-    async def in_force(self, seq):
+    async def wait_in_force(self, seq):
         await asyncio.sleep(self.in_force_delay_s)
         self.trace.append(("in force", seq))
 
@@ -277,7 +282,7 @@
 
     def announce_role_changes(self):
         """Records changed roles of members at once."""
-        for name, row in self.chain.control_state.group("g").items():
+        for name, row in self.chain.control_state.group_members("g").items():
             if self.members[name].running and self.members[name].role != row["role"]:
                 self.apply_record(
                     {
@@ -1106,7 +1111,7 @@
                     group.set_member_state(name, state)
             elif kind in ("evacuate", "open"):
                 state = "emptied" if kind == "evacuate" else "open"
-                if group.chain.control_state.zone("b") != state:
+                if group.chain.control_state.zone_state("b") != state:
                     group.apply_record({"t": "hall", "hall": "b", "state": state, "by": "op"})
             elif kind == "suspect":
                 group.coordinator.suspect("g", group.leadership["primary"], "mute")
