--- a/src/petrelhaven/proxy/node.py
+++ b/src/petrelhaven/proxy/node.py
@@ -12,7 +12,7 @@
 
 from petrelhaven.control.configuration.defaults import with_defaults
 from petrelhaven.proxy.bounds import ProxyBounds
-from petrelhaven.proxy.reads.read_clock import Order
+from petrelhaven.proxy.reads.read_clock import LogicalClock
 from petrelhaven.proxy.routing.group import MemberGroup
 from petrelhaven.proxy.routing.outside_contact import OutsideContact
 from petrelhaven.proxy.routing.request import Request
@@ -128,7 +128,7 @@
         self.core_connection, self.wire, self.zone_distance = core_connection, wire, zone_distance
         self.drain_us, self.empty_us = drain_us, empty_us
         self._revoke_us = revoke_us
-        self.order = Order()
+        self.logical_clock = LogicalClock()
         self.outside_contact = OutsideContact(clock)
         self.request_slots = RequestSlots(clock, _SLOTS)
         self.tenants = TenantDirectory()
--- a/src/petrelhaven/proxy/reads/read_clock.py
+++ b/src/petrelhaven/proxy/reads/read_clock.py
@@ -38,7 +38,7 @@
 _RETRY_DOUBLINGS_MOST = 5
 
 
-class Order:
+class LogicalClock:
     """One strictly rising counter for a node, from which arrivals and fetch starts are stamped.
 
     Wall time is never compared, and two events never share an order point.
@@ -50,7 +50,7 @@
         """Begins at 1."""
         self._points = itertools.count(1)
 
-    def next(self) -> int:
+    def next_timestamp(self) -> int:
         """The next order point."""
         return next(self._points)
 
@@ -106,7 +106,7 @@
         self,
         clock: Clock,
         tasks: BackgroundTasks,
-        order: Order,
+        order: LogicalClock,
         fetch: Callable[[Leading], Awaitable[LogPosition]],
         bounds: Callable[[], ReadBounds],
         scheme: str | None = None,
@@ -121,7 +121,7 @@
             bounds: The bounds in force.
             scheme: `read-wait` fetches for every read, for comparison; None is the read clock.
         """
-        self.clock, self.tasks, self.order = clock, tasks, order
+        self.clock, self.tasks, self.logical_clock = clock, tasks, order
         self._fetch_position, self._bounds = fetch, bounds
         self._shares_fetches = scheme != _READ_WAIT
         self.leading: Leading | None = None
@@ -260,7 +260,7 @@
     def _new_fetch(self, reads: list[_Read]) -> Fetch:
         fetch = Fetch(
             self.leading,  # type: ignore[arg-type]  # nothing is fetched while it is None
-            self.order.next(),
+            self.logical_clock.next_timestamp(),
             self.clock.now(),
             reads,
         )
--- a/src/petrelhaven/proxy/resumable/node.py
+++ b/src/petrelhaven/proxy/resumable/node.py
@@ -8,7 +8,7 @@
 from petrelhaven.control.configuration.document import Bounds
 from petrelhaven.membership.prober import Prober
 from petrelhaven.membership.roster import NodeIdentity, Roster
-from petrelhaven.proxy.reads.read_clock import Order
+from petrelhaven.proxy.reads.read_clock import LogicalClock
 from petrelhaven.proxy.resumable.control_client import Control
 from petrelhaven.proxy.resumable.delivery import Delivery
 from petrelhaven.proxy.resumable.handover import SessionHandover
@@ -67,7 +67,7 @@
             lambda: {"hall": zone, "addr": link.addr, "http": self.http},
             log,
         )
-        self.order = Order()
+        self.logical_clock = LogicalClock()
         self.request_slots = RequestSlots(clock)
         self.homes = {}
         self.keeper = SessionKeeper(
@@ -218,7 +218,7 @@
         """Serves one statement of session `sid`, wherever it is at home."""
         if not isinstance(d, dict) or not isinstance(d.get("verb"), str):
             raise Malformed("a statement is an object with a verb")
-        arr = self.order.next()
+        arr = self.logical_clock.next_timestamp()
         s = self.homes.get(sid)
         if s is None:
             return await self.deliver.out(sid, d)
--- a/src/petrelhaven/proxy/resumable/state_follower.py
+++ b/src/petrelhaven/proxy/resumable/state_follower.py
@@ -55,7 +55,7 @@
                 g,
                 self.e.clock,
                 self.e.tasks,
-                self.e.order,
+                self.e.logical_clock,
                 self.e.wire,
                 self.e.sends,
                 self.e.bounds,
--- a/src/petrelhaven/proxy/routing/base.py
+++ b/src/petrelhaven/proxy/routing/base.py
@@ -19,7 +19,7 @@
     from petrelhaven.proxy.bounds import ProxyBounds
     from petrelhaven.proxy.core_connection import CoreConnection
     from petrelhaven.proxy.reads.position import Position
-    from petrelhaven.proxy.reads.read_clock import Order
+    from petrelhaven.proxy.reads.read_clock import LogicalClock
     from petrelhaven.proxy.routing.member import Member
     from petrelhaven.proxy.routing.member_wire import MemberWire
     from petrelhaven.proxy.routing.outside_contact import OutsideContact
@@ -92,7 +92,7 @@
     tasks: BackgroundTasks
     rng: random.Random
     log: logbook.Logger | None
-    order: Order
+    logical_clock: LogicalClock
     core_connection: CoreConnection
     wire: MemberWire
     outside_contact: OutsideContact
--- a/src/petrelhaven/proxy/routing/group.py
+++ b/src/petrelhaven/proxy/routing/group.py
@@ -78,7 +78,7 @@
         self.sync_replicas = self.size = self.strong_sessions = 0
         self.lower_bound: Position = NO_POSITION
         self.read_clock = ReadClock(
-            proxy.clock, proxy.tasks, proxy.order, self._fetch, proxy.bounds
+            proxy.clock, proxy.tasks, proxy.logical_clock, self._fetch, proxy.bounds
         )
         self.proofs = MemberProofs(self, proxy)
         self._next_leadership: asyncio.Future[None] | None = None
--- a/src/petrelhaven/proxy/routing/member_calls.py
+++ b/src/petrelhaven/proxy/routing/member_calls.py
@@ -159,7 +159,7 @@
             request.runs -= 1
 
     def _stamp(self, attempt: Attempt) -> None:
-        attempt.started = self._proxy.order.next()
+        attempt.started = self._proxy.logical_clock.next_timestamp()
         attempt.started_us = self._clock.now()
         attempt.member.note_asked(attempt.started_us)
 
--- a/src/petrelhaven/proxy/routing/read_path.py
+++ b/src/petrelhaven/proxy/routing/read_path.py
@@ -75,7 +75,7 @@
 
     def run(self, request: Request) -> Continuation[Reply]:
         """One read; attempts that have not left yet end with it."""
-        state = _ReadState(request, self._proxy.order.next(), self._clock.now())
+        state = _ReadState(request, self._proxy.logical_clock.next_timestamp(), self._clock.now())
         try:
             return (yield from self._until_answered(state))
         finally:
--- a/src/petrelhaven/proxy/routing/transaction_path.py
+++ b/src/petrelhaven/proxy/routing/transaction_path.py
@@ -52,7 +52,7 @@
                 return self.abort(request, self._proxy.retry_after())
             connection: MemberConnection = transaction.connection  # type: ignore[assignment]  # one is open
             attempt = Attempt(transaction.member, transaction.group.leading)
-            attempt.started = self._proxy.order.next()
+            attempt.started = self._proxy.logical_clock.next_timestamp()
             attempt.started_us = self._clock.now()
             attempt.member.note_asked(attempt.started_us)
             attempt.task = self._proxy.tasks.spawn(  # type: ignore[assignment]  # the node runs
--- a/src/petrelhaven/proxy/session/immediate_reply.py
+++ b/src/petrelhaven/proxy/session/immediate_reply.py
@@ -66,7 +66,7 @@
     session.transaction = Transaction(
         statement.num,
         not statement.writes,
-        proxy.order.next(),
+        proxy.logical_clock.next_timestamp(),
         proxy.clock.now(),
         proxy.routes.get(session.host),
     )
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from petrelhaven.proxy.reads.read_clock import Order, ReadClock
+from petrelhaven.proxy.reads.read_clock import LogicalClock, ReadClock
 from petrelhaven.runtime.clock import Clock
 from petrelhaven.runtime.errors import Unreachable
 from petrelhaven.runtime.tasks import BackgroundTasks
@@ -37,7 +37,7 @@
 def clock(fetch, lanes=1):
     tasks = BackgroundTasks()
     b = SimpleNamespace(**{**vars(BOUNDS), "lanes": lanes})
-    return ReadClock(LoopClock(), tasks, Order(), fetch, lambda: b)
+    return ReadClock(LoopClock(), tasks, LogicalClock(), fetch, lambda: b)
 
 
 async def drama(steps, lanes):
@@ -60,7 +60,7 @@
     c.set_leading(world["key"])
 
     async def read():
-        arr, must, key = c.order.next(), world["pos"], c.leading
+        arr, must, key = c.logical_clock.next_timestamp(), world["pos"], c.leading
         t0 = c.clock.now()
         pos = await c.position_for(arr)
         told.append((must, pos, c.clock.now() - t0, key))
@@ -127,14 +127,14 @@
             return 7
 
         c = clock(fetch)
-        arrivals = [c.order.next() for _ in range(20)]
-        first = c.order.next()
+        arrivals = [c.logical_clock.next_timestamp() for _ in range(20)]
+        first = c.logical_clock.next_timestamp()
         c.set_leading((1, "p"))
         fs = [c.position_for(first)] + [c.position_for(a) for a in arrivals]
         assert await asyncio.gather(*fs) == [7] * 21
         assert len(n) == 1
         assert await c.position_for(arrivals[3]) == 7 and len(n) == 1
-        await c.position_for(c.order.next())
+        await c.position_for(c.logical_clock.next_timestamp())
         assert len(n) == 2
 
     run(go())
@@ -151,7 +151,7 @@
 
         c = clock(fetch)
         c.set_leading((1, "p"))
-        a = c.position_for(c.order.next())
+        a = c.position_for(c.logical_clock.next_timestamp())
         await asyncio.sleep(0.06)
         assert c.count["stuck"] == 1 and len(gates) == 2
         gates[1].set_result(9)
@@ -173,7 +173,7 @@
 
         c = clock(fetch)
         c.set_leading((1, "old"))
-        r = c.position_for(c.order.next())
+        r = c.position_for(c.logical_clock.next_timestamp())
         await asyncio.sleep(0.001)
         c.set_leading((2, "new"))
         await asyncio.sleep(0.001)
@@ -193,7 +193,7 @@
 
         c = clock(fetch)
         c.set_leading((1, "p"))
-        assert await c.position_for(c.order.next()) is None
+        assert await c.position_for(c.logical_clock.next_timestamp()) is None
         assert c.clock.now() <= BOUNDS.join_us + 1000
         assert c.count["fetches"] < 12
 
--- a/tests/test_member_group.py
+++ b/tests/test_member_group.py
@@ -10,7 +10,7 @@
 
 from petrelhaven.control.state.control_state import ControlState
 from petrelhaven.proxy.pool.member_connection import MemberConnection
-from petrelhaven.proxy.reads.read_clock import Order
+from petrelhaven.proxy.reads.read_clock import LogicalClock
 from petrelhaven.proxy.routing.group import MemberGroup
 from petrelhaven.proxy.routing.outside_contact import OutsideContact
 from petrelhaven.runtime.clock import Clock
@@ -62,7 +62,7 @@
     """What a band needs of its gate, over members that a test sets."""
 
     def __init__(self, members, sync=1, zones=None):
-        self.clock, self.tasks, self.order = LoopClock(), BackgroundTasks(), Order()
+        self.clock, self.tasks, self.logical_clock = LoopClock(), BackgroundTasks(), LogicalClock()
         self.members, self.drain_us, self.empty_us = members, DRAIN_US, EMPTY_US
         self.count, self.suspicions = collections.Counter(), []
         self.core_connection = types.SimpleNamespace(
@@ -127,7 +127,7 @@
 
     async def position(self):
         """What a read that arrives now must find, or None if nothing proves it in time."""
-        return await self.band.read_clock.position_for(self.order.next())
+        return await self.band.read_clock.position_for(self.logical_clock.next_timestamp())
 
 
 def group(*pos):
--- a/tests/test_member_proofs.py
+++ b/tests/test_member_proofs.py
@@ -8,7 +8,7 @@
 
 from petrelhaven.control.failover.evidence import Evidence
 from petrelhaven.control.state.control_state import ControlState
-from petrelhaven.proxy.reads.read_clock import Order
+from petrelhaven.proxy.reads.read_clock import LogicalClock
 from petrelhaven.proxy.routing.group import MemberGroup
 from petrelhaven.proxy.routing.outside_contact import OutsideContact
 from petrelhaven.runtime.clock import Clock
@@ -53,7 +53,7 @@
     proxy = types.SimpleNamespace(
         clock=LoopClock(),
         tasks=BackgroundTasks(),
-        order=Order(),
+        logical_clock=LogicalClock(),
         core_connection=core_connection,
         wire=_Wire(),
         zone_distance=lambda h: 0,
--- a/tests/test_unleased_commits.py
+++ b/tests/test_unleased_commits.py
@@ -9,7 +9,7 @@
 
 from petrelhaven.control.state.control_state import ControlState
 from petrelhaven.proxy.core_connection import CoreConnection
-from petrelhaven.proxy.reads.read_clock import Order
+from petrelhaven.proxy.reads.read_clock import LogicalClock
 from petrelhaven.proxy.routing.group import MemberGroup
 from petrelhaven.proxy.routing.outside_contact import OutsideContact
 from petrelhaven.proxy.routing.request import Request
@@ -104,7 +104,7 @@
     return types.SimpleNamespace(
         clock=clock,
         tasks=BackgroundTasks(),
-        order=Order(),
+        logical_clock=LogicalClock(),
         log=None,
         core_connection=types.SimpleNamespace(
             holds_lease=True, lease_confirmed=confirmed, proxy_count=3, suspect=lambda *_: None
