--- a/src/petrelhaven/proxy/reads/read_clock.py
+++ b/src/petrelhaven/proxy/reads/read_clock.py
@@ -30,7 +30,7 @@
 
 __all__ = ["Fetch", "Leading", "Order", "Pair", "ReadClock"]
 
-Leading = tuple[int, str]
+LeadershipKey = tuple[int, str]
 """What pairs belong to: the number of a leadership, and the primary that it names."""
 
 _READ_WAIT = "read-wait"
@@ -56,7 +56,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Pair:
+class FetchedPosition:
     """A fetched position, and when its fetch started: as an order point and in microseconds."""
 
     position: LogPosition
@@ -85,7 +85,7 @@
     so long that others are started beside it; `timer` sets that.
     """
 
-    leading: Leading
+    leadership_key: LeadershipKey
     start: int
     started_us: int
     reads: list[_Read]
@@ -107,7 +107,7 @@
         clock: Clock,
         tasks: BackgroundTasks,
         order: LogicalClock,
-        fetch: Callable[[Leading], Awaitable[LogPosition]],
+        fetch: Callable[[LeadershipKey], Awaitable[LogPosition]],
         bounds: Callable[[], ReadBounds],
         scheme: str | None = None,
     ) -> None:
@@ -124,8 +124,8 @@
         self.clock, self.tasks, self.logical_clock = clock, tasks, order
         self._fetch_position, self._bounds = fetch, bounds
         self._shares_fetches = scheme != _READ_WAIT
-        self.leading: Leading | None = None
-        self.pair: Pair | None = None
+        self.leadership_key: LeadershipKey | None = None
+        self.latest: FetchedPosition | None = None
         self._fetches: list[Fetch] = []
         self._queue: list[_Read] = []
         self._retry_timer: asyncio.TimerHandle | None = None
@@ -142,15 +142,15 @@
             "carried": 0,
         }
 
-    def set_leading(self, leading: Leading | None) -> None:
+    def set_leadership(self, leading: LeadershipKey | None) -> None:
         """Enters a leadership: pair and fetches of another one are void.
 
         The reads that wait fetch anew, under the arrival that they have.
         """
-        if leading == self.leading:
+        if leading == self.leadership_key:
             return
-        self.leading = leading
-        self.pair = None
+        self.leadership_key = leading
+        self.latest = None
         fetches, self._fetches = self._fetches, []
         for fetch in fetches:
             self.count["voided"] += 1
@@ -160,7 +160,7 @@
         self._failures = 0
         self._start_queued()
 
-    def position_for(
+    def request_position(
         self, arrival: int, since: int | None = None
     ) -> asyncio.Future[LogPosition | None]:
         """A future of the position that a read which arrived at `arrival` must find.
@@ -173,7 +173,7 @@
         read = _Read(arrival, since, position)
         timer = self.clock.later(self._bounds().join_us, lambda: self._give_up(position))
         position.add_done_callback(lambda _: timer.cancel())
-        pair = self.pair
+        pair = self.latest
         if not self._shares_fetches:
             self._start([read])
         elif pair is not None and self._fits(pair.start, pair.started_us, read):
@@ -198,15 +198,15 @@
         self._queue.append(read)
         self._start_queued()
 
-    def carried_fetch(self, arrival: int, since: int | None = None) -> Fetch | None:
+    def start_piggybacked_fetch(self, arrival: int, since: int | None = None) -> Fetch | None:
         """A fetch that the caller's own statement to the primary is to be.
 
         None if a pair or a fetch under way will do for a read of this arrival. The fetch has
-        started here; the caller must end it with `finish_carried` or `fail_carried`.
+        started here; the caller must end it with `finish_piggybacked_fetch` or `fail_piggybacked_fetch`.
         """
-        pair = self.pair
+        pair = self.latest
         read = _Read(arrival, since, None)  # type: ignore[arg-type]  # nobody waits for it
-        if self.leading is None:
+        if self.leadership_key is None:
             return None
         if pair is not None and self._fits(pair.start, pair.started_us, read):
             return None
@@ -216,7 +216,7 @@
         self.count["carried"] += 1
         return self._new_fetch([])
 
-    def finish_carried(self, fetch: Fetch, position: LogPosition) -> None:
+    def finish_piggybacked_fetch(self, fetch: Fetch, position: LogPosition) -> None:
         """The primary has answered the statement that carries `fetch`, its log at `position`."""
         fetch.timer.cancel()
         if fetch in self._fetches:
@@ -224,7 +224,7 @@
             self._failures = 0
             self._take(fetch, position)
 
-    def fail_carried(self, fetch: Fetch) -> None:
+    def fail_piggybacked_fetch(self, fetch: Fetch) -> None:
         """The statement that carries `fetch` brought no position; who joined it fetches anew."""
         fetch.timer.cancel()
         if fetch in self._fetches:
@@ -233,18 +233,18 @@
             self._start_queued()
 
     def note_position(
-        self, leading: Leading | None, start: int, started_us: int, position: LogPosition
+        self, leading: LeadershipKey | None, start: int, started_us: int, position: LogPosition
     ) -> None:
         """A statement sent at `start`, which only a leading primary answers, brought `position`."""
-        if leading != self.leading or leading is None:
+        if leading != self.leadership_key or leading is None:
             return
-        if self.pair is None or start > self.pair.start:
-            self.pair = Pair(position, start, started_us)
-            self._serve_queue(self.pair)
+        if self.latest is None or start > self.latest.start:
+            self.latest = FetchedPosition(position, start, started_us)
+            self._serve_queue(self.latest)
 
     def _start_queued(self) -> None:
         """Starts one fetch for all reads that wait for one, if a lane is free."""
-        if self.leading is None or self._retry_timer is not None:
+        if self.leadership_key is None or self._retry_timer is not None:
             return
         self._queue = _undone(self._queue)
         under_way = sum(not fetch.stuck for fetch in self._fetches)
@@ -259,7 +259,7 @@
 
     def _new_fetch(self, reads: list[_Read]) -> Fetch:
         fetch = Fetch(
-            self.leading,  # type: ignore[arg-type]  # nothing is fetched while it is None
+            self.leadership_key,  # type: ignore[arg-type]  # nothing is fetched while it is None
             self.logical_clock.next_timestamp(),
             self.clock.now(),
             reads,
@@ -281,7 +281,7 @@
         """Asks the primary; a failure is tried again after a pause that doubles."""
         position: LogPosition | None
         try:
-            position = await self._fetch_position(fetch.leading)
+            position = await self._fetch_position(fetch.leadership_key)
         except Fault:
             position = None
         fetch.timer.cancel()
@@ -308,18 +308,18 @@
 
     def _take(self, fetch: Fetch, position: LogPosition) -> None:
         """Serves what a fetch has brought to every read that it fits, whatever that waits for."""
-        if self.pair is None or fetch.start > self.pair.start:
-            self.pair = Pair(position, fetch.start, fetch.started_us)
+        if self.latest is None or fetch.start > self.latest.start:
+            self.latest = FetchedPosition(position, fetch.start, fetch.started_us)
         for read in fetch.reads:
             if not read.position.done():
                 read.position.set_result(position)
         for read in [read for other in self._fetches for read in other.reads]:
             if not read.position.done() and self._fits(fetch.start, fetch.started_us, read):
                 read.position.set_result(position)
-        self._serve_queue(self.pair)
+        self._serve_queue(self.latest)
 
-    def _serve_queue(self, pair: Pair) -> None:
-        """Serves `pair` to the reads that wait for a fetch to start, and starts one for others."""
+    def _serve_queue(self, pair: FetchedPosition) -> None:
+        """Serves `latest` to the reads that wait for a fetch to start, and starts one for others."""
         left = []
         for read in self._queue:
             if not read.position.done() and self._fits(pair.start, pair.started_us, read):
--- a/src/petrelhaven/proxy/resumable/member_group.py
+++ b/src/petrelhaven/proxy/resumable/member_group.py
@@ -113,11 +113,11 @@
                     p.pool.reopen()
             p.pool.resize(share(n))
         if new:
-            self.reads.set_leading(self.key)
+            self.reads.set_leadership(self.key)
         return out
 
     def close(self):
         """The group left the manifest."""
         for p in self.posts.values():
             p.pool.close()
-        self.reads.set_leading(None)
+        self.reads.set_leadership(None)
--- a/src/petrelhaven/proxy/resumable/reads.py
+++ b/src/petrelhaven/proxy/resumable/reads.py
@@ -34,7 +34,7 @@
         bad, key, pos, last = set(), None, None, None
         while e.clock.now() < min(end, stop) and t.epoch is not None:
             if key is None or key != t.key:
-                pos = yield t.reads.position_for(arr, since)
+                pos = yield t.reads.request_position(arr, since)
                 key = t.key
                 if pos is None or key is None:
                     break
--- a/src/petrelhaven/proxy/routing/group.py
+++ b/src/petrelhaven/proxy/routing/group.py
@@ -73,7 +73,7 @@
         self._clock = proxy.clock
         self.members: dict[str, Member] = {}
         self.leadership: Leadership | None = None
-        self.leading: tuple[int, str] | None = None
+        self.leadership_key: tuple[int, str] | None = None
         self.connection_cap = _CONNECTION_CAP
         self.sync_replicas = self.size = self.strong_sessions = 0
         self.lower_bound: Position = NO_POSITION
@@ -172,8 +172,8 @@
 
     def _apply_leadership(self, now: Leadership | None) -> None:
         self.leadership = now
-        self.leading = (now.since, now.primary) if now is not None else None
-        self.read_clock.set_leading(self.leading)
+        self.leadership_key = (now.since, now.primary) if now is not None else None
+        self.read_clock.set_leadership(self.leadership_key)
         primary = self.primary
         if primary is not None and now is not None and now.phase is _SERVING:
             primary.down_until = primary.failures = 0
@@ -306,7 +306,7 @@
     async def _fetch(self, leading: tuple[int, str]) -> Position:
         """The primary's position; where it does not answer, what all others together prove."""
         primary = self.members.get(leading[1])
-        if self.leading != leading:
+        if self.leadership_key != leading:
             raise Unreachable("no primary to ask")
         if primary is None or self.proofs.is_silent(primary):
             return await self.proofs.position_of_others(leading[1])
@@ -324,7 +324,7 @@
         """The group left the configuration."""
         for member in self.members.values():
             member.close()
-        self.read_clock.set_leading(None)
+        self.read_clock.set_leadership(None)
 
     async def settle(self, connection: MemberConnection, member: Member, number: str) -> None:
         """Rolls a connection back as its client asked, under the ROLLBACK's number.
--- a/src/petrelhaven/proxy/routing/member_calls.py
+++ b/src/petrelhaven/proxy/routing/member_calls.py
@@ -198,9 +198,9 @@
         if attempt.fetch is None:
             return
         if reply is not None and reply.ok and reply.pos:
-            group.read_clock.finish_carried(attempt.fetch, reply.pos)
+            group.read_clock.finish_piggybacked_fetch(attempt.fetch, reply.pos)
         else:
-            group.read_clock.fail_carried(attempt.fetch)
+            group.read_clock.fail_piggybacked_fetch(attempt.fetch)
 
     @staticmethod
     def _give_back(member: Member, connection: MemberConnection, reusable: bool) -> None:
--- a/src/petrelhaven/proxy/routing/read_path.py
+++ b/src/petrelhaven/proxy/routing/read_path.py
@@ -83,7 +83,7 @@
                 if not attempt.sent:
                     attempt.task.cancel()
                     if attempt.fetch is not None:
-                        request.group.read_clock.fail_carried(attempt.fetch)
+                        request.group.read_clock.fail_piggybacked_fetch(attempt.fetch)
 
     def _until_answered(self, state: _ReadState) -> Continuation[Reply]:
         while True:
@@ -97,12 +97,12 @@
     def _round(self, state: _ReadState) -> Continuation[Reply | None]:
         """Starts an attempt where there is a place for one, waits, and collects replies."""
         group = state.request.group
-        if state.leadership != group.leading:
-            state.leadership, state.position = group.leading, None
+        if state.leadership != group.leadership_key:
+            state.leadership, state.position = group.leadership_key, None
         attempt = None if state.running else self._carrier(state)
         if attempt is None and state.position is None:
             yield from self._find_position(state)
-            if state.leadership != group.leading:
+            if state.leadership != group.leadership_key:
                 return None
         if attempt is None and state.position is not None:
             member = group.pick(state.position, state.excluded)
--- a/src/petrelhaven/proxy/routing/read_placement.py
+++ b/src/petrelhaven/proxy/routing/read_placement.py
@@ -41,8 +41,8 @@
             return None
         if not group.serves(primary):
             return None
-        fetch = group.read_clock.carried_fetch(arrival, since)
-        return Attempt(primary, group.leading, fetch) if fetch is not None else None
+        fetch = group.read_clock.start_piggybacked_fetch(arrival, since)
+        return Attempt(primary, group.leadership_key, fetch) if fetch is not None else None
 
     def position(
         self,
@@ -53,7 +53,7 @@
         running: Sequence[asyncio.Future[Any]] = (),
     ) -> Continuation[Position | None]:
         """The position that a read must find; None if time or one of `running` ended first."""
-        position = group.read_clock.position_for(arrival, since)
+        position = group.read_clock.request_position(arrival, since)
         yield first_done(self._clock, [position, *running], limit_us)
         if position.done() and position.result() is not None:
             return position.result()
--- a/src/petrelhaven/proxy/routing/transaction_path.py
+++ b/src/petrelhaven/proxy/routing/transaction_path.py
@@ -51,7 +51,7 @@
             if limit_us <= 0:
                 return self.abort(request, self._proxy.retry_after())
             connection: MemberConnection = transaction.connection  # type: ignore[assignment]  # one is open
-            attempt = Attempt(transaction.member, transaction.group.leading)
+            attempt = Attempt(transaction.member, transaction.group.leadership_key)
             attempt.started = self._proxy.logical_clock.next_timestamp()
             attempt.started_us = self._clock.now()
             attempt.member.note_asked(attempt.started_us)
--- a/src/petrelhaven/proxy/routing/transaction_start.py
+++ b/src/petrelhaven/proxy/routing/transaction_start.py
@@ -81,8 +81,8 @@
             state.left_us = request.end - self._clock.now()
             if state.left_us <= 0 or self._primary_is_lost(state):
                 return self._proxy.retry_after()
-            if state.leadership != group.leading:
-                state.leadership, state.position = group.leading, None
+            if state.leadership != group.leadership_key:
+                state.leadership, state.position = group.leadership_key, None
             if transaction.reads:
                 attempt = yield from self._read_attempt(state)
             else:
@@ -131,7 +131,7 @@
             state.position = yield from self._placement.position(
                 group, transaction.arrival, state.since, state.left_us
             )
-            if state.position is None or state.leadership != group.leading:
+            if state.position is None or state.leadership != group.leadership_key:
                 return None
         member = group.pick(state.position, state.excluded)
         if member is None:
--- a/src/petrelhaven/proxy/routing/write_path.py
+++ b/src/petrelhaven/proxy/routing/write_path.py
@@ -53,7 +53,7 @@
                     self._clock, [group.next_leadership()], min(left_us, _LEADERSHIP_WAIT_US)
                 )
                 continue
-            attempt = Attempt(member, group.leading)
+            attempt = Attempt(member, group.leadership_key)
             attempt.task = self._proxy.tasks.spawn(  # type: ignore[assignment]  # the node runs
                 self._calls.send(request, attempt, None, left_us)
             )
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -172,11 +172,11 @@
 
 
 def epoch_voids_nothing(mp):
-    def set_leading(self, leading):
-        self.leading = leading
+    def set_leadership(self, leading):
+        self.leadership_key = leading
         self._start_queued()
 
-    mp.setattr(clock.ReadClock, "set_leading", set_leading)
+    mp.setattr(clock.ReadClock, "set_leadership", set_leadership)
 
 
 def resent(mp):
@@ -249,18 +249,18 @@
 
 
 def no_joining(mp):
-    def position_for(self, arrival, since=None):
+    def request_position(self, arrival, since=None):
         async def alone():
             while True:
                 self.count["fetches"] += 1
                 try:
-                    return await self._fetch_position(self.leading)
+                    return await self._fetch_position(self.leadership_key)
                 except Exception:
                     await self.clock.sleep(20_000)
 
         return alone()
 
-    mp.setattr(clock.ReadClock, "position_for", position_for)
+    mp.setattr(clock.ReadClock, "request_position", request_position)
 
 
 def only_the_answer(mp):
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -57,12 +57,12 @@
         return pos
 
     c = clock(fetch, lanes)
-    c.set_leading(world["key"])
+    c.set_leadership(world["key"])
 
     async def read():
-        arr, must, key = c.logical_clock.next_timestamp(), world["pos"], c.leading
+        arr, must, key = c.logical_clock.next_timestamp(), world["pos"], c.leadership_key
         t0 = c.clock.now()
-        pos = await c.position_for(arr)
+        pos = await c.request_position(arr)
         told.append((must, pos, c.clock.now() - t0, key))
 
     ts = []
@@ -75,7 +75,7 @@
         else:
             world["key"] = (world["key"][0] + 1, "p2")
             world["pos"] += 10
-            c.set_leading(world["key"])
+            c.set_leadership(world["key"])
     await asyncio.gather(*ts)
     return told, c
 
@@ -110,7 +110,7 @@
                 ]
                 told, c = run(drama(steps, 1))
                 bad += any(pos is not None and pos < must for must, pos, _, _ in told) or any(
-                    f.leading != c.leading for f in c._fetches
+                    f.leadership_key != c.leadership_key for f in c._fetches
                 )
             assert bad, guard
         finally:
@@ -129,12 +129,12 @@
         c = clock(fetch)
         arrivals = [c.logical_clock.next_timestamp() for _ in range(20)]
         first = c.logical_clock.next_timestamp()
-        c.set_leading((1, "p"))
-        fs = [c.position_for(first)] + [c.position_for(a) for a in arrivals]
+        c.set_leadership((1, "p"))
+        fs = [c.request_position(first)] + [c.request_position(a) for a in arrivals]
         assert await asyncio.gather(*fs) == [7] * 21
         assert len(n) == 1
-        assert await c.position_for(arrivals[3]) == 7 and len(n) == 1
-        await c.position_for(c.logical_clock.next_timestamp())
+        assert await c.request_position(arrivals[3]) == 7 and len(n) == 1
+        await c.request_position(c.logical_clock.next_timestamp())
         assert len(n) == 2
 
     run(go())
@@ -150,15 +150,15 @@
             return await f
 
         c = clock(fetch)
-        c.set_leading((1, "p"))
-        a = c.position_for(c.logical_clock.next_timestamp())
+        c.set_leadership((1, "p"))
+        a = c.request_position(c.logical_clock.next_timestamp())
         await asyncio.sleep(0.06)
         assert c.count["stuck"] == 1 and len(gates) == 2
         gates[1].set_result(9)
         assert await a == 9
         gates[0].set_result(3)
         await asyncio.sleep(0)
-        assert c.pair.position == 9
+        assert c.latest.position == 9
 
     run(go())
 
@@ -172,14 +172,14 @@
             return await f
 
         c = clock(fetch)
-        c.set_leading((1, "old"))
-        r = c.position_for(c.logical_clock.next_timestamp())
+        c.set_leadership((1, "old"))
+        r = c.request_position(c.logical_clock.next_timestamp())
         await asyncio.sleep(0.001)
-        c.set_leading((2, "new"))
+        c.set_leadership((2, "new"))
         await asyncio.sleep(0.001)
         gates[(1, "old")].set_result(1000)
         await asyncio.sleep(0.001)
-        assert not r.done() and c.pair is None
+        assert not r.done() and c.latest is None
         gates[(2, "new")].set_result(40)
         assert await r == 40 and c.count["voided"] == 1
 
@@ -192,8 +192,8 @@
             raise Unreachable("down")
 
         c = clock(fetch)
-        c.set_leading((1, "p"))
-        assert await c.position_for(c.logical_clock.next_timestamp()) is None
+        c.set_leadership((1, "p"))
+        assert await c.request_position(c.logical_clock.next_timestamp()) is None
         assert c.clock.now() <= BOUNDS.join_us + 1000
         assert c.count["fetches"] < 12
 
--- a/tests/test_member_group.py
+++ b/tests/test_member_group.py
@@ -127,7 +127,7 @@
 
     async def position(self):
         """What a read that arrives now must find, or None if nothing proves it in time."""
-        return await self.band.read_clock.position_for(self.logical_clock.next_timestamp())
+        return await self.band.read_clock.request_position(self.logical_clock.next_timestamp())
 
 
 def group(*pos):
