--- a/src/petrelhaven/proxy/reads/log_progress.py
+++ b/src/petrelhaven/proxy/reads/log_progress.py
@@ -15,7 +15,7 @@
 
 __all__ = ["AskPosition", "LogProgress"]
 
-AskPosition = Callable[[], Awaitable[tuple[int, int]]]
+PositionRequest = Callable[[], Awaitable[tuple[int, int]]]
 """Asks a member for (position, term)."""
 
 _PERIOD_US = 8_000
@@ -28,7 +28,7 @@
 
     Attributes:
         log: The newest known position.
-        term: The term under which `log` was reported.
+        term: The term under which `position` was reported.
         asked: How many questions were asked.
         gap_us: The pause between two questions, in microseconds.
     """
@@ -37,8 +37,8 @@
         self,
         clock: Clock,
         tasks: BackgroundTasks,
-        ask: AskPosition | None,
-        gap_us: int = _PERIOD_US,
+        ask: PositionRequest | None,
+        poll_interval_us: int = _PERIOD_US,
     ) -> None:
         """Knows no position yet.
 
@@ -48,28 +48,33 @@
             ask: Asks the member for (position, term); None if nothing is ever asked.
             gap_us: The pause between two questions, in microseconds.
         """
-        self.clock, self.tasks, self._ask, self.gap_us = clock, tasks, ask, gap_us
-        self.log: LogPosition = _NOTHING_KNOWN
+        self.clock, self.tasks, self._ask, self.poll_interval_us = (
+            clock,
+            tasks,
+            ask,
+            poll_interval_us,
+        )
+        self.position: LogPosition = _NOTHING_KNOWN
         self.term = 0
-        self.asked = 0
+        self.status_requests = 0
         self._waiting: list[tuple[LogPosition, asyncio.Future[LogPosition]]] = []
         self._polling = False
 
     @property
-    def busy(self) -> bool:
+    def is_polling(self) -> bool:
         """Whether the member is being asked, so that a new position is about to be known."""
         return self._polling
 
     def set_term(self, term: int) -> None:
         """Enters a term; positions of another one mean nothing any more."""
         if term != self.term:
-            self.log, self.term = _NOTHING_KNOWN, term
+            self.position, self.term = _NOTHING_KNOWN, term
 
-    def note(self, log: LogPosition, term: int) -> None:
+    def note_position(self, log: LogPosition, term: int) -> None:
         """Takes a position that the member reported under `term`."""
         if term != self.term:
             return
-        self.log = log
+        self.position = log
         waiting, self._waiting = self._waiting, []
         for position, risen in waiting:
             if risen.done():
@@ -79,24 +84,24 @@
             else:
                 self._waiting.append((position, risen))
 
-    def wait(self, position: LogPosition) -> asyncio.Future[LogPosition]:
+    def wait_until_reached(self, position: LogPosition) -> asyncio.Future[LogPosition]:
         """A future that is done once another statement shows that the log holds `position`.
 
         Nothing is asked for it.
         """
         risen: asyncio.Future[LogPosition] = asyncio.get_running_loop().create_future()
-        if self.log >= position:
-            risen.set_result(self.log)
+        if self.position >= position:
+            risen.set_result(self.position)
         else:
             self._forget_done()
             self._waiting.append((position, risen))
         return risen
 
-    def reach(self, position: LogPosition) -> asyncio.Future[LogPosition]:
+    def poll_until_reached(self, position: LogPosition) -> asyncio.Future[LogPosition]:
         """A future that is done once the member's log holds `position`."""
         risen: asyncio.Future[LogPosition] = asyncio.get_running_loop().create_future()
-        if self.log >= position:
-            risen.set_result(self.log)
+        if self.position >= position:
+            risen.set_result(self.position)
             return risen
         self._waiting.append((position, risen))
         if not self._polling and self._ask is not None:
@@ -107,7 +112,7 @@
     def _forget_done(self) -> None:
         self._waiting = [(position, risen) for position, risen in self._waiting if not risen.done()]
 
-    async def _poll(self, ask: AskPosition) -> None:
+    async def _poll(self, ask: PositionRequest) -> None:
         """Asks until no read waits, at a pause that doubles while the member does not answer."""
         doublings = 0
         try:
@@ -116,11 +121,11 @@
                 if not self._waiting:
                     return
                 try:
-                    self.asked += 1
-                    self.note(*await ask())
+                    self.status_requests += 1
+                    self.note_position(*await ask())
                     doublings = 0
                 except Fault:
                     doublings = min(doublings + 1, _DOUBLINGS_MOST)
-                await self.clock.sleep(self.gap_us << doublings)
+                await self.clock.sleep(self.poll_interval_us << doublings)
         finally:
             self._polling = False
--- a/src/petrelhaven/proxy/resumable/node.py
+++ b/src/petrelhaven/proxy/resumable/node.py
@@ -159,7 +159,7 @@
         ps = [p for p in ps if self.sends(p) and p.pool.limit > 0 and not p.pool.closed]
         if not ps:
             return None
-        ahead = [p for p in ps if p.log_progress.log >= pos] or ps
+        ahead = [p for p in ps if p.log_progress.position >= pos] or ps
         ws = [p.pool.limit * (2 if p.zone == self.zone else 1) for p in ahead]
         return self.rng.choices(ahead, ws)[0]
 
@@ -170,12 +170,12 @@
             e = t.epoch
             if e["term"] != term or e["primary"] != primary:
                 return False
-            miss = [t.posts[n] for n in e["hold"] if t.posts[n].log_progress.log < pos]
+            miss = [t.posts[n] for n in e["hold"] if t.posts[n].log_progress.position < pos]
             if not miss and e["open"] and self.control.sends:
                 return True
             try:
                 await self.clock.limit(
-                    miss[0].log_progress.reach(pos)
+                    miss[0].log_progress.poll_until_reached(pos)
                     if miss
                     else asyncio.get_running_loop().create_future(),
                     40_000,
@@ -286,7 +286,7 @@
             "clocks": {g: dict(t.reads.count) for g, t in sorted(self.member_groups.items())},
             "tides": {
                 g: {
-                    n: [p.log_progress.log, p.log_progress.asked]
+                    n: [p.log_progress.position, p.log_progress.status_requests]
                     for n, p in sorted(t.posts.items())
                 }
                 for g, t in sorted(self.member_groups.items())
--- a/src/petrelhaven/proxy/resumable/reads.py
+++ b/src/petrelhaven/proxy/resumable/reads.py
@@ -42,10 +42,12 @@
             post = e.pick(t, pos, bad)
             if post is None:
                 break
-            if post.log_progress.busy and post.log_progress.log < pos:
+            if post.log_progress.is_polling and post.log_progress.position < pos:
                 e.waits["tide"] += 1
                 try:
-                    yield e.tasks.spawn(e.clock.limit(post.log_progress.reach(pos), b.wait_us // 2))
+                    yield e.tasks.spawn(
+                        e.clock.limit(post.log_progress.poll_until_reached(pos), b.wait_us // 2)
+                    )
                 except DeadlineExceeded:
                     e.waits["stalled"] += 1
                     bad.add(post.name)
@@ -68,11 +70,15 @@
                 last = f
                 if f.note == "LAGGING":
                     e.waits["lagging"] += 1
-                    post.log_progress.note(f.details.get("log", -1), f.details.get("term", -1))
+                    post.log_progress.note_position(
+                        f.details.get("log", -1), f.details.get("term", -1)
+                    )
                     left = min(stop, e.clock.now() + b.wait_us // 2) - e.clock.now()
                     try:
                         yield e.tasks.spawn(
-                            e.clock.limit(post.log_progress.reach(pos), max(left, 1000))
+                            e.clock.limit(
+                                post.log_progress.poll_until_reached(pos), max(left, 1000)
+                            )
                         )
                         continue
                     except DeadlineExceeded:
--- a/src/petrelhaven/proxy/routing/group.py
+++ b/src/petrelhaven/proxy/routing/group.py
@@ -166,7 +166,7 @@
             lambda: self.strong_sessions + _SPARE_CONNECTIONS,
         )
         log_progress = LogProgress(self._clock, proxy.tasks, None)
-        log_progress.log = (0, 0)
+        log_progress.position = (0, 0)
         member = Member(name, row, proxy.zone_distance(row["hall"]), pool, log_progress)
         return member
 
@@ -204,7 +204,7 @@
                 continue
             cost = (
                 member.down_until > now,
-                member.slow_until > now and member.log_progress.log < position,
+                member.slow_until > now and member.log_progress.position < position,
                 member.in_flight >= max(2, member.capacity - 1),
                 member.distance,
                 name == primary and member.distance > 0,
--- a/src/petrelhaven/proxy/routing/member.py
+++ b/src/petrelhaven/proxy/routing/member.py
@@ -110,8 +110,8 @@
 
     def note_log(self, position: Position) -> None:
         """Takes a position of its log, if that is newer."""
-        if position > self.log_progress.log:
-            self.log_progress.note(position, 0)
+        if position > self.log_progress.position:
+            self.log_progress.note_position(position, 0)
 
     def close(self) -> None:
         """Closes its connections: the busy ones when their statement has ended."""
--- a/src/petrelhaven/proxy/routing/outside_contact.py
+++ b/src/petrelhaven/proxy/routing/outside_contact.py
@@ -27,7 +27,7 @@
         """There is a member at `distance`."""
         self._farthest = max(self._farthest, distance)
 
-    def note(self, distance: int) -> None:
+    def note_position(self, distance: int) -> None:
         """A member at `distance` has answered just now."""
         if distance >= self._farthest:
             self._heard_at = self._clock.now()
--- a/src/petrelhaven/proxy/routing/read_placement.py
+++ b/src/petrelhaven/proxy/routing/read_placement.py
@@ -62,7 +62,7 @@
 
     def is_behind(self, member: Member, position: Position) -> bool:
         """Whether the member has just answered LAGGING and is not known to hold `position` yet."""
-        return member.lagging_until > self._clock.now() and member.log_progress.log < position
+        return member.lagging_until > self._clock.now() and member.log_progress.position < position
 
     def joined(self, member: Member, position: Position, end: int) -> Continuation[None]:
         """Joins the wait of a read that the member answered LAGGING."""
@@ -87,7 +87,7 @@
     def _log_wait(
         self, member: Member, position: Position, end: int, pause_us: int
     ) -> Continuation[None]:
-        risen = member.log_progress.wait(position)
+        risen = member.log_progress.wait_until_reached(position)
         yield first_done(self._clock, [risen], max(0, min(pause_us, end - self._clock.now())))
         risen.cancel()
         if risen.done() and not risen.cancelled():
--- a/tests/test_member_group.py
+++ b/tests/test_member_group.py
@@ -373,7 +373,7 @@
                 x["out"],
             )
             if x["log"]:
-                b.log_progress.note((1, x["log"]), 0)
+                b.log_progress.note_position((1, x["log"]), 0)
         bad = {n for n, x in how.items() if x["bad"]}
         got = e.band.pick((1, need), bad)
         may = [n for n, x in how.items() if n not in bad and (not x["leaves"] or n == "p")]
