--- a/src/petrelhaven/proxy/node.py
+++ b/src/petrelhaven/proxy/node.py
@@ -14,7 +14,7 @@
 from petrelhaven.proxy.bounds import ProxyBounds
 from petrelhaven.proxy.reads.read_clock import LogicalClock
 from petrelhaven.proxy.routing.group import MemberGroup
-from petrelhaven.proxy.routing.outside_contact import OutsideContact
+from petrelhaven.proxy.routing.remote_contact import RemoteContact
 from petrelhaven.proxy.routing.request import Request
 from petrelhaven.proxy.routing.request_slots import RequestSlots
 from petrelhaven.proxy.routing.route import Route
@@ -129,7 +129,7 @@
         self.drain_us, self.empty_us = drain_us, empty_us
         self._revoke_us = revoke_us
         self.logical_clock = LogicalClock()
-        self.outside_contact = OutsideContact(clock)
+        self.outside_contact = RemoteContact(clock)
         self.request_slots = RequestSlots(clock, _SLOTS)
         self.tenants = TenantDirectory()
         self.admission = QuotaAdmission(self)
--- a/src/petrelhaven/proxy/routing/base.py
+++ b/src/petrelhaven/proxy/routing/base.py
@@ -22,7 +22,7 @@
     from petrelhaven.proxy.reads.read_clock import LogicalClock
     from petrelhaven.proxy.routing.member import Member
     from petrelhaven.proxy.routing.member_wire import MemberWire
-    from petrelhaven.proxy.routing.outside_contact import OutsideContact
+    from petrelhaven.proxy.routing.remote_contact import RemoteContact
     from petrelhaven.proxy.routing.route import Route
     from petrelhaven.proxy.session.statement import Reply
     from petrelhaven.proxy.tenants.directory import Tenant
@@ -95,7 +95,7 @@
     logical_clock: LogicalClock
     core_connection: CoreConnection
     wire: MemberWire
-    outside_contact: OutsideContact
+    outside_contact: RemoteContact
     routes: dict[str, Route]
     count: collections.Counter[str]
     drain_us: int
--- a/src/petrelhaven/proxy/routing/group.py
+++ b/src/petrelhaven/proxy/routing/group.py
@@ -157,7 +157,7 @@
 
     def _new_member(self, name: str, row: dict[str, Any]) -> Member:
         proxy = self._proxy
-        proxy.outside_contact.expect(proxy.zone_distance(row["hall"]))
+        proxy.outside_contact.register_distance(proxy.zone_distance(row["hall"]))
         pool = ConnectionPool(
             self._clock,
             proxy.tasks,
--- a/src/petrelhaven/proxy/routing/outside_contact.py
+++ b/src/petrelhaven/proxy/routing/remote_contact.py
@@ -7,7 +7,7 @@
 _LATELY_US = 100_000
 
 
-class OutsideContact:
+class RemoteContact:
     """Notes the answers of members by their distance (0: own zone, 1: own region, 2: farther).
 
     A zone or region that is cut off hears nothing from beyond from that moment on. Statements to
@@ -23,11 +23,11 @@
         self._farthest = 0
         self._heard_at = 0
 
-    def expect(self, distance: int) -> None:
+    def register_distance(self, distance: int) -> None:
         """There is a member at `distance`."""
         self._farthest = max(self._farthest, distance)
 
-    def note_position(self, distance: int) -> None:
+    def note_answer(self, distance: int) -> None:
         """A member at `distance` has answered just now."""
         if distance >= self._farthest:
             self._heard_at = self._clock.now()
--- a/tests/test_member_group.py
+++ b/tests/test_member_group.py
@@ -12,7 +12,7 @@
 from petrelhaven.proxy.pool.member_connection import MemberConnection
 from petrelhaven.proxy.reads.read_clock import LogicalClock
 from petrelhaven.proxy.routing.group import MemberGroup
-from petrelhaven.proxy.routing.outside_contact import OutsideContact
+from petrelhaven.proxy.routing.remote_contact import RemoteContact
 from petrelhaven.runtime.clock import Clock
 from petrelhaven.runtime.errors import Busy, MemberDeclined, MemberReplaced, NotSent, Unreachable
 from petrelhaven.runtime.tasks import BackgroundTasks
@@ -72,7 +72,7 @@
             suspect=lambda *a: self.suspicions.append(a),
         )
         self.wire = self
-        self.outside_contact = OutsideContact(self.clock)
+        self.outside_contact = RemoteContact(self.clock)
         self.control_state = ControlState()
         self.band = MemberGroup("g", self)
         self.band.connection_cap, self.band.sync_replicas = 40, sync
--- a/tests/test_member_proofs.py
+++ b/tests/test_member_proofs.py
@@ -10,7 +10,7 @@
 from petrelhaven.control.state.control_state import ControlState
 from petrelhaven.proxy.reads.read_clock import LogicalClock
 from petrelhaven.proxy.routing.group import MemberGroup
-from petrelhaven.proxy.routing.outside_contact import OutsideContact
+from petrelhaven.proxy.routing.remote_contact import RemoteContact
 from petrelhaven.runtime.clock import Clock
 from petrelhaven.runtime.errors import Unreachable
 from petrelhaven.runtime.tasks import BackgroundTasks
@@ -57,7 +57,7 @@
         core_connection=core_connection,
         wire=_Wire(),
         zone_distance=lambda h: 0,
-        outside_contact=OutsideContact(LoopClock()),
+        outside_contact=RemoteContact(LoopClock()),
         drain_us=0,
         empty_us=0,
         count=collections.Counter(),
--- a/tests/test_unleased_commits.py
+++ b/tests/test_unleased_commits.py
@@ -11,7 +11,7 @@
 from petrelhaven.proxy.core_connection import CoreConnection
 from petrelhaven.proxy.reads.read_clock import LogicalClock
 from petrelhaven.proxy.routing.group import MemberGroup
-from petrelhaven.proxy.routing.outside_contact import OutsideContact
+from petrelhaven.proxy.routing.remote_contact import RemoteContact
 from petrelhaven.proxy.routing.request import Request
 from petrelhaven.proxy.routing.transaction_path import TransactionPath
 from petrelhaven.proxy.routing.write_path import WritePath
@@ -111,7 +111,7 @@
         ),
         wire=_Wire(logs, delays, clock),
         zone_distance=lambda zone: {"a": 0, "b": 2}[zone],
-        outside_contact=OutsideContact(clock),
+        outside_contact=RemoteContact(clock),
         drain_us=0,
         empty_us=0,
         count=collections.Counter(),
