--- a/src/petrelhaven/proxy/routing/member_proofs.py
+++ b/src/petrelhaven/proxy/routing/member_proofs.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any
 
 from petrelhaven.control.state.rows import LeadershipPhase
-from petrelhaven.proxy.routing.waiting import first_done
+from petrelhaven.proxy.routing.waiting import wait_for_first
 from petrelhaven.runtime.errors import Fault, Unreachable
 
 if TYPE_CHECKING:
@@ -71,7 +71,7 @@
             if left_us <= 0:
                 return False
             wait_us = min(left_us, _NEAREST_US) if unasked else left_us
-            yield first_done(self._clock, pending, wait_us)
+            yield wait_for_first(self._clock, pending, wait_us)
             done = {task for task in pending if task.done()}
             pending -= done
             if any(_shows(task, position) for task in done):
--- a/src/petrelhaven/proxy/routing/read_path.py
+++ b/src/petrelhaven/proxy/routing/read_path.py
@@ -6,7 +6,7 @@
 
 from petrelhaven.proxy.routing.attempt import Attempt
 from petrelhaven.proxy.routing.member import NO_ANSWER
-from petrelhaven.proxy.routing.waiting import first_done
+from petrelhaven.proxy.routing.waiting import wait_for_first
 
 if TYPE_CHECKING:
     from petrelhaven.proxy.reads.position import Position
@@ -116,7 +116,7 @@
             self._launch(state, attempt)
         elif not state.running:
             state.excluded.clear()
-            yield first_done(self._clock, (), state.pause_us)
+            yield wait_for_first(self._clock, (), state.pause_us)
             state.pause_us = min(state.pause_us * 2, _LONGEST_PAUSE_US)
             return None
         if (yield from self._wait(state, may_hedge=attempt is not None)):
@@ -158,7 +158,7 @@
         running, group = state.running, state.request.group
         may_hedge = may_hedge and len(running) == 1
         limit_us = min(state.hedge_us, state.left_us) if may_hedge else state.left_us
-        yield first_done(self._clock, [attempt.task for attempt in running], limit_us)
+        yield wait_for_first(self._clock, [attempt.task for attempt in running], limit_us)
         if not may_hedge or running[0].task.done():
             return False
         if group.spend_retry():
@@ -167,7 +167,7 @@
             state.excluded.add(member.name)
             self._proxy.count["hedged"] += 1
             return True
-        yield first_done(self._clock, [running[0].task], state.request.end - self._clock.now())
+        yield wait_for_first(self._clock, [running[0].task], state.request.end - self._clock.now())
         return False
 
     def _collect(self, state: _ReadState) -> Continuation[Reply | None]:
@@ -179,7 +179,7 @@
             reply = self._calls.outcome(group, attempt)
             if reply is None:
                 state.excluded.add(attempt.member.name)
-                yield first_done(self._clock, (), state.next_pause_us())
+                yield wait_for_first(self._clock, (), state.next_pause_us())
             elif reply.code == "lagging":
                 yield from self._lagging(state, attempt)
             elif reply.code in _RETRY_ELSEWHERE:
--- a/src/petrelhaven/proxy/routing/read_placement.py
+++ b/src/petrelhaven/proxy/routing/read_placement.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any
 
 from petrelhaven.proxy.routing.attempt import Attempt
-from petrelhaven.proxy.routing.waiting import first_done
+from petrelhaven.proxy.routing.waiting import wait_for_first
 
 if TYPE_CHECKING:
     from petrelhaven.proxy.reads.position import Position
@@ -54,7 +54,7 @@
     ) -> Continuation[Position | None]:
         """The position that a read must find; None if time or one of `running` ended first."""
         position = group.read_clock.request_position(arrival, since)
-        yield first_done(self._clock, [position, *running], limit_us)
+        yield wait_for_first(self._clock, [position, *running], limit_us)
         if position.done() and position.result() is not None:
             return position.result()
         position.cancel()
@@ -88,7 +88,7 @@
         self, member: Member, position: Position, end: int, pause_us: int
     ) -> Continuation[None]:
         risen = member.log_progress.wait_until_reached(position)
-        yield first_done(self._clock, [risen], max(0, min(pause_us, end - self._clock.now())))
+        yield wait_for_first(self._clock, [risen], max(0, min(pause_us, end - self._clock.now())))
         risen.cancel()
         if risen.done() and not risen.cancelled():
             member.lagging_replies = 0
--- a/src/petrelhaven/proxy/routing/transaction_path.py
+++ b/src/petrelhaven/proxy/routing/transaction_path.py
@@ -7,7 +7,7 @@
 
 from petrelhaven.proxy.routing.attempt import Attempt
 from petrelhaven.proxy.routing.member import CONNECTION_RESET, NO_ANSWER, NOT_PRIMARY
-from petrelhaven.proxy.routing.waiting import first_done
+from petrelhaven.proxy.routing.waiting import wait_for_first
 from petrelhaven.proxy.session.client_session import FAILED, IN_TRANSACTION
 from petrelhaven.proxy.session.statement import Reply
 from petrelhaven.runtime.errors import DeadlineExceeded
@@ -59,7 +59,7 @@
                 self._calls.send_pinned(connection, session, statement)
             )
             with contextlib.suppress(DeadlineExceeded):
-                yield first_done(self._clock, [attempt.task], limit_us)
+                yield wait_for_first(self._clock, [attempt.task], limit_us)
             reply = self._reply(transaction, attempt)
             if reply is None:
                 return self._connection_lost(request)
@@ -71,7 +71,7 @@
             if reply.code == "unprepared":
                 connection.shapes.clear()
             self._proxy.count[reply.code] += 1  # type: ignore[index]  # it is not ok
-            yield first_done(self._clock, (), pause_us)
+            yield wait_for_first(self._clock, (), pause_us)
             pause_us *= 2
 
     def _begin(self, request: Request, transaction: Transaction) -> Continuation[str | None]:
--- a/src/petrelhaven/proxy/routing/transaction_start.py
+++ b/src/petrelhaven/proxy/routing/transaction_start.py
@@ -9,7 +9,7 @@
 from petrelhaven.proxy.routing.attempt import Attempt
 from petrelhaven.proxy.routing.member import NO_ANSWER, NOT_PRIMARY
 from petrelhaven.proxy.routing.member_calls import note_fault
-from petrelhaven.proxy.routing.waiting import first_done
+from petrelhaven.proxy.routing.waiting import wait_for_first
 from petrelhaven.runtime.errors import Busy, DeadlineExceeded, Fault
 
 if TYPE_CHECKING:
@@ -93,7 +93,7 @@
                 self._begin(state, attempt)
             )
             with contextlib.suppress(DeadlineExceeded):
-                yield first_done(self._clock, [attempt.task], state.left_us)
+                yield wait_for_first(self._clock, [attempt.task], state.left_us)
             if not attempt.task.done():
                 attempt.task.cancel()
                 group.note_failure(attempt.member, NO_ANSWER)
@@ -136,7 +136,7 @@
         member = group.pick(state.position, state.excluded)
         if member is None:
             state.excluded.clear()
-            yield first_done(self._clock, (), state.next_pause_us(_BUSY_PAUSE_MOST_US))
+            yield wait_for_first(self._clock, (), state.next_pause_us(_BUSY_PAUSE_MOST_US))
             return None
         if self._placement.is_behind(member, state.position):
             yield from self._placement.joined(member, state.position, state.request.end)
@@ -149,7 +149,7 @@
         member = group.available_primary()
         if member is not None:
             return Attempt(member, state.leadership)
-        yield first_done(
+        yield wait_for_first(
             self._clock, [group.next_leadership()], min(state.left_us, _LEADERSHIP_WAIT_US)
         )
         return None
@@ -164,7 +164,7 @@
             note_fault(group, attempt.member, fault)
             state.excluded.add(attempt.member.name)
             pause_us = state.next_pause_us(_FAULT_PAUSE_MOST_US)
-            yield first_done(self._clock, [group.next_leadership()], pause_us)
+            yield wait_for_first(self._clock, [group.next_leadership()], pause_us)
             return None
         reply = task.result()
         group.note_answer(attempt.member, reply.pos)
@@ -187,14 +187,14 @@
                 state.excluded.add(member.name)
         elif reply.code in ("readonly", "misdirected"):
             self._proxy.core_connection.suspect(group.name, member.name, NOT_PRIMARY)
-            yield first_done(
+            yield wait_for_first(
                 self._clock, [group.next_leadership()], min(state.left_us, _REPLICA_WAIT_US)
             )
         elif reply.code in ("busy", "crowded", "failed"):
             self._proxy.count[reply.code] += 1
             if state.transaction.reads:
                 state.excluded.add(member.name)
-            yield first_done(self._clock, (), state.next_pause_us(_BUSY_PAUSE_MOST_US))
+            yield wait_for_first(self._clock, (), state.next_pause_us(_BUSY_PAUSE_MOST_US))
         else:
             return f"{reply.code} {reply.text}"
         return None
--- a/src/petrelhaven/proxy/routing/waiting.py
+++ b/src/petrelhaven/proxy/routing/waiting.py
@@ -11,7 +11,7 @@
 __all__ = ["first_done"]
 
 
-def first_done(
+def wait_for_first(
     clock: Clock, futures: Iterable[asyncio.Future[Any]], limit_us: int
 ) -> asyncio.Future[None]:
     """A future that is done once one of `futures` is, or after `limit_us`. It cancels none."""
--- a/src/petrelhaven/proxy/routing/write_path.py
+++ b/src/petrelhaven/proxy/routing/write_path.py
@@ -7,7 +7,7 @@
 
 from petrelhaven.proxy.routing.attempt import Attempt
 from petrelhaven.proxy.routing.member import NO_ANSWER, NOT_PRIMARY
-from petrelhaven.proxy.routing.waiting import first_done
+from petrelhaven.proxy.routing.waiting import wait_for_first
 from petrelhaven.proxy.session.statement import Reply
 from petrelhaven.runtime.errors import DeadlineExceeded
 from petrelhaven.runtime.events import Events, emit
@@ -49,7 +49,7 @@
             if member is None:
                 if group.primary_is_lost(request.route, request.end):
                     return self._proxy.out_of_time()
-                yield first_done(
+                yield wait_for_first(
                     self._clock, [group.next_leadership()], min(left_us, _LEADERSHIP_WAIT_US)
                 )
                 continue
@@ -58,7 +58,7 @@
                 self._calls.send(request, attempt, None, left_us)
             )
             with contextlib.suppress(DeadlineExceeded):
-                yield first_done(self._clock, [attempt.task], left_us)
+                yield wait_for_first(self._clock, [attempt.task], left_us)
             if not attempt.task.done():
                 return self._unanswered(request, attempt)
             reply = self._calls.outcome(group, attempt)
@@ -91,14 +91,16 @@
     ) -> Continuation[int]:
         """Waits as long as a write that did not run should; how long the next pause is."""
         if reply is None:
-            yield first_done(self._clock, [group.next_leadership()], min(left_us, pause_us))
+            yield wait_for_first(self._clock, [group.next_leadership()], min(left_us, pause_us))
             return min(pause_us * 2, _UNSENT_PAUSE_MOST_US)
         if reply.code in ("readonly", "misdirected"):
             self._proxy.core_connection.suspect(group.name, attempt.member.name, NOT_PRIMARY)
-            yield first_done(self._clock, [group.next_leadership()], min(left_us, _REPLICA_WAIT_US))
+            yield wait_for_first(
+                self._clock, [group.next_leadership()], min(left_us, _REPLICA_WAIT_US)
+            )
         elif reply.code in ("busy", "crowded"):
             self._proxy.count[reply.code] += 1
-            yield first_done(self._clock, (), min(left_us, pause_us))
+            yield wait_for_first(self._clock, (), min(left_us, pause_us))
             return min(pause_us * 2, _BUSY_PAUSE_MOST_US)
         return pause_us
 
--- a/src/petrelhaven/proxy/tenants/admission.py
+++ b/src/petrelhaven/proxy/tenants/admission.py
@@ -8,7 +8,7 @@
 
 from petrelhaven.limits.holding import Holding
 from petrelhaven.limits.reports import AccountReport, Grant
-from petrelhaven.proxy.routing.waiting import first_done
+from petrelhaven.proxy.routing.waiting import wait_for_first
 from petrelhaven.runtime.errors import Fault
 from petrelhaven.transport.message_kinds import MessageKind
 from petrelhaven.transport.quota_messages import GrantList, ReportList
@@ -109,10 +109,10 @@
         self._ask_soon()
         try:
             patience_us = request.route.aim_us // _PATIENCE_SHARE
-            yield first_done(self._clock, [waiter], min(patience_us, request.end - now))
+            yield wait_for_first(self._clock, [waiter], min(patience_us, request.end - now))
             if not waiter.done() and not line.is_unanswered:
                 end = min(request.end, now + max(request.route.aim_us, _LEAST_WAIT_US))
-                yield first_done(self._clock, [waiter], end - self._clock.now())
+                yield wait_for_first(self._clock, [waiter], end - self._clock.now())
         finally:
             if not waiter.done():
                 waiter.cancel()
