--- a/src/petrelhaven/proxy/node.py
+++ b/src/petrelhaven/proxy/node.py
@@ -194,7 +194,7 @@
         if fresh or any(record["t"] == "manifest" for record in records):
             self._configure(configuration)
         for group in self.groups.values():
-            group.apply(control_state, fresh)
+            group.apply_control_state(control_state, fresh)
         if self.state == STARTING:
             self.serve()
             if self._opened is not None:
@@ -329,7 +329,7 @@
             if refusal is not None:
                 return refusal
         self.count["asked"] += 1
-        group.earn_retry()
+        group.add_retry_credit()
         reply = await self._run_slotted(request, limit_us + _HORIZON_US)
         if self.embargo is not None:
             reply = self.embargo.check_reply(session, statement, group.name, reply)
--- a/src/petrelhaven/proxy/routing/__init__.py
+++ b/src/petrelhaven/proxy/routing/__init__.py
@@ -8,7 +8,7 @@
 4. `StatementPath.run` gives it to `ReadPath`, `WritePath` or `TransactionPath`; a transaction
    begins at a member by `TransactionStart.run` with its first statement.
 5. A read gets a position from `ReadPlacement.carrier` or `position` (the read clock,
-   `reads/read_clock`); `MemberGroup.pick` names the member. Writes go to
+   `reads/read_clock`); `MemberGroup.pick_member` names the member. Writes go to
    `MemberGroup.available_primary`.
 6. `MemberCalls.send` takes a connection (`ConnectionPool.acquire`), sets it up
    (`MemberConnection.set_up`), checks the lease for a carried fetch, and sends (`ask`).
--- a/src/petrelhaven/proxy/routing/group.py
+++ b/src/petrelhaven/proxy/routing/group.py
@@ -107,15 +107,19 @@
     def available_primary(self) -> Member | None:
         """The primary, if a statement that begins anew may go to it now."""
         member = self.primary
-        if member is None or not self.serves(member) or member.down_until > self._clock.now():
+        if (
+            member is None
+            or not self.accepts_new_statements(member)
+            or member.down_until > self._clock.now()
+        ):
             return None
         return member
 
-    def serves(self, member: Member) -> bool:
+    def accepts_new_statements(self, member: Member) -> bool:
         """Whether statements that begin anew may go to the primary `member` now."""
         return member.stop_at is None or self._clock.now() < member.stop_at
 
-    def apply(self, control_state: ControlState, fresh: bool) -> None:
+    def apply_control_state(self, control_state: ControlState, fresh: bool) -> None:
         """Takes the leadership, the members and the zones as the control state has them.
 
         `fresh` tells that the whole state was handed over: how old its changes are is not known.
@@ -181,7 +185,7 @@
         if waiter is not None:
             waiter.set_result(None)
 
-    def next_leadership(self) -> asyncio.Future[None]:
+    def next_leadership_change(self) -> asyncio.Future[None]:
         """A future that is done at the next change of the leadership.
 
         All who wait share one future.
@@ -190,7 +194,7 @@
             self._next_leadership = asyncio.get_running_loop().create_future()
         return self._next_leadership
 
-    def pick(self, position: Position, excluded: Collection[str]) -> Member | None:
+    def pick_member(self, position: Position, excluded: Collection[str]) -> Member | None:
         """The member for a read: one that is up, has `position`, is not full, and is near."""
         now = self._clock.now()
         primary = self.leadership.primary if self.leadership is not None else None
@@ -215,14 +219,14 @@
                 best, best_cost = member, cost
         return best
 
-    def spend_retry(self) -> bool:
+    def try_spend_retry(self) -> bool:
         """Whether a retry is within the budget of this group; it is spent then."""
         if self._retries < 1:
             return False
         self._retries -= 1
         return True
 
-    def earn_retry(self) -> None:
+    def add_retry_credit(self) -> None:
         """A request came: a tenth of a retry is earned."""
         self._retries = min(_RETRIES_MOST, self._retries + _RETRIES_EARNED)
 
@@ -326,7 +330,9 @@
             member.close()
         self.read_clock.set_leadership(None)
 
-    async def settle(self, connection: MemberConnection, member: Member, number: str) -> None:
+    async def roll_back_connection(
+        self, connection: MemberConnection, member: Member, number: str
+    ) -> None:
         """Rolls a connection back as its client asked, under the ROLLBACK's number.
 
         It goes back to the pool if that works in time.
--- a/src/petrelhaven/proxy/routing/read_path.py
+++ b/src/petrelhaven/proxy/routing/read_path.py
@@ -105,7 +105,7 @@
             if state.leadership != group.leadership_key:
                 return None
         if attempt is None and state.position is not None:
-            member = group.pick(state.position, state.excluded)
+            member = group.pick_member(state.position, state.excluded)
             if member is not None and self._joins_log_wait(state, member):
                 self._proxy.count["joined_log"] += 1
                 yield from self._placement.joined(member, state.position, state.request.end)
@@ -161,7 +161,7 @@
         yield wait_for_first(self._clock, [attempt.task for attempt in running], limit_us)
         if not may_hedge or running[0].task.done():
             return False
-        if group.spend_retry():
+        if group.try_spend_retry():
             member = running[0].member
             group.note_failure(member, NO_ANSWER)
             state.excluded.add(member.name)
@@ -185,7 +185,7 @@
             elif reply.code in _RETRY_ELSEWHERE:
                 self._proxy.count[reply.code] += 1
                 state.excluded.add(attempt.member.name)
-                if reply.code == "failed" and not group.spend_retry():
+                if reply.code == "failed" and not group.try_spend_retry():
                     return reply
             else:
                 return reply
--- a/src/petrelhaven/proxy/routing/read_placement.py
+++ b/src/petrelhaven/proxy/routing/read_placement.py
@@ -39,7 +39,7 @@
         primary = group.leased_primary
         if primary is None or primary.name in excluded or primary.down_until > self._clock.now():
             return None
-        if not group.serves(primary):
+        if not group.accepts_new_statements(primary):
             return None
         fetch = group.read_clock.start_piggybacked_fetch(arrival, since)
         return Attempt(primary, group.leadership_key, fetch) if fetch is not None else None
--- a/src/petrelhaven/proxy/routing/transaction_path.py
+++ b/src/petrelhaven/proxy/routing/transaction_path.py
@@ -98,7 +98,9 @@
             return
         if transaction.has_set:
             connection.needs_reset = True
-        self._proxy.tasks.spawn(transaction.group.settle(connection, transaction.member, number))
+        self._proxy.tasks.spawn(
+            transaction.group.roll_back_connection(connection, transaction.member, number)
+        )
 
     def watch_idle(self, session: ClientSession, transaction: Transaction) -> None:
         """Ends a transaction that is idle too long.
--- a/src/petrelhaven/proxy/routing/transaction_start.py
+++ b/src/petrelhaven/proxy/routing/transaction_start.py
@@ -133,7 +133,7 @@
             )
             if state.position is None or state.leadership != group.leadership_key:
                 return None
-        member = group.pick(state.position, state.excluded)
+        member = group.pick_member(state.position, state.excluded)
         if member is None:
             state.excluded.clear()
             yield wait_for_first(self._clock, (), state.next_pause_us(_BUSY_PAUSE_MOST_US))
@@ -150,7 +150,7 @@
         if member is not None:
             return Attempt(member, state.leadership)
         yield wait_for_first(
-            self._clock, [group.next_leadership()], min(state.left_us, _LEADERSHIP_WAIT_US)
+            self._clock, [group.next_leadership_change()], min(state.left_us, _LEADERSHIP_WAIT_US)
         )
         return None
 
@@ -164,7 +164,7 @@
             note_fault(group, attempt.member, fault)
             state.excluded.add(attempt.member.name)
             pause_us = state.next_pause_us(_FAULT_PAUSE_MOST_US)
-            yield wait_for_first(self._clock, [group.next_leadership()], pause_us)
+            yield wait_for_first(self._clock, [group.next_leadership_change()], pause_us)
             return None
         reply = task.result()
         group.note_answer(attempt.member, reply.pos)
@@ -188,7 +188,7 @@
         elif reply.code in ("readonly", "misdirected"):
             self._proxy.core_connection.suspect(group.name, member.name, NOT_PRIMARY)
             yield wait_for_first(
-                self._clock, [group.next_leadership()], min(state.left_us, _REPLICA_WAIT_US)
+                self._clock, [group.next_leadership_change()], min(state.left_us, _REPLICA_WAIT_US)
             )
         elif reply.code in ("busy", "crowded", "failed"):
             self._proxy.count[reply.code] += 1
--- a/src/petrelhaven/proxy/routing/write_path.py
+++ b/src/petrelhaven/proxy/routing/write_path.py
@@ -50,7 +50,7 @@
                 if group.primary_is_lost(request.route, request.end):
                     return self._proxy.out_of_time()
                 yield wait_for_first(
-                    self._clock, [group.next_leadership()], min(left_us, _LEADERSHIP_WAIT_US)
+                    self._clock, [group.next_leadership_change()], min(left_us, _LEADERSHIP_WAIT_US)
                 )
                 continue
             attempt = Attempt(member, group.leadership_key)
@@ -91,12 +91,14 @@
     ) -> Continuation[int]:
         """Waits as long as a write that did not run should; how long the next pause is."""
         if reply is None:
-            yield wait_for_first(self._clock, [group.next_leadership()], min(left_us, pause_us))
+            yield wait_for_first(
+                self._clock, [group.next_leadership_change()], min(left_us, pause_us)
+            )
             return min(pause_us * 2, _UNSENT_PAUSE_MOST_US)
         if reply.code in ("readonly", "misdirected"):
             self._proxy.core_connection.suspect(group.name, attempt.member.name, NOT_PRIMARY)
             yield wait_for_first(
-                self._clock, [group.next_leadership()], min(left_us, _REPLICA_WAIT_US)
+                self._clock, [group.next_leadership_change()], min(left_us, _REPLICA_WAIT_US)
             )
         elif reply.code in ("busy", "crowded"):
             self._proxy.count[reply.code] += 1
--- a/tests/test_connection_sessions_storm.py
+++ b/tests/test_connection_sessions_storm.py
@@ -263,9 +263,9 @@
 
 
 def stops_ignored(mp):
-    real = group.MemberGroup.apply
+    real = group.MemberGroup.apply_control_state
 
-    def apply(self, control_state, fresh):
+    def apply_control_state(self, control_state, fresh):
         real(self, control_state, fresh)
         for b in self.members.values():
             b.stop_at = None
--- a/tests/test_member_group.py
+++ b/tests/test_member_group.py
@@ -113,7 +113,7 @@
 
     def enter(self, fresh=False, **r):
         self.control_state.apply(self.control_state.seq + 1, r)
-        self.band.apply(self.control_state, fresh)
+        self.band.apply_control_state(self.control_state, fresh)
 
     def leadership(self, phase, primary):
         n = self.control_state.doc["offices"].get("g", {"n": 0})["n"] + 1
@@ -298,12 +298,12 @@
 
 def test_the_near_one_is_picked_and_the_primary_only_where_it_is_near():
     async def go(e):
-        assert e.band.pick((0, 0), set()).name == "p"
+        assert e.band.pick_member((0, 0), set()).name == "p"
         e.band.members["p"].in_flight = 1
-        assert e.band.pick((0, 0), set()).name == "r1"
-        assert e.band.pick((0, 0), {"r1", "p"}).name == "r2"
-        assert e.band.pick((0, 0), {"r1", "r2", "p"}).name == "r3"
-        assert e.band.pick((0, 0), set(ZONES)) is None
+        assert e.band.pick_member((0, 0), set()).name == "r1"
+        assert e.band.pick_member((0, 0), {"r1", "p"}).name == "r2"
+        assert e.band.pick_member((0, 0), {"r1", "r2", "p"}).name == "r3"
+        assert e.band.pick_member((0, 0), set(ZONES)) is None
 
     virtual(go, group(9, 8, 4, 7), zones=ZONES)
 
@@ -311,12 +311,12 @@
 def test_a_member_that_drains_or_whose_zone_is_emptied_is_not_picked_from_then_on():
     async def go(e):
         e.member("r1", "draining")
-        assert e.band.pick((0, 0), {"p"}).name == "r2"
+        assert e.band.pick_member((0, 0), {"p"}).name == "r2"
         e.enter(t="hall", hall="b", state="emptied", by="op")
-        assert e.band.pick((0, 0), {"p"}).name == "r3"
+        assert e.band.pick_member((0, 0), {"p"}).name == "r3"
         e.enter(t="hall", hall="b", state="open", by="op")
         e.member("r1", "ready", 3)
-        assert e.band.pick((0, 0), {"p"}).name == "r1"
+        assert e.band.pick_member((0, 0), {"p"}).name == "r1"
 
     virtual(go, group(9, 8, 4, 7), zones=ZONES)
 
@@ -332,12 +332,14 @@
 def test_the_primary_serves_until_the_bound_where_this_edge_heard_of_it_in_time(leave, us, fresh):
     async def go(e):
         if fresh:
-            e.band.apply = lambda control_state, _, apply=e.band.apply: apply(control_state, True)
+            e.band.apply_control_state = lambda control_state, _, apply=e.band.apply_control_state: (
+                apply(control_state, True)
+            )
         leave(e)
         for at, serves in ((0, not fresh), (us / 1e6 - 0.01, not fresh), (0.02, False)):
             await asyncio.sleep(at)
-            assert e.band.serves(e.band.primary) == serves
-            b = e.band.pick((0, 0), {"r1", "r2", "r3"})
+            assert e.band.accepts_new_statements(e.band.primary) == serves
+            b = e.band.pick_member((0, 0), {"r1", "r2", "r3"})
             assert (b is not None and b.name == "p") == serves
 
     virtual(go, group(9, 8, 4, 7), zones=ZONES)
@@ -375,7 +377,7 @@
             if x["log"]:
                 b.log_progress.note_position((1, x["log"]), 0)
         bad = {n for n, x in how.items() if x["bad"]}
-        got = e.band.pick((1, need), bad)
+        got = e.band.pick_member((1, need), bad)
         may = [n for n, x in how.items() if n not in bad and (not x["leaves"] or n == "p")]
         assert (got is None) == (not may)
         if got is None:
@@ -401,7 +403,7 @@
 
 def test_an_leadership_on_the_move_has_no_primary_and_a_turn_is_told():
     async def go(e):
-        f = e.band.next_leadership()
+        f = e.band.next_leadership_change()
         e.leadership("move", "p")
         assert f.done() and e.band.primary is None and e.band.leased_primary is None
         e.leadership("swap", "p")
@@ -448,12 +450,12 @@
 
 def test_second_tries_are_within_a_budget():
     async def go(e):
-        assert [e.band.spend_retry() for _ in range(11)] == [True] * 10 + [False]
+        assert [e.band.try_spend_retry() for _ in range(11)] == [True] * 10 + [False]
         for _ in range(11):
-            e.band.earn_retry()
-        assert [e.band.spend_retry() for _ in range(2)] == [True, False]
+            e.band.add_retry_credit()
+        assert [e.band.try_spend_retry() for _ in range(2)] == [True, False]
         for _ in range(1000):
-            e.band.earn_retry()
-        assert [e.band.spend_retry() for _ in range(21)] == [True] * 20 + [False]
+            e.band.add_retry_credit()
+        assert [e.band.try_spend_retry() for _ in range(21)] == [True] * 20 + [False]
 
     virtual(go, group(9, 8, 4))
--- a/tests/test_unleased_commits.py
+++ b/tests/test_unleased_commits.py
@@ -130,7 +130,7 @@
     control_state.apply(control_state.seq + 1, leadership | {"cause": ""})
     group = MemberGroup("g", proxy)
     group.sync_replicas = sync_replicas
-    group.apply(control_state, True)
+    group.apply_control_state(control_state, True)
     return group, control_state
 
 
@@ -172,7 +172,7 @@
         number = self.control_state.doc["offices"]["g"]["n"] + 1
         record = {"t": "office", "group": "g", "n": number, "phase": phase, "primary": primary}
         self.control_state.apply(self.control_state.seq + 1, record | {"term": term, "cause": ""})
-        self.group.apply(self.control_state, False)
+        self.group.apply_control_state(self.control_state, False)
 
     def contact_again(self, phase):
         """The proxy, cut off as it sent, gets its lease back together with a newer office."""
