--- a/src/petrelhaven/proxy/reads/log_progress.py
+++ b/src/petrelhaven/proxy/reads/log_progress.py
@@ -13,7 +13,7 @@
     from petrelhaven.runtime.clock import Clock
     from petrelhaven.runtime.tasks import BackgroundTasks
 
-__all__ = ["AskPosition", "LogProgress"]
+__all__ = ["PositionRequest", "LogProgress"]
 
 PositionRequest = Callable[[], Awaitable[tuple[int, int]]]
 """Asks a member for (position, term)."""
--- a/src/petrelhaven/proxy/reads/read_clock.py
+++ b/src/petrelhaven/proxy/reads/read_clock.py
@@ -28,7 +28,7 @@
     from petrelhaven.runtime.clock import Clock
     from petrelhaven.runtime.tasks import BackgroundTasks
 
-__all__ = ["Fetch", "Leading", "Order", "Pair", "ReadClock"]
+__all__ = ["Fetch", "LeadershipKey", "LogicalClock", "FetchedPosition", "ReadClock"]
 
 LeadershipKey = tuple[int, str]
 """What pairs belong to: the number of a leadership, and the primary that it names."""
--- a/src/petrelhaven/proxy/routing/group.py
+++ b/src/petrelhaven/proxy/routing/group.py
@@ -110,14 +110,14 @@
         if (
             member is None
             or not self.accepts_new_statements(member)
-            or member.down_until > self._clock.now()
+            or member.avoided_until > self._clock.now()
         ):
             return None
         return member
 
     def accepts_new_statements(self, member: Member) -> bool:
         """Whether statements that begin anew may go to the primary `member` now."""
-        return member.stop_at is None or self._clock.now() < member.stop_at
+        return member.closed_to_new_at is None or self._clock.now() < member.closed_to_new_at
 
     def apply_control_state(self, control_state: ControlState, fresh: bool) -> None:
         """Takes the leadership, the members and the zones as the control state has them.
@@ -151,13 +151,13 @@
         draining = member.state == "draining"
         evacuated = control_state.zone(member.zone) != "open"
         if not draining and not evacuated:
-            member.stop_at = None
-        elif member.stop_at is None:
+            member.closed_to_new_at = None
+        elif member.closed_to_new_at is None:
             bound_us = min(
                 self._proxy.drain_us if draining else _NEVER_US,
                 self._proxy.empty_us if evacuated else _NEVER_US,
             )
-            member.stop_at = self._clock.now() + (0 if fresh else bound_us)
+            member.closed_to_new_at = self._clock.now() + (0 if fresh else bound_us)
 
     def _new_member(self, name: str, row: dict[str, Any]) -> Member:
         proxy = self._proxy
@@ -180,7 +180,7 @@
         self.read_clock.set_leadership(self.leadership_key)
         primary = self.primary
         if primary is not None and now is not None and now.phase is _SERVING:
-            primary.down_until = primary.failures = 0
+            primary.avoided_until = primary.failures = 0
         waiter, self._next_leadership = self._next_leadership, None
         if waiter is not None:
             waiter.set_result(None)
@@ -203,12 +203,12 @@
         for name, member in self.members.items():
             if name in excluded:
                 continue
-            stop_at = member.stop_at
-            if stop_at is not None and (name != primary or now >= stop_at):
+            closed_to_new_at = member.closed_to_new_at
+            if closed_to_new_at is not None and (name != primary or now >= closed_to_new_at):
                 continue
             cost = (
-                member.down_until > now,
-                member.slow_until > now and member.log_progress.position < position,
+                member.avoided_until > now,
+                member.deprioritized_until > now and member.log_progress.position < position,
                 member.in_flight >= max(2, member.capacity - 1),
                 member.distance,
                 name == primary and member.distance > 0,
@@ -243,11 +243,11 @@
         `how` is NO_ANSWER, CONNECTION_RESET or REFUSED.
         """
         now = self._clock.now()
-        if how == NO_ANSWER and now - member.last_heard <= _RECENTLY_HEARD_US:
+        if how == NO_ANSWER and now - member.last_answer_at <= _RECENTLY_HEARD_US:
             return
-        member.refuses = how == REFUSED
+        member.refuses_connections = how == REFUSED
         member.failures = min(member.failures + 1, _FAILURES_MOST)
-        member.down_until = now + min(_DOWN_US << (member.failures - 1), _DOWN_MOST_US)
+        member.avoided_until = now + min(_DOWN_US << (member.failures - 1), _DOWN_MOST_US)
         leadership = self.leadership
         if leadership is None or leadership.primary != member.name or leadership.phase is _FAILOVER:
             return
@@ -269,9 +269,9 @@
     def _unreachable_us(self) -> int:
         """Microseconds since the primary last answered here, if it fails now."""
         member = self.members.get(self.leadership.primary) if self.leadership is not None else None
-        if member is None or not member.failures or not member.last_heard:
+        if member is None or not member.failures or not member.last_answer_at:
             return 0
-        return self._clock.now() - member.last_heard
+        return self._clock.now() - member.last_answer_at
 
     async def _open(self, member: Member, tenant: str = "") -> MemberConnection:
         """A new connection to the member, for statements of `tenant`."""
@@ -280,7 +280,7 @@
                 member.address, self.name, member.name, _OPEN_US, tenant
             )
         except MemberReplaced:
-            member.down_until = self._clock.now() + _MEMBER_GONE_US
+            member.avoided_until = self._clock.now() + _MEMBER_GONE_US
             raise
         except NotSent as fault:
             self.note_failure(member, fault.note)
--- a/src/petrelhaven/proxy/routing/member.py
+++ b/src/petrelhaven/proxy/routing/member.py
@@ -61,16 +61,16 @@
         "pool",
         "log_progress",
         "status_connection",
-        "down_until",
+        "avoided_until",
         "failures",
         "in_flight",
-        "last_heard",
-        "asked_at",
-        "refuses",
-        "stop_at",
+        "last_answer_at",
+        "unanswered_since",
+        "refuses_connections",
+        "closed_to_new_at",
         "lagging_replies",
         "lagging_until",
-        "slow_until",
+        "deprioritized_until",
     )
 
     def __init__(
@@ -91,22 +91,22 @@
         self.pool = pool
         self.log_progress = log_progress
         self.status_connection: MemberConnection | None = None
-        self.down_until = self.failures = self.in_flight = self.last_heard = 0
-        self.asked_at = 0
-        self.refuses = False
-        self.stop_at: int | None = None
-        self.lagging_replies = self.lagging_until = self.slow_until = 0
+        self.avoided_until = self.failures = self.in_flight = self.last_answer_at = 0
+        self.unanswered_since = 0
+        self.refuses_connections = False
+        self.closed_to_new_at: int | None = None
+        self.lagging_replies = self.lagging_until = self.deprioritized_until = 0
 
     def note_asked(self, now: int) -> None:
         """It is sent something now."""
-        if not self.asked_at:
-            self.asked_at = now
+        if not self.unanswered_since:
+            self.unanswered_since = now
 
     def note_answer(self, now: int) -> None:
         """It has answered just now."""
-        self.last_heard = now
-        self.failures = self.down_until = self.asked_at = 0
-        self.refuses = False
+        self.last_answer_at = now
+        self.failures = self.avoided_until = self.unanswered_since = 0
+        self.refuses_connections = False
 
     def note_log(self, position: Position) -> None:
         """Takes a position of its log, if that is newer."""
--- a/src/petrelhaven/proxy/routing/member_proofs.py
+++ b/src/petrelhaven/proxy/routing/member_proofs.py
@@ -132,10 +132,12 @@
         One that reset a connection is asked again: it is there, and its own answer is the quickest.
         """
         now = self._clock.now()
-        if member.down_until <= now:
+        if member.avoided_until <= now:
             return False
-        unanswered = 0 < member.asked_at <= now - _SILENT_US
-        return member.refuses or (unanswered and member.last_heard < member.asked_at)
+        unanswered = 0 < member.unanswered_since <= now - _SILENT_US
+        return member.refuses_connections or (
+            unanswered and member.last_answer_at < member.unanswered_since
+        )
 
     async def _silence_of(self, primary: Member | None) -> None:
         """Waits until the primary has been silent so long that no proxy trusts it without proof.
@@ -144,15 +146,15 @@
         replica, for a moment after the cut; what the other members hold proves nothing until then.
         Any answer of it since this call began shows that it was not cut off then.
         """
-        if primary is None or primary.refuses:
+        if primary is None or primary.refuses_connections:
             return
         began = self._clock.now()
-        if not primary.asked_at:
+        if not primary.unanswered_since:
             self._proxy.tasks.spawn(self._ask_quietly(primary))
-        asked_at = primary.asked_at or began
-        if began - asked_at < _SILENT_US:
-            await self._clock.sleep(asked_at + _SILENT_US - began)
-        if asked_at <= primary.last_heard < began:
+        unanswered_since = primary.unanswered_since or began
+        if began - unanswered_since < _SILENT_US:
+            await self._clock.sleep(unanswered_since + _SILENT_US - began)
+        if unanswered_since <= primary.last_answer_at < began:
             raise Unreachable("the primary answered a moment ago")
 
     async def _ask_quietly(self, member: Member) -> None:
--- a/src/petrelhaven/proxy/routing/read_placement.py
+++ b/src/petrelhaven/proxy/routing/read_placement.py
@@ -37,7 +37,7 @@
     ) -> Attempt | None:
         """An attempt at the primary as its own position fetch; None if another fetch will do."""
         primary = group.leased_primary
-        if primary is None or primary.name in excluded or primary.down_until > self._clock.now():
+        if primary is None or primary.name in excluded or primary.avoided_until > self._clock.now():
             return None
         if not group.accepts_new_statements(primary):
             return None
@@ -76,7 +76,7 @@
         member.lagging_replies += 1
         if member.lagging_replies > _LAGGING_MOST:
             member.lagging_replies, member.lagging_until = 0, 0
-            member.slow_until = now + _STALLED_US
+            member.deprioritized_until = now + _STALLED_US
             self._proxy.count["stalled"] += 1
             return False
         pause_us = _LAGGING_PAUSE_US << min(member.lagging_replies - 1, _LAGGING_DOUBLINGS)
--- a/src/petrelhaven/proxy/routing/remote_contact.py
+++ b/src/petrelhaven/proxy/routing/remote_contact.py
@@ -2,7 +2,7 @@
 
 from petrelhaven.runtime.clock import Clock
 
-__all__ = ["OutsideContact"]
+__all__ = ["RemoteContact"]
 
 _LATELY_US = 100_000
 
--- a/src/petrelhaven/proxy/routing/waiting.py
+++ b/src/petrelhaven/proxy/routing/waiting.py
@@ -8,7 +8,7 @@
 
 from petrelhaven.runtime.clock import Clock
 
-__all__ = ["first_done"]
+__all__ = ["wait_for_first"]
 
 
 def wait_for_first(
--- a/tests/test_connection_sessions_storm.py
+++ b/tests/test_connection_sessions_storm.py
@@ -268,7 +268,7 @@
     def apply_control_state(self, control_state, fresh):
         real(self, control_state, fresh)
         for b in self.members.values():
-            b.stop_at = None
+            b.closed_to_new_at = None
 
     mp.setattr(group.MemberGroup, "apply", apply)
 
--- a/tests/test_member_group.py
+++ b/tests/test_member_group.py
@@ -369,7 +369,7 @@
             elif x["leaves"]:
                 e.enter(t="hall", hall="abcd"[list(how).index(n)], state="emptied", by="op")
             b = e.band.members[n]
-            b.down_until, b.slow_until, b.in_flight = (
+            b.avoided_until, b.deprioritized_until, b.in_flight = (
                 now + 1000 * x["dark"],
                 now + 1000 * x["slow"],
                 x["out"],
@@ -422,16 +422,16 @@
         await asyncio.sleep(1)
         e.band.note_answer(b)
         e.band.note_failure(b, "mute")
-        assert e.suspicions == [] and b.down_until <= e.clock.now()
+        assert e.suspicions == [] and b.avoided_until <= e.clock.now()
         e.band.note_failure(b, "reset")
-        assert e.suspicions == [("g", "p", "reset")] and b.down_until > e.clock.now()
+        assert e.suspicions == [("g", "p", "reset")] and b.avoided_until > e.clock.now()
         e.band.note_failure(e.band.members["r1"], "refused")
         assert len(e.suspicions) == 1
         await asyncio.sleep(1)
         e.band.note_failure(b, "mute")
         assert len(e.suspicions) == 2
         e.band.note_answer(b)
-        assert b.down_until == b.failures == 0
+        assert b.avoided_until == b.failures == 0
 
     virtual(go, group(9, 8, 4))
 
--- a/tests/test_member_proofs.py
+++ b/tests/test_member_proofs.py
@@ -131,7 +131,7 @@
         primary, clock = band.members["p"], band._clock
         await clock.sleep(2_000_000)
         primary.note_asked(clock.now() - 1_000_000)
-        primary.last_heard = clock.now() - 10_000
+        primary.last_answer_at = clock.now() - 10_000
         with pytest.raises(Unreachable):
             await band.proofs.position_of_others("p")
 
