--- a/src/petrelhaven/proxy/routing/__init__.py
+++ b/src/petrelhaven/proxy/routing/__init__.py
@@ -13,12 +13,12 @@
 6. `MemberCalls.send` takes a connection (`ConnectionPool.acquire`), sets it up
    (`MemberConnection.set_up`), checks the lease for a carried fetch, and sends (`ask`).
 7. The reply comes back the same way: `MemberCalls.outcome` notes what it shows of the member;
-   a write's success may need a replica's proof first (`MemberProofs.commit_needs_replica`).
+   a write's success may need a replica's proof first (`MemberProofs.needs_replica_confirmation`).
 
 What a proxy does without a lease: it goes on serving. `MemberGroup.leased_primary` is None, so
 no read carries its own fetch: positions come by STATUS (`MemberGroup._fetch`), and from all other
 members they prove nothing (`MemberProofs._are_enough`). Successes of writes and commits count
-only once a known replica shows them (`MemberProofs.commit_shown`), where commits wait for one at
+only once a known replica shows them (`MemberProofs.confirm_commit`), where commits wait for one at
 all. Groups under an embargo answer
 `withheld` (`proxy/embargo`). The lease itself is `CoreConnection.holds_lease`.
 """
--- a/src/petrelhaven/proxy/routing/group.py
+++ b/src/petrelhaven/proxy/routing/group.py
@@ -312,12 +312,12 @@
         primary = self.members.get(leading[1])
         if self.leadership_key != leading:
             raise Unreachable("no primary to ask")
-        if primary is None or self.proofs.is_silent(primary):
-            return await self.proofs.position_of_others(leading[1])
+        if primary is None or self.proofs.is_unresponsive(primary):
+            return await self.proofs.position_from_others(leading[1])
         try:
             row = await self.status(primary)
         except Fault:
-            return await self.proofs.position_of_others(leading[1])
+            return await self.proofs.position_from_others(leading[1])
         if row["role"] != "primary":
             self._proxy.core_connection.suspect(self.name, primary.name, NOT_PRIMARY)
             raise Unreachable("not the primary")
--- a/src/petrelhaven/proxy/routing/member_proofs.py
+++ b/src/petrelhaven/proxy/routing/member_proofs.py
@@ -32,7 +32,7 @@
         self._proxy = proxy
         self._clock = proxy.clock
 
-    def commit_needs_replica(self, answered: Member, position: Position | None) -> bool:
+    def needs_replica_confirmation(self, answered: Member, position: Position | None) -> bool:
         """Whether a commit's success counts only once a replica known here shows it.
 
         A replica that control does not know of may have been the one that the primary waited for,
@@ -51,7 +51,7 @@
             return True
         return not self._proxy.core_connection.lease_confirmed
 
-    def commit_shown(
+    def confirm_commit(
         self, position: Position | None, answered: Member, end: int
     ) -> Continuation[bool]:
         """Whether a known replica shows `position` by STATUS within a short bound or by `end`.
@@ -88,7 +88,7 @@
         replicas = [m for m in self._group.members.values() if m.name != primary.name]
         return sorted(replicas, key=lambda m: (m.failures > 0, m.distance, m.name))
 
-    async def position_of_others(self, primary: str) -> Position:
+    async def position_from_others(self, primary: str) -> Position:
         """A position that holds every acknowledged commit, from all members but the primary.
 
         A commit is acknowledged once a replica has it (`sync_replicas`), so the highest log of all
@@ -126,7 +126,7 @@
             sync_replicas > 0 and len(others) >= fewest and self._proxy.core_connection.holds_lease
         )
 
-    def is_silent(self, member: Member) -> bool:
+    def is_unresponsive(self, member: Member) -> bool:
         """Whether asking the member is in vain: nobody is there, or it has not answered for long.
 
         One that reset a connection is asked again: it is there, and its own answer is the quickest.
--- a/src/petrelhaven/proxy/routing/transaction_path.py
+++ b/src/petrelhaven/proxy/routing/transaction_path.py
@@ -176,8 +176,8 @@
         transaction: Transaction = request.session.transaction  # type: ignore[assignment]  # one is open
         wrote = request.statement.verb == "commit" and transaction.wrote
         group = transaction.group
-        if wrote and group.proofs.commit_needs_replica(attempt.member, reply.pos):
-            shown = yield from group.proofs.commit_shown(reply.pos, attempt.member, request.end)
+        if wrote and group.proofs.needs_replica_confirmation(attempt.member, reply.pos):
+            shown = yield from group.proofs.confirm_commit(reply.pos, attempt.member, request.end)
             if not shown:
                 return self._connection_lost(request)
         return self._succeeded(request, attempt, reply)
--- a/src/petrelhaven/proxy/routing/write_path.py
+++ b/src/petrelhaven/proxy/routing/write_path.py
@@ -71,8 +71,8 @@
     def _finish(self, request: Request, attempt: Attempt, reply: Reply) -> Continuation[Reply]:
         """The member's final reply, or `unsure` for a success that no replica known here shows."""
         group = request.group
-        if reply.ok and group.proofs.commit_needs_replica(attempt.member, reply.pos):
-            shown = yield from group.proofs.commit_shown(reply.pos, attempt.member, request.end)
+        if reply.ok and group.proofs.needs_replica_confirmation(attempt.member, reply.pos):
+            shown = yield from group.proofs.confirm_commit(reply.pos, attempt.member, request.end)
             if not shown:
                 self._proxy.count["unsure"] += 1
                 emit(self._proxy.log, Events.STATEMENT_OUTCOME_UNKNOWN, member=attempt.member.name)
--- a/tests/test_connection_sessions_storm.py
+++ b/tests/test_connection_sessions_storm.py
@@ -167,7 +167,7 @@
                 pass
         raise Unreachable("none")
 
-    mp.setattr(member_proofs.MemberProofs, "position_of_others", fetch_others)
+    mp.setattr(member_proofs.MemberProofs, "position_from_others", fetch_others)
 
 
 def sent_again(mp):
--- a/tests/test_member_proofs.py
+++ b/tests/test_member_proofs.py
@@ -101,7 +101,7 @@
 
 def test_all_others_under_a_lease_prove_their_highest_log(warp):
     async def go():
-        assert await _band(["m1", "m2", "m3"], 4, True).proofs.position_of_others("p") == (1, 137)
+        assert await _band(["m1", "m2", "m3"], 4, True).proofs.position_from_others("p") == (1, 137)
 
     warp(go())
 
@@ -116,10 +116,10 @@
         await clock.sleep(1_000_000)
         primary.note_asked(clock.now() - 100_000)
         began = asyncio.get_running_loop().time()
-        await band.proofs.position_of_others("p")
+        await band.proofs.position_from_others("p")
         assert asyncio.get_running_loop().time() - began > 0.14
         began = asyncio.get_running_loop().time()
-        await band.proofs.position_of_others("p")
+        await band.proofs.position_from_others("p")
         assert asyncio.get_running_loop().time() - began < 0.05
 
     warp(go())
@@ -133,7 +133,7 @@
         primary.note_asked(clock.now() - 1_000_000)
         primary.last_answer_at = clock.now() - 10_000
         with pytest.raises(Unreachable):
-            await band.proofs.position_of_others("p")
+            await band.proofs.position_from_others("p")
 
     warp(go())
 
@@ -145,7 +145,7 @@
 def test_an_edge_without_a_lease_may_not_know_all_members_and_proves_nothing(warp):
     async def go():
         with pytest.raises(Unreachable):
-            await _band(["m1", "m2"], 3, False).proofs.position_of_others("p")
+            await _band(["m1", "m2"], 3, False).proofs.position_from_others("p")
 
     warp(go())
 
@@ -153,9 +153,9 @@
 def test_fewer_others_than_the_group_ever_had_prove_nothing(warp):
     async def go():
         with pytest.raises(Unreachable):
-            await _band(["m1", "m2"], 4, True).proofs.position_of_others("p")
+            await _band(["m1", "m2"], 4, True).proofs.position_from_others("p")
         with pytest.raises(Unreachable):
-            await _band(["m1"], 2, True).proofs.position_of_others("p")
+            await _band(["m1"], 2, True).proofs.position_from_others("p")
 
     warp(go())
 
@@ -165,9 +165,9 @@
     async def go():
         band = _band(["m1", "m2", "m3"], 4, True, floor)
         if proves:
-            assert await band.proofs.position_of_others("p") == (1, 137)
+            assert await band.proofs.position_from_others("p") == (1, 137)
         else:
             with pytest.raises(Unreachable):
-                await band.proofs.position_of_others("p")
+                await band.proofs.position_from_others("p")
 
     warp(go())
