--- a/src/petrelhaven/proxy/routing/member_calls.py
+++ b/src/petrelhaven/proxy/routing/member_calls.py
@@ -94,7 +94,7 @@
             if connection is not None:
                 self._give_back(member, connection, reusable)
 
-    async def send_pinned(
+    async def send_in_transaction(
         self, connection: MemberConnection, session: ClientSession, statement: Statement
     ) -> Reply:
         """The member's reply to a statement inside the transaction that has `connection`."""
@@ -136,7 +136,7 @@
             if connection is not None and transaction.connection is not connection:
                 self._give_back(member, connection, reply is not None and reply.state == "I")
 
-    def outcome(self, group: MemberGroup, attempt: Attempt) -> Reply | None:
+    def collect_reply(self, group: MemberGroup, attempt: Attempt) -> Reply | None:
         """The reply to a finished attempt, or None; notes what its end says of the member."""
         task = attempt.task
         if task.cancelled():
--- a/src/petrelhaven/proxy/routing/read_path.py
+++ b/src/petrelhaven/proxy/routing/read_path.py
@@ -176,7 +176,7 @@
         done = [attempt for attempt in state.running if attempt.task.done()]
         state.running[:] = [attempt for attempt in state.running if not attempt.task.done()]
         for attempt in done:
-            reply = self._calls.outcome(group, attempt)
+            reply = self._calls.collect_reply(group, attempt)
             if reply is None:
                 state.excluded.add(attempt.member.name)
                 yield wait_for_first(self._clock, (), state.next_pause_us())
--- a/src/petrelhaven/proxy/routing/transaction_path.py
+++ b/src/petrelhaven/proxy/routing/transaction_path.py
@@ -56,7 +56,7 @@
             attempt.started_us = self._clock.now()
             attempt.member.note_asked(attempt.started_us)
             attempt.task = self._proxy.tasks.spawn(  # type: ignore[assignment]  # the node runs
-                self._calls.send_pinned(connection, session, statement)
+                self._calls.send_in_transaction(connection, session, statement)
             )
             with contextlib.suppress(DeadlineExceeded):
                 yield wait_for_first(self._clock, [attempt.task], limit_us)
--- a/src/petrelhaven/proxy/routing/write_path.py
+++ b/src/petrelhaven/proxy/routing/write_path.py
@@ -61,7 +61,7 @@
                 yield wait_for_first(self._clock, [attempt.task], left_us)
             if not attempt.task.done():
                 return self._unanswered(request, attempt)
-            reply = self._calls.outcome(group, attempt)
+            reply = self._calls.collect_reply(group, attempt)
             if reply is None and attempt.sent:
                 return self._answer_lost(attempt)
             if reply is not None and reply.code not in _NOT_RUN:
--- a/tests/test_connection_sessions_storm.py
+++ b/tests/test_connection_sessions_storm.py
@@ -224,13 +224,13 @@
 
 
 def another_connection(mp):
-    real = member_calls.MemberCalls.send_pinned
+    real = member_calls.MemberCalls.send_in_transaction
 
     async def pinned(self, c, v, a):
         idle = v.transaction.member.pool.idle
         return await real(self, idle[0] if idle and a.verb != "commit" else c, v, a)
 
-    mp.setattr(member_calls.MemberCalls, "send_pinned", pinned)
+    mp.setattr(member_calls.MemberCalls, "send_in_transaction", pinned)
 
 
 def rolled_forward(mp):
--- a/tests/test_unleased_commits.py
+++ b/tests/test_unleased_commits.py
@@ -73,11 +73,11 @@
         self._meanwhile()
         return Reply(pos=WRITTEN, state="I")
 
-    async def send_pinned(self, connection, session, statement):
+    async def send_in_transaction(self, connection, session, statement):
         self._meanwhile()
         return Reply(pos=WRITTEN, state="I")
 
-    def outcome(self, group, attempt):
+    def collect_reply(self, group, attempt):
         return attempt.task.result()
 
 
