--- a/src/petrelhaven/proxy/node.py
+++ b/src/petrelhaven/proxy/node.py
@@ -364,11 +364,11 @@
         if self.tenants.is_required:
             session.client = tenant.name
 
-    async def _run_slotted(self, request: Request, horizon_us: int) -> Reply:
+    async def _run_slotted(self, request: Request, time_limit_us: int) -> Reply:
         session = request.session
         inside = session.transaction is not None
         try:
-            return await self.request_slots.enter(self._path.run(request), horizon_us)
+            return await self.request_slots.run(self._path.run(request), time_limit_us)
         except Busy as fault:
             delay_us: int = fault.retry_after_us  # type: ignore[assignment]  # Busy has one
             code, text = "busy", self.retry_after(delay_us)
--- a/src/petrelhaven/proxy/resumable/node.py
+++ b/src/petrelhaven/proxy/resumable/node.py
@@ -226,9 +226,7 @@
             return await self.close_session(sid)
         us = self.bounds().statement_us
         try:
-            return await self.request_slots.enter(
-                self.flow.run(s, d, arr, self.clock.now() + us), us
-            )
+            return await self.request_slots.run(self.flow.run(s, d, arr, self.clock.now() + us), us)
         except Fault as f:
             if isinstance(f, Busy):
                 emit(self.log, Events.LOAD_SHED, used=self.request_slots.used)
@@ -280,7 +278,7 @@
                 for s in self.homes.values()
             ),
             "slots_used": self.request_slots.used,
-            "shed": self.request_slots.shed,
+            "shed": self.request_slots.shed_count,
             "sent": self.sent,
             "waits": dict(self.waits),
             "clocks": {g: dict(t.reads.count) for g, t in sorted(self.member_groups.items())},
--- a/src/petrelhaven/proxy/routing/request_slots.py
+++ b/src/petrelhaven/proxy/routing/request_slots.py
@@ -40,14 +40,14 @@
 
 
 class RequestSlots:
-    """Runs continuations; `shed` counts those rejected because all slots were taken."""
+    """Runs continuations; `shed_count` counts those rejected because all slots were taken."""
 
     def __init__(self, clock: Clock, slots: int = _SLOTS) -> None:
         """Makes `slots` empty slots; deadlines are counted on `clock`."""
         self.clock = clock
         self._slots = [_Slot() for _ in range(slots)]
         self._free = list(range(slots - 1, -1, -1))
-        self.shed = 0
+        self.shed_count = 0
         self._limit = slots
 
     @property
@@ -62,8 +62,8 @@
             self._slots.append(_Slot())
             self._free.append(index)
 
-    def enter(
-        self, continuation: Continuation[_Result], horizon_us: int
+    def run(
+        self, continuation: Continuation[_Result], time_limit_us: int
     ) -> asyncio.Future[_Result]:
         """Starts a continuation.
 
@@ -78,7 +78,7 @@
             Busy: All slots are taken.
         """
         if not self._free or self.used >= self._limit:
-            self.shed += 1
+            self.shed_count += 1
             continuation.close()
             raise Busy("every slot is taken")
         index = self._free.pop()
@@ -86,7 +86,7 @@
         outcome: asyncio.Future[_Result] = asyncio.get_running_loop().create_future()
         slot.continuation, slot.outcome = continuation, outcome
         generation = slot.generation
-        slot.timer = self.clock.later(horizon_us, lambda: self._expire(index, generation))
+        slot.timer = self.clock.later(time_limit_us, lambda: self._expire(index, generation))
         self._resume(index, generation, None, None)
         return outcome
 
