--- a/src/petrelhaven/proxy/routing/base.py
+++ b/src/petrelhaven/proxy/routing/base.py
@@ -50,9 +50,9 @@
 
     tenant: Tenant
     route: Route
-    end: int
+    deadline: int
     permit: int | None
-    runs: int
+    possible_runs: int
 
 
 class Admission(Protocol):
--- a/src/petrelhaven/proxy/routing/member_calls.py
+++ b/src/petrelhaven/proxy/routing/member_calls.py
@@ -151,12 +151,12 @@
 
     def _count_run(self, request: Request) -> None:
         self._proxy.admission.note_sent(request)
-        request.runs += 1
+        request.possible_runs += 1
 
     @staticmethod
     def _note_not_run(request: Request, reply: Reply) -> None:
         if reply.code in _NOT_RUN:
-            request.runs -= 1
+            request.possible_runs -= 1
 
     def _stamp(self, attempt: Attempt) -> None:
         attempt.started = self._proxy.logical_clock.next_timestamp()
--- a/src/petrelhaven/proxy/routing/member_proofs.py
+++ b/src/petrelhaven/proxy/routing/member_proofs.py
@@ -54,7 +54,7 @@
     def confirm_commit(
         self, position: Position | None, answered: Member, end: int
     ) -> Continuation[bool]:
-        """Whether a known replica shows `position` by STATUS within a short bound or by `end`.
+        """Whether a known replica shows `position` by STATUS within a short bound or by `deadline`.
 
         The nearest is asked first, all others a little later; the first that shows it is enough. A
         log of a later term does not show it: what an earlier primary wrote last may lack there.
--- a/src/petrelhaven/proxy/routing/read_path.py
+++ b/src/petrelhaven/proxy/routing/read_path.py
@@ -47,7 +47,7 @@
         """Starts a read that arrived at the order point `arrival`."""
         self.request = request
         self.arrival = arrival
-        self.since = request.oldest_fetch(now)
+        self.since = request.oldest_usable_fetch(now)
         self.hedge_us = max(_HEDGE_LEAST_US, int(request.route.aim_us * _HEDGE_SHARE))
         self.excluded: set[str] = set()
         self.leadership: tuple[int, str] | None = None
@@ -87,7 +87,7 @@
 
     def _until_answered(self, state: _ReadState) -> Continuation[Reply]:
         while True:
-            state.left_us = state.request.end - self._clock.now()
+            state.left_us = state.request.deadline - self._clock.now()
             if state.left_us <= 0:
                 return self._proxy.out_of_time(bool(state.running))
             reply = yield from self._round(state)
@@ -108,7 +108,7 @@
             member = group.pick_member(state.position, state.excluded)
             if member is not None and self._joins_log_wait(state, member):
                 self._proxy.count["joined_log"] += 1
-                yield from self._placement.joined(member, state.position, state.request.end)
+                yield from self._placement.joined(member, state.position, state.request.deadline)
                 return None
             if member is not None:
                 attempt = Attempt(member, state.leadership)
@@ -146,7 +146,7 @@
         return self._placement.is_behind(member, position)
 
     def _launch(self, state: _ReadState, attempt: Attempt) -> None:
-        limit_us = max(state.request.end - self._clock.now(), _LEAST_LIMIT_US)
+        limit_us = max(state.request.deadline - self._clock.now(), _LEAST_LIMIT_US)
         after = None if attempt.fetch else state.position
         attempt.task = self._proxy.tasks.spawn(  # type: ignore[assignment]  # the node runs
             self._calls.send(state.request, attempt, after, limit_us)
@@ -167,7 +167,9 @@
             state.excluded.add(member.name)
             self._proxy.count["hedged"] += 1
             return True
-        yield wait_for_first(self._clock, [running[0].task], state.request.end - self._clock.now())
+        yield wait_for_first(
+            self._clock, [running[0].task], state.request.deadline - self._clock.now()
+        )
         return False
 
     def _collect(self, state: _ReadState) -> Continuation[Reply | None]:
@@ -197,6 +199,8 @@
             return
         member = attempt.member
         if not (
-            yield from self._placement.wait_after_lagging(member, state.position, state.request.end)
+            yield from self._placement.wait_after_lagging(
+                member, state.position, state.request.deadline
+            )
         ):
             state.excluded.add(member.name)
--- a/src/petrelhaven/proxy/routing/request.py
+++ b/src/petrelhaven/proxy/routing/request.py
@@ -37,12 +37,12 @@
     statement: Statement
     route: Route
     group: MemberGroup
-    end: int
+    deadline: int
     tenant: Tenant = NOBODY
     permit: int | None = None
-    runs: int = 0
+    possible_runs: int = 0
 
-    def oldest_fetch(self, now: int) -> int | None:
+    def oldest_usable_fetch(self, now: int) -> int | None:
         """The earliest start of a fetch that a browsing read may use; None for a strong read."""
         if not self.route.browsing:
             return None
--- a/src/petrelhaven/proxy/routing/transaction_path.py
+++ b/src/petrelhaven/proxy/routing/transaction_path.py
@@ -65,7 +65,7 @@
                 return self._connection_lost(request)
             if reply.ok:
                 return (yield from self._finish(request, attempt, reply))
-            left_us = request.end - self._clock.now()
+            left_us = request.deadline - self._clock.now()
             if not self._may_repeat(reply) or left_us <= pause_us:
                 return self._failed(request, reply)
             if reply.code == "unprepared":
@@ -128,7 +128,7 @@
 
     def _limit_us(self, request: Request) -> int:
         """How long one statement may take; a COMMIT has all the time that is left."""
-        left_us = request.end - self._clock.now()
+        left_us = request.deadline - self._clock.now()
         if left_us <= 0 or request.statement.verb == "commit":
             return left_us
         return min(left_us, max(_STATEMENT_LEAST_US, request.route.aim_us * 6 // 10))
@@ -177,7 +177,9 @@
         wrote = request.statement.verb == "commit" and transaction.wrote
         group = transaction.group
         if wrote and group.proofs.needs_replica_confirmation(attempt.member, reply.pos):
-            shown = yield from group.proofs.confirm_commit(reply.pos, attempt.member, request.end)
+            shown = yield from group.proofs.confirm_commit(
+                reply.pos, attempt.member, request.deadline
+            )
             if not shown:
                 return self._connection_lost(request)
         return self._succeeded(request, attempt, reply)
--- a/src/petrelhaven/proxy/routing/transaction_start.py
+++ b/src/petrelhaven/proxy/routing/transaction_start.py
@@ -49,7 +49,7 @@
         """Starts the begin of `transaction`."""
         self.request = request
         self.transaction = transaction
-        self.since = request.oldest_fetch(transaction.started_us)
+        self.since = request.oldest_usable_fetch(transaction.started_us)
         self.excluded: set[str] = set()
         self.leadership: tuple[int, str] | None = None
         self.position: Position | None = None
@@ -78,7 +78,7 @@
         state = _StartState(request, transaction)
         group = request.group
         while True:
-            state.left_us = request.end - self._clock.now()
+            state.left_us = request.deadline - self._clock.now()
             if state.left_us <= 0 or self._primary_is_lost(state):
                 return self._proxy.retry_after()
             if state.leadership != group.leadership_key:
@@ -112,7 +112,7 @@
         request = state.request
         if state.transaction.reads or request.group.available_primary() is not None:
             return False
-        return request.group.primary_is_lost(request.route, request.end)
+        return request.group.primary_is_lost(request.route, request.deadline)
 
     def _begin(self, state: _StartState, attempt: Attempt) -> Coroutine[Any, Any, Reply]:
         after = None if attempt.fetch else state.position
@@ -139,7 +139,7 @@
             yield wait_for_first(self._clock, (), state.next_pause_us(_BUSY_PAUSE_MOST_US))
             return None
         if self._placement.is_behind(member, state.position):
-            yield from self._placement.joined(member, state.position, state.request.end)
+            yield from self._placement.joined(member, state.position, state.request.deadline)
             return None
         return Attempt(member, state.leadership)
 
@@ -181,7 +181,7 @@
             self._proxy.count["lagging"] += 1
             if not (
                 yield from self._placement.wait_after_lagging(
-                    member, state.position, state.request.end
+                    member, state.position, state.request.deadline
                 )
             ):
                 state.excluded.add(member.name)
--- a/src/petrelhaven/proxy/routing/write_path.py
+++ b/src/petrelhaven/proxy/routing/write_path.py
@@ -42,12 +42,12 @@
         group = request.group
         pause_us = _FIRST_PAUSE_US
         while True:
-            left_us = request.end - self._clock.now()
+            left_us = request.deadline - self._clock.now()
             if left_us <= 0:
                 return self._proxy.out_of_time()
             member = group.available_primary()
             if member is None:
-                if group.primary_is_lost(request.route, request.end):
+                if group.primary_is_lost(request.route, request.deadline):
                     return self._proxy.out_of_time()
                 yield wait_for_first(
                     self._clock, [group.next_leadership_change()], min(left_us, _LEADERSHIP_WAIT_US)
@@ -72,7 +72,9 @@
         """The member's final reply, or `unsure` for a success that no replica known here shows."""
         group = request.group
         if reply.ok and group.proofs.needs_replica_confirmation(attempt.member, reply.pos):
-            shown = yield from group.proofs.confirm_commit(reply.pos, attempt.member, request.end)
+            shown = yield from group.proofs.confirm_commit(
+                reply.pos, attempt.member, request.deadline
+            )
             if not shown:
                 self._proxy.count["unsure"] += 1
                 emit(self._proxy.log, Events.STATEMENT_OUTCOME_UNKNOWN, member=attempt.member.name)
--- a/src/petrelhaven/proxy/tenants/admission.py
+++ b/src/petrelhaven/proxy/tenants/admission.py
@@ -70,7 +70,7 @@
             self.waiting.popleft().set_result(_Outcome(permit))
             count -= 1
 
-    def end(self, retry_us: int | None) -> None:
+    def deadline(self, retry_us: int | None) -> None:
         """Sends all that wait away, or lets them run if there is no limit any more (None)."""
         for waiter in self.waiting:
             if not waiter.done():
@@ -109,9 +109,9 @@
         self._ask_soon()
         try:
             patience_us = request.route.aim_us // _PATIENCE_SHARE
-            yield wait_for_first(self._clock, [waiter], min(patience_us, request.end - now))
+            yield wait_for_first(self._clock, [waiter], min(patience_us, request.deadline - now))
             if not waiter.done() and not line.is_unanswered:
-                end = min(request.end, now + max(request.route.aim_us, _LEAST_WAIT_US))
+                end = min(request.deadline, now + max(request.route.aim_us, _LEAST_WAIT_US))
                 yield wait_for_first(self._clock, [waiter], end - self._clock.now())
         finally:
             if not waiter.done():
@@ -134,7 +134,7 @@
         permit, request.permit = request.permit, None
         if permit is not None:
             line.holding.use(permit, self._clock.now())
-        elif request.runs:
+        elif request.possible_runs:
             line.holding.charge(self._clock.now())
 
     def put_back(self, request: AdmittedRequest) -> None:
--- a/tests/limits_world.py
+++ b/tests/limits_world.py
@@ -299,7 +299,7 @@
                 await self.clock.sleep(world.rng.randrange(_DEADLINE_US))
             if world.rng.random() >= world.put_back_share:
                 self.admission.note_sent(request)
-                request.runs += 1
+                request.possible_runs += 1
                 admissions.admitted(tenant.name, world.now())
         finally:
             self.admission.put_back(request)
--- a/tests/test_member_model.py
+++ b/tests/test_member_model.py
@@ -309,7 +309,7 @@
     """A reply goes to the first who still waits, not to whose turn it is."""
     real = LineMemberConnection._end
 
-    def end(self, r):
+    def deadline(self, r):
         while len(self._awaited) > 1 and self._awaited[0].future.done():
             self._awaited.popleft()
         real(self, r)
@@ -330,7 +330,7 @@
 
     def run(self, request):
         reply = yield from real(self, request)
-        if reply.code == "unsure" and self._clock.now() < request.end:
+        if reply.code == "unsure" and self._clock.now() < request.deadline:
             reply = yield from real(self, request)
         return reply
 
