--- a/src/petrelhaven/proxy/node.py
+++ b/src/petrelhaven/proxy/node.py
@@ -284,7 +284,7 @@
         if session.counted_in is not None:
             session.counted_in.strong_sessions -= 1
         if not session.busy:
-            self._path.transactions.release(session)
+            self._path.transactions.release_transaction(session)
         session.close()
 
     async def serve_one(self, session: ClientSession, statement: Statement) -> Reply:
@@ -300,9 +300,9 @@
             session.busy = False
             session.idle_since = self.clock.now()
             if session.state == ENDED:
-                self._path.transactions.release(session)
+                self._path.transactions.release_transaction(session)
         if session.transaction is not None:
-            self._path.transactions.watch_idle(session, session.transaction)
+            self._path.transactions.watch_idle_transaction(session, session.transaction)
         return reply
 
     async def _run_routed(self, session: ClientSession, statement: Statement) -> Reply:
@@ -320,9 +320,9 @@
             return self._deny(request)
         if self._has_moved(session, tenant):
             text = "another tenant has this key now"
-            return self._path.transactions.abort(request, text)
+            return self._path.transactions.abort_transaction(request, text)
         if tenant is not NOBODY and not self._keys_are_certain():
-            return self._path.transactions.refuse(request, self.retry_after())
+            return self._path.transactions.refuse_statement(request, self.retry_after())
         self._follow_tenant(session, tenant)
         if self.embargo is not None:
             refusal = self.embargo.refusal(session, statement, group.name)
@@ -348,7 +348,7 @@
         self.count["denied"] += 1
         text = "no tenant has this key any more"
         if request.session.transaction is not None:
-            return self._path.transactions.abort(request, text, "withheld")
+            return self._path.transactions.abort_transaction(request, text, "withheld")
         return Reply(code="withheld", text=text, state=request.session.mark)
 
     @staticmethod
--- a/src/petrelhaven/proxy/routing/transaction_path.py
+++ b/src/petrelhaven/proxy/routing/transaction_path.py
@@ -44,12 +44,12 @@
         if transaction.connection is None:
             why = yield from self._begin(request, transaction)
             if why is not None:
-                return self.abort(request, why)
+                return self.abort_transaction(request, why)
         pause_us = _FIRST_PAUSE_US
         while True:
             limit_us = self._limit_us(request)
             if limit_us <= 0:
-                return self.abort(request, self._proxy.retry_after())
+                return self.abort_transaction(request, self._proxy.retry_after())
             connection: MemberConnection = transaction.connection  # type: ignore[assignment]  # one is open
             attempt = Attempt(transaction.member, transaction.group.leadership_key)
             attempt.started = self._proxy.logical_clock.next_timestamp()
@@ -87,7 +87,7 @@
         finally:
             self._proxy.admission.put_back(request)
 
-    def release(self, session: ClientSession, number: str | None = None) -> None:
+    def release_transaction(self, session: ClientSession, number: str | None = None) -> None:
         """Ends a session's transaction: by its ROLLBACK `number`, else with the connection."""
         transaction, session.transaction = session.transaction, None
         if transaction is None or transaction.connection is None:
@@ -102,7 +102,7 @@
             transaction.group.roll_back_connection(connection, transaction.member, number)
         )
 
-    def watch_idle(self, session: ClientSession, transaction: Transaction) -> None:
+    def watch_idle_transaction(self, session: ClientSession, transaction: Transaction) -> None:
         """Ends a transaction that is idle too long.
 
         Its connection is closed at once; its client learns of it at its next statement.
@@ -202,23 +202,23 @@
                 request.group.name, transaction.member.name, NOT_PRIMARY
             )
         if request.statement.verb == "commit":
-            self.release(session)
+            self.release_transaction(session)
             session.settle()
         else:
             session.fail()
         reply.state = session.mark
         return reply
 
-    def refuse(self, request: Request, why: str) -> Reply:
+    def refuse_statement(self, request: Request, why: str) -> Reply:
         """The reply to a statement that may not run now, inside a transaction or not."""
         if request.session.transaction is not None:
-            return self.abort(request, why)
+            return self.abort_transaction(request, why)
         return Reply(code="busy", text=why, state=request.session.mark)
 
-    def abort(self, request: Request, why: str, code: str = "aborted") -> Reply:
+    def abort_transaction(self, request: Request, why: str, code: str = "aborted") -> Reply:
         """Ends the transaction: nothing was committed and nothing will be."""
         session = request.session
-        self.release(session)
+        self.release_transaction(session)
         if request.statement.verb == "commit":
             session.settle()
         else:
--- a/src/petrelhaven/proxy/session/immediate_reply.py
+++ b/src/petrelhaven/proxy/session/immediate_reply.py
@@ -26,7 +26,7 @@
     verb = statement.verb
     if verb == "rollback":
         if session.state != IDLE:
-            transactions.release(session, statement.num)
+            transactions.release_transaction(session, statement.num)
             session.settle()
         return Reply()
     if session.state == FAILED:
@@ -44,7 +44,7 @@
 ) -> Reply:
     if verb != "commit":
         return Reply(code="malformed", text="the transaction has failed; end it", state="E")
-    transactions.release(session)
+    transactions.release_transaction(session)
     session.settle()
     return Reply(code="aborted", text="the transaction had failed; nothing of it is kept")
 
