--- a/src/petrelhaven/proxy/pool/connection_pool.py
+++ b/src/petrelhaven/proxy/pool/connection_pool.py
@@ -123,7 +123,7 @@
         for connection in reversed(self.idle):
             if connection.tenant != session.tenant:
                 continue
-            cost = FITS if connection.owner is session else connection.set_up_cost(session)
+            cost = FITS if connection.last_session is session else connection.set_up_cost(session)
             if cost < best_cost:
                 best, best_cost = connection, cost
                 if cost == FITS:
@@ -221,7 +221,7 @@
         One that still waits for replies is closed, for nobody knows its state.
         """
         self.busy.discard(connection)
-        unusable = connection.lost or connection.due
+        unusable = connection.lost or connection.pending_replies
         if unusable or self.closed or self.total >= self.max_size:
             connection.close()
         else:
--- a/src/petrelhaven/proxy/pool/member_connection.py
+++ b/src/petrelhaven/proxy/pool/member_connection.py
@@ -73,18 +73,18 @@
         on_lost: Called once with the connection when it is closed.
     """
 
-    due = 0
+    pending_replies = 0
 
     def __init__(self) -> None:
         """A connection on which nothing is set up."""
         self.tenant = ""
         self.values: dict[str, str] = {}
-        self.shapes: dict[str, str] = {}
-        self.owner: SessionValues | None = None
+        self.prepared_names: dict[str, str] = {}
+        self.last_session: SessionValues | None = None
         self.lost = self.needs_reset = False
         self.on_lost: Callable[[Any], None] | None = None
 
-    def ask(
+    def send_statement(
         self, statement: Statement, after: Position | None = None, alias: str | None = None
     ) -> asyncio.Future[Reply]:
         """Sends a client's statement.
@@ -99,7 +99,7 @@
         """
         raise NotImplementedError
 
-    def plain(
+    def send_session_statement(
         self, verb: str, args: Sequence[Any] = (), number: str = _OWN_NUMBER
     ) -> asyncio.Future[Reply]:
         """Sends a statement again under its client's number, or one of the proxy's own."""
@@ -119,7 +119,7 @@
             return OTHER_VALUES
         values = session.values
         if self.values == values:
-            fits = all(shape in self.shapes for shape in session.prepared.values())
+            fits = all(shape in self.prepared_names for shape in session.prepared.values())
             return FITS if fits else LACKS_PREPARED
         return LACKS_VALUES if self.values.keys() <= values.keys() else OTHER_VALUES
 
@@ -136,10 +136,10 @@
         if (
             self.needs_reset
             or not self.values.keys() <= session.values.keys()
-            or len(self.shapes) > _PREPARED_MOST
+            or len(self.prepared_names) > _PREPARED_MOST
         ):
             needed.append(SetUpStatement("reset", (), _OWN_NUMBER))
-            self.values, self.shapes, self.needs_reset = {}, {}, False
+            self.values, self.prepared_names, self.needs_reset = {}, {}, False
         for name, value in session.values.items():
             if self.values.get(name) != value:
                 number = session.statement_numbers[name]
@@ -148,16 +148,16 @@
         if statement is not None and statement.verb == "execute":
             alias = self._prepare(session, statement.name, needed)
         self.values = dict(session.values)
-        self.owner = session
+        self.last_session = session
         return needed, alias
 
     def _prepare(self, session: SessionValues, name: str, needed: list[SetUpStatement]) -> str:
         """The name here of the session's prepared statement; adds its PREPARE if it has none."""
         shape = session.prepared[name]
-        alias = self.shapes.get(shape)
+        alias = self.prepared_names.get(shape)
         if alias is None:
-            alias = f"p{len(self.shapes) + 1}"
-            self.shapes[shape] = alias
+            alias = f"p{len(self.prepared_names) + 1}"
+            self.prepared_names[shape] = alias
             number = session.statement_numbers["", name]
             needed.append(SetUpStatement("prepare", (alias, shape), number))
         return alias
--- a/src/petrelhaven/proxy/routing/__init__.py
+++ b/src/petrelhaven/proxy/routing/__init__.py
@@ -11,7 +11,7 @@
    `reads/read_clock`); `MemberGroup.pick_member` names the member. Writes go to
    `MemberGroup.available_primary`.
 6. `MemberCalls.send` takes a connection (`ConnectionPool.acquire`), sets it up
-   (`MemberConnection.set_up`), checks the lease for a carried fetch, and sends (`ask`).
+   (`MemberConnection.set_up`), checks the lease for a carried fetch, and sends (`send_statement`).
 7. The reply comes back the same way: `MemberCalls.outcome` notes what it shows of the member;
    a write's success may need a replica's proof first (`MemberProofs.needs_replica_confirmation`).
 
--- a/src/petrelhaven/proxy/routing/group.py
+++ b/src/petrelhaven/proxy/routing/group.py
@@ -338,7 +338,9 @@
         It goes back to the pool if that works in time.
         """
         try:
-            reply = await self._clock.limit(connection.plain("rollback", (), number), _ROLLBACK_US)
+            reply = await self._clock.limit(
+                connection.send_session_statement("rollback", (), number), _ROLLBACK_US
+            )
             clean = reply.state == "I"
         except Fault:
             clean = False
--- a/src/petrelhaven/proxy/routing/member_calls.py
+++ b/src/petrelhaven/proxy/routing/member_calls.py
@@ -80,7 +80,7 @@
             member.in_flight += 1
             try:
                 reply = await self._clock.limit(
-                    connection.ask(request.statement, after, alias), limit_us
+                    connection.send_statement(request.statement, after, alias), limit_us
                 )
             finally:
                 member.in_flight -= 1
@@ -99,7 +99,7 @@
     ) -> Reply:
         """The member's reply to a statement inside the transaction that has `connection`."""
         alias, _ = await self._set_up(connection, session, statement)
-        return await connection.ask(statement, None, alias)
+        return await connection.send_statement(statement, None, alias)
 
     async def begin(
         self,
@@ -184,7 +184,10 @@
         needed, alias = connection.set_up(session, statement)
         if not needed and not more:
             return alias, ()
-        sent = [connection.plain(verb, args, number) for verb, args, number in [*needed, *more]]
+        sent = [
+            connection.send_session_statement(verb, args, number)
+            for verb, args, number in [*needed, *more]
+        ]
         replies = [
             await self._clock.limit(future, _CONNECTION_WAIT_US, keep=True) for future in sent
         ]
--- a/src/petrelhaven/proxy/routing/transaction_path.py
+++ b/src/petrelhaven/proxy/routing/transaction_path.py
@@ -69,7 +69,7 @@
             if not self._may_repeat(reply) or left_us <= pause_us:
                 return self._failed(request, reply)
             if reply.code == "unprepared":
-                connection.shapes.clear()
+                connection.prepared_names.clear()
             self._proxy.count[reply.code] += 1  # type: ignore[index]  # it is not ok
             yield wait_for_first(self._clock, (), pause_us)
             pause_us *= 2
--- a/src/petrelhaven/simulator/connection_sessions/member_connection.py
+++ b/src/petrelhaven/simulator/connection_sessions/member_connection.py
@@ -29,7 +29,7 @@
         return f
 
     @property
-    def due(self):
+    def pending_replies(self):
         """How many statements still wait for their reply."""
         return len(self._wait)
 
@@ -37,12 +37,12 @@
         """Introduces this connection, which is for statements of `tenant`."""
         return self._order(Order("-", "connect", (group, member, tenant)), "connect")
 
-    def ask(self, a, after=None, alias=None):
+    def send_statement(self, a, after=None, alias=None):
         """A future of the Reply to a client's statement."""
         args, text = ((), a.text) if alias is None else ((alias,), a.data)
         return self._order(Order(a.num, a.verb, args, text, after), "ask")
 
-    def plain(self, verb, args=(), num="-"):
+    def send_session_statement(self, verb, args=(), num="-"):
         """A future of the Reply to a statement said again under its client's number, or of the system's own."""
         return self._order(Order(num, verb, args), "plain")
 
--- a/tests/embargo_world.py
+++ b/tests/embargo_world.py
@@ -207,7 +207,7 @@
                 f.set_exception(Unreachable("connection lost"))
                 f.exception()
 
-    def ask(self, a, after=None, alias=None):
+    def send_statement(self, a, after=None, alias=None):
         text = a.text if alias is None else f"EXECUTE {alias} {a.data}"
         return self._say(lambda: self.dst.node.run(self, text, after))
 
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -524,7 +524,7 @@
         _, member_connection = await asyncio.get_running_loop().create_connection(
             LineMemberConnection, host, int(port)
         )
-        member_connection.plain("set", ("a", BIG))
+        member_connection.send_session_statement("set", ("a", BIG))
         member_connection.close()
         assert await server.hears() < len(BIG)
 
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -146,7 +146,7 @@
         a, b = LoadClient({"n": "1"}), LoadClient({"n": "2"})
         ca, cb = await s.acquire(a), await s.acquire(b)
         for v, c in ((a, ca), (b, cb)):
-            c.values, c.owner = dict(v.values), v
+            c.values, c.last_session = dict(v.values), v
             s.release(c)
         assert await s.acquire(a) is ca and await s.acquire(b) is cb
 
--- a/tests/test_connection_sessions_storm.py
+++ b/tests/test_connection_sessions_storm.py
@@ -235,7 +235,7 @@
 
 def rolled_forward(mp):
     async def settle(self, conn, b, num):
-        await conn.plain("commit", (), num)
+        await conn.send_session_statement("commit", (), num)
         b.pool.discard(conn)
 
     mp.setattr(group.MemberGroup, "settle", settle)
--- a/tests/test_member_model.py
+++ b/tests/test_member_model.py
@@ -292,8 +292,8 @@
         for b in door.proxy.groups.values():
             for p in b.members.values():
                 for c in p.pool.idle:
-                    if c.due or c.lost:
-                        member.bad.append(("idle with replies due", c.due, c.lost))
+                    if c.pending_replies or c.lost:
+                        member.bad.append(("idle with replies due", c.pending_replies, c.lost))
         return member.bad
 
     return virtual(go)
--- a/tests/test_platform_lines.py
+++ b/tests/test_platform_lines.py
@@ -94,12 +94,12 @@
         self.open_ = None
         return self.m.reply()
 
-    def ask(self, a, after=None, alias=None):
+    def send_statement(self, a, after=None, alias=None):
         text = a.text if alias is None else f"EXECUTE {alias} {a.data}"
         self.m.ran.append((a.num, a.text))
         return self._run(text)
 
-    def plain(self, verb, args=(), num="-"):
+    def send_session_statement(self, verb, args=(), num="-"):
         if verb == "begin":
             self.open_ = {}
             return self.m.reply(state="T")
@@ -837,7 +837,7 @@
 def test_replies_of_a_member_are_those_asked_for_in_whatever_pieces(all_rows, rng):
     async def go():
         c = member_connection()
-        fs = [c.ask(ASK) for _ in all_rows]
+        fs = [c.send_statement(ASK) for _ in all_rows]
         raw = b"".join(
             b"".join(b"ROW %s\r\n" % r for r in rows) + b"COMPLETE s%d\r\nREADY I 3.%d\r\n" % (i, i)
             for i, rows in enumerate(all_rows)
@@ -870,11 +870,11 @@
 def test_a_reply_out_of_order_is_no_reply(raw):
     async def go():
         c = member_connection()
-        f = c.ask(ASK)
+        f = c.send_statement(ASK)
         c.data_received(raw)
         assert c.lost and c.drops == [c] and c._transport.closed
         assert isinstance(f.exception(), Unreachable)
-        assert isinstance(c.ask(ASK).exception(), Unreachable)
+        assert isinstance(c.send_statement(ASK).exception(), Unreachable)
 
     run(go)
 
@@ -885,7 +885,7 @@
 def test_a_member_that_answers_nothing_asked_is_left(raw):
     async def go():
         c = member_connection()
-        f = c.ask(ASK)
+        f = c.send_statement(ASK)
         c.data_received(b"COMPLETE s\r\nREADY I 3.1\r\n" + raw)
         assert f.result().ok and f.result().rows == [] and c.lost
 
@@ -897,7 +897,7 @@
 def test_whatever_a_member_says_ends_as_a_reply_or_a_typed_fault(raw, ends):
     async def go():
         c = member_connection()
-        fs = [c.connect("g", "m", "me"), c.own("status"), c.ask(ASK)]
+        fs = [c.connect("g", "m", "me"), c.own("status"), c.send_statement(ASK)]
         c.data_received(raw + b"\r\n" * ends)
         c.connection_lost(None)
         for f in fs:
@@ -925,7 +925,7 @@
 def test_an_answer_that_nobody_waits_for_any_more_is_not_given_to_the_next():
     async def go():
         c = member_connection()
-        a, b = c.ask(ASK), c.ask(ASK)
+        a, b = c.send_statement(ASK), c.send_statement(ASK)
         a.cancel()
         c.data_received(
             b"ROW old\r\nCOMPLETE s\r\nREADY I 3.1\r\nROW new\r\nCOMPLETE t\r\nREADY I 3.2\r\n"
