--- a/src/petrelhaven/proxy/node.py
+++ b/src/petrelhaven/proxy/node.py
@@ -389,7 +389,7 @@
             us=took_us,
             note=reply.text,
             session=id(request.session) & _SESSION_ID_BITS,
-            pools=",".join(f"{n[-4:]}:{m.pool.saturation()}" for n, m in group.members.items()),
+            pools=",".join(f"{n[-4:]}:{m.pool.usage_summary()}" for n, m in group.members.items()),
             sessions=group.strong_sessions,
         )
 
--- a/src/petrelhaven/proxy/pool/connection_pool.py
+++ b/src/petrelhaven/proxy/pool/connection_pool.py
@@ -78,7 +78,7 @@
             return self.max_size
         return max(1, min(self.max_size, self._full_at))
 
-    def saturation(self) -> str:
+    def usage_summary(self) -> str:
         """Idle, busy, opening and waiting, as one field for a log."""
         return f"{len(self.idle)}/{len(self.busy)}/{self._opening}/{len(self._waiting)}"
 
@@ -115,7 +115,7 @@
 
     def _waiting_count(self, tenant: str) -> int:
         """How many of a tenant's sessions wait; those that gave up do not count."""
-        return sum(not waiter.done() for waiter in self._waiting.of(tenant))
+        return sum(not waiter.done() for waiter in self._waiting.items_of(tenant))
 
     def _cheapest(self, session: SessionValues) -> tuple[MemberConnection | None, int]:
         """The tenant's idle connection that needs the least set-up, and its cost."""
@@ -173,7 +173,7 @@
                 self.clock.later(_FULL_US, self._forget_full)
             self._full_at = self.total
             if self.total and not waiter.done():
-                self._waiting.append_first(tenant, waiter)
+                self._waiting.prepend(tenant, waiter)
                 self._serve_waiting()
                 return
         if not waiter.done():
@@ -194,7 +194,7 @@
     def _serve_waiting(self) -> None:
         """Serves who waits, tenants in turn, as far as connections are idle or may be opened."""
         while self._waiting:
-            tenant, waiter = self._waiting.first()
+            tenant, waiter = self._waiting.peek()
             if waiter.done():
                 self._waiting.pop_first()
                 continue
--- a/src/petrelhaven/proxy/pool/fair_queue.py
+++ b/src/petrelhaven/proxy/pool/fair_queue.py
@@ -27,7 +27,7 @@
         """How many items wait."""
         return self._length
 
-    def of(self, tenant: str) -> Iterable[_Item]:
+    def items_of(self, tenant: str) -> Iterable[_Item]:
         """The items of a tenant, in their order."""
         return self._by_tenant.get(tenant, ())
 
@@ -36,13 +36,13 @@
         self._by_tenant.setdefault(tenant, collections.deque()).append(item)
         self._length += 1
 
-    def append_first(self, tenant: str, item: _Item) -> None:
+    def prepend(self, tenant: str, item: _Item) -> None:
         """Puts an item back to the front of the queue."""
         self._by_tenant.setdefault(tenant, collections.deque()).appendleft(item)
         self._by_tenant.move_to_end(tenant, last=False)
         self._length += 1
 
-    def first(self) -> tuple[str, _Item]:
+    def peek(self) -> tuple[str, _Item]:
         """The tenant whose turn it is, and its first item."""
         tenant, items = next(iter(self._by_tenant.items()))
         return tenant, items[0]
