--- a/tests/embargo_world.py
+++ b/tests/embargo_world.py
@@ -113,7 +113,7 @@
             await self.machine.clock.sleep(10_000)
         raise Unreachable("no replica")
 
-    async def plain(self, conn, verb, args):
+    async def send_session_statement(self, conn, verb, args):
         """What the system says for itself or says again."""
         if verb == "begin":
             if args[1] is not None and self.pos < args[1]:
@@ -211,8 +211,8 @@
         text = a.text if alias is None else f"EXECUTE {alias} {a.data}"
         return self._say(lambda: self.dst.node.run(self, text, after))
 
-    def plain(self, verb, args=(), num="-"):
-        return self._say(lambda: self.dst.node.plain(self, verb, args))
+    def send_session_statement(self, verb, args=(), num="-"):
+        return self._say(lambda: self.dst.node.send_session_statement(self, verb, args))
 
     def own(self, verb, *args):
         return self._say(lambda: self.dst.node.own(verb, args))
--- a/tests/test_connection_sessions_storm.py
+++ b/tests/test_connection_sessions_storm.py
@@ -234,11 +234,11 @@
 
 
 def rolled_forward(mp):
-    async def settle(self, conn, b, num):
+    async def roll_back_connection(self, conn, b, num):
         await conn.send_session_statement("commit", (), num)
         b.pool.discard(conn)
 
-    mp.setattr(group.MemberGroup, "settle", settle)
+    mp.setattr(group.MemberGroup, "roll_back_connection", roll_back_connection)
 
 
 def rows_of_another(mp):
@@ -265,7 +265,7 @@
 def stops_ignored(mp):
     real = group.MemberGroup.apply_control_state
 
-    def apply_control_state(self, control_state, fresh):
+    def apply(self, control_state, fresh):
         real(self, control_state, fresh)
         for b in self.members.values():
             b.closed_to_new_at = None
--- a/tests/test_member_model.py
+++ b/tests/test_member_model.py
@@ -315,12 +315,12 @@
         real(self, r)
 
     mp.setattr(LineMemberConnection, "_end", end)
-    mp.setattr(LineMemberConnection, "due", 0)
+    mp.setattr(LineMemberConnection, "pending_replies", 0)
     mp.setattr(ConnectionPool, "discard", lambda self, c: self.release(c))
 
 
 def given_back_with_replies_due(mp):
-    mp.setattr(LineMemberConnection, "due", 0)
+    mp.setattr(LineMemberConnection, "pending_replies", 0)
     mp.setattr(ConnectionPool, "discard", lambda self, c: self.release(c))
 
 
