--- a/src/petrelhaven/proxy/embargo.py
+++ b/src/petrelhaven/proxy/embargo.py
@@ -165,7 +165,7 @@
         return bool(self.scope) or len(self.table) > 0
 
     def withholding(self, group: str, things: Collection[str], client: str) -> Withholding | None:
-        """Why a read of `things` is withheld from `client` now, or None."""
+        """Why a read of `record_keys` is withheld from `client` now, or None."""
         if group in self.scope and not self._proxy.core_connection.holds_lease:
             return Withholding("lease")
         now_us = self.time.lowest()
@@ -179,7 +179,7 @@
         """The reply to a read that must not be served now, or None."""
         if statement.writes or statement.verb not in _FILTERED_VERBS:
             return None
-        withheld = self.withholding(group, statement.things, session.client)
+        withheld = self.withholding(group, statement.record_keys, session.client)
         self._log_lease(group)
         if withheld is None:
             return None
@@ -187,7 +187,7 @@
         self._log_withheld(group, session.client, withheld)
         retry_ms = self._retry_ms(withheld.left_us)
         return Reply(
-            code="withheld", text=f"withheld; come back in {retry_ms} ms", state=session.mark
+            code="withheld", text=f"withheld; come back in {retry_ms} ms", state=session.wire_state
         )
 
     def _retry_ms(self, left_us: int) -> int:
--- a/src/petrelhaven/proxy/node.py
+++ b/src/petrelhaven/proxy/node.py
@@ -20,7 +20,7 @@
 from petrelhaven.proxy.routing.route import Route
 from petrelhaven.proxy.routing.statement_path import StatementPath
 from petrelhaven.proxy.session.client_session import ENDED, ClientSession
-from petrelhaven.proxy.session.immediate_reply import reply_at_once
+from petrelhaven.proxy.session.immediate_reply import reply_without_member
 from petrelhaven.proxy.session.statement import Reply, Statement
 from petrelhaven.proxy.tenants.admission import QuotaAdmission
 from petrelhaven.proxy.tenants.directory import NOBODY, Tenant, TenantDirectory
@@ -271,7 +271,7 @@
         session = ClientSession(host, name, digest, tenant.name)
         self.sessions.add(session)
         if route.reads == "strong":
-            session.counted_in = group
+            session.strong_read_group = group
             group.strong_sessions += 1
         self.count["visits"] += 1
         return session
@@ -281,8 +281,8 @@
         if session not in self.sessions:
             return
         self.sessions.discard(session)
-        if session.counted_in is not None:
-            session.counted_in.strong_sessions -= 1
+        if session.strong_read_group is not None:
+            session.strong_read_group.strong_sessions -= 1
         if not session.busy:
             self._path.transactions.release_transaction(session)
         session.close()
@@ -293,7 +293,7 @@
             return Reply(code="aborted", text="the session has ended")
         session.busy = True
         try:
-            reply = reply_at_once(self, self._path.transactions, session, statement)
+            reply = reply_without_member(self, self._path.transactions, session, statement)
             if reply is None:
                 reply = await self._run_routed(session, statement)
         finally:
@@ -311,7 +311,7 @@
         route = transaction.route if transaction is not None else self.routes.get(session.host)
         group = self.groups.get(route.group) if route is not None else None
         if route is None or group is None:
-            return Reply(code="unknown", text="no such database any more", state=session.mark)
+            return Reply(code="unknown", text="no such database any more", state=session.wire_state)
         tenant = self.tenants.identify(session.key_digest, route.public)
         limit_us = route.timeout_us - _SLACK_US
         started = self.clock.now()
@@ -349,7 +349,7 @@
         text = "no tenant has this key any more"
         if request.session.transaction is not None:
             return self._path.transactions.abort_transaction(request, text, "withheld")
-        return Reply(code="withheld", text=text, state=request.session.mark)
+        return Reply(code="withheld", text=text, state=request.session.wire_state)
 
     @staticmethod
     def _has_moved(session: ClientSession, tenant: Tenant) -> bool:
@@ -375,8 +375,8 @@
         except DeadlineExceeded:
             code, text = "timeout", "the statement ran out of time"
         if inside:
-            session.fail()
-        return Reply(code=code, text=text, state=session.mark)
+            session.fail_transaction()
+        return Reply(code=code, text=text, state=session.wire_state)
 
     def _log_not_served(self, request: Request, reply: Reply, took_us: int) -> None:
         group = request.group
--- a/src/petrelhaven/proxy/routing/__init__.py
+++ b/src/petrelhaven/proxy/routing/__init__.py
@@ -2,7 +2,7 @@
 
 1. The members' and clients' protocol is spoken by an adapter (for the platform: the modules
    `client_connection`, `member_connections`). It calls `ProxyNode.serve_one` (`proxy/node`).
-2. `reply_at_once` (`session/immediate_reply`) answers SET, PREPARE, DEALLOC, BEGIN, ROLLBACK.
+2. `reply_without_member` (`session/immediate_reply`) answers SET, PREPARE, DEALLOC, BEGIN, ROLLBACK.
 3. All others: `ProxyNode._run_routed` finds route and group, asks the embargo filter, and makes a
    `Request` of it; `RequestSlots.enter` runs that in a slot, or sheds it.
 4. `StatementPath.run` gives it to `ReadPath`, `WritePath` or `TransactionPath`; a transaction
--- a/src/petrelhaven/proxy/routing/transaction_path.py
+++ b/src/petrelhaven/proxy/routing/transaction_path.py
@@ -159,7 +159,7 @@
             transaction.group.note_position(attempt, reply.pos)
         if commits:
             session.transaction = None
-            session.settle()
+            session.end_transaction()
             connection: MemberConnection = transaction.connection  # type: ignore[assignment]  # one is open
             transaction.connection = None
             if reply.state == "I":
@@ -203,27 +203,27 @@
             )
         if request.statement.verb == "commit":
             self.release_transaction(session)
-            session.settle()
+            session.end_transaction()
         else:
-            session.fail()
-        reply.state = session.mark
+            session.fail_transaction()
+        reply.state = session.wire_state
         return reply
 
     def refuse_statement(self, request: Request, why: str) -> Reply:
         """The reply to a statement that may not run now, inside a transaction or not."""
         if request.session.transaction is not None:
             return self.abort_transaction(request, why)
-        return Reply(code="busy", text=why, state=request.session.mark)
+        return Reply(code="busy", text=why, state=request.session.wire_state)
 
     def abort_transaction(self, request: Request, why: str, code: str = "aborted") -> Reply:
         """Ends the transaction: nothing was committed and nothing will be."""
         session = request.session
         self.release_transaction(session)
         if request.statement.verb == "commit":
-            session.settle()
+            session.end_transaction()
         else:
-            session.fail()
-        return Reply(code=code, text=why, state=session.mark)
+            session.fail_transaction()
+        return Reply(code=code, text=why, state=session.wire_state)
 
     def _connection_lost(self, request: Request) -> Reply:
         """The connection is lost or without answer: it is closed, so that its member rolls back."""
@@ -234,7 +234,7 @@
         transaction.member.pool.discard(connection)
         session.transaction = None
         if request.statement.verb == "commit":
-            session.settle()
+            session.end_transaction()
             if transaction.wrote:
                 self._proxy.count["unsure"] += 1
                 emit(
@@ -244,10 +244,10 @@
                 )
                 return Reply(code="unsure", text="the answer to the commit was lost")
         else:
-            session.fail()
+            session.fail_transaction()
         self._proxy.count["torn"] += 1
         return Reply(
             code="aborted",
             text="the member's answer was lost; nothing of this is kept",
-            state=session.mark,
+            state=session.wire_state,
         )
--- a/src/petrelhaven/proxy/session/client_session.py
+++ b/src/petrelhaven/proxy/session/client_session.py
@@ -114,14 +114,14 @@
         auto_transitions=False,
         transitions=[
             {"trigger": "begin", "source": IDLE, "dest": IN_TRANSACTION},
-            {"trigger": "settle", "source": [IN_TRANSACTION, FAILED], "dest": IDLE},
+            {"trigger": "end_transaction", "source": [IN_TRANSACTION, FAILED], "dest": IDLE},
             {"trigger": "fail", "source": [IN_TRANSACTION, FAILED], "dest": FAILED},
-            {"trigger": "settle", "source": ENDED, "dest": "="},
+            {"trigger": "end_transaction", "source": ENDED, "dest": "="},
             {"trigger": "fail", "source": ENDED, "dest": "="},
             {"trigger": "end", "source": [IDLE, IN_TRANSACTION, FAILED], "dest": ENDED},
         ],
     )
-    MARK = {IDLE: "I", IN_TRANSACTION: "T", FAILED: "E", ENDED: "I"}
+    WIRE_STATES = {IDLE: "I", IN_TRANSACTION: "T", FAILED: "E", ENDED: "I"}
     """The states as the wire shows them."""
 
     if TYPE_CHECKING:  # what the machine adds to each session
@@ -129,10 +129,10 @@
         def begin(self) -> bool:
             """A transaction is opened."""
 
-        def settle(self) -> bool:
+        def end_transaction(self) -> bool:
             """The transaction has ended."""
 
-        def fail(self) -> bool:
+        def fail_transaction(self) -> bool:
             """A statement in the transaction has failed."""
 
         def end(self) -> bool:
@@ -150,13 +150,13 @@
         self.transaction: Transaction | None = None
         self.busy = False
         self.idle_since = 0
-        self.counted_in: MemberGroup | None = None
+        self.strong_read_group: MemberGroup | None = None
         self._machine.add_model(self)
 
     @property
-    def mark(self) -> str:
+    def wire_state(self) -> str:
         """The state as the wire shows it."""
-        return self.MARK[self.state]
+        return self.WIRE_STATES[self.state]
 
     def close(self) -> None:
         """Ends the session and detaches it from its machine."""
--- a/src/petrelhaven/proxy/session/immediate_reply.py
+++ b/src/petrelhaven/proxy/session/immediate_reply.py
@@ -13,10 +13,10 @@
     from petrelhaven.proxy.session.client_session import ClientSession
     from petrelhaven.proxy.session.statement import Statement
 
-__all__ = ["reply_at_once"]
+__all__ = ["reply_without_member"]
 
 
-def reply_at_once(
+def reply_without_member(
     proxy: ProxyServices,
     transactions: TransactionPath,
     session: ClientSession,
@@ -27,7 +27,7 @@
     if verb == "rollback":
         if session.state != IDLE:
             transactions.release_transaction(session, statement.num)
-            session.settle()
+            session.end_transaction()
         return Reply()
     if session.state == FAILED:
         return _in_failed_transaction(transactions, session, verb)
@@ -35,7 +35,7 @@
         return _begin(proxy, session, statement)
     if verb in ("set", "prepare", "forget"):
         _change_session(session, statement)
-        return Reply(state=session.mark)
+        return Reply(state=session.wire_state)
     return _out_of_place(session, statement)
 
 
@@ -45,15 +45,15 @@
     if verb != "commit":
         return Reply(code="malformed", text="the transaction has failed; end it", state="E")
     transactions.release_transaction(session)
-    session.settle()
+    session.end_transaction()
     return Reply(code="aborted", text="the transaction had failed; nothing of it is kept")
 
 
 def _out_of_place(session: ClientSession, statement: Statement) -> Reply | None:
     if statement.verb == "execute" and statement.name not in session.prepared:
         if session.transaction is not None:
-            session.fail()
-        return Reply(code="unprepared", text="no such prepared name", state=session.mark)
+            session.fail_transaction()
+        return Reply(code="unprepared", text="no such prepared name", state=session.wire_state)
     if statement.verb == "commit" and session.transaction is None:
         return Reply(code="malformed", text="no transaction is open")
     return None
@@ -61,7 +61,7 @@
 
 def _begin(proxy: ProxyServices, session: ClientSession, statement: Statement) -> Reply:
     if session.transaction is not None:
-        return Reply(code="malformed", text="a transaction is open", state=session.mark)
+        return Reply(code="malformed", text="a transaction is open", state=session.wire_state)
     session.begin()
     session.transaction = Transaction(
         statement.num,
@@ -70,7 +70,7 @@
         proxy.clock.now(),
         proxy.routes.get(session.host),
     )
-    return Reply(state=session.mark)
+    return Reply(state=session.wire_state)
 
 
 def _change_session(session: ClientSession, statement: Statement) -> None:
--- a/src/petrelhaven/proxy/session/statement.py
+++ b/src/petrelhaven/proxy/session/statement.py
@@ -46,7 +46,7 @@
         self.data = data
 
     @property
-    def things(self) -> set[str]:
+    def record_keys(self) -> set[str]:
         """The records that a read names, in each way that a member may split its text."""
         words = self.data if self.verb == "execute" else self.text.partition(" ")[2]
         return {words, *words.split()}
