--- a/src/petrelhaven/proxy/routing/base.py
+++ b/src/petrelhaven/proxy/routing/base.py
@@ -99,7 +99,7 @@
     routes: dict[str, Route]
     count: collections.Counter[str]
     drain_us: int
-    empty_us: int
+    evacuation_us: int
 
     @property
     def admission(self) -> Admission:
--- a/src/petrelhaven/proxy/routing/group.py
+++ b/src/petrelhaven/proxy/routing/group.py
@@ -155,7 +155,7 @@
         elif member.closed_to_new_at is None:
             bound_us = min(
                 self._proxy.drain_us if draining else _NEVER_US,
-                self._proxy.empty_us if evacuated else _NEVER_US,
+                self._proxy.evacuation_us if evacuated else _NEVER_US,
             )
             member.closed_to_new_at = self._clock.now() + (0 if fresh else bound_us)
 
--- a/src/petrelhaven/proxy/routing/member_calls.py
+++ b/src/petrelhaven/proxy/routing/member_calls.py
@@ -144,7 +144,7 @@
         fault = task.exception()
         if fault is None:
             reply = task.result()
-            group.note_answer(attempt.member, reply.pos)
+            group.note_answer(attempt.member, reply.position)
             return reply
         note_fault(group, attempt.member, fault)
         return None
@@ -200,8 +200,8 @@
     def _end_fetch(group: MemberGroup, attempt: Attempt, reply: Reply | None) -> None:
         if attempt.fetch is None:
             return
-        if reply is not None and reply.ok and reply.pos:
-            group.read_clock.finish_piggybacked_fetch(attempt.fetch, reply.pos)
+        if reply is not None and reply.ok and reply.position:
+            group.read_clock.finish_piggybacked_fetch(attempt.fetch, reply.position)
         else:
             group.read_clock.fail_piggybacked_fetch(attempt.fetch)
 
--- a/src/petrelhaven/proxy/routing/transaction_path.py
+++ b/src/petrelhaven/proxy/routing/transaction_path.py
@@ -144,7 +144,7 @@
             transaction.group.note_failure(attempt.member, CONNECTION_RESET)
             return None
         reply = task.result()
-        transaction.group.note_answer(attempt.member, reply.pos)
+        transaction.group.note_answer(attempt.member, reply.position)
         return reply
 
     @staticmethod
@@ -155,8 +155,8 @@
         session = request.session
         transaction: Transaction = session.transaction  # type: ignore[assignment]  # one is open
         commits = request.statement.verb == "commit"
-        if self._proves_position(transaction, attempt, commits) and reply.pos:
-            transaction.group.note_position(attempt, reply.pos)
+        if self._proves_position(transaction, attempt, commits) and reply.position:
+            transaction.group.note_position(attempt, reply.position)
         if commits:
             session.transaction = None
             session.end_transaction()
@@ -176,9 +176,9 @@
         transaction: Transaction = request.session.transaction  # type: ignore[assignment]  # one is open
         wrote = request.statement.verb == "commit" and transaction.wrote
         group = transaction.group
-        if wrote and group.proofs.needs_replica_confirmation(attempt.member, reply.pos):
+        if wrote and group.proofs.needs_replica_confirmation(attempt.member, reply.position):
             shown = yield from group.proofs.confirm_commit(
-                reply.pos, attempt.member, request.deadline
+                reply.position, attempt.member, request.deadline
             )
             if not shown:
                 return self._connection_lost(request)
--- a/src/petrelhaven/proxy/routing/transaction_start.py
+++ b/src/petrelhaven/proxy/routing/transaction_start.py
@@ -167,9 +167,9 @@
             yield wait_for_first(self._clock, [group.next_leadership_change()], pause_us)
             return None
         reply = task.result()
-        group.note_answer(attempt.member, reply.pos)
-        if reply.ok and not state.transaction.reads and reply.pos:
-            group.note_position(attempt, reply.pos)
+        group.note_answer(attempt.member, reply.position)
+        if reply.ok and not state.transaction.reads and reply.position:
+            group.note_position(attempt, reply.position)
         return reply
 
     def _declined(
--- a/src/petrelhaven/proxy/routing/write_path.py
+++ b/src/petrelhaven/proxy/routing/write_path.py
@@ -71,16 +71,16 @@
     def _finish(self, request: Request, attempt: Attempt, reply: Reply) -> Continuation[Reply]:
         """The member's final reply, or `unsure` for a success that no replica known here shows."""
         group = request.group
-        if reply.ok and group.proofs.needs_replica_confirmation(attempt.member, reply.pos):
+        if reply.ok and group.proofs.needs_replica_confirmation(attempt.member, reply.position):
             shown = yield from group.proofs.confirm_commit(
-                reply.pos, attempt.member, request.deadline
+                reply.position, attempt.member, request.deadline
             )
             if not shown:
                 self._proxy.count["unsure"] += 1
                 emit(self._proxy.log, Events.STATEMENT_OUTCOME_UNKNOWN, member=attempt.member.name)
                 return Reply(code="unsure", text="no known replica shows the write")
-        if reply.ok and reply.pos:
-            group.note_position(attempt, reply.pos)
+        if reply.ok and reply.position:
+            group.note_position(attempt, reply.position)
         return reply
 
     def _before_retry(
--- a/tests/test_member_group.py
+++ b/tests/test_member_group.py
@@ -63,7 +63,7 @@
 
     def __init__(self, members, sync=1, zones=None):
         self.clock, self.tasks, self.logical_clock = LoopClock(), BackgroundTasks(), LogicalClock()
-        self.members, self.drain_us, self.empty_us = members, DRAIN_US, EMPTY_US
+        self.members, self.drain_us, self.evacuation_us = members, DRAIN_US, EMPTY_US
         self.count, self.suspicions = collections.Counter(), []
         self.core_connection = types.SimpleNamespace(
             proxy_count=3,
--- a/tests/test_member_proofs.py
+++ b/tests/test_member_proofs.py
@@ -59,7 +59,7 @@
         zone_distance=lambda h: 0,
         outside_contact=RemoteContact(LoopClock()),
         drain_us=0,
-        empty_us=0,
+        evacuation_us=0,
         count=collections.Counter(),
         bounds=lambda: types.SimpleNamespace(fetch_us=150_000, join_us=400_000, lanes=2),
     )
--- a/tests/test_unleased_commits.py
+++ b/tests/test_unleased_commits.py
@@ -113,7 +113,7 @@
         zone_distance=lambda zone: {"a": 0, "b": 2}[zone],
         outside_contact=RemoteContact(clock),
         drain_us=0,
-        empty_us=0,
+        evacuation_us=0,
         count=collections.Counter(),
         bounds=lambda: types.SimpleNamespace(fetch_us=150_000, join_us=2_000_000, lanes=2),
     )
