--- a/src/petrelhaven/proxy/embargo.py
+++ b/src/petrelhaven/proxy/embargo.py
@@ -25,7 +25,7 @@
     from collections.abc import Collection, Sequence
 
     from petrelhaven.control.state.control_state import ControlState
-    from petrelhaven.proxy.routing.base import ProxyServices
+    from petrelhaven.proxy.routing.interfaces import ProxyServices
     from petrelhaven.proxy.session.client_session import ClientSession
     from petrelhaven.proxy.session.statement import Statement
     from petrelhaven.runtime.clock import Clock
--- a/src/petrelhaven/proxy/reads/read_clock.py
+++ b/src/petrelhaven/proxy/reads/read_clock.py
@@ -23,7 +23,7 @@
 from petrelhaven.runtime.errors import Fault
 
 if TYPE_CHECKING:
-    from petrelhaven.proxy.reads.base import ReadBounds
+    from petrelhaven.proxy.reads.interfaces import ReadBounds
     from petrelhaven.proxy.reads.position import LogPosition
     from petrelhaven.runtime.clock import Clock
     from petrelhaven.runtime.tasks import BackgroundTasks
--- a/src/petrelhaven/proxy/routing/group.py
+++ b/src/petrelhaven/proxy/routing/group.py
@@ -21,7 +21,7 @@
     from petrelhaven.proxy.pool.member_connection import MemberConnection
     from petrelhaven.proxy.reads.position import Position
     from petrelhaven.proxy.routing.attempt import Attempt
-    from petrelhaven.proxy.routing.base import ProxyServices
+    from petrelhaven.proxy.routing.interfaces import ProxyServices
     from petrelhaven.proxy.routing.route import Route
 
 __all__ = ["MemberGroup"]
--- a/src/petrelhaven/proxy/routing/member_calls.py
+++ b/src/petrelhaven/proxy/routing/member_calls.py
@@ -19,8 +19,8 @@
     from petrelhaven.proxy.pool.member_connection import MemberConnection
     from petrelhaven.proxy.reads.position import Position
     from petrelhaven.proxy.routing.attempt import Attempt
-    from petrelhaven.proxy.routing.base import ProxyServices
     from petrelhaven.proxy.routing.group import MemberGroup
+    from petrelhaven.proxy.routing.interfaces import ProxyServices
     from petrelhaven.proxy.routing.member import Member
     from petrelhaven.proxy.routing.request import Request
     from petrelhaven.proxy.session.client_session import ClientSession, Transaction
--- a/src/petrelhaven/proxy/routing/member_proofs.py
+++ b/src/petrelhaven/proxy/routing/member_proofs.py
@@ -12,7 +12,7 @@
 
 if TYPE_CHECKING:
     from petrelhaven.proxy.reads.position import Position
-    from petrelhaven.proxy.routing.base import Continuation, GroupMembers, ProxyServices
+    from petrelhaven.proxy.routing.interfaces import Continuation, GroupMembers, ProxyServices
     from petrelhaven.proxy.routing.member import Member
 
 __all__ = ["MemberProofs"]
--- a/src/petrelhaven/proxy/routing/read_path.py
+++ b/src/petrelhaven/proxy/routing/read_path.py
@@ -10,7 +10,7 @@
 
 if TYPE_CHECKING:
     from petrelhaven.proxy.reads.position import Position
-    from petrelhaven.proxy.routing.base import Continuation, ProxyServices
+    from petrelhaven.proxy.routing.interfaces import Continuation, ProxyServices
     from petrelhaven.proxy.routing.member import Member
     from petrelhaven.proxy.routing.member_calls import MemberCalls
     from petrelhaven.proxy.routing.read_placement import ReadPlacement
--- a/src/petrelhaven/proxy/routing/read_placement.py
+++ b/src/petrelhaven/proxy/routing/read_placement.py
@@ -11,8 +11,8 @@
 
 if TYPE_CHECKING:
     from petrelhaven.proxy.reads.position import Position
-    from petrelhaven.proxy.routing.base import Continuation, ProxyServices
     from petrelhaven.proxy.routing.group import MemberGroup
+    from petrelhaven.proxy.routing.interfaces import Continuation, ProxyServices
     from petrelhaven.proxy.routing.member import Member
 
 __all__ = ["ReadPlacement"]
--- a/src/petrelhaven/proxy/routing/request_slots.py
+++ b/src/petrelhaven/proxy/routing/request_slots.py
@@ -12,7 +12,7 @@
 from petrelhaven.runtime.errors import Busy, DeadlineExceeded
 
 if TYPE_CHECKING:
-    from petrelhaven.proxy.routing.base import Continuation
+    from petrelhaven.proxy.routing.interfaces import Continuation
     from petrelhaven.runtime.clock import Clock
 
 __all__ = ["RequestSlots"]
--- a/src/petrelhaven/proxy/routing/statement_path.py
+++ b/src/petrelhaven/proxy/routing/statement_path.py
@@ -13,7 +13,7 @@
 from petrelhaven.proxy.session.statement import Reply
 
 if TYPE_CHECKING:
-    from petrelhaven.proxy.routing.base import Continuation, ProxyServices
+    from petrelhaven.proxy.routing.interfaces import Continuation, ProxyServices
     from petrelhaven.proxy.routing.request import Request
 
 __all__ = ["StatementPath"]
--- a/src/petrelhaven/proxy/routing/transaction_path.py
+++ b/src/petrelhaven/proxy/routing/transaction_path.py
@@ -15,7 +15,7 @@
 
 if TYPE_CHECKING:
     from petrelhaven.proxy.pool.member_connection import MemberConnection
-    from petrelhaven.proxy.routing.base import Continuation, ProxyServices
+    from petrelhaven.proxy.routing.interfaces import Continuation, ProxyServices
     from petrelhaven.proxy.routing.member_calls import MemberCalls
     from petrelhaven.proxy.routing.request import Request
     from petrelhaven.proxy.routing.transaction_start import TransactionStart
--- a/src/petrelhaven/proxy/routing/transaction_start.py
+++ b/src/petrelhaven/proxy/routing/transaction_start.py
@@ -14,7 +14,7 @@
 
 if TYPE_CHECKING:
     from petrelhaven.proxy.reads.position import Position
-    from petrelhaven.proxy.routing.base import Continuation, ProxyServices
+    from petrelhaven.proxy.routing.interfaces import Continuation, ProxyServices
     from petrelhaven.proxy.routing.member_calls import MemberCalls
     from petrelhaven.proxy.routing.read_placement import ReadPlacement
     from petrelhaven.proxy.routing.request import Request
--- a/src/petrelhaven/proxy/routing/write_path.py
+++ b/src/petrelhaven/proxy/routing/write_path.py
@@ -13,8 +13,8 @@
 from petrelhaven.runtime.events import Events, emit
 
 if TYPE_CHECKING:
-    from petrelhaven.proxy.routing.base import Continuation, ProxyServices
     from petrelhaven.proxy.routing.group import MemberGroup
+    from petrelhaven.proxy.routing.interfaces import Continuation, ProxyServices
     from petrelhaven.proxy.routing.member_calls import MemberCalls
     from petrelhaven.proxy.routing.request import Request
 
--- a/src/petrelhaven/proxy/session/immediate_reply.py
+++ b/src/petrelhaven/proxy/session/immediate_reply.py
@@ -8,7 +8,7 @@
 from petrelhaven.proxy.session.statement import Reply
 
 if TYPE_CHECKING:
-    from petrelhaven.proxy.routing.base import ProxyServices
+    from petrelhaven.proxy.routing.interfaces import ProxyServices
     from petrelhaven.proxy.routing.transaction_path import TransactionPath
     from petrelhaven.proxy.session.client_session import ClientSession
     from petrelhaven.proxy.session.statement import Statement
--- a/src/petrelhaven/proxy/tenants/admission.py
+++ b/src/petrelhaven/proxy/tenants/admission.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from petrelhaven.proxy.routing.base import AdmittedRequest, Continuation, ProxyServices
+    from petrelhaven.proxy.routing.interfaces import AdmittedRequest, Continuation, ProxyServices
     from petrelhaven.proxy.tenants.directory import Tenant, TenantDirectory
 
 __all__ = ["QuotaAdmission"]
