--- a/src/petrelhaven/simulator/connection_sessions/connection.py
+++ b/src/petrelhaven/simulator/connection_sessions/connection.py
@@ -81,7 +81,7 @@
         except Refusal as e:
             self.failed = self.transaction is not None
             r = Reply(code=e.code, text=self.member.name)
-        r.state, r.pos = self.state, self.member.position
+        r.state, r.position = self.state, self.member.position
         return r
 
     async def _query(self, o):
--- a/tests/embargo_world.py
+++ b/tests/embargo_world.py
@@ -57,24 +57,24 @@
         self.log, self.held, self.lag = [], 0, 0.01
 
     @property
-    def pos(self):
+    def position(self):
         return (self.log[-1][0], len(self.log)) if self.log else (0, 0)
 
     def row(self):
         return {
             "role": self.role,
             "term": self.w.term,
-            "pos": self.pos,
+            "pos": self.position,
             "held": self.held,
             "lag_ms": "0",
             "busy": 0,
             "conns": 1,
-            "at": self.pos,
+            "at": self.position,
         }
 
     def reply(self, conn, rows=(), code=None):
         state = "I" if conn.open_ is None else "T"
-        return Reply(rows, "s" if code is None else "-", code, state=state, pos=self.pos)
+        return Reply(rows, "s" if code is None else "-", code, state=state, position=self.position)
 
     async def run(self, conn, text, after):
         """A client's statement."""
@@ -83,7 +83,7 @@
         if w == "EXECUTE":
             alias, _, rest = rest.partition(" ")
             w = conn.shaped[alias].split(" ")[0]
-        if after is not None and self.pos < after:
+        if after is not None and self.position < after:
             return self.reply(conn, code="lagging")
         if w == "FETCH":
             kept = {t: d for _, t, d in self.log}
@@ -116,7 +116,7 @@
     async def send_session_statement(self, conn, verb, args):
         """What the system says for itself or says again."""
         if verb == "begin":
-            if args[1] is not None and self.pos < args[1]:
+            if args[1] is not None and self.position < args[1]:
                 return self.reply(conn, code="lagging")
             if args[0] != "reads" and self.role != "primary":
                 return self.reply(conn, code="readonly")
@@ -474,7 +474,7 @@
         now, x = self.true(), self.records.get(thing)
         if r.code == "withheld":
             self.refused += 1
-            assert (r.rows, r.pos, r.stamp) == ((), None, "-")
+            assert (r.rows, r.position, r.stamp) == ((), None, "-")
         if r.ok and r.rows:
             self.seen.append((now, edge, thing))
             if x is not None and client != "early" and not x.may_be_seen(now):
--- a/tests/test_connection_sessions_storm.py
+++ b/tests/test_connection_sessions_storm.py
@@ -130,11 +130,14 @@
 
 
 def no_after(mp):
-    ask, plain = SimulatedMemberConnection.ask, SimulatedMemberConnection.plain
+    send_statement, plain = (
+        SimulatedMemberConnection.send_statement,
+        SimulatedMemberConnection.plain,
+    )
     mp.setattr(
         SimulatedMemberConnection,
-        "ask",
-        lambda self, a, after=None, alias=None: ask(self, a, None, alias),
+        "send_statement",
+        lambda self, a, after=None, alias=None: send_statement(self, a, None, alias),
     )
     mp.setattr(
         SimulatedMemberConnection,
--- a/tests/test_platform_lines.py
+++ b/tests/test_platform_lines.py
@@ -61,7 +61,7 @@
             f"stamp{len(self.ran)}" if code is None else "-",
             code,
             state=state,
-            pos=(1, self.pos),
+            position=(1, self.pos),
         )
         f = asyncio.get_running_loop().create_future()
         if not self.mute:
@@ -849,7 +849,7 @@
         for i, (f, rows) in enumerate(zip(fs, all_rows)):
             r = f.result()
             assert [x.encode("utf-8", "surrogateescape") for x in r.rows] == rows
-            assert (r.stamp, r.state, r.pos, r.ok) == (f"s{i}", "I", (3, i), True)
+            assert (r.stamp, r.state, r.position, r.ok) == (f"s{i}", "I", (3, i), True)
         assert not c.lost
 
     run(go)
