--- a/src/petrelhaven/proxy/pool/member_connection.py
+++ b/src/petrelhaven/proxy/pool/member_connection.py
@@ -119,7 +119,9 @@
             return OTHER_VALUES
         values = session.values
         if self.values == values:
-            fits = all(shape in self.prepared_names for shape in session.prepared.values())
+            fits = all(
+                prepared_text in self.prepared_names for prepared_text in session.prepared.values()
+            )
             return FITS if fits else LACKS_PREPARED
         return LACKS_VALUES if self.values.keys() <= values.keys() else OTHER_VALUES
 
@@ -153,11 +155,11 @@
 
     def _prepare(self, session: SessionValues, name: str, needed: list[SetUpStatement]) -> str:
         """The name here of the session's prepared statement; adds its PREPARE if it has none."""
-        shape = session.prepared[name]
-        alias = self.prepared_names.get(shape)
+        prepared_text = session.prepared[name]
+        alias = self.prepared_names.get(prepared_text)
         if alias is None:
             alias = f"p{len(self.prepared_names) + 1}"
-            self.prepared_names[shape] = alias
+            self.prepared_names[prepared_text] = alias
             number = session.statement_numbers["", name]
-            needed.append(SetUpStatement("prepare", (alias, shape), number))
+            needed.append(SetUpStatement("prepare", (alias, prepared_text), number))
         return alias
--- a/src/petrelhaven/proxy/session/immediate_reply.py
+++ b/src/petrelhaven/proxy/session/immediate_reply.py
@@ -80,7 +80,7 @@
         if session.transaction is not None:
             session.transaction.has_set = True
     elif statement.verb == "prepare":
-        session.prepared[statement.name] = statement.shape
+        session.prepared[statement.name] = statement.prepared_text
         session.statement_numbers["", statement.name] = statement.num
     else:
         session.prepared.pop(statement.name, None)
--- a/src/petrelhaven/proxy/session/statement.py
+++ b/src/petrelhaven/proxy/session/statement.py
@@ -24,7 +24,7 @@
         data: The value that SET sets, or the arguments of EXECUTE.
     """
 
-    __slots__ = ("num", "verb", "name", "writes", "shape", "text", "data")
+    __slots__ = ("num", "verb", "name", "writes", "prepared_text", "text", "data")
 
     def __init__(  # noqa: PLR0913, PLR0917 (the fields of a statement)
         self,
@@ -33,7 +33,7 @@
         text: str,
         name: str = "",
         writes: bool = False,
-        shape: str = "",
+        prepared_text: str = "",
         data: str = "",
     ) -> None:
         """Takes a statement's fields."""
@@ -42,7 +42,7 @@
         self.text = text
         self.name = name
         self.writes = writes
-        self.shape = shape
+        self.prepared_text = prepared_text
         self.data = data
 
     @property
--- a/src/petrelhaven/simulator/connection_sessions/client.py
+++ b/src/petrelhaven/simulator/connection_sessions/client.py
@@ -129,7 +129,7 @@
                 f"execute {n} {words}",
                 name=n,
                 data=words,
-                shape=self._prepared[n],
+                prepared_text=self._prepared[n],
             )
         return ClientStatement(
             self._num(), "write" if writes else "read", f"{kind} {words}", writes=writes
@@ -139,7 +139,7 @@
         """Asks one statement; its code if it was not served."""
         text = a.data if a.verb == "execute" else a.text
         s = Statement(
-            a.num, a.verb, text, a.shape or None, dict(self._values), self.fleet.loop.time()
+            a.num, a.verb, text, a.prepared_text or None, dict(self._values), self.fleet.loop.time()
         )
         t.statements.append(s)
         try:
@@ -182,7 +182,7 @@
     async def _prepare(self, n, end):
         shape = f"{'put' if self.mix[1] and self.rng.random() < 0.5 else 'get'} q{self.rng.randrange(3)}"
         await self._request(
-            ClientStatement(self._num(), "prepare", "prepare", name=n, shape=shape), end
+            ClientStatement(self._num(), "prepare", "prepare", name=n, prepared_text=shape), end
         )
         self._prepared[n] = shape
 
--- a/src/petrelhaven/simulator/connection_sessions/embargo.py
+++ b/src/petrelhaven/simulator/connection_sessions/embargo.py
@@ -178,7 +178,7 @@
 
     async def _told(self, t, c, a):
         text = a.data if a.verb == "execute" else a.text
-        s = Statement(a.num, a.verb, text, a.shape or None, {}, self.loop.time())
+        s = Statement(a.num, a.verb, text, a.prepared_text or None, {}, self.loop.time())
         t.statements.append(s)
         try:
             r = await self.out.clock.limit(c.ask(a), 3_000_000)
@@ -222,9 +222,16 @@
             read = ClientStatement(num, "read", f"get {thing}")
             if r.random() < 0.4:
                 read = ClientStatement(
-                    num, "execute", f"execute q {thing}", name="q", data=thing, shape="get q0"
+                    num,
+                    "execute",
+                    f"execute q {thing}",
+                    name="q",
+                    data=thing,
+                    prepared_text="get q0",
                 )
-            asks = [ClientStatement("p" + num, "prepare", "prepare", name="q", shape="get q0")]
+            asks = [
+                ClientStatement("p" + num, "prepare", "prepare", name="q", prepared_text="get q0")
+            ]
             if r.random() < 0.4:
                 asks.append(ClientStatement("b" + num, "begin", "begin", writes=r.random() < 0.5))
             await self._ask(g + r.choice(("", "-browse")), [*asks, read])
--- a/src/petrelhaven/simulator/connection_sessions/front.py
+++ b/src/petrelhaven/simulator/connection_sessions/front.py
@@ -111,8 +111,8 @@
             while self._asked:
                 a = self._asked.popleft()
                 if a.verb == "execute" and a.name in self._session.prepared:
-                    a.shape = self._session.prepared[a.name]
-                    a.writes = a.shape.startswith("put")
+                    a.prepared_text = self._session.prepared[a.name]
+                    a.writes = a.prepared_text.startswith("put")
                 r = await self.proxy.serve_one(self._session, a)
                 if self._gone:
                     return
--- a/tests/embargo_world.py
+++ b/tests/embargo_world.py
@@ -489,10 +489,11 @@
         v = g.open(host, client)
         if how == "prepared":
             await g.serve_one(
-                v, Statement("p", "prepare", "PREPARE q FETCH s1", name="q", shape="FETCH s1")
+                v,
+                Statement("p", "prepare", "PREPARE q FETCH s1", name="q", prepared_text="FETCH s1"),
             )
             a = Statement(
-                "r", "execute", f"EXECUTE q {thing}", name="q", data=thing, shape="FETCH s1"
+                "r", "execute", f"EXECUTE q {thing}", name="q", data=thing, prepared_text="FETCH s1"
             )
         else:
             a = Statement("r", "read", f"FETCH {thing}")
@@ -541,7 +542,7 @@
             return
         v = g.open("db", "u")
         await g.serve_one(
-            v, Statement("p", "prepare", "PREPARE q FETCH s1", name="q", shape="FETCH s1")
+            v, Statement("p", "prepare", "PREPARE q FETCH s1", name="q", prepared_text="FETCH s1")
         )
         await g.serve_one(v, Statement("b", "begin", "BEGIN", writes=r.random() < 0.5))
         await g.serve_one(v, Statement("r", "read", "FETCH other"))
@@ -551,7 +552,12 @@
                 (
                     Statement("r", "read", f"FETCH {thing}"),
                     Statement(
-                        "r", "execute", f"EXECUTE q {thing}", name="q", data=thing, shape="FETCH s1"
+                        "r",
+                        "execute",
+                        f"EXECUTE q {thing}",
+                        name="q",
+                        data=thing,
+                        prepared_text="FETCH s1",
                     ),
                 )
             )
--- a/tests/test_embargo_world.py
+++ b/tests/test_embargo_world.py
@@ -112,7 +112,7 @@
     v, x = g.open("db", "u"), g.open("db", "u")
     for s in (v, x):
         await g.serve_one(
-            s, Statement("1", "prepare", "PREPARE q FETCH s1", name="q", shape="FETCH s1")
+            s, Statement("1", "prepare", "PREPARE q FETCH s1", name="q", prepared_text="FETCH s1")
         )
     await g.serve_one(x, Statement("2", "begin", "BEGIN", writes=True))
     assert (await g.serve_one(x, Statement("3", "read", "FETCH opening"))).ok
@@ -120,7 +120,12 @@
     for s in (v, x):
         for a in (
             Statement(
-                "4", "execute", "EXECUTE q opening", name="q", data="opening", shape="FETCH s1"
+                "4",
+                "execute",
+                "EXECUTE q opening",
+                name="q",
+                data="opening",
+                prepared_text="FETCH s1",
             ),
             Statement("5", "read", "FETCH opening"),
         ):
--- a/tests/test_platform_words.py
+++ b/tests/test_platform_words.py
@@ -68,7 +68,7 @@
             writes,
         )
     a = parse_statement("1", f"PREPARE {name} {kind} {last}")
-    assert (a.name, a.shape) == (name, f"{kind} {last}")
+    assert (a.name, a.prepared_text) == (name, f"{kind} {last}")
     a = parse_statement("1", f"EXECUTE {name} {last}")
     assert (a.name, a.data) == (name, last)
     a = parse_statement("1", f"SET {name} {last}")
