--- a/src/petrelhaven/proxy/session/immediate_reply.py
+++ b/src/petrelhaven/proxy/session/immediate_reply.py
@@ -26,7 +26,7 @@
     verb = statement.verb
     if verb == "rollback":
         if session.state != IDLE:
-            transactions.release_transaction(session, statement.num)
+            transactions.release_transaction(session, statement.number)
             session.end_transaction()
         return Reply()
     if session.state == FAILED:
@@ -64,7 +64,7 @@
         return Reply(code="malformed", text="a transaction is open", state=session.wire_state)
     session.begin()
     session.transaction = Transaction(
-        statement.num,
+        statement.number,
         not statement.writes,
         proxy.logical_clock.next_timestamp(),
         proxy.clock.now(),
@@ -76,11 +76,11 @@
 def _change_session(session: ClientSession, statement: Statement) -> None:
     if statement.verb == "set":
         session.values[statement.name] = statement.data
-        session.statement_numbers[statement.name] = statement.num
+        session.statement_numbers[statement.name] = statement.number
         if session.transaction is not None:
             session.transaction.has_set = True
     elif statement.verb == "prepare":
         session.prepared[statement.name] = statement.prepared_text
-        session.statement_numbers["", statement.name] = statement.num
+        session.statement_numbers["", statement.name] = statement.number
     else:
         session.prepared.pop(statement.name, None)
--- a/src/petrelhaven/proxy/session/statement.py
+++ b/src/petrelhaven/proxy/session/statement.py
@@ -24,11 +24,11 @@
         data: The value that SET sets, or the arguments of EXECUTE.
     """
 
-    __slots__ = ("num", "verb", "name", "writes", "prepared_text", "text", "data")
+    __slots__ = ("number", "verb", "name", "writes", "prepared_text", "text", "data")
 
     def __init__(  # noqa: PLR0913, PLR0917 (the fields of a statement)
         self,
-        num: str,
+        number: str,
         verb: str,
         text: str,
         name: str = "",
@@ -37,7 +37,7 @@
         data: str = "",
     ) -> None:
         """Takes a statement's fields."""
-        self.num = num
+        self.number = number
         self.verb = verb
         self.text = text
         self.name = name
--- a/src/petrelhaven/simulator/connection_sessions/client.py
+++ b/src/petrelhaven/simulator/connection_sessions/client.py
@@ -139,7 +139,12 @@
         """Asks one statement; its code if it was not served."""
         text = a.data if a.verb == "execute" else a.text
         s = Statement(
-            a.num, a.verb, text, a.prepared_text or None, dict(self._values), self.fleet.loop.time()
+            a.number,
+            a.verb,
+            text,
+            a.prepared_text or None,
+            dict(self._values),
+            self.fleet.loop.time(),
         )
         t.statements.append(s)
         try:
--- a/src/petrelhaven/simulator/connection_sessions/embargo.py
+++ b/src/petrelhaven/simulator/connection_sessions/embargo.py
@@ -178,7 +178,7 @@
 
     async def _told(self, t, c, a):
         text = a.data if a.verb == "execute" else a.text
-        s = Statement(a.num, a.verb, text, a.prepared_text or None, {}, self.loop.time())
+        s = Statement(a.number, a.verb, text, a.prepared_text or None, {}, self.loop.time())
         t.statements.append(s)
         try:
             r = await self.out.clock.limit(c.ask(a), 3_000_000)
--- a/src/petrelhaven/simulator/connection_sessions/member_connection.py
+++ b/src/petrelhaven/simulator/connection_sessions/member_connection.py
@@ -40,7 +40,7 @@
     def send_statement(self, a, after=None, alias=None):
         """A future of the Reply to a client's statement."""
         args, text = ((), a.text) if alias is None else ((alias,), a.data)
-        return self._order(Order(a.num, a.verb, args, text, after), "ask")
+        return self._order(Order(a.number, a.verb, args, text, after), "ask")
 
     def send_session_statement(self, verb, args=(), num="-"):
         """A future of the Reply to a statement said again under its client's number, or of the system's own."""
--- a/tests/test_platform_lines.py
+++ b/tests/test_platform_lines.py
@@ -96,7 +96,7 @@
 
     def send_statement(self, a, after=None, alias=None):
         text = a.text if alias is None else f"EXECUTE {alias} {a.data}"
-        self.m.ran.append((a.num, a.text))
+        self.m.ran.append((a.number, a.text))
         return self._run(text)
 
     def send_session_statement(self, verb, args=(), num="-"):
--- a/tests/test_platform_words.py
+++ b/tests/test_platform_words.py
@@ -61,7 +61,7 @@
         ("ROLLBACK", "rollback", False),
     ):
         a = parse_statement("7f", text)
-        assert isinstance(a, Statement) and (a.num, a.verb, a.text, a.writes) == (
+        assert isinstance(a, Statement) and (a.number, a.verb, a.text, a.writes) == (
             "7f",
             verb,
             text,
