--- a/src/petrelhaven/proxy/session/client_session.py
+++ b/src/petrelhaven/proxy/session/client_session.py
@@ -102,7 +102,7 @@
         "transaction",
         "busy",
         "idle_since",
-        "counted_in",
+        "strong_read_group",
         "state",
         "__dict__",
     )
@@ -115,9 +115,9 @@
         transitions=[
             {"trigger": "begin", "source": IDLE, "dest": IN_TRANSACTION},
             {"trigger": "end_transaction", "source": [IN_TRANSACTION, FAILED], "dest": IDLE},
-            {"trigger": "fail", "source": [IN_TRANSACTION, FAILED], "dest": FAILED},
+            {"trigger": "fail_transaction", "source": [IN_TRANSACTION, FAILED], "dest": FAILED},
             {"trigger": "end_transaction", "source": ENDED, "dest": "="},
-            {"trigger": "fail", "source": ENDED, "dest": "="},
+            {"trigger": "fail_transaction", "source": ENDED, "dest": "="},
             {"trigger": "end", "source": [IDLE, IN_TRANSACTION, FAILED], "dest": ENDED},
         ],
     )
--- a/src/petrelhaven/proxy/session/statement.py
+++ b/src/petrelhaven/proxy/session/statement.py
@@ -68,7 +68,7 @@
     no tenant has the client's key).
     """
 
-    __slots__ = ("rows", "stamp", "code", "text", "state", "pos")
+    __slots__ = ("rows", "stamp", "code", "text", "state", "position")
 
     def __init__(  # noqa: PLR0913, PLR0917 (the fields of a reply)
         self,
@@ -77,7 +77,7 @@
         code: str | None = None,
         text: str = "",
         state: str = "I",
-        pos: Position | None = None,
+        position: Position | None = None,
     ) -> None:
         """Takes a reply's fields."""
         self.rows = rows
@@ -85,7 +85,7 @@
         self.code = code
         self.text = text
         self.state = state
-        self.pos = pos
+        self.position = position
 
     @property
     def ok(self) -> bool:
--- a/src/petrelhaven/proxy/tenants/admission.py
+++ b/src/petrelhaven/proxy/tenants/admission.py
@@ -70,7 +70,7 @@
             self.waiting.popleft().set_result(_Outcome(permit))
             count -= 1
 
-    def deadline(self, retry_us: int | None) -> None:
+    def end(self, retry_us: int | None) -> None:
         """Sends all that wait away, or lets them run if there is no limit any more (None)."""
         for waiter in self.waiting:
             if not waiter.done():
--- a/tests/test_connection_sessions_storm.py
+++ b/tests/test_connection_sessions_storm.py
@@ -130,9 +130,9 @@
 
 
 def no_after(mp):
-    send_statement, plain = (
+    send_statement, send_session_statement = (
         SimulatedMemberConnection.send_statement,
-        SimulatedMemberConnection.plain,
+        SimulatedMemberConnection.send_session_statement,
     )
     mp.setattr(
         SimulatedMemberConnection,
@@ -141,8 +141,8 @@
     )
     mp.setattr(
         SimulatedMemberConnection,
-        "plain",
-        lambda self, verb, args=(), num="-": plain(
+        "send_session_statement",
+        lambda self, verb, args=(), num="-": send_session_statement(
             self, verb, (args[0], None) if verb == "begin" else args, num
         ),
     )
--- a/tests/test_member_model.py
+++ b/tests/test_member_model.py
@@ -309,7 +309,7 @@
     """A reply goes to the first who still waits, not to whose turn it is."""
     real = LineMemberConnection._end
 
-    def deadline(self, r):
+    def end(self, r):
         while len(self._awaited) > 1 and self._awaited[0].future.done():
             self._awaited.popleft()
         real(self, r)
--- a/tests/test_tenant_review.py
+++ b/tests/test_tenant_review.py
@@ -98,7 +98,7 @@
 def request_of(tenant, aim_us, end):
     """What admission needs of an operation's request."""
     route = SimpleNamespace(aim_us=aim_us)
-    return SimpleNamespace(tenant=tenant, route=route, end=end, permit=None, possible_runs=0)
+    return SimpleNamespace(tenant=tenant, route=route, deadline=end, permit=None, possible_runs=0)
 
 
 # Guards against QUOTA: the permit of an operation that never ran, reported as used already, hid the
