--- a/tests/limits_world.py
+++ b/tests/limits_world.py
@@ -240,8 +240,8 @@
     route = RouteStub()
 
     def __init__(self, tenant, end):
-        self.tenant, self.end = tenant, end
-        self.permit, self.runs = None, 0
+        self.tenant, self.deadline = tenant, end
+        self.permit, self.possible_runs = None, 0
 
 
 class ProxyProcess(Process):
