--- a/src/petrelhaven/proxy/node.py
+++ b/src/petrelhaven/proxy/node.py
@@ -129,7 +129,7 @@
         self.drain_us, self.evacuation_us = drain_us, empty_us
         self._revoke_us = revoke_us
         self.logical_clock = LogicalClock()
-        self.outside_contact = RemoteContact(clock)
+        self.remote_contact = RemoteContact(clock)
         self.request_slots = RequestSlots(clock, _SLOTS)
         self.tenants = TenantDirectory()
         self.admission = QuotaAdmission(self)
--- a/src/petrelhaven/proxy/routing/group.py
+++ b/src/petrelhaven/proxy/routing/group.py
@@ -161,7 +161,7 @@
 
     def _new_member(self, name: str, row: dict[str, Any]) -> Member:
         proxy = self._proxy
-        proxy.outside_contact.register_distance(proxy.zone_distance(row["hall"]))
+        proxy.remote_contact.register_distance(proxy.zone_distance(row["hall"]))
         pool = ConnectionPool(
             self._clock,
             proxy.tasks,
@@ -233,7 +233,7 @@
     def note_answer(self, member: Member, position: Position | None = None) -> None:
         """The member has answered, its log at `position`."""
         member.note_answer(self._clock.now())
-        self._proxy.outside_contact.note(member.distance)
+        self._proxy.remote_contact.note_answer(member.distance)
         if position is not None:
             member.note_log(position)
 
--- a/src/petrelhaven/proxy/routing/interfaces.py
+++ b/src/petrelhaven/proxy/routing/interfaces.py
@@ -95,7 +95,7 @@
     logical_clock: LogicalClock
     core_connection: CoreConnection
     wire: MemberWire
-    outside_contact: RemoteContact
+    remote_contact: RemoteContact
     routes: dict[str, Route]
     count: collections.Counter[str]
     drain_us: int
--- a/src/petrelhaven/proxy/routing/member_proofs.py
+++ b/src/petrelhaven/proxy/routing/member_proofs.py
@@ -47,7 +47,7 @@
             return True
         if position is not None and position[0] < now.term:
             return True
-        if not self._proxy.outside_contact.is_recent(answered.distance):
+        if not self._proxy.remote_contact.is_recent(answered.distance):
             return True
         return not self._proxy.core_connection.lease_confirmed
 
--- a/tests/test_member_group.py
+++ b/tests/test_member_group.py
@@ -72,7 +72,7 @@
             suspect=lambda *a: self.suspicions.append(a),
         )
         self.wire = self
-        self.outside_contact = RemoteContact(self.clock)
+        self.remote_contact = RemoteContact(self.clock)
         self.control_state = ControlState()
         self.band = MemberGroup("g", self)
         self.band.connection_cap, self.band.sync_replicas = 40, sync
--- a/tests/test_unleased_commits.py
+++ b/tests/test_unleased_commits.py
@@ -111,7 +111,7 @@
         ),
         wire=_Wire(logs, delays, clock),
         zone_distance=lambda zone: {"a": 0, "b": 2}[zone],
-        outside_contact=RemoteContact(clock),
+        remote_contact=RemoteContact(clock),
         drain_us=0,
         evacuation_us=0,
         count=collections.Counter(),
