--- a/tests/test_connection_sessions_storm.py
+++ b/tests/test_connection_sessions_storm.py
@@ -268,12 +268,12 @@
 def stops_ignored(mp):
     real = group.MemberGroup.apply_control_state
 
-    def apply(self, control_state, fresh):
+    def apply_control_state(self, control_state, fresh):
         real(self, control_state, fresh)
         for b in self.members.values():
             b.closed_to_new_at = None
 
-    mp.setattr(group.MemberGroup, "apply", apply)
+    mp.setattr(group.MemberGroup, "apply_control_state", apply_control_state)
 
 
 def acked_by_the_head(mp):
