--- a/src/petrelhaven/proxy/pool/member_connection.py
+++ b/src/petrelhaven/proxy/pool/member_connection.py
@@ -105,7 +105,7 @@
         """Sends a statement again under its client's number, or one of the proxy's own."""
         raise NotImplementedError
 
-    def own(self, verb: str, *args: int) -> asyncio.Future[dict[str, Any]]:
+    def send_command(self, verb: str, *args: int) -> asyncio.Future[dict[str, Any]]:
         """Sends a statement of the proxy's own that is answered by the member's status row."""
         raise NotImplementedError
 
--- a/src/petrelhaven/proxy/routing/group.py
+++ b/src/petrelhaven/proxy/routing/group.py
@@ -298,7 +298,7 @@
         member.note_asked(self._clock.now())
         try:
             row = await self._clock.limit(
-                member.status_connection.own("status"), self._proxy.bounds().join_us // 2
+                member.status_connection.send_command("status"), self._proxy.bounds().join_us // 2
             )
         except (DeadlineExceeded, Unreachable):
             member.status_connection.close()
--- a/tests/embargo_world.py
+++ b/tests/embargo_world.py
@@ -129,7 +129,7 @@
             conn.open_ = None
         return self.reply(conn)
 
-    async def own(self, verb, args):
+    async def send_command(self, verb, args):
         if verb == "pause" and args[0] > self.held and self.role == "replica":
             self.held = args[0]
         elif verb == "resume":
@@ -214,8 +214,8 @@
     def send_session_statement(self, verb, args=(), num="-"):
         return self._say(lambda: self.dst.node.send_session_statement(self, verb, args))
 
-    def own(self, verb, *args):
-        return self._say(lambda: self.dst.node.own(verb, args))
+    def send_command(self, verb, *args):
+        return self._say(lambda: self.dst.node.send_command(verb, args))
 
     def close(self):
         self.lost = True
--- a/tests/test_member_group.py
+++ b/tests/test_member_group.py
@@ -41,7 +41,7 @@
         super().__init__()
         self.m = m
 
-    def own(self, verb, *args):
+    def send_command(self, verb, *args):
         self.m.asked += 1
         f = asyncio.get_running_loop().create_future()
         if self.m.how == "busy":
--- a/tests/test_member_proofs.py
+++ b/tests/test_member_proofs.py
@@ -27,7 +27,7 @@
     async def _row(self):
         return {"role": "replica", "term": 1, "pos": LOGS[self._name], "held": 0}
 
-    def own(self, verb):
+    def send_command(self, verb):
         return self._row()
 
     def close(self):
--- a/tests/test_unleased_commits.py
+++ b/tests/test_unleased_commits.py
@@ -39,7 +39,7 @@
         self._position, self._delay_us, self._asked = position, delay_us, asked
         self._clock = clock
 
-    async def own(self, verb):
+    async def send_command(self, verb):
         self._asked.append(verb)
         await self._clock.sleep(self._delay_us)
         return {"role": "replica", "term": 1, "pos": self._position, "held": 0}
