--- a/src/petrelhaven/proxy/pool/connection_pool.py
+++ b/src/petrelhaven/proxy/pool/connection_pool.py
@@ -196,7 +196,7 @@
         while self._waiting:
             tenant, waiter = self._waiting.peek()
             if waiter.done():
-                self._waiting.pop_first()
+                self._waiting.pop()
                 continue
             connection = self._idle_of(tenant)
             if connection is None and self.total >= self.limit:
@@ -204,7 +204,7 @@
                     return
                 self.idle.pop(0).close()  # which serves whoever waits, if that made room
                 continue
-            self._waiting.pop_first()
+            self._waiting.pop()
             if connection is None:
                 self._open_for(tenant, waiter)
             else:
--- a/src/petrelhaven/proxy/pool/fair_queue.py
+++ b/src/petrelhaven/proxy/pool/fair_queue.py
@@ -47,7 +47,7 @@
         tenant, items = next(iter(self._by_tenant.items()))
         return tenant, items[0]
 
-    def pop_first(self) -> tuple[str, _Item]:
+    def pop(self) -> tuple[str, _Item]:
         """Takes the first item; its tenant's next turn comes after all others'."""
         tenant, items = next(iter(self._by_tenant.items()))
         item = items.popleft()
--- a/tests/test_unleased_commits.py
+++ b/tests/test_unleased_commits.py
@@ -71,11 +71,11 @@
     async def send(self, request, attempt, flight, left_us):
         attempt.sent = True
         self._meanwhile()
-        return Reply(pos=WRITTEN, state="I")
+        return Reply(position=WRITTEN, state="I")
 
     async def send_in_transaction(self, connection, session, statement):
         self._meanwhile()
-        return Reply(pos=WRITTEN, state="I")
+        return Reply(position=WRITTEN, state="I")
 
     def collect_reply(self, group, attempt):
         return attempt.task.result()
