--- a/src/petrelhaven/proxy/pool/connection_pool.py
+++ b/src/petrelhaven/proxy/pool/connection_pool.py
@@ -1,9 +1,9 @@
-"""The connections of one proxy to one member.
+"""The pool of connections from one proxy to one member.
 
-A connection belongs to one tenant, since a member is told the tenant when it is opened. A session
-gets the connection of its tenant that needs the least set-up: one that it had before, else one with
-its values and prepared statements, else any other, else a new one. Where no more may be opened, the
-idle connection that was used longest ago makes room.
+A connection belongs to one tenant, because the proxy names the tenant to the member when it opens
+the connection. A session gets the idle connection of its tenant that needs the least set-up:
+preferably one that it used before, then one with its values and prepared statements, then any
+other, then a new one. When the pool is full, it closes the least recently used idle connection.
 """
 
 from __future__ import annotations
@@ -23,19 +23,19 @@
 
 __all__ = ["ConnectionPool"]
 
-_FULL_US = 2_000_000
-_WAITERS_PER_CONNECTION = 4
-_NOT_FOUND = 9
-_CLOSED = "member left the plan"
+_MEMBER_FULL_US = 2_000_000
+_MAX_WAITERS_PER_CONNECTION = 4
+_NOT_FOUND_COST = 9
+_CLOSED_REASON = "member left the plan"
 
 
 class ConnectionPool:
-    """Hands out connections, and opens new ones as long as that is worth it.
+    """A pool of connections to one member, with a queue of sessions that wait for a connection.
 
     Attributes:
-        max_size: How many connections may be open at once.
-        idle: Connections that nobody uses, the last used one last.
-        busy: Connections that are handed out.
+        max_size: The maximum number of open connections.
+        idle: The connections that are not in use; the most recently used one is last.
+        busy: The connections that are in use.
         closed: Whether the member has left its group.
     """
 
@@ -45,56 +45,56 @@
         tasks: BackgroundTasks,
         opener: Callable[[str], Awaitable[MemberConnection]],
         max_size: int,
-        worth_opening: Callable[[], int],
+        useful_size: Callable[[], int],
     ) -> None:
-        """An empty pool.
+        """Creates an empty pool.
 
         Args:
             clock: Monotonic time.
-            tasks: Where connections are opened.
-            opener: Opens one connection for a tenant, or raises a `Fault`.
-            max_size: How many connections may be open at once.
-            worth_opening: How many connections are worth having: beyond that, an idle one is set
-                up for another session rather than a new one opened.
+            tasks: Runs the tasks that open connections.
+            opener: Opens a connection for a tenant, or raises a `Fault`.
+            max_size: The maximum number of open connections.
+            useful_size: Returns the number of connections from which on the pool sets up an idle
+                connection for another session instead of opening a new one.
         """
-        self.clock, self.tasks, self._open = clock, tasks, opener
-        self.max_size, self._worth_opening = max_size, worth_opening
-        self._full_at: int | None = None
+        self.clock, self.tasks, self._opener = clock, tasks, opener
+        self.max_size, self._useful_size = max_size, useful_size
+        self._full_at_size: int | None = None
         self.idle: list[MemberConnection] = []
         self.busy: set[MemberConnection] = set()
         self._opening = 0
-        self._waiting: FairQueue[asyncio.Future[MemberConnection]] = FairQueue()
+        self._waiters: FairQueue[asyncio.Future[MemberConnection]] = FairQueue()
         self.closed = False
 
     @property
     def total(self) -> int:
-        """How many connections are open or being opened."""
+        """The number of connections that are open or being opened."""
         return len(self.idle) + len(self.busy) + self._opening
 
     @property
     def limit(self) -> int:
-        """How many connections may be open now: fewer for a while after the member was full."""
-        if self._full_at is None:
+        """The current maximum of open connections; lower for a while after the member was full."""
+        if self._full_at_size is None:
             return self.max_size
-        return max(1, min(self.max_size, self._full_at))
+        return max(1, min(self.max_size, self._full_at_size))
 
     def usage_summary(self) -> str:
-        """Idle, busy, opening and waiting, as one field for a log."""
-        return f"{len(self.idle)}/{len(self.busy)}/{self._opening}/{len(self._waiting)}"
+        """Returns the numbers of idle, busy, opening and waiting, as one field of a log line."""
+        return f"{len(self.idle)}/{len(self.busy)}/{self._opening}/{len(self._waiters)}"
 
     def acquire(self, session: SessionValues) -> asyncio.Future[MemberConnection]:
-        """A future of a connection for `session`.
+        """Returns a future of a connection for `session`.
 
-        It fails with NotSent once the member has left, with Busy if too many wait already, and
-        with what the opener raised if a new connection could not be opened.
+        The future fails with NotSent if the member has left its group, with Busy if too many
+        sessions wait already, and with the opener's error if a connection could not be opened.
         """
         waiter: asyncio.Future[MemberConnection] = asyncio.get_running_loop().create_future()
         if self.closed:
-            waiter.set_exception(NotSent(_CLOSED))
+            waiter.set_exception(NotSent(_CLOSED_REASON))
             return waiter
-        connection, cost = self._cheapest(session)
+        connection, cost = self._find_cheapest_idle(session)
         limit = self.limit
-        full = self.total >= min(limit, self._worth_opening())
+        full = self.total >= min(limit, self._useful_size())
         if cost == OTHER_VALUES and full:
             self.idle.pop(0).close()
             if self.total < limit or connection not in self.idle:
@@ -106,20 +106,20 @@
         if full and cost != OTHER_VALUES and self.idle:
             self.idle.pop(0).close()
         if self.total < limit:
-            self._open_for(session.tenant, waiter)
-        elif self._waiting_count(session.tenant) >= _WAITERS_PER_CONNECTION * self.max_size:
-            waiter.set_exception(Busy("too many wait for a connection"))
+            self._start_opening(session.tenant, waiter)
+        elif self._count_waiters(session.tenant) >= _MAX_WAITERS_PER_CONNECTION * self.max_size:
+            waiter.set_exception(Busy("too many sessions wait for a connection"))
         else:
-            self._waiting.append(session.tenant, waiter)
+            self._waiters.append(session.tenant, waiter)
         return waiter
 
-    def _waiting_count(self, tenant: str) -> int:
-        """How many of a tenant's sessions wait; those that gave up do not count."""
-        return sum(not waiter.done() for waiter in self._waiting.items_of(tenant))
+    def _count_waiters(self, tenant: str) -> int:
+        """Returns how many sessions of a tenant wait, without those that gave up."""
+        return sum(not waiter.done() for waiter in self._waiters.items_of(tenant))
 
-    def _cheapest(self, session: SessionValues) -> tuple[MemberConnection | None, int]:
-        """The tenant's idle connection that needs the least set-up, and its cost."""
-        best, best_cost = None, _NOT_FOUND
+    def _find_cheapest_idle(self, session: SessionValues) -> tuple[MemberConnection | None, int]:
+        """Returns the tenant's idle connection that needs the least set-up, and its cost."""
+        best, best_cost = None, _NOT_FOUND_COST
         for connection in reversed(self.idle):
             if connection.tenant != session.tenant:
                 continue
@@ -136,89 +136,89 @@
         self.busy.add(connection)
         waiter.set_result(connection)
 
-    def _open_for(self, tenant: str, waiter: asyncio.Future[MemberConnection]) -> None:
+    def _start_opening(self, tenant: str, waiter: asyncio.Future[MemberConnection]) -> None:
         self._opening += 1
         self.tasks.spawn(self._open_one(tenant, waiter))
 
     async def _open_one(self, tenant: str, waiter: asyncio.Future[MemberConnection]) -> None:
-        """Opens a connection of `tenant` for `waiter`."""
+        """Opens a connection for `tenant` and passes it to `waiter`."""
         try:
-            connection = await self._open(tenant)
+            connection = await self._opener(tenant)
         except Fault as fault:
             self._opening -= 1
-            self._open_failed(tenant, waiter, fault)
+            self._handle_open_failure(tenant, waiter, fault)
             return
         except BaseException:
             self._opening -= 1
             raise
         self._opening -= 1
         connection.tenant = tenant
-        connection.on_lost = self._forget
+        connection.on_lost = self._remove_connection
         if self.closed:
             connection.close()
             if not waiter.done():
-                waiter.set_exception(NotSent(_CLOSED))
+                waiter.set_exception(NotSent(_CLOSED_REASON))
         elif waiter.done():
             self.idle.append(connection)
-            self._serve_waiting()
+            self._serve_waiters()
         else:
             self._hand_out(connection, waiter)
 
-    def _open_failed(
+    def _handle_open_failure(
         self, tenant: str, waiter: asyncio.Future[MemberConnection], fault: Fault
     ) -> None:
-        """Fails `waiter`, unless the member is full and another connection may come back."""
+        """Fails `waiter`, or queues it again if the member is full and has other connections."""
         if isinstance(fault, Busy):
-            if self._full_at is None:
-                self.clock.later(_FULL_US, self._forget_full)
-            self._full_at = self.total
+            if self._full_at_size is None:
+                self.clock.later(_MEMBER_FULL_US, self._clear_full)
+            self._full_at_size = self.total
             if self.total and not waiter.done():
-                self._waiting.prepend(tenant, waiter)
-                self._serve_waiting()
+                self._waiters.prepend(tenant, waiter)
+                self._serve_waiters()
                 return
         if not waiter.done():
             waiter.set_exception(fault)
-        self._serve_waiting()
+        self._serve_waiters()
 
-    def _forget_full(self) -> None:
-        self._full_at = None
-        self._serve_waiting()
+    def _clear_full(self) -> None:
+        self._full_at_size = None
+        self._serve_waiters()
 
-    def _forget(self, connection: MemberConnection) -> None:
-        """A connection was lost or closed."""
+    def _remove_connection(self, connection: MemberConnection) -> None:
+        """Removes a connection that was lost or closed."""
         if connection in self.idle:
             self.idle.remove(connection)
         self.busy.discard(connection)
-        self._serve_waiting()
+        self._serve_waiters()
 
-    def _serve_waiting(self) -> None:
-        """Serves who waits, tenants in turn, as far as connections are idle or may be opened."""
-        while self._waiting:
-            tenant, waiter = self._waiting.peek()
+    def _serve_waiters(self) -> None:
+        """Serves waiting sessions, tenants in turn, while connections are idle or may be opened."""
+        while self._waiters:
+            tenant, waiter = self._waiters.peek()
             if waiter.done():
-                self._waiting.pop()
+                self._waiters.pop()
                 continue
-            connection = self._idle_of(tenant)
+            connection = self._find_idle(tenant)
             if connection is None and self.total >= self.limit:
                 if not self.idle:
                     return
-                self.idle.pop(0).close()  # which serves whoever waits, if that made room
+                self.idle.pop(0).close()  # on_lost serves the queue again if that made room
                 continue
-            self._waiting.pop()
+            self._waiters.pop()
             if connection is None:
-                self._open_for(tenant, waiter)
+                self._start_opening(tenant, waiter)
             else:
                 self.idle.remove(connection)
                 self._hand_out(connection, waiter)
 
-    def _idle_of(self, tenant: str) -> MemberConnection | None:
-        """The tenant's idle connection that was used last."""
+    def _find_idle(self, tenant: str) -> MemberConnection | None:
+        """Returns the tenant's most recently used idle connection."""
         return next((idle for idle in reversed(self.idle) if idle.tenant == tenant), None)
 
     def release(self, connection: MemberConnection) -> None:
-        """Takes a connection back.
+        """Returns a connection to the pool.
 
-        One that still waits for replies is closed, for nobody knows its state.
+        A connection with pending replies is closed, because its state is unknown.
         """
         self.busy.discard(connection)
         unusable = connection.lost or connection.pending_replies
@@ -226,27 +226,27 @@
             connection.close()
         else:
             self.idle.append(connection)
-        self._serve_waiting()
+        self._serve_waiters()
 
     def discard(self, connection: MemberConnection) -> None:
-        """Closes a connection whose state is not known."""
+        """Closes a connection whose state is unknown."""
         self.busy.discard(connection)
         connection.close()
-        self._serve_waiting()
+        self._serve_waiters()
 
     def cancel(self, waiter: asyncio.Future[MemberConnection]) -> None:
-        """Takes back whatever a future of `acquire` has brought or will bring."""
+        """Cancels a future of `acquire`, or releases the connection that it already has."""
         if waiter.done() and not waiter.cancelled() and waiter.exception() is None:
             self.release(waiter.result())
         else:
             waiter.cancel()
 
     def close(self) -> None:
-        """Closes idle connections at once, busy ones when they come back; fails who waits."""
+        """Closes idle connections now and busy ones on release, and fails the waiting sessions."""
         self.closed = True
         for connection in self.idle:
             connection.close()
         self.idle.clear()
-        for waiter in self._waiting.clear():
+        for waiter in self._waiters.clear():
             if not waiter.done():
-                waiter.set_exception(NotSent(_CLOSED))
+                waiter.set_exception(NotSent(_CLOSED_REASON))
--- a/src/petrelhaven/proxy/pool/member_connection.py
+++ b/src/petrelhaven/proxy/pool/member_connection.py
@@ -1,4 +1,4 @@
-"""A connection to a member that remembers the values and prepared statements set up on it."""
+"""A connection to a member, with the session state (values, prepared statements) set up on it."""
 
 from __future__ import annotations
 
@@ -23,22 +23,22 @@
 FITS = 0
 """The connection has the session's values and prepared statements."""
 LACKS_PREPARED = 1
-"""It has the session's values, and must prepare a statement."""
+"""The connection has the session's values; a statement must be prepared."""
 LACKS_VALUES = 2
-"""It has some of the session's values and no other names; the rest must be set."""
+"""The connection has some of the session's values and no others; the rest must be set."""
 OTHER_VALUES = 3
-"""It has values that the session has not, and must be reset."""
+"""The connection has values that the session doesn't have, and must be reset."""
 
-_PREPARED_MOST = 64
-_OWN_NUMBER = "-"
+_MAX_PREPARED_STATEMENTS = 64
+_NO_CLIENT_NUMBER = "-"
 
 
 class SessionValues(Protocol):
-    """What a session needs on a connection.
+    """The part of a session's state that is set up on a connection.
 
     Attributes:
-        tenant: The tenant for whom statements run; empty where there are no tenants.
-        values: Its values by name.
+        tenant: The tenant whose statements run; empty if there are no tenants.
+        values: The session's values by name.
         prepared: The texts of its prepared statements by name.
         statement_numbers: The number of the client's statement that set each value, and of each
             PREPARE under ("", name).
@@ -51,7 +51,7 @@
 
 
 class SetUpStatement(NamedTuple):
-    """A statement that makes a connection fit: sent under a client's number, or "-" for none."""
+    """A statement that sets up a connection, with the client's statement number ("-" for none)."""
 
     verb: str
     args: tuple[Any, ...]
@@ -59,24 +59,24 @@
 
 
 class MemberConnection:
-    """Base of a connection in any members' protocol; replies come in the order asked.
+    """Base class of connections to members; replies arrive in the order of the requests.
 
     Attributes:
-        due: How many replies are still to come, also those that nobody waits for any more. Only
-            a connection with none due may go to another session.
-        tenant: The tenant for whom it was opened; it serves no other.
-        values: The values set on it, by name.
-        shapes: The name under which each text is prepared on it.
-        owner: The session that it was set up for last.
+        pending_replies: The number of replies that have not arrived, including those that nobody
+            waits for any more. Only a connection without pending replies may serve another session.
+        tenant: The tenant it was opened for; it serves no other.
+        values: The values that are set on it, by name.
+        prepared_names: The names of the statements prepared on it, by their text.
+        last_session: The session that it was last set up for.
         lost: Whether it is closed.
-        needs_reset: Whether its values are not known.
+        needs_reset: Whether its values are unknown.
         on_lost: Called once with the connection when it is closed.
     """
 
     pending_replies = 0
 
     def __init__(self) -> None:
-        """A connection on which nothing is set up."""
+        """Creates a connection without session state."""
         self.tenant = ""
         self.values: dict[str, str] = {}
         self.prepared_names: dict[str, str] = {}
@@ -91,8 +91,8 @@
 
         Args:
             statement: The statement.
-            after: The position that a read must find, or None.
-            alias: The name on this connection of the prepared statement that it executes.
+            after: The log position that a read must see, or None.
+            alias: The name, on this connection, of the prepared statement to execute.
 
         Returns:
             A future of the reply; it fails with `Unreachable` if the connection is lost.
@@ -100,21 +100,21 @@
         raise NotImplementedError
 
     def send_session_statement(
-        self, verb: str, args: Sequence[Any] = (), number: str = _OWN_NUMBER
+        self, verb: str, args: Sequence[Any] = (), number: str = _NO_CLIENT_NUMBER
     ) -> asyncio.Future[Reply]:
-        """Sends a statement again under its client's number, or one of the proxy's own."""
+        """Sends a session statement (such as SET) with its client's number, or "-" for none."""
         raise NotImplementedError
 
     def send_command(self, verb: str, *args: int) -> asyncio.Future[dict[str, Any]]:
-        """Sends a statement of the proxy's own that is answered by the member's status row."""
+        """Sends a command of the proxy; the reply is the member's status row."""
         raise NotImplementedError
 
     def close(self) -> None:
-        """Closes the connection; whatever waits on it fails with `Unreachable`."""
+        """Closes the connection; its pending replies fail with `Unreachable`."""
         raise NotImplementedError
 
     def set_up_cost(self, session: SessionValues) -> int:
-        """How far it is from fitting `session`: FITS, LACKS_PREPARED, and so on."""
+        """Returns how much set-up `session` needs here: FITS, LACKS_PREPARED and so on."""
         if self.needs_reset:
             return OTHER_VALUES
         values = session.values
@@ -128,19 +128,19 @@
     def set_up(
         self, session: SessionValues, statement: Statement | None = None
     ) -> tuple[list[SetUpStatement], str | None]:
-        """Notes that `session` is set up here.
+        """Records that the connection is set up for `session`.
 
         Returns:
-            What must be sent for that before `statement`, and the name that the prepared
-            statement has here which it executes.
+            The statements that the caller must send before `statement`, and the name, on this
+            connection, of the prepared statement that `statement` executes (or None).
         """
         needed: list[SetUpStatement] = []
         if (
             self.needs_reset
             or not self.values.keys() <= session.values.keys()
-            or len(self.prepared_names) > _PREPARED_MOST
+            or len(self.prepared_names) > _MAX_PREPARED_STATEMENTS
         ):
-            needed.append(SetUpStatement("reset", (), _OWN_NUMBER))
+            needed.append(SetUpStatement("reset", (), _NO_CLIENT_NUMBER))
             self.values, self.prepared_names, self.needs_reset = {}, {}, False
         for name, value in session.values.items():
             if self.values.get(name) != value:
@@ -154,7 +154,7 @@
         return needed, alias
 
     def _prepare(self, session: SessionValues, name: str, needed: list[SetUpStatement]) -> str:
-        """The name here of the session's prepared statement; adds its PREPARE if it has none."""
+        """Returns a statement's prepared name here; adds a PREPARE to `needed` if it has none."""
         prepared_text = session.prepared[name]
         alias = self.prepared_names.get(prepared_text)
         if alias is None:
--- a/src/petrelhaven/proxy/reads/__init__.py
+++ b/src/petrelhaven/proxy/reads/__init__.py
@@ -1,1 +1,1 @@
-"""Read routing: the read clock and log positions."""
+"""Read positions: which log position a read must see, and which members have reached it."""
--- a/src/petrelhaven/proxy/reads/interfaces.py
+++ b/src/petrelhaven/proxy/reads/interfaces.py
@@ -1,4 +1,4 @@
-"""The contract between the read clock and the bounds of a proxy of either kind."""
+"""Interfaces that the read clock needs from its proxy; for type checking only."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 
 class ReadBounds(Protocol):
-    """How a group's position fetches are bounded; times in microseconds."""
+    """The limits on the position fetches of one group; times in microseconds."""
 
     @property
     def fetch_us(self) -> int:
-        """How long a fetch may take before another is started beside it."""
+        """How long a fetch may take before another one is started in parallel."""
 
     @property
     def join_us(self) -> int:
-        """How long a read waits for a position."""
+        """How long a read waits for a position before it gives up."""
 
     @property
     def lanes(self) -> int:
-        """How many fetches may be under way."""
+        """How many fetches may run in parallel."""
--- a/src/petrelhaven/proxy/reads/log_progress.py
+++ b/src/petrelhaven/proxy/reads/log_progress.py
@@ -1,4 +1,4 @@
-"""What a proxy knows of one member's log, and the reads that wait for it to rise."""
+"""Tracks the log position that a member last reported, and the reads that wait for a later one."""
 
 from __future__ import annotations
 
@@ -16,116 +16,123 @@
 __all__ = ["PositionRequest", "LogProgress"]
 
 PositionRequest = Callable[[], Awaitable[tuple[int, int]]]
-"""Asks a member for (position, term)."""
+"""Requests (position, term) from a member."""
 
-_PERIOD_US = 8_000
-_DOUBLINGS_MOST = 5
-_NOTHING_KNOWN = -1
+_POLL_INTERVAL_US = 8_000
+_MAX_PAUSE_DOUBLINGS = 5
+_NO_POSITION = -1
 
 
 class LogProgress:
-    """Asks STATUS only while a read waits, one question at a time for a member.
+    """The reported log position of one member.
+
+    STATUS is requested only while a read waits, and with one request at a time.
 
     Attributes:
-        log: The newest known position.
+        position: The newest reported position.
         term: The term under which `position` was reported.
-        asked: How many questions were asked.
-        gap_us: The pause between two questions, in microseconds.
+        status_requests: How many STATUS requests were sent.
+        poll_interval_us: The pause between two requests, in microseconds.
     """
 
     def __init__(
         self,
         clock: Clock,
         tasks: BackgroundTasks,
-        ask: PositionRequest | None,
-        poll_interval_us: int = _PERIOD_US,
+        request_position: PositionRequest | None,
+        poll_interval_us: int = _POLL_INTERVAL_US,
     ) -> None:
-        """Knows no position yet.
+        """Starts without a reported position.
 
         Args:
             clock: Monotonic time.
-            tasks: Where questions are asked.
-            ask: Asks the member for (position, term); None if nothing is ever asked.
-            gap_us: The pause between two questions, in microseconds.
+            tasks: Runs the requests.
+            request_position: Requests (position, term) from the member; None if it is never polled.
+            poll_interval_us: The pause between two requests, in microseconds.
         """
-        self.clock, self.tasks, self._ask, self.poll_interval_us = (
+        self.clock, self.tasks, self._request_position, self.poll_interval_us = (
             clock,
             tasks,
-            ask,
+            request_position,
             poll_interval_us,
         )
-        self.position: LogPosition = _NOTHING_KNOWN
+        self.position: LogPosition = _NO_POSITION
         self.term = 0
         self.status_requests = 0
-        self._waiting: list[tuple[LogPosition, asyncio.Future[LogPosition]]] = []
+        self._waiting_reads: list[tuple[LogPosition, asyncio.Future[LogPosition]]] = []
         self._polling = False
 
     @property
     def is_polling(self) -> bool:
-        """Whether the member is being asked, so that a new position is about to be known."""
+        """Whether the member is being polled, so that a newer position will arrive soon."""
         return self._polling
 
     def set_term(self, term: int) -> None:
-        """Enters a term; positions of another one mean nothing any more."""
+        """Sets the current term and discards a position that was reported in another term."""
         if term != self.term:
-            self.position, self.term = _NOTHING_KNOWN, term
+            self.position, self.term = _NO_POSITION, term
+
+    def note_position(self, reported: LogPosition, term: int) -> None:
+        """Records a position that the member reported in `term`; completes the reads it serves.
 
-    def note_position(self, log: LogPosition, term: int) -> None:
-        """Takes a position that the member reported under `term`."""
+        A position of another term is ignored.
+        """
         if term != self.term:
             return
-        self.position = log
-        waiting, self._waiting = self._waiting, []
-        for position, risen in waiting:
-            if risen.done():
+        self.position = reported
+        waiting, self._waiting_reads = self._waiting_reads, []
+        for position, reached in waiting:
+            if reached.done():
                 continue
-            if log >= position:
-                risen.set_result(log)
+            if reported >= position:
+                reached.set_result(reported)
             else:
-                self._waiting.append((position, risen))
+                self._waiting_reads.append((position, reached))
 
     def wait_until_reached(self, position: LogPosition) -> asyncio.Future[LogPosition]:
-        """A future that is done once another statement shows that the log holds `position`.
+        """Returns a future that completes when the reported log reaches `position`.
 
-        Nothing is asked for it.
+        It sends no request: positions arrive with the replies to other statements.
         """
-        risen: asyncio.Future[LogPosition] = asyncio.get_running_loop().create_future()
+        reached: asyncio.Future[LogPosition] = asyncio.get_running_loop().create_future()
         if self.position >= position:
-            risen.set_result(self.position)
+            reached.set_result(self.position)
         else:
-            self._forget_done()
-            self._waiting.append((position, risen))
-        return risen
+            self._remove_done_reads()
+            self._waiting_reads.append((position, reached))
+        return reached
 
     def poll_until_reached(self, position: LogPosition) -> asyncio.Future[LogPosition]:
-        """A future that is done once the member's log holds `position`."""
-        risen: asyncio.Future[LogPosition] = asyncio.get_running_loop().create_future()
+        """Polls the member until its log reaches `position`; returns a future of that."""
+        reached: asyncio.Future[LogPosition] = asyncio.get_running_loop().create_future()
         if self.position >= position:
-            risen.set_result(self.position)
-            return risen
-        self._waiting.append((position, risen))
-        if not self._polling and self._ask is not None:
+            reached.set_result(self.position)
+            return reached
+        self._waiting_reads.append((position, reached))
+        if not self._polling and self._request_position is not None:
             self._polling = True
-            self.tasks.spawn(self._poll(self._ask))
-        return risen
+            self.tasks.spawn(self._poll(self._request_position))
+        return reached
 
-    def _forget_done(self) -> None:
-        self._waiting = [(position, risen) for position, risen in self._waiting if not risen.done()]
+    def _remove_done_reads(self) -> None:
+        self._waiting_reads = [
+            (position, reached) for position, reached in self._waiting_reads if not reached.done()
+        ]
 
-    async def _poll(self, ask: PositionRequest) -> None:
-        """Asks until no read waits, at a pause that doubles while the member does not answer."""
+    async def _poll(self, request_position: PositionRequest) -> None:
+        """Polls until no read waits; the pause doubles each time the member does not answer."""
         doublings = 0
         try:
             while True:
-                self._forget_done()
-                if not self._waiting:
+                self._remove_done_reads()
+                if not self._waiting_reads:
                     return
                 try:
                     self.status_requests += 1
-                    self.note_position(*await ask())
+                    self.note_position(*await request_position())
                     doublings = 0
                 except Fault:
-                    doublings = min(doublings + 1, _DOUBLINGS_MOST)
+                    doublings = min(doublings + 1, _MAX_PAUSE_DOUBLINGS)
                 await self.clock.sleep(self.poll_interval_us << doublings)
         finally:
             self._polling = False
--- a/src/petrelhaven/proxy/reads/position.py
+++ b/src/petrelhaven/proxy/reads/position.py
@@ -1,14 +1,14 @@
-"""Positions in a member's log, as proxies compare them."""
+"""Types of positions in a member's log, as proxies compare them."""
 
 from typing import Any
 
 __all__ = ["LogPosition", "Position"]
 
 Position = tuple[int, int]
-"""With connection sessions: (term, number). A later one holds all that an earlier one holds."""
+"""(term, log number), with connection sessions. A log at a position has all earlier ones too."""
 
 LogPosition = Any
-"""With either kind of sessions: a `Position`, or with resumable ones a whole number.
+"""A `Position` with connection sessions, an integer with resumable sessions.
 
-One proxy has only one kind, so the two are never compared.
+A proxy serves only one kind of session, so the two are never compared.
 """
--- a/src/petrelhaven/proxy/reads/read_clock.py
+++ b/src/petrelhaven/proxy/reads/read_clock.py
@@ -1,15 +1,14 @@
-"""The read clock: which log position a strongly consistent read must find.
+"""The read clock: determines the log position that a strongly consistent read must see.
 
-The position is asked of the primary as seldom as can be.
+It requests that position from the primary as rarely as possible. It implements the linear Lamport
+timestamp of *PolarDB-SCC: A Cloud-Native Database Ensuring Low Latency for Strongly Consistent
+Reads*, section 4.1; the guarantee of section 4.4 (read your writes) follows without further code.
+docs/clock.md describes the differences and the reasons for them.
 
-The linear Lamport timestamp of *PolarDB-SCC: A Cloud-Native Database Ensuring Low Latency for
-Strongly Consistent Reads*, section 4.1; section 4.4 (read your writes) needs nothing of its own.
-docs/clock.md says what is changed and why.
-
-A fetch asks the primary for the position of its log. A read that arrived before a fetch started
-may use what the fetch brings: everything committed before the read arrived was committed before
-the primary answered. So one fetch serves many reads, and a read starts one only if it arrived
-after the start of every other.
+A fetch requests the current log position from the primary. A read may use the result of any fetch
+that started after the read arrived: everything committed before the read arrived was committed
+before the primary answered. So one fetch serves many reads, and a read starts a fetch of its own
+only if it arrived after the start of every other fetch.
 """
 
 from __future__ import annotations
@@ -31,33 +30,34 @@
 __all__ = ["Fetch", "LeadershipKey", "LogicalClock", "FetchedPosition", "ReadClock"]
 
 LeadershipKey = tuple[int, str]
-"""What pairs belong to: the number of a leadership, and the primary that it names."""
+"""Identifies a leadership: the number of its first record, and the primary."""
 
-_READ_WAIT = "read-wait"
-_RETRY_US = 10_000
-_RETRY_DOUBLINGS_MOST = 5
+_READ_WAIT_SCHEME = "read-wait"
+_RETRY_PAUSE_US = 10_000
+_MAX_RETRY_DOUBLINGS = 5
 
 
 class LogicalClock:
-    """One strictly rising counter for a node, from which arrivals and fetch starts are stamped.
+    """A strictly increasing counter that orders the events of one node.
 
-    Wall time is never compared, and two events never share an order point.
+    Arrivals of reads and starts of fetches get their timestamps from it. Two events never have
+    the same timestamp, and wall time is never compared.
     """
 
-    __slots__ = ("_points",)
+    __slots__ = ("_timestamps",)
 
     def __init__(self) -> None:
-        """Begins at 1."""
-        self._points = itertools.count(1)
+        """Starts at 1."""
+        self._timestamps = itertools.count(1)
 
     def next_timestamp(self) -> int:
-        """The next order point."""
-        return next(self._points)
+        """Returns the next timestamp."""
+        return next(self._timestamps)
 
 
 @dataclass(slots=True, eq=False)
 class FetchedPosition:
-    """A fetched position, and when its fetch started: as an order point and in microseconds."""
+    """A fetched position; its fetch began at the logical timestamp `start`, at `started_us`."""
 
     position: LogPosition
     start: int
@@ -68,8 +68,11 @@
 class _Read:
     """A read that waits for a position.
 
-    It arrived at the order point `arrival`. With `since`, a fetch that started at that moment
-    (microseconds) or later will do also.
+    Attributes:
+        arrival: The logical timestamp of its arrival.
+        since: For a read that accepts stale data: it may also use any fetch that started at this
+            time (in microseconds) or later. None for a strong read.
+        position: The future that the read waits for.
     """
 
     arrival: int
@@ -79,10 +82,15 @@
 
 @dataclass(slots=True, eq=False)
 class Fetch:
-    """A position fetch on its way, with the reads that wait for it.
+    """A running position fetch.
 
-    It started at the order point `start` and the moment `started_us`. `stuck` once it has taken
-    so long that others are started beside it; `timer` sets that.
+    Attributes:
+        leadership_key: The leadership in which it started.
+        start: The logical timestamp of its start.
+        started_us: The time of its start, in microseconds.
+        reads: The reads that wait for it.
+        stuck: Whether it takes so long that other fetches are started in parallel.
+        timer: Sets `stuck`.
     """
 
     leadership_key: LeadershipKey
@@ -97,33 +105,34 @@
     """The read clock of one group on one proxy.
 
     Attributes:
-        leading: The leadership and primary that pairs belong to, or None while none is known.
-        pair: The newest pair, or None.
+        leadership_key: The current leadership, or None while there is none. Positions that were
+            fetched in another leadership are not used.
+        latest: The position of the fetch that started last, or None.
         count: Counters that the proxy's status shows.
     """
 
-    def __init__(  # noqa: PLR0913, PLR0917 (given by the group, once)
+    def __init__(  # noqa: PLR0913, PLR0917 (called in one place)
         self,
         clock: Clock,
         tasks: BackgroundTasks,
-        order: LogicalClock,
+        logical_clock: LogicalClock,
         fetch: Callable[[LeadershipKey], Awaitable[LogPosition]],
         bounds: Callable[[], ReadBounds],
         scheme: str | None = None,
     ) -> None:
-        """A clock that knows no primary yet.
+        """Starts without a leadership.
 
         Args:
             clock: Monotonic time, in microseconds.
-            tasks: Where fetches run.
-            order: The order points of the node.
-            fetch: Asks the primary for its position; a `Fault` if that fails.
-            bounds: The bounds in force.
-            scheme: `read-wait` fetches for every read, for comparison; None is the read clock.
+            tasks: Runs the fetches.
+            logical_clock: Gives the logical timestamps of the node.
+            fetch: Requests the position from the primary; raises a `Fault` if that fails.
+            bounds: Returns the limits that currently apply.
+            scheme: `read-wait` starts a fetch for every read, for comparisons; None shares fetches.
         """
-        self.clock, self.tasks, self.logical_clock = clock, tasks, order
+        self.clock, self.tasks, self.logical_clock = clock, tasks, logical_clock
         self._fetch_position, self._bounds = fetch, bounds
-        self._shares_fetches = scheme != _READ_WAIT
+        self._shares_fetches = scheme != _READ_WAIT_SCHEME
         self.leadership_key: LeadershipKey | None = None
         self.latest: FetchedPosition | None = None
         self._fetches: list[Fetch] = []
@@ -142,14 +151,14 @@
             "carried": 0,
         }
 
-    def set_leadership(self, leading: LeadershipKey | None) -> None:
-        """Enters a leadership: pair and fetches of another one are void.
+    def set_leadership(self, leadership_key: LeadershipKey | None) -> None:
+        """Sets the current leadership and discards the fetches and position of the previous one.
 
-        The reads that wait fetch anew, under the arrival that they have.
+        The reads that waited for those fetches are queued again, with their original arrival.
         """
-        if leading == self.leadership_key:
+        if leadership_key == self.leadership_key:
             return
-        self.leadership_key = leading
+        self.leadership_key = leadership_key
         self.latest = None
         fetches, self._fetches = self._fetches, []
         for fetch in fetches:
@@ -163,33 +172,38 @@
     def request_position(
         self, arrival: int, since: int | None = None
     ) -> asyncio.Future[LogPosition | None]:
-        """A future of the position that a read which arrived at `arrival` must find.
+        """Returns a future of the position that a read must see.
+
+        Args:
+            arrival: The logical timestamp of the read's arrival.
+            since: For a read that accepts stale data: any fetch that started at this time (in
+                microseconds) or later is recent enough.
 
-        With `since`, a browsing read: any fetch that started at that moment or later will do.
-        The result is None if the bound on joining passes first.
+        Returns:
+            A future; its result is None if no position arrives within `join_us`.
         """
         self.count["reads"] += 1
         position: asyncio.Future[LogPosition | None] = asyncio.get_running_loop().create_future()
         read = _Read(arrival, since, position)
         timer = self.clock.later(self._bounds().join_us, lambda: self._give_up(position))
         position.add_done_callback(lambda _: timer.cancel())
-        pair = self.latest
+        fetched = self.latest
         if not self._shares_fetches:
             self._start([read])
-        elif pair is not None and self._fits(pair.start, pair.started_us, read):
+        elif fetched is not None and self._fits(fetched.start, fetched.started_us, read):
             self.count["reused"] += 1
-            position.set_result(pair.position)
+            position.set_result(fetched.position)
         else:
             self._join(read)
         return position
 
     @staticmethod
     def _fits(start: int, started_us: int, read: _Read) -> bool:
-        """Whether a fetch that started then brings a position that the read may use."""
+        """Returns whether the read may use the position of a fetch with this start."""
         return start > read.arrival or (read.since is not None and started_us >= read.since)
 
     def _join(self, read: _Read) -> None:
-        """Has a read wait for a fetch under way that fits it, or for the next one."""
+        """Adds a read to a running fetch that it may use, or to the queue for the next one."""
         for fetch in reversed(self._fetches):
             if not fetch.stuck and self._fits(fetch.start, fetch.started_us, read):
                 self.count["joined"] += 1
@@ -199,33 +213,37 @@
         self._start_queued()
 
     def start_piggybacked_fetch(self, arrival: int, since: int | None = None) -> Fetch | None:
-        """A fetch that the caller's own statement to the primary is to be.
+        """Starts a fetch that is piggybacked on the caller's own statement to the primary.
 
-        None if a pair or a fetch under way will do for a read of this arrival. The fetch has
-        started here; the caller must end it with `finish_piggybacked_fetch` or `fail_piggybacked_fetch`.
+        Returns None if a read of this arrival can use the latest position or a running fetch.
+        The fetch starts with this call; the caller must end it with `finish_piggybacked_fetch` or
+        `fail_piggybacked_fetch`.
         """
-        pair = self.latest
-        read = _Read(arrival, since, None)  # type: ignore[arg-type]  # nobody waits for it
+        fetched = self.latest
+        read = _Read(arrival, since, None)  # type: ignore[arg-type]  # never completed
         if self.leadership_key is None:
             return None
-        if pair is not None and self._fits(pair.start, pair.started_us, read):
+        if fetched is not None and self._fits(fetched.start, fetched.started_us, read):
             return None
-        if any(not f.stuck and self._fits(f.start, f.started_us, read) for f in self._fetches):
+        if any(
+            not fetch.stuck and self._fits(fetch.start, fetch.started_us, read)
+            for fetch in self._fetches
+        ):
             return None
         self.count["reads"] += 1
         self.count["carried"] += 1
         return self._new_fetch([])
 
     def finish_piggybacked_fetch(self, fetch: Fetch, position: LogPosition) -> None:
-        """The primary has answered the statement that carries `fetch`, its log at `position`."""
+        """Completes a piggybacked fetch: the primary answered with its log at `position`."""
         fetch.timer.cancel()
         if fetch in self._fetches:
             self._fetches.remove(fetch)
             self._failures = 0
-            self._take(fetch, position)
+            self._complete_fetch(fetch, position)
 
     def fail_piggybacked_fetch(self, fetch: Fetch) -> None:
-        """The statement that carries `fetch` brought no position; who joined it fetches anew."""
+        """Ends a piggybacked fetch that returned no position; its reads are queued again."""
         fetch.timer.cancel()
         if fetch in self._fetches:
             self._fetches.remove(fetch)
@@ -233,22 +251,29 @@
             self._start_queued()
 
     def note_position(
-        self, leading: LeadershipKey | None, start: int, started_us: int, position: LogPosition
+        self,
+        leadership_key: LeadershipKey | None,
+        start: int,
+        started_us: int,
+        position: LogPosition,
     ) -> None:
-        """A statement sent at `start`, which only a leading primary answers, brought `position`."""
-        if leading != self.leadership_key or leading is None:
+        """Records a position that arrived with the reply to another statement.
+
+        The statement was sent at `start`, and only a primary that leads can have answered it.
+        """
+        if leadership_key != self.leadership_key or leadership_key is None:
             return
         if self.latest is None or start > self.latest.start:
             self.latest = FetchedPosition(position, start, started_us)
             self._serve_queue(self.latest)
 
     def _start_queued(self) -> None:
-        """Starts one fetch for all reads that wait for one, if a lane is free."""
+        """Starts one fetch for all queued reads, if another fetch may run."""
         if self.leadership_key is None or self._retry_timer is not None:
             return
-        self._queue = _undone(self._queue)
-        under_way = sum(not fetch.stuck for fetch in self._fetches)
-        if self._queue and under_way < self._bounds().lanes:
+        self._queue = _pending(self._queue)
+        running = sum(not fetch.stuck for fetch in self._fetches)
+        if self._queue and running < self._bounds().lanes:
             reads, self._queue = self._queue, []
             self.count["joined"] += len(reads) - 1
             self._start(reads)
@@ -259,7 +284,7 @@
 
     def _new_fetch(self, reads: list[_Read]) -> Fetch:
         fetch = Fetch(
-            self.leadership_key,  # type: ignore[arg-type]  # nothing is fetched while it is None
+            self.leadership_key,  # type: ignore[arg-type]  # no fetch starts while it is None
             self.logical_clock.next_timestamp(),
             self.clock.now(),
             reads,
@@ -269,16 +294,16 @@
         return fetch
 
     def _set_stuck(self, fetch: Fetch) -> None:
-        """A fetch takes too long: its lane is free, and its reads go into another."""
+        """Marks a fetch as stuck: it no longer counts as running; its reads are queued again."""
         if fetch in self._fetches and not fetch.stuck:
             fetch.stuck = True
             self.count["stuck"] += 1
             reads, fetch.reads = fetch.reads, []
-            self._queue += _undone(reads)
+            self._queue += _pending(reads)
             self._start_queued()
 
     async def _run(self, fetch: Fetch) -> None:
-        """Asks the primary; a failure is tried again after a pause that doubles."""
+        """Requests the position; after a failure, retries with a pause that doubles."""
         position: LogPosition | None
         try:
             position = await self._fetch_position(fetch.leadership_key)
@@ -292,22 +317,22 @@
             self._retry_later(fetch)
         else:
             self._failures = 0
-            self._take(fetch, position)
+            self._complete_fetch(fetch, position)
 
     def _retry_later(self, fetch: Fetch) -> None:
         self.count["faults"] += 1
-        self._failures = min(self._failures + 1, _RETRY_DOUBLINGS_MOST)
+        self._failures = min(self._failures + 1, _MAX_RETRY_DOUBLINGS)
         self._queue += fetch.reads
         if self._retry_timer is None:
-            pause_us = _RETRY_US << self._failures
+            pause_us = _RETRY_PAUSE_US << self._failures
             self._retry_timer = self.clock.later(pause_us, self._retry)
 
     def _retry(self) -> None:
         self._retry_timer = None
         self._start_queued()
 
-    def _take(self, fetch: Fetch, position: LogPosition) -> None:
-        """Serves what a fetch has brought to every read that it fits, whatever that waits for."""
+    def _complete_fetch(self, fetch: Fetch, position: LogPosition) -> None:
+        """Completes every read that may use a fetched position, also those in other fetches."""
         if self.latest is None or fetch.start > self.latest.start:
             self.latest = FetchedPosition(position, fetch.start, fetch.started_us)
         for read in fetch.reads:
@@ -318,15 +343,15 @@
                 read.position.set_result(position)
         self._serve_queue(self.latest)
 
-    def _serve_queue(self, pair: FetchedPosition) -> None:
-        """Serves `latest` to the reads that wait for a fetch to start, and starts one for others."""
-        left = []
+    def _serve_queue(self, fetched: FetchedPosition) -> None:
+        """Completes the queued reads that may use `fetched`; starts a fetch for the others."""
+        remaining = []
         for read in self._queue:
-            if not read.position.done() and self._fits(pair.start, pair.started_us, read):
-                read.position.set_result(pair.position)
+            if not read.position.done() and self._fits(fetched.start, fetched.started_us, read):
+                read.position.set_result(fetched.position)
             else:
-                left.append(read)
-        self._queue = left
+                remaining.append(read)
+        self._queue = remaining
         self._start_queued()
 
     def _give_up(self, position: asyncio.Future[LogPosition | None]) -> None:
@@ -335,5 +360,5 @@
             position.set_result(None)
 
 
-def _undone(reads: Sequence[_Read]) -> list[_Read]:
+def _pending(reads: Sequence[_Read]) -> list[_Read]:
     return [read for read in reads if not read.position.done()]
--- a/src/petrelhaven/proxy/routing/attempt.py
+++ b/src/petrelhaven/proxy/routing/attempt.py
@@ -1,4 +1,4 @@
-"""One sending of one statement to one member."""
+"""An attempt to run a statement at a member."""
 
 from __future__ import annotations
 
@@ -14,31 +14,31 @@
 
 
 class Attempt:
-    """An attempt at a member.
+    """An attempt to run a statement at a member.
 
     Attributes:
         member: The member.
-        leadership: The (number, primary) of the leadership under which the attempt was made.
-        fetch: The position fetch that it carries, if any.
-        sent: Whether its bytes may have left.
-        started: The order point right before it was sent, 0 before that.
-        started_us: The moment of that, in microseconds.
-        task: What runs it; set by whoever makes the attempt.
+        leadership_key: The leadership (number, primary) in which the attempt was made.
+        fetch: The position fetch that is piggybacked on it, if any.
+        sent: Whether the statement may have been sent.
+        started: The logical timestamp right before it was sent, 0 until then.
+        started_us: The time of `started`, in microseconds.
+        task: The task that runs it; set by the caller that creates the attempt.
     """
 
-    __slots__ = ("member", "leadership", "fetch", "sent", "started", "started_us", "task")
+    __slots__ = ("member", "leadership_key", "fetch", "sent", "started", "started_us", "task")
 
     task: asyncio.Task[Reply]
 
     def __init__(
         self,
         member: Member,
-        leadership: tuple[int, str] | None = None,
+        leadership_key: tuple[int, str] | None = None,
         fetch: Fetch | None = None,
     ) -> None:
-        """Makes an attempt that has not been sent."""
+        """Creates an attempt that has not been sent."""
         self.member = member
-        self.leadership = leadership
+        self.leadership_key = leadership_key
         self.fetch = fetch
         self.sent = False
         self.started = 0
--- a/src/petrelhaven/proxy/routing/group.py
+++ b/src/petrelhaven/proxy/routing/group.py
@@ -59,7 +59,7 @@
             belong to it.
         connection_cap: How many connections all proxies together may have to one member.
         sync_replicas: How many replicas have a commit before it is acknowledged.
-        size: The most members that the group has had.
+        largest_size: The largest number of members that the group has had.
         strong_sessions: How many sessions have a route with strong reads.
         lower_bound: A log position that no acknowledged commit of departed members is beyond.
         read_clock: Gives reads their positions.
@@ -75,7 +75,7 @@
         self.leadership: Leadership | None = None
         self.leadership_key: tuple[int, str] | None = None
         self.connection_cap = _CONNECTION_CAP
-        self.sync_replicas = self.size = self.strong_sessions = 0
+        self.sync_replicas = self.largest_size = self.strong_sessions = 0
         self.lower_bound: Position = NO_POSITION
         self.read_clock = ReadClock(
             proxy.clock, proxy.tasks, proxy.logical_clock, self._fetch, proxy.bounds
@@ -125,7 +125,7 @@
         `fresh` tells that the whole state was handed over: how old its changes are is not known.
         """
         rows = control_state.group(self.name)
-        self.size = control_state.doc["sizes"].get(self.name, 0)
+        self.largest_size = control_state.doc["sizes"].get(self.name, 0)
         self.lower_bound = control_state.evidence(self.name).lower_bound
         for name, row in rows.items():
             self._apply_member(name, row, control_state, fresh)
@@ -256,7 +256,7 @@
     def note_position(self, attempt: Attempt, position: Position) -> None:
         """A statement that only a leading primary answers came back with its log at `position`."""
         self.read_clock.note_position(
-            attempt.leadership, attempt.started, attempt.started_us, position
+            attempt.leadership_key, attempt.started, attempt.started_us, position
         )
 
     def primary_is_lost(self, route: Route, end: int) -> bool:
--- a/src/petrelhaven/proxy/routing/interfaces.py
+++ b/src/petrelhaven/proxy/routing/interfaces.py
@@ -1,7 +1,7 @@
-"""What the modules of this package need of the proxy and of the group that they work for.
+"""Interfaces that this package needs from the proxy and its groups.
 
-These contracts are for type checkers and readers: nothing imports this module at run time. They
-keep imports in one direction: `proxy/node` imports this package, and nothing here imports it.
+They are for type checking only; nothing imports this module at run time. They keep imports in one
+direction: `proxy/node` imports this package, and this package doesn't import `proxy/node`.
 """
 
 from __future__ import annotations
@@ -34,18 +34,18 @@
 _Result = TypeVar("_Result")
 
 Continuation = Generator[asyncio.Future[Any], Any, _Result]
-"""A request, or a part of one: yields the futures that it waits for and returns its result."""
+"""A generator that runs a request or part of it: yields futures to wait for, returns the result."""
 
 
 class AdmittedRequest(Protocol):
-    """What admission needs of a request; `request.Request` is the one there is.
+    """A request as admission uses it; implemented by `request.Request`.
 
     Attributes:
         tenant: The tenant that it runs for.
-        route: The route by which it goes.
-        end: When its time is over, in microseconds of the proxy's clock.
-        permit: The account of the permit that is reserved for it; None without one.
-        runs: How many members run it or may have run it.
+        route: Its route.
+        deadline: When it times out, in microseconds of the proxy's clock.
+        permit: The account of the permit that is reserved for it, or None.
+        possible_runs: How many members run it or may have run it.
     """
 
     tenant: Tenant
@@ -56,35 +56,35 @@
 
 
 class Admission(Protocol):
-    """Admits tenants' operations; `proxy/tenants/admission.QuotaAdmission` is the one there is."""
+    """Admits tenants' operations; implemented by `proxy/tenants/admission.QuotaAdmission`."""
 
     def admit(self, request: AdmittedRequest) -> Continuation[str | None]:
-        """Reserves a permit for one operation; why there is none, or None once it may run."""
+        """Reserves a permit for an operation; returns the reason for a refusal, or None."""
 
     def note_sent(self, request: AdmittedRequest) -> None:
-        """A member gets the operation now, for the first time or once more."""
+        """Records that the operation is sent to a member, for the first time or again."""
 
     def put_back(self, request: AdmittedRequest) -> None:
-        """An admitted operation has ended, whether or not it was sent."""
+        """Ends an admitted operation; returns its permit if the operation did not run."""
 
 
 class ProxyServices(Protocol):
-    """A proxy as its groups and statements use it; `proxy/node.ProxyNode` is the one there is.
+    """A proxy as its groups and statements use it; implemented by `proxy/node.ProxyNode`.
 
     Attributes:
         name: The proxy's name.
         clock: Monotonic time, in microseconds.
-        tasks: The proxy's background tasks, which end with it.
-        rng: Spreads the times at which clients come back.
-        log: Where events go, or None.
-        order: Gives the order points of arrivals and position fetches.
-        core_connection: Brings the lease and the control state, takes reports of failures.
+        tasks: The proxy's background tasks, which end with the proxy.
+        rng: Randomizes the delays after which clients retry.
+        log: The event log, or None.
+        logical_clock: Gives the logical timestamps of arrivals and position fetches.
+        core_connection: Provides the lease and the control state, and receives suspicions.
         wire: Opens connections to members.
-        outside_contact: When members far away last answered.
+        remote_contact: When members in other zones or regions last answered.
         routes: The configured routes by host.
         count: Counters that the proxy's status shows.
-        drain_us: How long a draining primary still takes new statements, in microseconds.
-        empty_us: The same for a primary whose zone is evacuated.
+        drain_us: How long a draining primary still accepts new statements, in microseconds.
+        evacuation_us: The same for a primary whose zone is evacuated.
     """
 
     name: str
@@ -106,34 +106,34 @@
         """Admits tenants' operations within their limits."""
 
     def bounds(self) -> ProxyBounds:
-        """The bounds in force."""
+        """Returns the limits that currently apply."""
 
     def zone_distance(self, zone: str) -> int:
-        """How far a zone is: 0 the proxy's own, 1 its region, 2 farther."""
+        """Returns the distance of a zone: 0 own zone, 1 own region, 2 another region."""
 
     def retry_after(self, delay_us: int = ...) -> str:
-        """The text of a reply that sends a client away, with the time to come back."""
+        """Returns the text of a reply that asks the client to retry, with the delay."""
 
     def out_of_time(self, tried: bool = False) -> Reply:
-        """The reply to a statement whose time is over; `tried` if a member has it."""
+        """Returns the reply to a statement that timed out; `tried` if a member received it."""
 
 
 class GroupMembers(Protocol):
-    """A group as `MemberProofs` uses it; `group.MemberGroup` is the one there is.
+    """A group as `MemberProofs` uses it; implemented by `group.MemberGroup`.
 
     Attributes:
-        members: The members that are not gone, by name.
-        leadership: Who leads the group, or None while that is not known.
-        sync_replicas: How many replicas have a commit before it is acknowledged.
-        size: The most members that the group has had.
-        lower_bound: A log position that every acknowledged commit of departed members is within.
+        members: The current members, by name.
+        leadership: The leadership of the group, or None while it is unknown.
+        sync_replicas: How many replicas must have a commit before it is acknowledged.
+        largest_size: The largest number of members that the group has had.
+        lower_bound: No acknowledged commit of departed members is after this log position.
     """
 
     members: dict[str, Member]
     leadership: Leadership | None
     sync_replicas: int
-    size: int
+    largest_size: int
     lower_bound: Position
 
     async def status(self, member: Member) -> dict[str, Any]:
-        """The answer of a member to STATUS."""
+        """Returns a member's answer to STATUS."""
--- a/src/petrelhaven/proxy/routing/member_calls.py
+++ b/src/petrelhaven/proxy/routing/member_calls.py
@@ -120,7 +120,7 @@
                 raise NotSent("lease")
             self._stamp(attempt)
             self._count_run(request)
-            mode = "reads" if transaction.reads else "writes"
+            mode = "reads" if transaction.read_only else "writes"
             begin = SetUpStatement("begin", (mode, after), transaction.number)
             _, replies = await self._clock.limit(
                 self._set_up(connection, request.session, None, [begin]), limit_us
--- a/src/petrelhaven/proxy/routing/member_proofs.py
+++ b/src/petrelhaven/proxy/routing/member_proofs.py
@@ -121,7 +121,7 @@
     def _are_enough(self, others: list[Member]) -> bool:
         """Whether `others` are all members but one, as a proxy knows only under a lease."""
         sync_replicas = self._group.sync_replicas
-        fewest = max(sync_replicas + 1, self._group.size - 1)
+        fewest = max(sync_replicas + 1, self._group.largest_size - 1)
         return (
             sync_replicas > 0 and len(others) >= fewest and self._proxy.core_connection.holds_lease
         )
--- a/src/petrelhaven/proxy/routing/member_wire.py
+++ b/src/petrelhaven/proxy/routing/member_wire.py
@@ -1,4 +1,4 @@
-"""What a proxy needs of the adapter that speaks its members' protocol."""
+"""The interface of the adapter that implements the members' protocol."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
     async def open(
         self, address: str, group: str, member: str, limit_us: int, tenant: str = ""
     ) -> MemberConnection:
-        """A new connection, for statements of `tenant`; of no tenant if that is empty.
+        """Opens a connection for statements of `tenant` (empty if there are no tenants).
 
         Raises:
-            NotSent: the member refused or did not answer in time.
-            MemberReplaced: the member at this address is another one.
-            Busy: the member takes no further connection.
+            NotSent: the member refused the connection or did not answer in time.
+            MemberReplaced: another member has this address now.
+            Busy: the member accepts no further connection.
         """
--- a/src/petrelhaven/proxy/routing/read_path.py
+++ b/src/petrelhaven/proxy/routing/read_path.py
@@ -36,7 +36,7 @@
         "since",
         "hedge_us",
         "excluded",
-        "leadership",
+        "leadership_key",
         "position",
         "pause_us",
         "left_us",
@@ -50,7 +50,7 @@
         self.since = request.oldest_usable_fetch(now)
         self.hedge_us = max(_HEDGE_LEAST_US, int(request.route.aim_us * _HEDGE_SHARE))
         self.excluded: set[str] = set()
-        self.leadership: tuple[int, str] | None = None
+        self.leadership_key: tuple[int, str] | None = None
         self.position: Position | None = None
         self.pause_us = _FIRST_PAUSE_US
         self.left_us = 0
@@ -97,12 +97,12 @@
     def _round(self, state: _ReadState) -> Continuation[Reply | None]:
         """Starts an attempt where there is a place for one, waits, and collects replies."""
         group = state.request.group
-        if state.leadership != group.leadership_key:
-            state.leadership, state.position = group.leadership_key, None
+        if state.leadership_key != group.leadership_key:
+            state.leadership_key, state.position = group.leadership_key, None
         attempt = None if state.running else self._carrier(state)
         if attempt is None and state.position is None:
             yield from self._find_position(state)
-            if state.leadership != group.leadership_key:
+            if state.leadership_key != group.leadership_key:
                 return None
         if attempt is None and state.position is not None:
             member = group.pick_member(state.position, state.excluded)
@@ -111,7 +111,7 @@
                 yield from self._placement.joined(member, state.position, state.request.deadline)
                 return None
             if member is not None:
-                attempt = Attempt(member, state.leadership)
+                attempt = Attempt(member, state.leadership_key)
         if attempt is not None:
             self._launch(state, attempt)
         elif not state.running:
--- a/src/petrelhaven/proxy/routing/request.py
+++ b/src/petrelhaven/proxy/routing/request.py
@@ -1,4 +1,4 @@
-"""One statement on its way through the proxy."""
+"""A statement that runs through the proxy."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 
 __all__ = ["Request"]
 
-_BROWSING_SHARE = 0.8
+_STALENESS_SHARE_FOR_FETCH = 0.8
 
 
 @dataclass(slots=True)
 class Request:
-    """A statement on its way.
+    """A statement with everything that is needed to run it.
 
     Attributes:
         session: Its session.
         statement: The statement.
-        route: The route by which it goes.
+        route: Its route.
         group: The group that serves it.
-        end: When its time is over, in microseconds of the proxy's clock.
+        deadline: When it times out, in microseconds of the proxy's clock.
         tenant: The tenant that it runs for.
-        permit: The account of the permit that is reserved for it; None without one.
-        runs: How many members run it or may have run it.
+        permit: The account of the permit that is reserved for it, or None.
+        possible_runs: How many members run it or may have run it.
     """
 
     session: ClientSession
@@ -43,7 +43,7 @@
     possible_runs: int = 0
 
     def oldest_usable_fetch(self, now: int) -> int | None:
-        """The earliest start of a fetch that a browsing read may use; None for a strong read."""
+        """Returns the earliest start of a fetch that a browsing read may use; None if strong."""
         if not self.route.browsing:
             return None
-        return now - int(self.route.stale_us * _BROWSING_SHARE)
+        return now - int(self.route.stale_us * _STALENESS_SHARE_FOR_FETCH)
--- a/src/petrelhaven/proxy/routing/request_slots.py
+++ b/src/petrelhaven/proxy/routing/request_slots.py
@@ -1,7 +1,7 @@
-"""Request slots: every request in a process is a continuation in one of a fixed number of slots.
+"""Request slots: every request runs as a continuation in one of a limited number of slots.
 
-A continuation is a generator that yields the futures it waits for and returns the reply. It takes
-less memory and time than a task of the event loop, and a full set of slots rejects at once.
+A continuation is a generator that yields the futures it waits for and returns the reply. It needs
+less memory and time than an asyncio task. When all slots are taken, new requests fail immediately.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 
 _Result = TypeVar("_Result")
 
-_SLOTS = 512
+_DEFAULT_SLOTS = 512
 
 
 class _Slot:
-    """A place for one continuation; `generation` tells the ones that use it in turn apart."""
+    """A slot for one continuation; `generation` increases each time that it is freed."""
 
     __slots__ = ("generation", "continuation", "outcome", "timer", "waits_for")
 
@@ -34,7 +34,7 @@
     waits_for: asyncio.Future[Any] | None
 
     def __init__(self) -> None:
-        """An empty slot; what a request needs is set when one enters."""
+        """Creates an empty slot; `RequestSlots.run` sets the other attributes."""
         self.generation = 0
         self.waits_for = None
 
@@ -42,8 +42,8 @@
 class RequestSlots:
     """Runs continuations; `shed_count` counts those rejected because all slots were taken."""
 
-    def __init__(self, clock: Clock, slots: int = _SLOTS) -> None:
-        """Makes `slots` empty slots; deadlines are counted on `clock`."""
+    def __init__(self, clock: Clock, slots: int = _DEFAULT_SLOTS) -> None:
+        """Creates `slots` empty slots; `clock` measures the time limits."""
         self.clock = clock
         self._slots = [_Slot() for _ in range(slots)]
         self._free = list(range(slots - 1, -1, -1))
@@ -52,11 +52,11 @@
 
     @property
     def used(self) -> int:
-        """How many slots are taken."""
+        """The number of slots in use."""
         return len(self._slots) - len(self._free)
 
     def resize(self, slots: int) -> None:
-        """Sets how many slots may be taken; what is under way stays."""
+        """Sets the maximum number of slots in use; running continuations are not affected."""
         self._limit = slots
         for index in range(len(self._slots), slots):
             self._slots.append(_Slot())
@@ -68,19 +68,19 @@
         """Starts a continuation.
 
         Args:
-            continuation: What runs; it is closed if no slot is free.
-            horizon_us: After how many microseconds `DeadlineExceeded` is thrown into it.
+            continuation: The continuation to run; it is closed if no slot is free.
+            time_limit_us: The time after which `DeadlineExceeded` is thrown into it.
 
         Returns:
             A future of its result.
 
         Raises:
-            Busy: All slots are taken.
+            Busy: all slots are taken.
         """
         if not self._free or self.used >= self._limit:
             self.shed_count += 1
             continuation.close()
-            raise Busy("every slot is taken")
+            raise Busy("all request slots are taken")
         index = self._free.pop()
         slot = self._slots[index]
         outcome: asyncio.Future[_Result] = asyncio.get_running_loop().create_future()
@@ -91,14 +91,19 @@
         return outcome
 
     def _expire(self, index: int, generation: int) -> None:
-        """The horizon has passed; the continuation may still end by itself."""
+        """Throws `DeadlineExceeded` into a continuation; it may still return a result."""
         slot = self._slots[index]
         if slot.generation == generation:
             slot.waits_for = None
-            self._resume(index, generation, None, DeadlineExceeded("horizon passed"))
+            self._resume(
+                index,
+                generation,
+                None,
+                DeadlineExceeded("the time limit of the request has passed"),
+            )
 
     def _wake(self, index: int, generation: int, awaited: asyncio.Future[Any]) -> None:
-        """What a continuation waited for is done; it goes on, if it waits for that still."""
+        """Resumes a continuation with the result of `awaited`, if it still waits for that."""
         slot = self._slots[index]
         if slot.generation != generation or slot.waits_for is not awaited:
             if not awaited.cancelled():
@@ -114,7 +119,7 @@
     def _resume(
         self, index: int, generation: int, value: object, fault: BaseException | None
     ) -> None:
-        """Runs a continuation to the next future it waits for, or to its end."""
+        """Runs a continuation until it waits for another future or ends."""
         slot = self._slots[index]
         try:
             if fault is not None:
@@ -128,14 +133,14 @@
         else:
             if awaited is None:
                 slot.continuation.close()
-                self._end(index, None, Busy("this node ends"))
+                self._end(index, None, Busy("this node is shutting down"))
                 return
             awaited = asyncio.ensure_future(awaited)
             slot.waits_for = awaited
             awaited.add_done_callback(lambda done: self._wake(index, generation, done))
 
     def _end(self, index: int, result: object, fault: Exception | None) -> None:
-        """Frees a slot and hands its outcome over."""
+        """Frees a slot and completes the future of its outcome."""
         slot = self._slots[index]
         slot.generation += 1
         slot.timer.cancel()
--- a/src/petrelhaven/proxy/routing/route.py
+++ b/src/petrelhaven/proxy/routing/route.py
@@ -1,4 +1,4 @@
-"""What a proxy uses of a configured route."""
+"""The part of a configured route that a proxy uses."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -8,7 +8,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """A database name that clients connect to; times in microseconds."""
+    """A database name that clients connect to, and how its statements run.
+
+    Attributes:
+        host: The database name.
+        group: The group that serves it.
+        reads: `strong` or `browsing`.
+        timeout_us: The time limit of a statement, in microseconds.
+        aim_us: The target latency of a statement, in microseconds.
+        stale_us: How old the result of a browsing read may be, in microseconds.
+        public: Whether it serves clients without an API key.
+    """
 
     host: str
     group: str
@@ -20,12 +30,12 @@
 
     @property
     def browsing(self) -> bool:
-        """Whether reads may be as old as `stale_us`."""
+        """Whether reads accept results that are up to `stale_us` old."""
         return self.reads == "browsing"
 
     @classmethod
     def from_configuration(cls, row: dict[str, Any]) -> "Route":
-        """The route that a configuration's row, defaults filled in, describes."""
+        """Creates a route from a row of the configuration, with defaults filled in."""
         return cls(
             row["host"],
             row["group"],
--- a/src/petrelhaven/proxy/routing/statement_path.py
+++ b/src/petrelhaven/proxy/routing/statement_path.py
@@ -1,4 +1,4 @@
-"""Which path a statement takes: a read, a write, or inside its transaction."""
+"""Selects the path of a statement: read, write, or inside a transaction."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 
 
 class StatementPath:
-    """Runs statements as continuations that yield the futures they wait for, and end in a reply."""
+    """Runs statements as continuations that yield futures to wait for and return the reply."""
 
     def __init__(self, proxy: ProxyServices) -> None:
-        """Uses the clock, the tasks and the counters of `proxy`."""
+        """Creates the paths; they use the clock, the tasks and the counters of `proxy`."""
         calls = MemberCalls(proxy)
         placement = ReadPlacement(proxy)
         self._admission = proxy.admission
@@ -33,13 +33,13 @@
         self.transactions = TransactionPath(proxy, calls, start)
 
     def run(self, request: Request) -> Continuation[Reply]:
-        """The continuation of one statement."""
+        """Returns the continuation of a statement."""
         if request.session.transaction is not None:
             return self.transactions.run(request)
         return self._run_admitted(request)
 
     def _run_admitted(self, request: Request) -> Continuation[Reply]:
-        """A single statement, once its tenant's limit lets it run."""
+        """Runs a statement outside transactions once its tenant's limit admits it."""
         refusal = yield from self._admission.admit(request)
         if refusal is not None:
             return Reply(code="busy", text=refusal)
--- a/src/petrelhaven/proxy/routing/transaction_path.py
+++ b/src/petrelhaven/proxy/routing/transaction_path.py
@@ -96,7 +96,7 @@
         if connection.lost or number is None:
             transaction.member.pool.discard(connection)
             return
-        if transaction.has_set:
+        if transaction.has_set_values:
             connection.needs_reset = True
         self._proxy.tasks.spawn(
             transaction.group.roll_back_connection(connection, transaction.member, number)
@@ -168,13 +168,13 @@
                 transaction.member.pool.discard(connection)
             reply.state = "I"
         elif request.statement.writes:
-            transaction.wrote = True
+            transaction.has_written = True
         return reply
 
     def _finish(self, request: Request, attempt: Attempt, reply: Reply) -> Continuation[Reply]:
         """A success; a commit's that no replica known here shows counts as a lost answer."""
         transaction: Transaction = request.session.transaction  # type: ignore[assignment]  # one is open
-        wrote = request.statement.verb == "commit" and transaction.wrote
+        wrote = request.statement.verb == "commit" and transaction.has_written
         group = transaction.group
         if wrote and group.proofs.needs_replica_confirmation(attempt.member, reply.position):
             shown = yield from group.proofs.confirm_commit(
@@ -187,11 +187,11 @@
     @staticmethod
     def _proves_position(transaction: Transaction, attempt: Attempt, commits: bool) -> bool:
         """Whether only a primary that leads can have given this reply."""
-        if transaction.reads or attempt.leadership is None:
+        if transaction.read_only or attempt.leadership_key is None:
             return False
-        if attempt.leadership[1] != attempt.member.name:
+        if attempt.leadership_key[1] != attempt.member.name:
             return False
-        return not commits or transaction.wrote
+        return not commits or transaction.has_written
 
     def _failed(self, request: Request, reply: Reply) -> Reply:
         """The member declined: the transaction has failed, or ended with its commit."""
@@ -235,7 +235,7 @@
         session.transaction = None
         if request.statement.verb == "commit":
             session.end_transaction()
-            if transaction.wrote:
+            if transaction.has_written:
                 self._proxy.count["unsure"] += 1
                 emit(
                     self._proxy.log,
--- a/src/petrelhaven/proxy/routing/transaction_start.py
+++ b/src/petrelhaven/proxy/routing/transaction_start.py
@@ -39,7 +39,7 @@
         "transaction",
         "since",
         "excluded",
-        "leadership",
+        "leadership_key",
         "position",
         "pause_us",
         "left_us",
@@ -51,7 +51,7 @@
         self.transaction = transaction
         self.since = request.oldest_usable_fetch(transaction.started_us)
         self.excluded: set[str] = set()
-        self.leadership: tuple[int, str] | None = None
+        self.leadership_key: tuple[int, str] | None = None
         self.position: Position | None = None
         self.pause_us = _FIRST_PAUSE_US
         self.left_us = 0
@@ -81,9 +81,9 @@
             state.left_us = request.deadline - self._clock.now()
             if state.left_us <= 0 or self._primary_is_lost(state):
                 return self._proxy.retry_after()
-            if state.leadership != group.leadership_key:
-                state.leadership, state.position = group.leadership_key, None
-            if transaction.reads:
+            if state.leadership_key != group.leadership_key:
+                state.leadership_key, state.position = group.leadership_key, None
+            if transaction.read_only:
                 attempt = yield from self._read_attempt(state)
             else:
                 attempt = yield from self._write_attempt(state)
@@ -110,7 +110,7 @@
     def _primary_is_lost(self, state: _StartState) -> bool:
         """Whether a primary is needed that has been away too long to be waited for."""
         request = state.request
-        if state.transaction.reads or request.group.available_primary() is not None:
+        if state.transaction.read_only or request.group.available_primary() is not None:
             return False
         return request.group.primary_is_lost(request.route, request.deadline)
 
@@ -131,7 +131,7 @@
             state.position = yield from self._placement.position(
                 group, transaction.arrival, state.since, state.left_us
             )
-            if state.position is None or state.leadership != group.leadership_key:
+            if state.position is None or state.leadership_key != group.leadership_key:
                 return None
         member = group.pick_member(state.position, state.excluded)
         if member is None:
@@ -141,14 +141,14 @@
         if self._placement.is_behind(member, state.position):
             yield from self._placement.joined(member, state.position, state.request.deadline)
             return None
-        return Attempt(member, state.leadership)
+        return Attempt(member, state.leadership_key)
 
     def _write_attempt(self, state: _StartState) -> Continuation[Attempt | None]:
         """An attempt at the primary; None if there was none to ask."""
         group = state.request.group
         member = group.available_primary()
         if member is not None:
-            return Attempt(member, state.leadership)
+            return Attempt(member, state.leadership_key)
         yield wait_for_first(
             self._clock, [group.next_leadership_change()], min(state.left_us, _LEADERSHIP_WAIT_US)
         )
@@ -168,7 +168,7 @@
             return None
         reply = task.result()
         group.note_answer(attempt.member, reply.position)
-        if reply.ok and not state.transaction.reads and reply.position:
+        if reply.ok and not state.transaction.read_only and reply.position:
             group.note_position(attempt, reply.position)
         return reply
 
@@ -192,7 +192,7 @@
             )
         elif reply.code in ("busy", "crowded", "failed"):
             self._proxy.count[reply.code] += 1
-            if state.transaction.reads:
+            if state.transaction.read_only:
                 state.excluded.add(member.name)
             yield wait_for_first(self._clock, (), state.next_pause_us(_BUSY_PAUSE_MOST_US))
         else:
--- a/src/petrelhaven/proxy/routing/waiting.py
+++ b/src/petrelhaven/proxy/routing/waiting.py
@@ -14,12 +14,15 @@
 def wait_for_first(
     clock: Clock, futures: Iterable[asyncio.Future[Any]], limit_us: int
 ) -> asyncio.Future[None]:
-    """A future that is done once one of `futures` is, or after `limit_us`. It cancels none."""
-    out = asyncio.get_running_loop().create_future()
+    """Returns a future that completes with the first of `futures` or after `limit_us`.
+
+    None of `futures` is cancelled.
+    """
+    first = asyncio.get_running_loop().create_future()
 
     def finish(*_: object) -> None:
-        if not out.done():
-            out.set_result(None)
+        if not first.done():
+            first.set_result(None)
 
     timer = clock.later(limit_us, finish)
     for future in futures:
@@ -27,5 +30,5 @@
             finish()
         else:
             future.add_done_callback(finish)
-    out.add_done_callback(lambda _: timer.cancel())
-    return out
+    first.add_done_callback(lambda _: timer.cancel())
+    return first
--- a/src/petrelhaven/proxy/session/__init__.py
+++ b/src/petrelhaven/proxy/session/__init__.py
@@ -1,1 +1,1 @@
-"""Client sessions and the transactions in them."""
+"""Client sessions, their transactions, statements and replies."""
--- a/src/petrelhaven/proxy/session/client_session.py
+++ b/src/petrelhaven/proxy/session/client_session.py
@@ -1,4 +1,4 @@
-"""A session that lives with its client's connection: values, prepared names, a transaction."""
+"""The state of a client's session: its values, prepared statements and open transaction."""
 
 from __future__ import annotations
 
@@ -19,39 +19,39 @@
 IN_TRANSACTION = "in_transaction"
 """A transaction is open."""
 FAILED = "failed"
-"""The open transaction has failed; only ROLLBACK and COMMIT end it."""
+"""The open transaction has failed; only ROLLBACK or COMMIT ends it."""
 ENDED = "ended"
 """The client's connection has ended."""
 
 
 class Transaction:
-    """An open transaction; it gets its member connection with its first statement.
+    """An open transaction; its first statement assigns it a connection to a member.
 
     Attributes:
         number: The number of the client's BEGIN.
-        reads: Whether it only reads.
-        arrival: The order point at which it arrived.
-        started_us: The moment of that, in microseconds.
+        read_only: Whether the client began it as read-only.
+        arrival: The logical timestamp of its BEGIN.
+        started_us: The time of its BEGIN, in microseconds.
         route: The route of its session when it began.
-        group: The group in which it runs; set with its first statement.
-        member: The member at which it runs; set together with `connection`.
+        group: The group in which it runs; assigned with its first statement.
+        member: The member on which it runs; assigned together with `connection`.
         connection: Its connection; None before its first statement and after its end.
-        wrote: Whether a write in it succeeded.
-        has_set: Whether a SET came inside it.
-        timed_out: Whether it was idle too long and was ended at its member.
+        has_written: Whether a write in it succeeded.
+        has_set_values: Whether it contained a SET.
+        timed_out: Whether it was ended at its member because it was idle for too long.
     """
 
     __slots__ = (
         "number",
-        "reads",
+        "read_only",
         "arrival",
         "started_us",
         "route",
         "group",
         "member",
         "connection",
-        "wrote",
-        "has_set",
+        "has_written",
+        "has_set_values",
         "timed_out",
     )
 
@@ -60,34 +60,34 @@
     connection: MemberConnection | None
 
     def __init__(
-        self, number: str, reads: bool, arrival: int, started_us: int, route: Route | None
+        self, number: str, read_only: bool, arrival: int, started_us: int, route: Route | None
     ) -> None:
-        """Opens a transaction that has no connection yet."""
+        """Creates a transaction without a connection."""
         self.number = number
-        self.reads = reads
+        self.read_only = read_only
         self.arrival = arrival
         self.started_us = started_us
         self.route = route
         self.connection = None
-        self.wrote = self.has_set = self.timed_out = False
+        self.has_written = self.has_set_values = self.timed_out = False
 
 
 class ClientSession:
-    """One session.
+    """A client's session.
 
     Attributes:
         host: The database name that the client connected to.
-        client: Who it is for, if that is known: a tenant's name where clients show keys.
-        key_digest: The digest of the key that its client showed.
-        tenant: The tenant for whom its statements run now; empty where there is none.
-        values: What SET has set, by name.
+        client: The client's name, if it is known; with API keys, the name of the key's tenant.
+        key_digest: The digest of the API key that the client sent.
+        tenant: The tenant that its statements currently run for; empty if there are no tenants.
+        values: The values that SET assigned, by name.
         prepared: The texts of its prepared statements, by name.
         statement_numbers: The number of the client's statement that set each value, and of each
             PREPARE under ("", name).
         transaction: The open transaction, or None.
-        busy: Whether a statement is being served.
+        busy: Whether a statement is running.
         idle_since: When its last statement ended, in microseconds of the proxy's clock.
-        counted_in: The group that counts it as a session of strong reads, or None.
+        strong_read_group: The group that counts it as a session with strong reads, or None.
         state: `IDLE`, `IN_TRANSACTION`, `FAILED` or `ENDED`.
     """
 
@@ -122,24 +122,24 @@
         ],
     )
     WIRE_STATES = {IDLE: "I", IN_TRANSACTION: "T", FAILED: "E", ENDED: "I"}
-    """The states as the wire shows them."""
+    """The states as they are sent to the client."""
 
-    if TYPE_CHECKING:  # what the machine adds to each session
+    if TYPE_CHECKING:  # methods that the state machine adds
 
         def begin(self) -> bool:
-            """A transaction is opened."""
+            """Opens a transaction."""
 
         def end_transaction(self) -> bool:
-            """The transaction has ended."""
+            """Ends the transaction."""
 
         def fail_transaction(self) -> bool:
-            """A statement in the transaction has failed."""
+            """Marks the transaction as failed."""
 
         def end(self) -> bool:
-            """The client's connection has ended."""
+            """Ends the session with its client's connection."""
 
     def __init__(self, host: str, client: str = "", key_digest: str = "", tenant: str = "") -> None:
-        """Opens a session of `host`; `client` names who it is for, if anybody."""
+        """Opens a session for a client that connected to the database name `host`."""
         self.host = host
         self.client = client
         self.key_digest = key_digest
@@ -155,10 +155,10 @@
 
     @property
     def wire_state(self) -> str:
-        """The state as the wire shows it."""
+        """The state as it is sent to the client."""
         return self.WIRE_STATES[self.state]
 
     def close(self) -> None:
-        """Ends the session and detaches it from its machine."""
+        """Ends the session and detaches it from the state machine."""
         self.end()
         self._machine.remove_model(self)
--- a/src/petrelhaven/proxy/session/immediate_reply.py
+++ b/src/petrelhaven/proxy/session/immediate_reply.py
@@ -1,4 +1,4 @@
-"""Statements that need no member: values, prepared names, BEGIN, ROLLBACK."""
+"""Handles statements that need no member: SET, PREPARE, DEALLOC, BEGIN, ROLLBACK."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     session: ClientSession,
     statement: Statement,
 ) -> Reply | None:
-    """The reply to a statement that needs no member, or None if it needs one."""
+    """Returns the reply to a statement that needs no member, or None if it needs one."""
     verb = statement.verb
     if verb == "rollback":
         if session.state != IDLE:
@@ -30,16 +30,16 @@
             session.end_transaction()
         return Reply()
     if session.state == FAILED:
-        return _in_failed_transaction(transactions, session, verb)
+        return _reply_in_failed_transaction(transactions, session, verb)
     if verb == "begin":
         return _begin(proxy, session, statement)
     if verb in ("set", "prepare", "forget"):
         _change_session(session, statement)
         return Reply(state=session.wire_state)
-    return _out_of_place(session, statement)
+    return _reply_if_misplaced(session, statement)
 
 
-def _in_failed_transaction(
+def _reply_in_failed_transaction(
     transactions: TransactionPath, session: ClientSession, verb: str
 ) -> Reply:
     if verb != "commit":
@@ -49,7 +49,7 @@
     return Reply(code="aborted", text="the transaction had failed; nothing of it is kept")
 
 
-def _out_of_place(session: ClientSession, statement: Statement) -> Reply | None:
+def _reply_if_misplaced(session: ClientSession, statement: Statement) -> Reply | None:
     if statement.verb == "execute" and statement.name not in session.prepared:
         if session.transaction is not None:
             session.fail_transaction()
@@ -78,7 +78,7 @@
         session.values[statement.name] = statement.data
         session.statement_numbers[statement.name] = statement.number
         if session.transaction is not None:
-            session.transaction.has_set = True
+            session.transaction.has_set_values = True
     elif statement.verb == "prepare":
         session.prepared[statement.name] = statement.prepared_text
         session.statement_numbers["", statement.name] = statement.number
--- a/src/petrelhaven/proxy/session/statement.py
+++ b/src/petrelhaven/proxy/session/statement.py
@@ -1,4 +1,4 @@
-"""A client's statement and its reply; adapters translate them to and from the protocol."""
+"""Statements of clients and their replies; adapters translate between these and the protocol."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 
 class Statement:
-    """One statement of a client.
+    """A client's statement.
 
     Attributes:
-        num: The number that the client gave it.
+        number: The number that the client gave it.
         verb: begin, commit, rollback, read, write, set, prepare, execute or forget.
-        text: The statement as it came.
-        name: The name of the value or prepared statement, if it has one.
+        text: The statement as received.
+        name: The name of the value or prepared statement, if there is one.
         writes: Whether it may write.
-        shape: The text of the prepared statement that PREPARE names.
+        prepared_text: The text of the prepared statement, for PREPARE and EXECUTE.
         data: The value that SET sets, or the arguments of EXECUTE.
     """
 
@@ -36,7 +36,7 @@
         prepared_text: str = "",
         data: str = "",
     ) -> None:
-        """Takes a statement's fields."""
+        """Creates a statement from its fields."""
         self.number = number
         self.verb = verb
         self.text = text
@@ -47,25 +47,25 @@
 
     @property
     def record_keys(self) -> set[str]:
-        """The records that a read names, in each way that a member may split its text."""
-        words = self.data if self.verb == "execute" else self.text.partition(" ")[2]
-        return {words, *words.split()}
+        """The record keys that a read may name: its argument as one key, and split at spaces."""
+        argument = self.data if self.verb == "execute" else self.text.partition(" ")[2]
+        return {argument, *argument.split()}
 
 
 class Reply:
-    """What is answered: rows and a stamp, or a code and a text.
+    """The reply to a statement: rows and a stamp, or an error code and a text.
 
     Attributes:
         rows: The rows of the result.
-        stamp: The member's stamp of it, "-" for none.
-        code: Why it was not served, or None if it was.
-        text: What goes with the code.
-        state: The session's state after it: I, T or E.
-        pos: The position of the member's log, or None.
+        stamp: The member's version stamp of the result, "-" for none.
+        code: The error code, or None if the statement succeeded.
+        text: The explanation of the error.
+        state: The session's state after the statement: I, T or E.
+        position: The position of the member's log, or None.
 
     Codes: busy, lagging, readonly, misdirected, crowded, failed, unprepared, timeout, malformed,
-    aborted, unsure, unknown (no such database), oversize, withheld (not released yet, or
-    no tenant has the client's key).
+    aborted, unsure (the outcome is unknown), unknown (no such database), oversize, withheld (under
+    an embargo, or no tenant has the client's key).
     """
 
     __slots__ = ("rows", "stamp", "code", "text", "state", "position")
@@ -79,7 +79,7 @@
         state: str = "I",
         position: Position | None = None,
     ) -> None:
-        """Takes a reply's fields."""
+        """Creates a reply from its fields."""
         self.rows = rows
         self.stamp = stamp
         self.code = code
@@ -89,5 +89,5 @@
 
     @property
     def ok(self) -> bool:
-        """Whether the statement was run."""
+        """Whether the statement succeeded."""
         return self.code is None
--- a/tests/test_embargoes.py
+++ b/tests/test_embargoes.py
@@ -374,9 +374,9 @@
 
 
 def test_each_way_that_a_member_may_take_a_readers_words_is_looked_up():
-    assert Statement("1", "read", "FETCH a").things == {"a"}
-    assert Statement("1", "read", "FETCH a  b ").things == {"a  b ", "a", "b"}
-    assert Statement("1", "execute", "EXECUTE q a b", name="q", data="a b").things == {
+    assert Statement("1", "read", "FETCH a").record_keys == {"a"}
+    assert Statement("1", "read", "FETCH a  b ").record_keys == {"a  b ", "a", "b"}
+    assert Statement("1", "execute", "EXECUTE q a b", name="q", data="a b").record_keys == {
         "a b",
         "a",
         "b",
--- a/tests/test_member_model.py
+++ b/tests/test_member_model.py
@@ -399,7 +399,7 @@
 
 def test_a_connection_with_replies_due_is_closed_when_it_comes_back():
     class Conn:
-        lost, due, on_lost = False, 1, None
+        lost, pending_replies, on_lost = False, 1, None
 
         def close(self):
             self.lost = True
--- a/tests/test_member_proofs.py
+++ b/tests/test_member_proofs.py
@@ -95,7 +95,7 @@
     )
     b = MemberGroup("g", proxy)
     b.sync_replicas = 1
-    b.apply(led, True)
+    b.apply_control_state(led, True)
     return b
 
 
--- a/tests/test_platform_words.py
+++ b/tests/test_platform_words.py
@@ -194,14 +194,14 @@
     POSITION,
     st.none() | st.sampled_from(sorted(ERROR_WORDS)),
 )
-def test_a_reply_has_its_rows_one_end_and_one_ready(rows, stamp, state, pos, code):
-    lines = format_reply(Reply(rows, stamp, code, "why", state, pos)).split("\r\n")
+def test_a_reply_has_its_rows_one_end_and_one_ready(rows, stamp, state, position, code):
+    lines = format_reply(Reply(rows, stamp, code, "why", state, position)).split("\r\n")
     assert lines == [f"ROW {r}" for r in rows] + [
         f"ERROR {ERROR_WORDS[code]} why" if code else f"COMPLETE {stamp}",
-        f"READY {state} {format_position(pos)}",
+        f"READY {state} {format_position(position)}",
         "",
     ]
-    assert parse_position(format_position(pos)) == pos
+    assert parse_position(format_position(position)) == position
 
 
 def test_every_code_has_one_word():
@@ -212,7 +212,7 @@
 @given(st.text(max_size=20))
 def test_a_row_of_a_status_is_whole_or_a_value_error(text):
     try:
-        d = parse_status(Reply([text], pos=(1, 2)))
+        d = parse_status(Reply([text], position=(1, 2)))
     except (ValueError, IndexError):
         return
     except Fault:
@@ -221,7 +221,7 @@
 
 
 def test_a_status_row():
-    assert parse_status(Reply(["replica 3 3.1209 0 12 2 17"], pos=(3, 1204))) == {
+    assert parse_status(Reply(["replica 3 3.1209 0 12 2 17"], position=(3, 1204))) == {
         "role": "replica",
         "term": 3,
         "pos": (3, 1209),
--- a/tests/test_tenant_review.py
+++ b/tests/test_tenant_review.py
@@ -136,11 +136,11 @@
         door.member.ran = TimedRuns()
         door.configure(limited)
         member = door.proxy.groups["svc"].members["m1"]
-        member.down_until = clock.now() + 60 * SECOND
+        member.avoided_until = clock.now() + 60 * SECOND
         clients = []
         for number in range(400):
             if number == 80:  # after 4 s
-                member.down_until = 0
+                member.avoided_until = 0
             client, _ = door.client(b"CONNECT db " + key + b"\r\n")
             client.data_received(b"QUERY %d PUT k v\r\n" % number)
             clients.append(client)
--- a/tests/test_unleased_commits.py
+++ b/tests/test_unleased_commits.py
@@ -93,9 +93,9 @@
 
 
 class _Session:
-    mark, settled, transaction = "I", False, None
+    wire_state, settled, transaction = "I", False, None
 
-    def settle(self):
+    def end_transaction(self):
         self.settled = True
 
 
@@ -157,8 +157,8 @@
                 connection=types.SimpleNamespace(lost=False),
                 member=member,
                 group=self.group,
-                wrote=self._wrote,
-                reads=False,
+                has_written=self._wrote,
+                read_only=False,
             )
             path = TransactionPath(self.proxy, _Calls(self.meanwhile), None)
         else:
