--- a/src/petrelhaven/proxy/routing/group.py
+++ b/src/petrelhaven/proxy/routing/group.py
@@ -1,4 +1,4 @@
-"""One database group as a proxy sees it: its leadership, its members, its read clock."""
+"""A proxy's view of one database group: its leadership, members and read clock."""
 
 from __future__ import annotations
 
@@ -28,84 +28,88 @@
 
 _SERVING, _FAILOVER = LeadershipPhase.SERVING, LeadershipPhase.FAILOVER
 
-_DOWN_US = 250_000
-_DOWN_MOST_US = 2_000_000
-_FAILURES_MOST = 4
-_MEMBER_GONE_US = 5_000_000
-_OPEN_US = 450_000
-_RECENTLY_HEARD_US = 350_000
-_ROLLBACK_US = 500_000
-_UNREACHABLE_US = 4_000_000
+_AVOID_US = 250_000
+_MAX_AVOID_US = 2_000_000
+_MAX_COUNTED_FAILURES = 4
+_AVOID_REPLACED_US = 5_000_000
+_OPEN_LIMIT_US = 450_000
+_RECENT_ANSWER_US = 350_000
+_ROLLBACK_LIMIT_US = 500_000
+_PRIMARY_LOST_AFTER_US = 4_000_000
 _NEVER_US = 1 << 60
 
-_CONNECTION_CAP = 40
+_DEFAULT_CONNECTION_CAP = 40
 _RESERVED_CONNECTIONS = 4
-_FEWEST_PROXIES = 3
+_MIN_PROXIES = 3
 _SPARE_CONNECTIONS = 2
 
-_RETRIES = 10.0
-_RETRIES_MOST = 20.0
-_RETRIES_EARNED = 0.1
+_INITIAL_RETRIES = 10.0
+_MAX_RETRIES = 20.0
+_RETRIES_PER_REQUEST = 0.1
 
 
 class MemberGroup:
-    """Follows the leadership and the members of one group.
+    """Tracks the leadership and the members of one group.
 
     Attributes:
-        name: Its name.
-        members: The members that are not gone, by name.
-        leadership: Who leads the group, or None while that is not known.
-        leading: (number of its first record, primary), also while it moves; the read clock's pairs
-            belong to it.
+        name: The name of the group.
+        members: The current members, by name.
+        leadership: The leadership of the group, or None while it is unknown.
+        leadership_key: The number of the leadership's first record and its primary, also during a
+            failover. Fetched positions are valid within one leadership only.
         connection_cap: How many connections all proxies together may have to one member.
-        sync_replicas: How many replicas have a commit before it is acknowledged.
+        sync_replicas: How many replicas must have a commit before it is acknowledged.
         largest_size: The largest number of members that the group has had.
-        strong_sessions: How many sessions have a route with strong reads.
-        lower_bound: A log position that no acknowledged commit of departed members is beyond.
-        read_clock: Gives reads their positions.
-        proofs: Proves commits and positions by other members than the primary.
+        strong_sessions: How many open sessions have a route with strong reads.
+        lower_bound: No acknowledged commit of departed members is after this log position.
+        read_clock: Determines the positions that reads must see.
+        proofs: Confirms commits and positions with members other than the primary.
     """
 
     def __init__(self, name: str, proxy: ProxyServices) -> None:
-        """Makes a group of `proxy` that knows no members yet."""
+        """Creates a group of `proxy` without members or a leadership."""
         self.name = name
         self._proxy = proxy
         self._clock = proxy.clock
         self.members: dict[str, Member] = {}
         self.leadership: Leadership | None = None
         self.leadership_key: tuple[int, str] | None = None
-        self.connection_cap = _CONNECTION_CAP
+        self.connection_cap = _DEFAULT_CONNECTION_CAP
         self.sync_replicas = self.largest_size = self.strong_sessions = 0
         self.lower_bound: Position = NO_POSITION
         self.read_clock = ReadClock(
             proxy.clock, proxy.tasks, proxy.logical_clock, self._fetch, proxy.bounds
         )
         self.proofs = MemberProofs(self, proxy)
-        self._next_leadership: asyncio.Future[None] | None = None
-        self._retries = _RETRIES
+        self._leadership_change: asyncio.Future[None] | None = None
+        self._available_retries = _INITIAL_RETRIES
 
     @property
     def primary(self) -> Member | None:
-        """The primary, or None while the leadership moves or is not known."""
-        now = self.leadership
-        if now is None or now.phase is _FAILOVER:
+        """The primary, or None during a failover or while the leadership is unknown."""
+        leadership = self.leadership
+        if leadership is None or leadership.phase is _FAILOVER:
             return None
-        return self.members.get(now.primary)
+        return self.members.get(leadership.primary)
 
     @property
     def leased_primary(self) -> Member | None:
-        """The primary that certainly leads, for this proxy holds a lease; else None.
+        """The primary if it certainly leads because this proxy holds a lease, else None.
 
-        It is asked right before a send, with no await in between. A proxy without a lease gets
-        positions by STATUS instead of carried fetches, see `read_placement`.
+        Callers check this right before they send, with no await in between. A proxy without a
+        lease gets positions by STATUS instead of piggybacked fetches, see `read_placement`.
         """
-        now = self.leadership
-        if now is None or now.phase is not _SERVING or not self._proxy.core_connection.holds_lease:
+        leadership = self.leadership
+        if (
+            leadership is None
+            or leadership.phase is not _SERVING
+            or not self._proxy.core_connection.holds_lease
+        ):
             return None
-        return self.members.get(now.primary)
+        return self.members.get(leadership.primary)
 
     def available_primary(self) -> Member | None:
-        """The primary, if a statement that begins anew may go to it now."""
+        """Returns the primary if a new statement may be sent to it now, else None."""
         member = self.primary
         if (
             member is None
@@ -116,13 +120,14 @@
         return member
 
     def accepts_new_statements(self, member: Member) -> bool:
-        """Whether statements that begin anew may go to the primary `member` now."""
+        """Returns whether the primary `member` still accepts new statements."""
         return member.closed_to_new_at is None or self._clock.now() < member.closed_to_new_at
 
     def apply_control_state(self, control_state: ControlState, fresh: bool) -> None:
-        """Takes the leadership, the members and the zones as the control state has them.
+        """Applies the leadership, the members and the zones of the control state.
 
-        `fresh` tells that the whole state was handed over: how old its changes are is not known.
+        `fresh` is True if the state comes from a complete snapshot, so that the age of its changes
+        is unknown.
         """
         rows = control_state.group(self.name)
         self.largest_size = control_state.doc["sizes"].get(self.name, 0)
@@ -145,9 +150,9 @@
         if member is None:
             member = self.members[name] = self._new_member(name, row)
         member.state = row["state"]
-        proxies = max(self._proxy.core_connection.proxy_count, _FEWEST_PROXIES)
-        share = (self.connection_cap - _RESERVED_CONNECTIONS) // proxies - 1
-        member.pool.max_size = max(1, share)
+        proxies = max(self._proxy.core_connection.proxy_count, _MIN_PROXIES)
+        connection_share = (self.connection_cap - _RESERVED_CONNECTIONS) // proxies - 1
+        member.pool.max_size = max(1, connection_share)
         draining = member.state == "draining"
         evacuated = control_state.zone(member.zone) != "open"
         if not draining and not evacuated:
@@ -174,28 +179,30 @@
         member = Member(name, row, proxy.zone_distance(row["hall"]), pool, log_progress)
         return member
 
-    def _apply_leadership(self, now: Leadership | None) -> None:
-        self.leadership = now
-        self.leadership_key = (now.since, now.primary) if now is not None else None
+    def _apply_leadership(self, leadership: Leadership | None) -> None:
+        self.leadership = leadership
+        self.leadership_key = (
+            (leadership.since, leadership.primary) if leadership is not None else None
+        )
         self.read_clock.set_leadership(self.leadership_key)
         primary = self.primary
-        if primary is not None and now is not None and now.phase is _SERVING:
+        if primary is not None and leadership is not None and leadership.phase is _SERVING:
             primary.avoided_until = primary.failures = 0
-        waiter, self._next_leadership = self._next_leadership, None
+        waiter, self._leadership_change = self._leadership_change, None
         if waiter is not None:
             waiter.set_result(None)
 
     def next_leadership_change(self) -> asyncio.Future[None]:
-        """A future that is done at the next change of the leadership.
+        """Returns a future that completes at the next change of the leadership.
 
-        All who wait share one future.
+        All waiting statements share one future.
         """
-        if self._next_leadership is None:
-            self._next_leadership = asyncio.get_running_loop().create_future()
-        return self._next_leadership
+        if self._leadership_change is None:
+            self._leadership_change = asyncio.get_running_loop().create_future()
+        return self._leadership_change
 
     def pick_member(self, position: Position, excluded: Collection[str]) -> Member | None:
-        """The member for a read: one that is up, has `position`, is not full, and is near."""
+        """Selects a member for a read: preferably available, at `position`, not busy, and near."""
         now = self._clock.now()
         primary = self.leadership.primary if self.leadership is not None else None
         best: Member | None = None
@@ -220,67 +227,67 @@
         return best
 
     def try_spend_retry(self) -> bool:
-        """Whether a retry is within the budget of this group; it is spent then."""
-        if self._retries < 1:
+        """Spends one retry of this group's budget; returns False if there is none left."""
+        if self._available_retries < 1:
             return False
-        self._retries -= 1
+        self._available_retries -= 1
         return True
 
     def add_retry_credit(self) -> None:
-        """A request came: a tenth of a retry is earned."""
-        self._retries = min(_RETRIES_MOST, self._retries + _RETRIES_EARNED)
+        """Adds a tenth of a retry to the budget, for each new request."""
+        self._available_retries = min(_MAX_RETRIES, self._available_retries + _RETRIES_PER_REQUEST)
 
     def note_answer(self, member: Member, position: Position | None = None) -> None:
-        """The member has answered, its log at `position`."""
+        """Records an answer of the member, with the position of its log if it is known."""
         member.note_answer(self._clock.now())
         self._proxy.remote_contact.note_answer(member.distance)
         if position is not None:
             member.note_log(position)
 
     def note_failure(self, member: Member, how: str) -> None:
-        """The member did not answer: it is avoided for a while, and a primary is suspected.
+        """Records a failure: avoids the member for a while, and reports a primary as suspected.
 
         `how` is NO_ANSWER, CONNECTION_RESET or REFUSED.
         """
         now = self._clock.now()
-        if how == NO_ANSWER and now - member.last_answer_at <= _RECENTLY_HEARD_US:
+        if how == NO_ANSWER and now - member.last_answer_at <= _RECENT_ANSWER_US:
             return
         member.refuses_connections = how == REFUSED
-        member.failures = min(member.failures + 1, _FAILURES_MOST)
-        member.avoided_until = now + min(_DOWN_US << (member.failures - 1), _DOWN_MOST_US)
+        member.failures = min(member.failures + 1, _MAX_COUNTED_FAILURES)
+        member.avoided_until = now + min(_AVOID_US << (member.failures - 1), _MAX_AVOID_US)
         leadership = self.leadership
         if leadership is None or leadership.primary != member.name or leadership.phase is _FAILOVER:
             return
         self._proxy.core_connection.suspect(self.name, member.name, how)
 
     def note_position(self, attempt: Attempt, position: Position) -> None:
-        """A statement that only a leading primary answers came back with its log at `position`."""
+        """Records the log position in a reply that only a primary that leads can have sent."""
         self.read_clock.note_position(
             attempt.leadership_key, attempt.started, attempt.started_us, position
         )
 
-    def primary_is_lost(self, route: Route, end: int) -> bool:
-        """Whether the primary has been away too long to be waited for."""
+    def primary_is_lost(self, route: Route, deadline: int) -> bool:
+        """Returns whether the primary has been unavailable for too long to wait for it."""
         stuck = self.leadership is not None and self.leadership.stuck
-        if not stuck and self._unreachable_us() <= _UNREACHABLE_US:
+        if not stuck and self._unreachable_us() <= _PRIMARY_LOST_AFTER_US:
             return False
-        return self._clock.now() > end - route.timeout_us + route.aim_us // 5
+        return self._clock.now() > deadline - route.timeout_us + route.aim_us // 5
 
     def _unreachable_us(self) -> int:
-        """Microseconds since the primary last answered here, if it fails now."""
+        """Returns the time since a failing primary's last answer in microseconds, else 0."""
         member = self.members.get(self.leadership.primary) if self.leadership is not None else None
         if member is None or not member.failures or not member.last_answer_at:
             return 0
         return self._clock.now() - member.last_answer_at
 
     async def _open(self, member: Member, tenant: str = "") -> MemberConnection:
-        """A new connection to the member, for statements of `tenant`."""
+        """Opens a connection to the member, for statements of `tenant`."""
         try:
             connection = await self._proxy.wire.open(
-                member.address, self.name, member.name, _OPEN_US, tenant
+                member.address, self.name, member.name, _OPEN_LIMIT_US, tenant
             )
         except MemberReplaced:
-            member.avoided_until = self._clock.now() + _MEMBER_GONE_US
+            member.avoided_until = self._clock.now() + _AVOID_REPLACED_US
             raise
         except NotSent as fault:
             self.note_failure(member, fault.note)
@@ -292,7 +299,7 @@
         return connection
 
     async def status(self, member: Member) -> dict[str, Any]:
-        """The member's row, asked on a connection of its own."""
+        """Requests the member's status row, on a separate connection."""
         if member.status_connection is None or member.status_connection.lost:
             member.status_connection = await self._open(member)
         member.note_asked(self._clock.now())
@@ -307,25 +314,25 @@
         self.note_answer(member)
         return row
 
-    async def _fetch(self, leading: tuple[int, str]) -> Position:
-        """The primary's position; where it does not answer, what all others together prove."""
-        primary = self.members.get(leading[1])
-        if self.leadership_key != leading:
-            raise Unreachable("no primary to ask")
+    async def _fetch(self, leadership_key: tuple[int, str]) -> Position:
+        """Requests the primary's position; if it does not answer, derives one from the others."""
+        primary = self.members.get(leadership_key[1])
+        if self.leadership_key != leadership_key:
+            raise Unreachable("the leadership has changed")
         if primary is None or self.proofs.is_unresponsive(primary):
-            return await self.proofs.position_from_others(leading[1])
+            return await self.proofs.position_from_others(leadership_key[1])
         try:
             row = await self.status(primary)
         except Fault:
-            return await self.proofs.position_from_others(leading[1])
+            return await self.proofs.position_from_others(leadership_key[1])
         if row["role"] != "primary":
             self._proxy.core_connection.suspect(self.name, primary.name, NOT_PRIMARY)
-            raise Unreachable("not the primary")
+            raise Unreachable("the member is not the primary")
         position: Position = row["pos"]
         return position
 
     def close(self) -> None:
-        """The group left the configuration."""
+        """Closes the group after it was removed from the configuration."""
         for member in self.members.values():
             member.close()
         self.read_clock.set_leadership(None)
@@ -333,13 +340,13 @@
     async def roll_back_connection(
         self, connection: MemberConnection, member: Member, number: str
     ) -> None:
-        """Rolls a connection back as its client asked, under the ROLLBACK's number.
+        """Rolls back the transaction on a connection, with the number of the client's ROLLBACK.
 
-        It goes back to the pool if that works in time.
+        The connection returns to the pool if that succeeds in time, else it is closed.
         """
         try:
             reply = await self._clock.limit(
-                connection.send_session_statement("rollback", (), number), _ROLLBACK_US
+                connection.send_session_statement("rollback", (), number), _ROLLBACK_LIMIT_US
             )
             clean = reply.state == "I"
         except Fault:
--- a/src/petrelhaven/proxy/routing/member.py
+++ b/src/petrelhaven/proxy/routing/member.py
@@ -1,4 +1,4 @@
-"""One member of a group as a proxy sees it."""
+"""A proxy's view of one member of a group."""
 
 from __future__ import annotations
 
@@ -14,41 +14,41 @@
 __all__ = ["CONNECTION_RESET", "NOT_PRIMARY", "NO_ANSWER", "REFUSED", "Member"]
 
 NO_ANSWER = "mute"
-"""Sign of a failure: nothing came in time."""
+"""Kind of failure: no answer arrived in time."""
 CONNECTION_RESET = "reset"
-"""Sign of a failure: the connection was lost."""
+"""Kind of failure: the connection was lost."""
 REFUSED = "refused"
-"""Sign of a failure: no process takes connections at the address."""
+"""Kind of failure: no process accepts connections at the address."""
 NOT_PRIMARY = "replica"
-"""Sign of a failure: the primary answers as a replica."""
+"""Kind of failure: the supposed primary answered as a replica."""
 
 
 class Member:
-    """A member's connections, its failures, and what is known of its log.
+    """A member with its connections, failures and reported log position.
 
-    Times are microseconds of the proxy's clock.
+    Times are in microseconds of the proxy's clock.
 
     Attributes:
-        name: Its name.
-        address: Where it takes connections.
+        name: The name of the member.
+        address: The address where it accepts connections.
         zone: The zone it is in.
         state: Its state in the control state, such as ready or draining.
-        capacity: How many statements it runs at once.
-        distance: How far its zone is, 0 the proxy's own.
-        pool: Its connections.
-        log_progress: What is known of its log.
-        status_connection: The connection on which STATUS is asked, or None.
-        down_until: Until when it is avoided after a failure.
-        failures: How many failures there were since its last answer.
-        in_flight: How many statements it is running for this proxy.
-        last_heard: When it answered last, 0 if never.
-        asked_at: When the first thing that it was asked since then was sent, 0 if nothing was.
-        refuses: Whether no process takes connections at its address.
-        stop_at: From when it takes no new statements; None while it stays.
-        lagging_replies: How many LAGGING replies came in a row.
-        lagging_until: Until when reads that need its log join the wait of one that was answered
-            LAGGING.
-        slow_until: Until when reads prefer other members.
+        capacity: How many statements it runs concurrently.
+        distance: The distance of its zone: 0 own zone, 1 own region, 2 another region.
+        pool: The connections to it.
+        log_progress: The reported position of its log.
+        status_connection: The connection for STATUS requests, or None.
+        avoided_until: Until when it is avoided because of a failure.
+        failures: The number of failures since its last answer.
+        in_flight: How many statements of this proxy it is running.
+        last_answer_at: The time of its last answer, 0 if there was none.
+        unanswered_since: When the first request since its last answer was sent, 0 if none was.
+        refuses_connections: Whether no process accepts connections at its address.
+        closed_to_new_at: From when on it accepts no new statements, or None.
+        lagging_replies: The number of consecutive LAGGING replies.
+        lagging_until: Until when reads of a later position wait together with the read that was
+            answered LAGGING.
+        deprioritized_until: Until when reads prefer other members.
     """
 
     __slots__ = (
@@ -81,7 +81,7 @@
         pool: ConnectionPool,
         log_progress: LogProgress,
     ) -> None:
-        """Takes a member's `row` of the control state."""
+        """Creates a member from its `row` of the control state."""
         self.name = name
         self.address: str = row["addr"]
         self.zone: str = row["hall"]
@@ -98,23 +98,23 @@
         self.lagging_replies = self.lagging_until = self.deprioritized_until = 0
 
     def note_asked(self, now: int) -> None:
-        """It is sent something now."""
+        """Records that a request is sent at `now`."""
         if not self.unanswered_since:
             self.unanswered_since = now
 
     def note_answer(self, now: int) -> None:
-        """It has answered just now."""
+        """Records an answer at `now`, and clears the failures."""
         self.last_answer_at = now
         self.failures = self.avoided_until = self.unanswered_since = 0
         self.refuses_connections = False
 
     def note_log(self, position: Position) -> None:
-        """Takes a position of its log, if that is newer."""
+        """Records a position of its log if it is later than the recorded one."""
         if position > self.log_progress.position:
             self.log_progress.note_position(position, 0)
 
     def close(self) -> None:
-        """Closes its connections: the busy ones when their statement has ended."""
+        """Closes its connections; busy ones are closed when their statement has ended."""
         self.pool.close()
         if self.status_connection is not None:
             self.status_connection.close()
--- a/src/petrelhaven/proxy/routing/member_calls.py
+++ b/src/petrelhaven/proxy/routing/member_calls.py
@@ -1,4 +1,4 @@
-"""Sending statements to members: takes a connection, makes it fit, sends, gives it back."""
+"""Sends statements to members over pooled connections, and sets up the connections."""
 
 from __future__ import annotations
 
@@ -28,13 +28,13 @@
 
 __all__ = ["MemberCalls", "note_fault"]
 
-_CONNECTION_WAIT_US = 600_000
-_NOT_RUN = frozenset({"busy", "lagging", "readonly", "misdirected", "crowded", "unprepared"})
-"""Codes of a member's replies that tell that it ran nothing."""
+_MAX_CONNECTION_WAIT_US = 600_000
+_NOT_RUN_CODES = frozenset({"busy", "lagging", "readonly", "misdirected", "crowded", "unprepared"})
+"""Reply codes of a member that did not run the statement."""
 
 
 def note_fault(group: MemberGroup, member: Member, fault: BaseException) -> None:
-    """Counts a fault against the member, unless it shows that nothing was sent to it."""
+    """Records a fault as a failure of the member, unless nothing was sent to the member."""
     if isinstance(fault, (DeadlineExceeded, Unreachable)) and not isinstance(
         fault, (NotSent, MemberReplaced)
     ):
@@ -44,7 +44,7 @@
 
 
 class MemberCalls:
-    """The calls of one proxy to its members."""
+    """Sends the statements of one proxy to its members."""
 
     def __init__(self, proxy: ProxyServices) -> None:
         """Uses the clock, the tasks and the counters of `proxy`."""
@@ -54,28 +54,28 @@
     async def send(
         self, request: Request, attempt: Attempt, after: Position | None, limit_us: int
     ) -> Reply:
-        """The member's reply to one statement outside transactions.
+        """Sends a statement outside transactions and returns the member's reply.
 
-        `after` is the position that a read must find. A read without it goes only to the primary
-        that leads under a lease; its reply is a position fetch of its own.
+        `after` is the log position that a read must see. A read without a position is sent only to
+        a primary that leads under a lease; its reply completes the piggybacked position fetch.
 
         Raises:
-            Unsent: nothing left for the member.
-            Late, Unreached: no answer; if `attempt.sent`, the statement may have run.
+            NotSent: nothing was sent to the member.
+            DeadlineExceeded, Unreachable: no reply; if `attempt.sent`, the statement may have run.
         """
         member = attempt.member
         connection = reply = None
         reusable = False
         try:
-            connection = await self._connection(
-                member, request.session, min(limit_us, _CONNECTION_WAIT_US)
+            connection = await self._acquire_connection(
+                member, request.session, min(limit_us, _MAX_CONNECTION_WAIT_US)
             )
             alias, _ = await self._set_up(connection, request.session, request.statement)
             if attempt.fetch is not None and request.group.leased_primary is not member:
                 reusable = True
-                raise NotSent("lease")
+                raise NotSent("no lease for the primary")
             attempt.sent = True
-            self._stamp(attempt)
+            self._record_start(attempt)
             self._count_run(request)
             member.in_flight += 1
             try:
@@ -85,19 +85,19 @@
             finally:
                 member.in_flight -= 1
             reusable = reply.state == "I"
-            self._note_not_run(request, reply)
+            self._uncount_if_not_run(request, reply)
             if reply.code == "unprepared":
                 connection.needs_reset = True
             return reply
         finally:
             self._end_fetch(request.group, attempt, reply)
             if connection is not None:
-                self._give_back(member, connection, reusable)
+                self._return_connection(member, connection, reusable)
 
     async def send_in_transaction(
         self, connection: MemberConnection, session: ClientSession, statement: Statement
     ) -> Reply:
-        """The member's reply to a statement inside the transaction that has `connection`."""
+        """Sends a statement of the transaction on `connection` and returns the member's reply."""
         alias, _ = await self._set_up(connection, session, statement)
         return await connection.send_statement(statement, None, alias)
 
@@ -109,16 +109,16 @@
         after: Position | None,
         limit_us: int,
     ) -> Reply:
-        """BEGIN at one member; on success its connection is the transaction's."""
+        """Sends BEGIN to a member; on success, assigns the connection to the transaction."""
         member = attempt.member
         connection = reply = None
         try:
-            connection = await self._connection(
-                member, request.session, min(limit_us, _CONNECTION_WAIT_US)
+            connection = await self._acquire_connection(
+                member, request.session, min(limit_us, _MAX_CONNECTION_WAIT_US)
             )
             if attempt.fetch is not None and request.group.leased_primary is not member:
-                raise NotSent("lease")
-            self._stamp(attempt)
+                raise NotSent("no lease for the primary")
+            self._record_start(attempt)
             self._count_run(request)
             mode = "reads" if transaction.read_only else "writes"
             begin = SetUpStatement("begin", (mode, after), transaction.number)
@@ -126,18 +126,20 @@
                 self._set_up(connection, request.session, None, [begin]), limit_us
             )
             reply = replies[0]
-            self._note_not_run(request, reply)
-            open_here = reply.ok and reply.state == "T"
-            if open_here and request.session.transaction is transaction:
+            self._uncount_if_not_run(request, reply)
+            has_begun = reply.ok and reply.state == "T"
+            if has_begun and request.session.transaction is transaction:
                 transaction.connection, transaction.member = connection, member
             return reply
         finally:
             self._end_fetch(request.group, attempt, reply)
             if connection is not None and transaction.connection is not connection:
-                self._give_back(member, connection, reply is not None and reply.state == "I")
+                self._return_connection(
+                    member, connection, reply is not None and reply.state == "I"
+                )
 
     def collect_reply(self, group: MemberGroup, attempt: Attempt) -> Reply | None:
-        """The reply to a finished attempt, or None; notes what its end says of the member."""
+        """Returns the reply of a finished attempt, or None; records the answer or the failure."""
         task = attempt.task
         if task.cancelled():
             return None
@@ -154,23 +156,23 @@
         request.possible_runs += 1
 
     @staticmethod
-    def _note_not_run(request: Request, reply: Reply) -> None:
-        if reply.code in _NOT_RUN:
+    def _uncount_if_not_run(request: Request, reply: Reply) -> None:
+        if reply.code in _NOT_RUN_CODES:
             request.possible_runs -= 1
 
-    def _stamp(self, attempt: Attempt) -> None:
+    def _record_start(self, attempt: Attempt) -> None:
         attempt.started = self._proxy.logical_clock.next_timestamp()
         attempt.started_us = self._clock.now()
         attempt.member.note_asked(attempt.started_us)
 
-    async def _connection(
+    async def _acquire_connection(
         self, member: Member, session: ClientSession, limit_us: int
     ) -> MemberConnection:
-        waiting = member.pool.acquire(session)
+        waiter = member.pool.acquire(session)
         try:
-            return await self._clock.limit(waiting, limit_us, keep=True)
+            return await self._clock.limit(waiter, limit_us, keep=True)
         except BaseException:
-            member.pool.cancel(waiting)
+            member.pool.cancel(waiter)
             raise
 
     async def _set_up(
@@ -180,21 +182,26 @@
         statement: Statement | None,
         more: Sequence[SetUpStatement] = (),
     ) -> tuple[str | None, Sequence[Reply]]:
-        """Makes the connection fit; answers the prepared name to use, and the replies to `more`."""
-        needed, alias = connection.set_up(session, statement)
-        if not needed and not more:
+        """Sets up a connection, then sends `more`.
+
+        Returns:
+            The prepared name that `statement` executes (or None), and the replies to `more`.
+        """
+        setup, alias = connection.set_up(session, statement)
+        if not setup and not more:
             return alias, ()
-        sent = [
+        futures = [
             connection.send_session_statement(verb, args, number)
-            for verb, args, number in [*needed, *more]
+            for verb, args, number in [*setup, *more]
         ]
         replies = [
-            await self._clock.limit(future, _CONNECTION_WAIT_US, keep=True) for future in sent
+            await self._clock.limit(future, _MAX_CONNECTION_WAIT_US, keep=True)
+            for future in futures
         ]
-        if any(not reply.ok for reply in replies[: len(needed)]):
+        if any(not reply.ok for reply in replies[: len(setup)]):
             connection.needs_reset = True
-            raise MemberDeclined("outfit")
-        return alias, replies[len(needed) :]
+            raise MemberDeclined("session set-up failed")
+        return alias, replies[len(setup) :]
 
     @staticmethod
     def _end_fetch(group: MemberGroup, attempt: Attempt, reply: Reply | None) -> None:
@@ -206,7 +213,7 @@
             group.read_clock.fail_piggybacked_fetch(attempt.fetch)
 
     @staticmethod
-    def _give_back(member: Member, connection: MemberConnection, reusable: bool) -> None:
+    def _return_connection(member: Member, connection: MemberConnection, reusable: bool) -> None:
         if reusable:
             member.pool.release(connection)
         else:
--- a/src/petrelhaven/proxy/routing/member_proofs.py
+++ b/src/petrelhaven/proxy/routing/member_proofs.py
@@ -1,4 +1,7 @@
-"""What the known members of a group prove where the primary's answer is missing or not enough."""
+"""Confirms commits and positions with members other than the primary.
+
+This is needed where the primary's answer is missing or is not sufficient.
+"""
 
 from __future__ import annotations
 
@@ -18,59 +21,63 @@
 __all__ = ["MemberProofs"]
 
 _FAILOVER = LeadershipPhase.FAILOVER
-_COMMIT_US = 400_000
-_NEAREST_US = 40_000
-_SILENT_US = 250_000
+_MAX_CONFIRMATION_US = 400_000
+_NEAREST_REPLICA_LEAD_US = 40_000
+_SILENCE_US = 250_000
 
 
 class MemberProofs:
-    """Proves commits by a replica, and positions by all members but the primary."""
+    """Confirms commits with a replica, and derives positions from all members but the primary."""
 
     def __init__(self, group: GroupMembers, proxy: ProxyServices) -> None:
-        """Uses the members of `group` and the contacts of `proxy`."""
+        """Uses the members of `group` and the connections of `proxy`."""
         self._group = group
         self._proxy = proxy
         self._clock = proxy.clock
 
     def needs_replica_confirmation(self, answered: Member, position: Position | None) -> bool:
-        """Whether a commit's success counts only once a replica known here shows it.
+        """Returns whether a successful commit counts only once a known replica shows it.
 
-        A replica that control does not know of may have been the one that the primary waited for,
-        and another member may be elected without its log. That is ruled out only while control has
-        confirmed a moment ago that `answered` is in office, in the term of its answer, and while
-        its place and this proxy's are not cut off together.
+        The primary may have waited for a replica that the control nodes don't know; then another
+        member could be elected without that replica's log. This is ruled out only if the control
+        nodes have recently confirmed that `answered` leads in the term of its answer, and if a
+        partition doesn't separate both `answered` and this proxy from the others.
         """
         if self._group.sync_replicas == 0:
             return False
-        now = self._group.leadership
-        if now is None or now.phase is _FAILOVER or now.primary != answered.name:
+        leadership = self._group.leadership
+        if (
+            leadership is None
+            or leadership.phase is _FAILOVER
+            or leadership.primary != answered.name
+        ):
             return True
-        if position is not None and position[0] < now.term:
+        if position is not None and position[0] < leadership.term:
             return True
         if not self._proxy.remote_contact.is_recent(answered.distance):
             return True
         return not self._proxy.core_connection.lease_confirmed
 
     def confirm_commit(
-        self, position: Position | None, answered: Member, end: int
+        self, position: Position | None, answered: Member, deadline: int
     ) -> Continuation[bool]:
-        """Whether a known replica shows `position` by STATUS within a short bound or by `deadline`.
+        """Returns whether a known replica reports `position` in STATUS, soon and before `deadline`.
 
-        The nearest is asked first, all others a little later; the first that shows it is enough. A
-        log of a later term does not show it: what an earlier primary wrote last may lack there.
+        It asks the nearest replica first and all others a little later; one replica is sufficient.
+        A log of a later term does not count: it may lack the last writes of the earlier primary.
         """
-        end = min(end, self._clock.now() + _COMMIT_US)
+        deadline = min(deadline, self._clock.now() + _MAX_CONFIRMATION_US)
         if position is None or self._proxy.tasks.shut:
             return False
         unasked = self._replicas_by_distance(answered)
         pending: set[asyncio.Task[dict[str, Any]]] = set()
         while unasked or pending:
             asked, unasked = (unasked, []) if pending else (unasked[:1], unasked[1:])
-            pending |= {self._ask(member) for member in asked}
-            left_us = end - self._clock.now()
+            pending |= {self._request_status(member) for member in asked}
+            left_us = deadline - self._clock.now()
             if left_us <= 0:
                 return False
-            wait_us = min(left_us, _NEAREST_US) if unasked else left_us
+            wait_us = min(left_us, _NEAREST_REPLICA_LEAD_US) if unasked else left_us
             yield wait_for_first(self._clock, pending, wait_us)
             done = {task for task in pending if task.done()}
             pending -= done
@@ -78,93 +85,101 @@
                 return True
         return False
 
-    def _ask(self, member: Member) -> asyncio.Task[dict[str, Any]]:
+    def _request_status(self, member: Member) -> asyncio.Task[dict[str, Any]]:
         task = self._proxy.tasks.spawn(self._group.status(member))
         assert task is not None, "the node runs"
         return task
 
     def _replicas_by_distance(self, primary: Member) -> list[Member]:
-        """All members but `primary`: those that answer first, then the nearest."""
-        replicas = [m for m in self._group.members.values() if m.name != primary.name]
-        return sorted(replicas, key=lambda m: (m.failures > 0, m.distance, m.name))
+        """Returns all members but `primary`: those without failures first, then by distance."""
+        replicas = [
+            member for member in self._group.members.values() if member.name != primary.name
+        ]
+        return sorted(
+            replicas, key=lambda member: (member.failures > 0, member.distance, member.name)
+        )
 
     async def position_from_others(self, primary: str) -> Position:
-        """A position that holds every acknowledged commit, from all members but the primary.
+        """Returns a position that covers every acknowledged commit, from all but the primary.
 
-        A commit is acknowledged once a replica has it (`sync_replicas`), so the highest log of all
-        members but one holds every acknowledged commit, whoever of them leads.
+        A commit is acknowledged only once a replica has it (`sync_replicas`). So the highest
+        position among all members but one covers every acknowledged commit, whichever member leads.
 
         Raises:
-            Unreachable: not all others answered, or what they hold proves nothing.
+            Unreachable: not all others answered, or their positions prove nothing.
         """
-        await self._silence_of(self._group.members.get(primary))
+        await self._wait_for_silence(self._group.members.get(primary))
         others = [member for name, member in self._group.members.items() if name != primary]
-        if not self._are_enough(others):
-            raise Unreachable("no primary to ask")
+        if not self._are_sufficient(others):
+            raise Unreachable("too few other members are known")
         answers = await asyncio.gather(
             *[self._group.status(member) for member in others], return_exceptions=True
         )
         positions: list[Position] = []
         for answer in answers:
             if isinstance(answer, BaseException):
-                is_typed = isinstance(answer, Fault)
-                raise answer if is_typed else Unreachable("not all others answered")
+                is_fault = isinstance(answer, Fault)
+                raise answer if is_fault else Unreachable("not all others answered")
             positions.append(answer["pos"])
         for member, position in zip(others, positions, strict=True):
             member.note_log(position)
         highest = max(positions)
         if highest < self._group.lower_bound:
-            raise Unreachable("a member that left had more")
+            raise Unreachable("a departed member had a later position")
         self._proxy.count["fetched_others"] += 1
         return highest
 
-    def _are_enough(self, others: list[Member]) -> bool:
-        """Whether `others` are all members but one, as a proxy knows only under a lease."""
+    def _are_sufficient(self, others: list[Member]) -> bool:
+        """Returns whether `others` are all members but one, which is certain only under a lease."""
         sync_replicas = self._group.sync_replicas
-        fewest = max(sync_replicas + 1, self._group.largest_size - 1)
+        required = max(sync_replicas + 1, self._group.largest_size - 1)
         return (
-            sync_replicas > 0 and len(others) >= fewest and self._proxy.core_connection.holds_lease
+            sync_replicas > 0
+            and len(others) >= required
+            and self._proxy.core_connection.holds_lease
         )
 
     def is_unresponsive(self, member: Member) -> bool:
-        """Whether asking the member is in vain: nobody is there, or it has not answered for long.
+        """Returns whether a request would be futile: connections are refused or unanswered.
 
-        One that reset a connection is asked again: it is there, and its own answer is the quickest.
+        A member that reset a connection is still asked: it is running, and its own answer is the
+        fastest way to a position.
         """
         now = self._clock.now()
         if member.avoided_until <= now:
             return False
-        unanswered = 0 < member.unanswered_since <= now - _SILENT_US
+        unanswered = 0 < member.unanswered_since <= now - _SILENCE_US
         return member.refuses_connections or (
             unanswered and member.last_answer_at < member.unanswered_since
         )
 
-    async def _silence_of(self, primary: Member | None) -> None:
-        """Waits until the primary has been silent so long that no proxy trusts it without proof.
+    async def _wait_for_silence(self, primary: Member | None) -> None:
+        """Waits until the primary has been silent for so long that no proxy trusts it alone.
 
-        A proxy that is cut off together with it passes on its answers, without the proof by a known
-        replica, for a moment after the cut; what the other members hold proves nothing until then.
-        Any answer of it since this call began shows that it was not cut off then.
+        A proxy that is in the same partition as the primary accepts its answers, without a
+        replica's confirmation, for a short time after the partition begins. Until that time is
+        over, the positions of the other members prove nothing. Any answer of the primary since the
+        start of this call shows that it was not partitioned off at that time.
         """
         if primary is None or primary.refuses_connections:
             return
-        began = self._clock.now()
+        started_at = self._clock.now()
         if not primary.unanswered_since:
-            self._proxy.tasks.spawn(self._ask_quietly(primary))
-        unanswered_since = primary.unanswered_since or began
-        if began - unanswered_since < _SILENT_US:
-            await self._clock.sleep(unanswered_since + _SILENT_US - began)
-        if unanswered_since <= primary.last_answer_at < began:
+            self._proxy.tasks.spawn(self._request_status_ignoring_faults(primary))
+        unanswered_since = primary.unanswered_since or started_at
+        if started_at - unanswered_since < _SILENCE_US:
+            await self._clock.sleep(unanswered_since + _SILENCE_US - started_at)
+        if unanswered_since <= primary.last_answer_at < started_at:
             raise Unreachable("the primary answered a moment ago")
 
-    async def _ask_quietly(self, member: Member) -> None:
+    async def _request_status_ignoring_faults(self, member: Member) -> None:
         with contextlib.suppress(Fault):
             await self._group.status(member)
 
 
 def _shows(task: asyncio.Task[dict[str, Any]], position: Position) -> bool:
-    """Whether a finished STATUS shows `position` in a log of its own term."""
+    """Returns whether a finished STATUS request shows `position` in a log of the same term."""
     if task.cancelled() or task.exception() is not None:
         return False
-    shown: Position = task.result()["pos"]
-    return shown[0] == position[0] and shown >= position
+    reported: Position = task.result()["pos"]
+    return reported[0] == position[0] and reported >= position
--- a/src/petrelhaven/proxy/routing/read_placement.py
+++ b/src/petrelhaven/proxy/routing/read_placement.py
@@ -1,4 +1,8 @@
-"""Where a read may run: at the primary as its own fetch, or wherever the log has a position."""
+"""Determines where a read may run.
+
+Either at the primary with a piggybacked position fetch, or at a member whose log has reached a
+position.
+"""
 
 from __future__ import annotations
 
@@ -17,25 +21,28 @@
 
 __all__ = ["ReadPlacement"]
 
-_LAGGING_MOST = 5
-_LAGGING_PAUSE_US = 12_000
-_LAGGING_DOUBLINGS = 3
-_JOINED_WAIT_US = 60_000
-_STALLED_US = 1_000_000
+_MAX_LAGGING_REPLIES = 5
+_FIRST_LAGGING_PAUSE_US = 12_000
+_MAX_LAGGING_DOUBLINGS = 3
+_MAX_JOINED_WAIT_US = 60_000
+_DEPRIORITIZE_US = 1_000_000
 
 
 class ReadPlacement:
-    """What single reads and transactions that only read share."""
+    """Placement of single reads and of read-only transactions."""
 
     def __init__(self, proxy: ProxyServices) -> None:
         """Uses the clock, the tasks and the counters of `proxy`."""
         self._proxy = proxy
         self._clock = proxy.clock
 
-    def carrier(
+    def start_piggybacked_attempt(
         self, group: MemberGroup, arrival: int, since: int | None, excluded: Collection[str]
     ) -> Attempt | None:
-        """An attempt at the primary as its own position fetch; None if another fetch will do."""
+        """Returns an attempt at the primary with a piggybacked fetch, or None.
+
+        It returns None if another fetch is sufficient or the primary must not be used.
+        """
         primary = group.leased_primary
         if primary is None or primary.name in excluded or primary.avoided_until > self._clock.now():
             return None
@@ -44,7 +51,7 @@
         fetch = group.read_clock.start_piggybacked_fetch(arrival, since)
         return Attempt(primary, group.leadership_key, fetch) if fetch is not None else None
 
-    def position(
+    def fetch_position(
         self,
         group: MemberGroup,
         arrival: int,
@@ -52,7 +59,10 @@
         limit_us: int,
         running: Sequence[asyncio.Future[Any]] = (),
     ) -> Continuation[Position | None]:
-        """The position that a read must find; None if time or one of `running` ended first."""
+        """Returns the position that a read must see.
+
+        Returns None if the time limit passes or one of `running` completes first.
+        """
         position = group.read_clock.request_position(arrival, since)
         yield wait_for_first(self._clock, [position, *running], limit_us)
         if position.done() and position.result() is not None:
@@ -61,34 +71,40 @@
         return None
 
     def is_behind(self, member: Member, position: Position) -> bool:
-        """Whether the member has just answered LAGGING and is not known to hold `position` yet."""
+        """Returns whether the member recently answered LAGGING and hasn't reported `position`."""
         return member.lagging_until > self._clock.now() and member.log_progress.position < position
 
-    def joined(self, member: Member, position: Position, end: int) -> Continuation[None]:
-        """Joins the wait of a read that the member answered LAGGING."""
-        yield from self._log_wait(member, position, end, _JOINED_WAIT_US)
+    def join_lagging_wait(
+        self, member: Member, position: Position, deadline: int
+    ) -> Continuation[None]:
+        """Waits together with a read that the member answered LAGGING."""
+        yield from self._wait_for_log(member, position, deadline, _MAX_JOINED_WAIT_US)
 
-    def wait_after_lagging(
-        self, member: Member, position: Position, end: int
+    def wait_after_lagging_reply(
+        self, member: Member, position: Position, deadline: int
     ) -> Continuation[bool]:
-        """Waits for the log of a member that answered LAGGING; False if it is to be given up."""
+        """Waits for the log of a member that answered LAGGING; returns False to give it up."""
         now = self._clock.now()
         member.lagging_replies += 1
-        if member.lagging_replies > _LAGGING_MOST:
+        if member.lagging_replies > _MAX_LAGGING_REPLIES:
             member.lagging_replies, member.lagging_until = 0, 0
-            member.deprioritized_until = now + _STALLED_US
+            member.deprioritized_until = now + _DEPRIORITIZE_US
             self._proxy.count["stalled"] += 1
             return False
-        pause_us = _LAGGING_PAUSE_US << min(member.lagging_replies - 1, _LAGGING_DOUBLINGS)
+        pause_us = _FIRST_LAGGING_PAUSE_US << min(
+            member.lagging_replies - 1, _MAX_LAGGING_DOUBLINGS
+        )
         member.lagging_until = now + pause_us
-        yield from self._log_wait(member, position, end, pause_us)
+        yield from self._wait_for_log(member, position, deadline, pause_us)
         return True
 
-    def _log_wait(
-        self, member: Member, position: Position, end: int, pause_us: int
+    def _wait_for_log(
+        self, member: Member, position: Position, deadline: int, pause_us: int
     ) -> Continuation[None]:
-        risen = member.log_progress.wait_until_reached(position)
-        yield wait_for_first(self._clock, [risen], max(0, min(pause_us, end - self._clock.now())))
-        risen.cancel()
-        if risen.done() and not risen.cancelled():
+        reached = member.log_progress.wait_until_reached(position)
+        yield wait_for_first(
+            self._clock, [reached], max(0, min(pause_us, deadline - self._clock.now()))
+        )
+        reached.cancel()
+        if reached.done() and not reached.cancelled():
             member.lagging_replies = 0
--- a/src/petrelhaven/proxy/routing/transaction_path.py
+++ b/src/petrelhaven/proxy/routing/transaction_path.py
@@ -1,4 +1,4 @@
-"""Statements inside a transaction: all on one connection, to its end."""
+"""Runs the statements of a transaction, all on the same member connection."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 __all__ = ["TransactionPath"]
 
 _FIRST_PAUSE_US = 10_000
-_STATEMENT_LEAST_US = 100_000
+_MIN_STATEMENT_US = 100_000
 
 
 class TransactionPath:
-    """Runs statements inside transactions, and ends transactions."""
+    """Runs the statements of transactions, and ends transactions."""
 
     def __init__(self, proxy: ProxyServices, calls: MemberCalls, start: TransactionStart) -> None:
         """Uses the clock, the tasks and the counters of `proxy`."""
@@ -38,19 +38,19 @@
         self._start = start
 
     def run(self, request: Request) -> Continuation[Reply]:
-        """One statement; the first one gets the transaction its connection."""
+        """Runs a statement; the first one begins the transaction at a member."""
         session, statement = request.session, request.statement
-        transaction: Transaction = session.transaction  # type: ignore[assignment]  # one is open
+        transaction: Transaction = session.transaction  # type: ignore[assignment]  # a transaction is open
         if transaction.connection is None:
-            why = yield from self._begin(request, transaction)
-            if why is not None:
-                return self.abort_transaction(request, why)
+            reason = yield from self._begin_at_member(request, transaction)
+            if reason is not None:
+                return self.abort_transaction(request, reason)
         pause_us = _FIRST_PAUSE_US
         while True:
-            limit_us = self._limit_us(request)
+            limit_us = self._time_limit_us(request)
             if limit_us <= 0:
                 return self.abort_transaction(request, self._proxy.retry_after())
-            connection: MemberConnection = transaction.connection  # type: ignore[assignment]  # one is open
+            connection: MemberConnection = transaction.connection  # type: ignore[assignment]  # a transaction is open
             attempt = Attempt(transaction.member, transaction.group.leadership_key)
             attempt.started = self._proxy.logical_clock.next_timestamp()
             attempt.started_us = self._clock.now()
@@ -60,22 +60,24 @@
             )
             with contextlib.suppress(DeadlineExceeded):
                 yield wait_for_first(self._clock, [attempt.task], limit_us)
-            reply = self._reply(transaction, attempt)
+            reply = self._collect_reply(transaction, attempt)
             if reply is None:
                 return self._connection_lost(request)
             if reply.ok:
-                return (yield from self._finish(request, attempt, reply))
+                return (yield from self._confirm_success(request, attempt, reply))
             left_us = request.deadline - self._clock.now()
-            if not self._may_repeat(reply) or left_us <= pause_us:
-                return self._failed(request, reply)
+            if not self._may_retry(reply) or left_us <= pause_us:
+                return self._handle_failure(request, reply)
             if reply.code == "unprepared":
                 connection.prepared_names.clear()
             self._proxy.count[reply.code] += 1  # type: ignore[index]  # it is not ok
             yield wait_for_first(self._clock, (), pause_us)
             pause_us *= 2
 
-    def _begin(self, request: Request, transaction: Transaction) -> Continuation[str | None]:
-        """Gets the transaction its connection; why that could not be done, or None."""
+    def _begin_at_member(
+        self, request: Request, transaction: Transaction
+    ) -> Continuation[str | None]:
+        """Begins the transaction at a member; returns None, or the reason if that failed."""
         if transaction.timed_out:
             return "the transaction had ended"
         refusal = yield from self._proxy.admission.admit(request)
@@ -88,7 +90,11 @@
             self._proxy.admission.put_back(request)
 
     def release_transaction(self, session: ClientSession, number: str | None = None) -> None:
-        """Ends a session's transaction: by its ROLLBACK `number`, else with the connection."""
+        """Ends a session's transaction.
+
+        With the `number` of the client's ROLLBACK, the transaction is rolled back; without one, its
+        connection is closed.
+        """
         transaction, session.transaction = session.transaction, None
         if transaction is None or transaction.connection is None:
             return
@@ -103,20 +109,20 @@
         )
 
     def watch_idle_transaction(self, session: ClientSession, transaction: Transaction) -> None:
-        """Ends a transaction that is idle too long.
+        """Ends the transaction if it is idle for too long.
 
-        Its connection is closed at once; its client learns of it at its next statement.
+        Its connection is closed at once; the client is notified at its next statement.
         """
         limit_us = self._proxy.bounds().idle_txn_us
 
-        def check() -> None:
+        def end_if_idle() -> None:
             if session.transaction is not transaction or session.busy:
                 return
             if session.state not in (IN_TRANSACTION, FAILED):
                 return
             left_us = session.idle_since + limit_us - self._clock.now()
             if left_us > 0:
-                self._clock.later(left_us, check)
+                self._clock.later(left_us, end_if_idle)
             elif transaction.connection is not None:
                 connection, transaction.connection = transaction.connection, None
                 transaction.timed_out = True
@@ -124,17 +130,17 @@
                 transaction.member.pool.discard(connection)
 
         if transaction.connection is not None:
-            self._clock.later(limit_us, check)
+            self._clock.later(limit_us, end_if_idle)
 
-    def _limit_us(self, request: Request) -> int:
-        """How long one statement may take; a COMMIT has all the time that is left."""
+    def _time_limit_us(self, request: Request) -> int:
+        """Returns the time limit of a statement; a COMMIT may use all the remaining time."""
         left_us = request.deadline - self._clock.now()
         if left_us <= 0 or request.statement.verb == "commit":
             return left_us
-        return min(left_us, max(_STATEMENT_LEAST_US, request.route.aim_us * 6 // 10))
+        return min(left_us, max(_MIN_STATEMENT_US, request.route.aim_us * 6 // 10))
 
-    def _reply(self, transaction: Transaction, attempt: Attempt) -> Reply | None:
-        """The member's reply, or None; notes what that shows of the member."""
+    def _collect_reply(self, transaction: Transaction, attempt: Attempt) -> Reply | None:
+        """Returns the member's reply, or None; records the answer or the failure."""
         task = attempt.task
         if not task.done():
             task.cancel()
@@ -148,19 +154,19 @@
         return reply
 
     @staticmethod
-    def _may_repeat(reply: Reply) -> bool:
+    def _may_retry(reply: Reply) -> bool:
         return reply.code in ("busy", "unprepared") and reply.state == "T"
 
-    def _succeeded(self, request: Request, attempt: Attempt, reply: Reply) -> Reply:
+    def _handle_success(self, request: Request, attempt: Attempt, reply: Reply) -> Reply:
         session = request.session
-        transaction: Transaction = session.transaction  # type: ignore[assignment]  # one is open
+        transaction: Transaction = session.transaction  # type: ignore[assignment]  # a transaction is open
         commits = request.statement.verb == "commit"
         if self._proves_position(transaction, attempt, commits) and reply.position:
             transaction.group.note_position(attempt, reply.position)
         if commits:
             session.transaction = None
             session.end_transaction()
-            connection: MemberConnection = transaction.connection  # type: ignore[assignment]  # one is open
+            connection: MemberConnection = transaction.connection  # type: ignore[assignment]  # a transaction is open
             transaction.connection = None
             if reply.state == "I":
                 transaction.member.pool.release(connection)
@@ -171,33 +177,37 @@
             transaction.has_written = True
         return reply
 
-    def _finish(self, request: Request, attempt: Attempt, reply: Reply) -> Continuation[Reply]:
-        """A success; a commit's that no replica known here shows counts as a lost answer."""
-        transaction: Transaction = request.session.transaction  # type: ignore[assignment]  # one is open
-        wrote = request.statement.verb == "commit" and transaction.has_written
+    def _confirm_success(
+        self, request: Request, attempt: Attempt, reply: Reply
+    ) -> Continuation[Reply]:
+        """Handles a success; a commit that no known replica shows counts as a lost answer."""
+        transaction: Transaction = request.session.transaction  # type: ignore[assignment]  # a transaction is open
+        commits_write = request.statement.verb == "commit" and transaction.has_written
         group = transaction.group
-        if wrote and group.proofs.needs_replica_confirmation(attempt.member, reply.position):
-            shown = yield from group.proofs.confirm_commit(
+        if commits_write and group.proofs.needs_replica_confirmation(
+            attempt.member, reply.position
+        ):
+            confirmed = yield from group.proofs.confirm_commit(
                 reply.position, attempt.member, request.deadline
             )
-            if not shown:
+            if not confirmed:
                 return self._connection_lost(request)
-        return self._succeeded(request, attempt, reply)
+        return self._handle_success(request, attempt, reply)
 
     @staticmethod
     def _proves_position(transaction: Transaction, attempt: Attempt, commits: bool) -> bool:
-        """Whether only a primary that leads can have given this reply."""
+        """Returns whether only a primary that leads can have sent this reply."""
         if transaction.read_only or attempt.leadership_key is None:
             return False
         if attempt.leadership_key[1] != attempt.member.name:
             return False
         return not commits or transaction.has_written
 
-    def _failed(self, request: Request, reply: Reply) -> Reply:
-        """The member declined: the transaction has failed, or ended with its commit."""
+    def _handle_failure(self, request: Request, reply: Reply) -> Reply:
+        """Handles a declined statement: the transaction fails, or ends if it was the COMMIT."""
         session = request.session
         if reply.code == "readonly":
-            transaction: Transaction = session.transaction  # type: ignore[assignment]  # one is open
+            transaction: Transaction = session.transaction  # type: ignore[assignment]  # a transaction is open
             self._proxy.core_connection.suspect(
                 request.group.name, transaction.member.name, NOT_PRIMARY
             )
@@ -209,27 +219,27 @@
         reply.state = session.wire_state
         return reply
 
-    def refuse_statement(self, request: Request, why: str) -> Reply:
-        """The reply to a statement that may not run now, inside a transaction or not."""
+    def refuse_statement(self, request: Request, reason: str) -> Reply:
+        """Returns the reply to a statement that may not run now, inside a transaction or not."""
         if request.session.transaction is not None:
-            return self.abort_transaction(request, why)
-        return Reply(code="busy", text=why, state=request.session.wire_state)
+            return self.abort_transaction(request, reason)
+        return Reply(code="busy", text=reason, state=request.session.wire_state)
 
-    def abort_transaction(self, request: Request, why: str, code: str = "aborted") -> Reply:
-        """Ends the transaction: nothing was committed and nothing will be."""
+    def abort_transaction(self, request: Request, reason: str, code: str = "aborted") -> Reply:
+        """Aborts the transaction: nothing was committed and nothing will be."""
         session = request.session
         self.release_transaction(session)
         if request.statement.verb == "commit":
             session.end_transaction()
         else:
             session.fail_transaction()
-        return Reply(code=code, text=why, state=session.wire_state)
+        return Reply(code=code, text=reason, state=session.wire_state)
 
     def _connection_lost(self, request: Request) -> Reply:
-        """The connection is lost or without answer: it is closed, so that its member rolls back."""
+        """Closes a lost or unresponsive connection, so that the member rolls back."""
         session = request.session
-        transaction: Transaction = session.transaction  # type: ignore[assignment]  # one is open
-        connection: MemberConnection = transaction.connection  # type: ignore[assignment]  # one is open
+        transaction: Transaction = session.transaction  # type: ignore[assignment]  # a transaction is open
+        connection: MemberConnection = transaction.connection  # type: ignore[assignment]  # a transaction is open
         transaction.connection = None
         transaction.member.pool.discard(connection)
         session.transaction = None
--- a/src/petrelhaven/proxy/routing/transaction_start.py
+++ b/src/petrelhaven/proxy/routing/transaction_start.py
@@ -1,4 +1,4 @@
-"""Beginning a transaction at a member, before its first statement."""
+"""Begins a transaction at a member, before its first statement is sent."""
 
 from __future__ import annotations
 
@@ -23,16 +23,16 @@
 
 __all__ = ["TransactionStart"]
 
-_LEADERSHIP_WAIT_US = 100_000
-_BEGIN_LIMIT_US = 600_000
+_MAX_LEADERSHIP_WAIT_US = 100_000
+_MAX_BEGIN_US = 600_000
 _FIRST_PAUSE_US = 15_000
-_FAULT_PAUSE_MOST_US = 200_000
-_BUSY_PAUSE_MOST_US = 120_000
-_REPLICA_WAIT_US = 200_000
+_MAX_FAULT_PAUSE_US = 200_000
+_MAX_BUSY_PAUSE_US = 120_000
+_MAX_NEW_PRIMARY_WAIT_US = 200_000
 
 
 class _StartState:
-    """Where the begin of one transaction stands."""
+    """The progress of beginning one transaction."""
 
     __slots__ = (
         "request",
@@ -46,7 +46,7 @@
     )
 
     def __init__(self, request: Request, transaction: Transaction) -> None:
-        """Starts the begin of `transaction`."""
+        """Creates the state for beginning `transaction`."""
         self.request = request
         self.transaction = transaction
         self.since = request.oldest_usable_fetch(transaction.started_us)
@@ -56,15 +56,15 @@
         self.pause_us = _FIRST_PAUSE_US
         self.left_us = 0
 
-    def next_pause_us(self, longest_us: int) -> int:
-        """The pause before another round, which doubles up to `longest_us`."""
+    def next_pause_us(self, max_us: int) -> int:
+        """Returns the pause before the next round, and doubles the following one up to `max_us`."""
         pause_us = min(self.left_us, self.pause_us)
-        self.pause_us = min(self.pause_us * 2, longest_us)
+        self.pause_us = min(self.pause_us * 2, max_us)
         return pause_us
 
 
 class TransactionStart:
-    """Finds a member for a transaction and says BEGIN to it."""
+    """Selects a member for a transaction and sends BEGIN to it."""
 
     def __init__(self, proxy: ProxyServices, calls: MemberCalls, placement: ReadPlacement) -> None:
         """Uses the clock, the tasks and the counters of `proxy`."""
@@ -74,12 +74,12 @@
         self._placement = placement
 
     def run(self, request: Request, transaction: Transaction) -> Continuation[str | None]:
-        """Begins the transaction at a member; why that could not be done, or None."""
+        """Begins the transaction at a member; returns None, or the reason if that failed."""
         state = _StartState(request, transaction)
         group = request.group
         while True:
             state.left_us = request.deadline - self._clock.now()
-            if state.left_us <= 0 or self._primary_is_lost(state):
+            if state.left_us <= 0 or self._is_primary_lost(state):
                 return self._proxy.retry_after()
             if state.leadership_key != group.leadership_key:
                 state.leadership_key, state.position = group.leadership_key, None
@@ -90,7 +90,7 @@
             if attempt is None:
                 continue
             attempt.task = self._proxy.tasks.spawn(  # type: ignore[assignment]  # the node runs
-                self._begin(state, attempt)
+                self._send_begin(state, attempt)
             )
             with contextlib.suppress(DeadlineExceeded):
                 yield wait_for_first(self._clock, [attempt.task], state.left_us)
@@ -98,37 +98,37 @@
                 attempt.task.cancel()
                 group.note_failure(attempt.member, NO_ANSWER)
                 return self._proxy.retry_after()
-            reply = yield from self._reply(state, attempt)
+            reply = yield from self._evaluate_reply(state, attempt)
             if reply is None:
                 continue
             if reply.ok:
                 return None
-            why = yield from self._declined(state, attempt, reply)
-            if why is not None:
-                return why
+            reason = yield from self._handle_declined(state, attempt, reply)
+            if reason is not None:
+                return reason
 
-    def _primary_is_lost(self, state: _StartState) -> bool:
-        """Whether a primary is needed that has been away too long to be waited for."""
+    def _is_primary_lost(self, state: _StartState) -> bool:
+        """Returns whether a primary is needed but has been unavailable for too long."""
         request = state.request
         if state.transaction.read_only or request.group.available_primary() is not None:
             return False
         return request.group.primary_is_lost(request.route, request.deadline)
 
-    def _begin(self, state: _StartState, attempt: Attempt) -> Coroutine[Any, Any, Reply]:
+    def _send_begin(self, state: _StartState, attempt: Attempt) -> Coroutine[Any, Any, Reply]:
         after = None if attempt.fetch else state.position
-        limit_us = min(state.left_us, _BEGIN_LIMIT_US)
+        limit_us = min(state.left_us, _MAX_BEGIN_US)
         return self._calls.begin(state.request, state.transaction, attempt, after, limit_us)
 
     def _read_attempt(self, state: _StartState) -> Continuation[Attempt | None]:
-        """Where a transaction that only reads may begin; None if that must be looked at again."""
+        """Returns an attempt for a read-only transaction, or None if the round must be repeated."""
         group, transaction = state.request.group, state.transaction
         if state.position is None:
-            attempt = self._placement.carrier(
+            attempt = self._placement.start_piggybacked_attempt(
                 group, transaction.arrival, state.since, state.excluded
             )
             if attempt is not None:
                 return attempt
-            state.position = yield from self._placement.position(
+            state.position = yield from self._placement.fetch_position(
                 group, transaction.arrival, state.since, state.left_us
             )
             if state.position is None or state.leadership_key != group.leadership_key:
@@ -136,26 +136,30 @@
         member = group.pick_member(state.position, state.excluded)
         if member is None:
             state.excluded.clear()
-            yield wait_for_first(self._clock, (), state.next_pause_us(_BUSY_PAUSE_MOST_US))
+            yield wait_for_first(self._clock, (), state.next_pause_us(_MAX_BUSY_PAUSE_US))
             return None
         if self._placement.is_behind(member, state.position):
-            yield from self._placement.joined(member, state.position, state.request.deadline)
+            yield from self._placement.join_lagging_wait(
+                member, state.position, state.request.deadline
+            )
             return None
         return Attempt(member, state.leadership_key)
 
     def _write_attempt(self, state: _StartState) -> Continuation[Attempt | None]:
-        """An attempt at the primary; None if there was none to ask."""
+        """Returns an attempt at the primary, or None after a wait if there is no primary."""
         group = state.request.group
         member = group.available_primary()
         if member is not None:
             return Attempt(member, state.leadership_key)
         yield wait_for_first(
-            self._clock, [group.next_leadership_change()], min(state.left_us, _LEADERSHIP_WAIT_US)
+            self._clock,
+            [group.next_leadership_change()],
+            min(state.left_us, _MAX_LEADERSHIP_WAIT_US),
         )
         return None
 
-    def _reply(self, state: _StartState, attempt: Attempt) -> Continuation[Reply | None]:
-        """The reply to BEGIN; None after a pause if none came."""
+    def _evaluate_reply(self, state: _StartState, attempt: Attempt) -> Continuation[Reply | None]:
+        """Returns the reply to BEGIN, or None after a pause if there was none."""
         group, task = state.request.group, attempt.task
         fault = Busy() if task.cancelled() else task.exception()
         if fault is not None:
@@ -163,7 +167,7 @@
                 raise fault
             note_fault(group, attempt.member, fault)
             state.excluded.add(attempt.member.name)
-            pause_us = state.next_pause_us(_FAULT_PAUSE_MOST_US)
+            pause_us = state.next_pause_us(_MAX_FAULT_PAUSE_US)
             yield wait_for_first(self._clock, [group.next_leadership_change()], pause_us)
             return None
         reply = task.result()
@@ -172,15 +176,15 @@
             group.note_position(attempt, reply.position)
         return reply
 
-    def _declined(
+    def _handle_declined(
         self, state: _StartState, attempt: Attempt, reply: Reply
     ) -> Continuation[str | None]:
-        """The member declined BEGIN: why the transaction ends, or None to try again."""
+        """Handles a declined BEGIN; returns why the transaction ends, or None to retry."""
         group, member = state.request.group, attempt.member
         if reply.code == "lagging" and state.position is not None:
             self._proxy.count["lagging"] += 1
             if not (
-                yield from self._placement.wait_after_lagging(
+                yield from self._placement.wait_after_lagging_reply(
                     member, state.position, state.request.deadline
                 )
             ):
@@ -188,13 +192,15 @@
         elif reply.code in ("readonly", "misdirected"):
             self._proxy.core_connection.suspect(group.name, member.name, NOT_PRIMARY)
             yield wait_for_first(
-                self._clock, [group.next_leadership_change()], min(state.left_us, _REPLICA_WAIT_US)
+                self._clock,
+                [group.next_leadership_change()],
+                min(state.left_us, _MAX_NEW_PRIMARY_WAIT_US),
             )
         elif reply.code in ("busy", "crowded", "failed"):
             self._proxy.count[reply.code] += 1
             if state.transaction.read_only:
                 state.excluded.add(member.name)
-            yield wait_for_first(self._clock, (), state.next_pause_us(_BUSY_PAUSE_MOST_US))
+            yield wait_for_first(self._clock, (), state.next_pause_us(_MAX_BUSY_PAUSE_US))
         else:
             return f"{reply.code} {reply.text}"
         return None
--- a/src/petrelhaven/proxy/routing/write_path.py
+++ b/src/petrelhaven/proxy/routing/write_path.py
@@ -1,4 +1,4 @@
-"""Single writes: sent once, and again only if they certainly did not run."""
+"""Runs writes outside transactions; a write is resent only if it certainly did not run."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
 
 __all__ = ["WritePath"]
 
-_LEADERSHIP_WAIT_US = 100_000
+_MAX_LEADERSHIP_WAIT_US = 100_000
 _FIRST_PAUSE_US = 15_000
-_UNSENT_PAUSE_MOST_US = 200_000
-_BUSY_PAUSE_MOST_US = 120_000
-_REPLICA_WAIT_US = 200_000
-_NOT_RUN = ("busy", "crowded", "misdirected", "readonly", "unprepared")
+_MAX_UNSENT_PAUSE_US = 200_000
+_MAX_BUSY_PAUSE_US = 120_000
+_MAX_NEW_PRIMARY_WAIT_US = 200_000
+_NOT_RUN_CODES = ("busy", "crowded", "misdirected", "readonly", "unprepared")
 
 
 class WritePath:
-    """Runs writes outside transactions, each as a continuation that ends with a reply."""
+    """Runs writes outside transactions, each as a continuation that returns the reply."""
 
     def __init__(self, proxy: ProxyServices, calls: MemberCalls) -> None:
         """Uses the clock, the tasks and the counters of `proxy`."""
@@ -38,7 +38,7 @@
         self._calls = calls
 
     def run(self, request: Request) -> Continuation[Reply]:
-        """One write."""
+        """Runs a write."""
         group = request.group
         pause_us = _FIRST_PAUSE_US
         while True:
@@ -50,7 +50,9 @@
                 if group.primary_is_lost(request.route, request.deadline):
                     return self._proxy.out_of_time()
                 yield wait_for_first(
-                    self._clock, [group.next_leadership_change()], min(left_us, _LEADERSHIP_WAIT_US)
+                    self._clock,
+                    [group.next_leadership_change()],
+                    min(left_us, _MAX_LEADERSHIP_WAIT_US),
                 )
                 continue
             attempt = Attempt(member, group.leadership_key)
@@ -60,22 +62,22 @@
             with contextlib.suppress(DeadlineExceeded):
                 yield wait_for_first(self._clock, [attempt.task], left_us)
             if not attempt.task.done():
-                return self._unanswered(request, attempt)
+                return self._reply_unanswered(request, attempt)
             reply = self._calls.collect_reply(group, attempt)
             if reply is None and attempt.sent:
-                return self._answer_lost(attempt)
-            if reply is not None and reply.code not in _NOT_RUN:
+                return self._reply_answer_lost(attempt)
+            if reply is not None and reply.code not in _NOT_RUN_CODES:
                 return (yield from self._finish(request, attempt, reply))
-            pause_us = yield from self._before_retry(group, attempt, reply, left_us, pause_us)
+            pause_us = yield from self._wait_before_retry(group, attempt, reply, left_us, pause_us)
 
     def _finish(self, request: Request, attempt: Attempt, reply: Reply) -> Continuation[Reply]:
-        """The member's final reply, or `unsure` for a success that no replica known here shows."""
+        """Returns the member's reply, or `unsure` for a success that no known replica shows."""
         group = request.group
         if reply.ok and group.proofs.needs_replica_confirmation(attempt.member, reply.position):
-            shown = yield from group.proofs.confirm_commit(
+            confirmed = yield from group.proofs.confirm_commit(
                 reply.position, attempt.member, request.deadline
             )
-            if not shown:
+            if not confirmed:
                 self._proxy.count["unsure"] += 1
                 emit(self._proxy.log, Events.STATEMENT_OUTCOME_UNKNOWN, member=attempt.member.name)
                 return Reply(code="unsure", text="no known replica shows the write")
@@ -83,7 +85,7 @@
             group.note_position(attempt, reply.position)
         return reply
 
-    def _before_retry(
+    def _wait_before_retry(
         self,
         group: MemberGroup,
         attempt: Attempt,
@@ -91,25 +93,27 @@
         left_us: int,
         pause_us: int,
     ) -> Continuation[int]:
-        """Waits as long as a write that did not run should; how long the next pause is."""
+        """Waits before a write that did not run is resent; returns the length of the next pause."""
         if reply is None:
             yield wait_for_first(
                 self._clock, [group.next_leadership_change()], min(left_us, pause_us)
             )
-            return min(pause_us * 2, _UNSENT_PAUSE_MOST_US)
+            return min(pause_us * 2, _MAX_UNSENT_PAUSE_US)
         if reply.code in ("readonly", "misdirected"):
             self._proxy.core_connection.suspect(group.name, attempt.member.name, NOT_PRIMARY)
             yield wait_for_first(
-                self._clock, [group.next_leadership_change()], min(left_us, _REPLICA_WAIT_US)
+                self._clock,
+                [group.next_leadership_change()],
+                min(left_us, _MAX_NEW_PRIMARY_WAIT_US),
             )
         elif reply.code in ("busy", "crowded"):
             self._proxy.count[reply.code] += 1
             yield wait_for_first(self._clock, (), min(left_us, pause_us))
-            return min(pause_us * 2, _BUSY_PAUSE_MOST_US)
+            return min(pause_us * 2, _MAX_BUSY_PAUSE_US)
         return pause_us
 
-    def _unanswered(self, request: Request, attempt: Attempt) -> Reply:
-        """The time is over and the attempt still runs."""
+    def _reply_unanswered(self, request: Request, attempt: Attempt) -> Reply:
+        """Returns the reply when the time limit passed before the member answered."""
         if not attempt.sent:
             attempt.task.cancel()
             return self._proxy.out_of_time()
@@ -117,7 +121,7 @@
         request.group.note_failure(attempt.member, NO_ANSWER)
         return Reply(code="unsure", text="no answer came; the write may be kept or not")
 
-    def _answer_lost(self, attempt: Attempt) -> Reply:
+    def _reply_answer_lost(self, attempt: Attempt) -> Reply:
         self._proxy.count["unsure"] += 1
         emit(self._proxy.log, Events.STATEMENT_OUTCOME_UNKNOWN, member=attempt.member.name)
         return Reply(code="unsure", text="the answer was lost; the write may be kept or not")
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -1,4 +1,7 @@
-"""The read clock against a simple model: a primary whose position rises, fetches that take any time, fail or stick."""
+"""Tests the read clock against a model of a primary whose position advances.
+
+Fetches take random times, fail, or never complete.
+"""
 
 import asyncio
 import random
@@ -23,61 +26,65 @@
         return int(asyncio.get_running_loop().time() * 1e6)
 
 
-def run(co):
+def run(coroutine):
     loop = WarpLoop()
     asyncio.set_event_loop(loop)
     try:
-        return loop.run_until_complete(co)
+        return loop.run_until_complete(coroutine)
     finally:
         end_all(loop)
         loop.close()
         asyncio.set_event_loop(None)
 
 
-def clock(fetch, lanes=1):
+def make_read_clock(fetch, lanes=1):
     tasks = BackgroundTasks()
-    b = SimpleNamespace(**{**vars(BOUNDS), "lanes": lanes})
-    return ReadClock(LoopClock(), tasks, LogicalClock(), fetch, lambda: b)
+    bounds = SimpleNamespace(**{**vars(BOUNDS), "lanes": lanes})
+    return ReadClock(LoopClock(), tasks, LogicalClock(), fetch, lambda: bounds)
+
 
+async def run_scenario(steps, lanes):
+    """Runs commits, reads and leadership changes with random fetch outcomes.
 
-async def drama(steps, lanes):
-    """Random commits, reads, fetch outcomes, epoch changes; answers what each read was told and had to see."""
+    Returns (required position, returned position, duration, leadership) of each read, and the clock.
+    """
     world = {"pos": 0, "key": (1, "p1")}
     rng = random.Random(str(steps))
-    told = []
+    results = []
 
     async def fetch(key):
         await asyncio.sleep(rng.choice([0.0, 0.004, 0.02]))
         if rng.random() < 0.15:
             raise Unreachable("fetch")
-        pos = world["pos"] if key == world["key"] else None
+        position = world["pos"] if key == world["key"] else None
         await asyncio.sleep(rng.choice([0.0, 0.01, 0.09]))
-        if pos is None:
+        if position is None:
             raise Unreachable("former primary")
-        return pos
+        return position
 
-    c = clock(fetch, lanes)
-    c.set_leadership(world["key"])
+    read_clock = make_read_clock(fetch, lanes)
+    read_clock.set_leadership(world["key"])
 
     async def read():
-        arr, must, key = c.logical_clock.next_timestamp(), world["pos"], c.leadership_key
-        t0 = c.clock.now()
-        pos = await c.request_position(arr)
-        told.append((must, pos, c.clock.now() - t0, key))
+        arrival = read_clock.logical_clock.next_timestamp()
+        required, key = world["pos"], read_clock.leadership_key
+        started_at = read_clock.clock.now()
+        position = await read_clock.request_position(arrival)
+        results.append((required, position, read_clock.clock.now() - started_at, key))
 
-    ts = []
+    reads = []
     for kind, wait in steps:
         await asyncio.sleep(wait / 1000)
         if kind == "commit":
             world["pos"] += 1
         elif kind == "read":
-            ts.append(asyncio.ensure_future(read()))
+            reads.append(asyncio.ensure_future(read()))
         else:
             world["key"] = (world["key"][0] + 1, "p2")
             world["pos"] += 10
-            c.set_leadership(world["key"])
-    await asyncio.gather(*ts)
-    return told, c
+            read_clock.set_leadership(world["key"])
+    await asyncio.gather(*reads)
+    return results, read_clock
 
 
 STEPS = st.lists(
@@ -89,99 +96,103 @@
 @settings(max_examples=150, deadline=None, derandomize=True, database=None)
 @given(STEPS, st.sampled_from([1, 3]))
 def test_no_read_is_gated_below_a_commit_acknowledged_before_it(steps, lanes):
-    told, c = run(drama(steps, lanes))
-    for must, pos, took, _ in told:
-        assert pos is None or pos >= must
-        assert took <= BOUNDS.join_us + 1000
-    assert c.count["fetches"] <= len(told) * 12
+    results, read_clock = run(run_scenario(steps, lanes))
+    for required, position, took_us, _ in results:
+        assert position is None or position >= required
+        assert took_us <= BOUNDS.join_us + 1000
+    assert read_clock.count["fetches"] <= len(results) * 12
 
 
 def test_without_the_guards_the_model_is_violated():
     for guard in ("any_pair_fits", "epoch_voids_nothing"):
-        mp = pytest.MonkeyPatch()
-        getattr(mutants, guard)(mp)
+        monkeypatch = pytest.MonkeyPatch()
+        getattr(mutants, guard)(monkeypatch)
         rng = random.Random(3)
         try:
-            bad = 0
+            violations = 0
             for _ in range(60):
                 steps = [
                     (rng.choice(["commit", "read", "read", "epoch"]), rng.randrange(12))
                     for _ in range(40)
                 ]
-                told, c = run(drama(steps, 1))
-                bad += any(pos is not None and pos < must for must, pos, _, _ in told) or any(
-                    f.leadership_key != c.leadership_key for f in c._fetches
+                results, read_clock = run(run_scenario(steps, 1))
+                violations += any(
+                    position is not None and position < required
+                    for required, position, _, _ in results
+                ) or any(
+                    fetch.leadership_key != read_clock.leadership_key
+                    for fetch in read_clock._fetches
                 )
-            assert bad, guard
+            assert violations, guard
         finally:
-            mp.undo()
+            monkeypatch.undo()
 
 
 def test_reads_that_arrive_together_share_one_fetch_and_one_after_it_fetches_anew():
     async def go():
-        n = []
+        fetches = []
 
         async def fetch(key):
-            n.append(key)
+            fetches.append(key)
             await asyncio.sleep(0.01)
             return 7
 
-        c = clock(fetch)
-        arrivals = [c.logical_clock.next_timestamp() for _ in range(20)]
-        first = c.logical_clock.next_timestamp()
-        c.set_leadership((1, "p"))
-        fs = [c.request_position(first)] + [c.request_position(a) for a in arrivals]
-        assert await asyncio.gather(*fs) == [7] * 21
-        assert len(n) == 1
-        assert await c.request_position(arrivals[3]) == 7 and len(n) == 1
-        await c.request_position(c.logical_clock.next_timestamp())
-        assert len(n) == 2
+        read_clock = make_read_clock(fetch)
+        arrivals = [read_clock.logical_clock.next_timestamp() for _ in range(20)]
+        first = read_clock.logical_clock.next_timestamp()
+        read_clock.set_leadership((1, "p"))
+        positions = [read_clock.request_position(arrival) for arrival in [first, *arrivals]]
+        assert await asyncio.gather(*positions) == [7] * 21
+        assert len(fetches) == 1
+        assert await read_clock.request_position(arrivals[3]) == 7 and len(fetches) == 1
+        await read_clock.request_position(read_clock.logical_clock.next_timestamp())
+        assert len(fetches) == 2
 
     run(go())
 
 
 def test_a_stuck_fetch_blocks_nobody_and_its_late_answer_never_replaces_a_newer_one():
     async def go():
-        gates = []
+        answers = []
 
         async def fetch(key):
-            f = asyncio.get_running_loop().create_future()
-            gates.append(f)
-            return await f
+            answer = asyncio.get_running_loop().create_future()
+            answers.append(answer)
+            return await answer
 
-        c = clock(fetch)
-        c.set_leadership((1, "p"))
-        a = c.request_position(c.logical_clock.next_timestamp())
+        read_clock = make_read_clock(fetch)
+        read_clock.set_leadership((1, "p"))
+        position = read_clock.request_position(read_clock.logical_clock.next_timestamp())
         await asyncio.sleep(0.06)
-        assert c.count["stuck"] == 1 and len(gates) == 2
-        gates[1].set_result(9)
-        assert await a == 9
-        gates[0].set_result(3)
+        assert read_clock.count["stuck"] == 1 and len(answers) == 2
+        answers[1].set_result(9)
+        assert await position == 9
+        answers[0].set_result(3)
         await asyncio.sleep(0)
-        assert c.latest.position == 9
+        assert read_clock.latest.position == 9
 
     run(go())
 
 
 def test_an_epoch_change_voids_the_cache_and_waiting_reads_fetch_anew_under_their_own_arrival():
     async def go():
-        gates = {}
+        answers = {}
 
         async def fetch(key):
-            f = gates[key] = asyncio.get_running_loop().create_future()
-            return await f
+            answers[key] = asyncio.get_running_loop().create_future()
+            return await answers[key]
 
-        c = clock(fetch)
-        c.set_leadership((1, "old"))
-        r = c.request_position(c.logical_clock.next_timestamp())
+        read_clock = make_read_clock(fetch)
+        read_clock.set_leadership((1, "old"))
+        position = read_clock.request_position(read_clock.logical_clock.next_timestamp())
         await asyncio.sleep(0.001)
-        c.set_leadership((2, "new"))
+        read_clock.set_leadership((2, "new"))
         await asyncio.sleep(0.001)
-        gates[(1, "old")].set_result(1000)
+        answers[(1, "old")].set_result(1000)
         await asyncio.sleep(0.001)
-        assert not r.done() and c.latest is None
-        gates[(2, "new")].set_result(40)
-        assert await r == 40 and c.count["voided"] == 1
+        assert not position.done() and read_clock.latest is None
+        answers[(2, "new")].set_result(40)
+        assert await position == 40 and read_clock.count["voided"] == 1
 
     run(go())
 
@@ -191,10 +202,10 @@
         async def fetch(key):
             raise Unreachable("down")
 
-        c = clock(fetch)
-        c.set_leadership((1, "p"))
-        assert await c.request_position(c.logical_clock.next_timestamp()) is None
-        assert c.clock.now() <= BOUNDS.join_us + 1000
-        assert c.count["fetches"] < 12
+        read_clock = make_read_clock(fetch)
+        read_clock.set_leadership((1, "p"))
+        assert await read_clock.request_position(read_clock.logical_clock.next_timestamp()) is None
+        assert read_clock.clock.now() <= BOUNDS.join_us + 1000
+        assert read_clock.count["fetches"] < 12
 
     run(go())
--- a/tests/test_member_proofs.py
+++ b/tests/test_member_proofs.py
@@ -1,4 +1,4 @@
-"""What all other members prove of a position while the primary does not answer."""
+"""Tests which position the other members prove while the primary does not answer."""
 
 import asyncio
 import collections
@@ -18,37 +18,37 @@
 LOGS = {"m1": (1, 9), "m2": (1, 135), "m3": (1, 137)}
 
 
-class _Conn:
+class _Connection:
     lost = False
 
     def __init__(self, name):
         self._name = name
 
-    async def _row(self):
+    async def _status(self):
         return {"role": "replica", "term": 1, "pos": LOGS[self._name], "held": 0}
 
     def send_command(self, verb):
-        return self._row()
+        return self._status()
 
     def close(self):
         self.lost = True
 
 
 class _Wire:
-    async def open(self, addr, group, member, us, tenant=""):
-        return _Conn(member)
+    async def open(self, address, group, member, limit_us, tenant=""):
+        return _Connection(member)
 
 
 class LoopClock(Clock):
-    """The loop's own time, which is virtual here."""
+    """The time of the event loop, which is virtual in these tests."""
 
     def now(self):
         return int(asyncio.get_running_loop().time() * 1e6) + 1
 
 
-def _band(names, size, holds, floor=(0, 0)):
+def _make_group(names, size, holds_lease, lower_bound=(0, 0)):
     core_connection = types.SimpleNamespace(
-        holds_lease=holds, proxy_count=3, suspect=lambda *_: None
+        holds_lease=holds_lease, proxy_count=3, suspect=lambda *_: None
     )
     proxy = types.SimpleNamespace(
         clock=LoopClock(),
@@ -56,33 +56,33 @@
         logical_clock=LogicalClock(),
         core_connection=core_connection,
         wire=_Wire(),
-        zone_distance=lambda h: 0,
+        zone_distance=lambda zone: 0,
         remote_contact=RemoteContact(LoopClock()),
         drain_us=0,
         evacuation_us=0,
         count=collections.Counter(),
         bounds=lambda: types.SimpleNamespace(fetch_us=150_000, join_us=400_000, lanes=2),
     )
-    led = ControlState()
-    for i, n in enumerate(["p", *names]):
-        led.apply(
-            i + 1,
+    control_state = ControlState()
+    for index, name in enumerate(["p", *names]):
+        control_state.apply(
+            index + 1,
             {
                 "t": "member",
-                "name": n,
+                "name": name,
                 "group": "g",
                 "hall": "a",
-                "addr": f"10.0.0.{i}:1",
+                "addr": f"10.0.0.{index}:1",
                 "role": "replica",
                 "state": "ready",
                 "slots": 5,
                 "count": 1,
             },
         )
-    led.doc["sizes"]["g"] = size
-    led.doc["evidence"]["g"] = Evidence(lower_bound=floor).document()
-    led.apply(
-        led.seq + 1,
+    control_state.doc["sizes"]["g"] = size
+    control_state.doc["evidence"]["g"] = Evidence(lower_bound=lower_bound).document()
+    control_state.apply(
+        control_state.seq + 1,
         {
             "t": "office",
             "group": "g",
@@ -93,59 +93,66 @@
             "cause": "",
         },
     )
-    b = MemberGroup("g", proxy)
-    b.sync_replicas = 1
-    b.apply_control_state(led, True)
-    return b
+    group = MemberGroup("g", proxy)
+    group.sync_replicas = 1
+    group.apply_control_state(control_state, True)
+    return group
 
 
 def test_all_others_under_a_lease_prove_their_highest_log(warp):
     async def go():
-        assert await _band(["m1", "m2", "m3"], 4, True).proofs.position_from_others("p") == (1, 137)
+        assert await _make_group(["m1", "m2", "m3"], 4, True).proofs.position_from_others("p") == (
+            1,
+            137,
+        )
 
     warp(go())
 
 
 def test_others_prove_nothing_until_the_primary_has_been_silent_for_a_while(warp):
-    """A proxy cut off together with it may still pass on what only an unknown replica has."""
+    """Guards against reads below acknowledged commits during a partition.
+
+    A proxy in the same partition as the primary may still acknowledge a commit that only an unknown
+    replica has.
+    """
 
     async def go():
-        band = _band(["m1", "m2", "m3"], 4, True)
-        primary, clock = band.members["p"], band._clock
-        band.proofs._ask_quietly = _nothing
+        group = _make_group(["m1", "m2", "m3"], 4, True)
+        primary, clock = group.members["p"], group._clock
+        group.proofs._request_status_ignoring_faults = _nothing
         await clock.sleep(1_000_000)
         primary.note_asked(clock.now() - 100_000)
-        began = asyncio.get_running_loop().time()
-        await band.proofs.position_from_others("p")
-        assert asyncio.get_running_loop().time() - began > 0.14
-        began = asyncio.get_running_loop().time()
-        await band.proofs.position_from_others("p")
-        assert asyncio.get_running_loop().time() - began < 0.05
+        started_at = asyncio.get_running_loop().time()
+        await group.proofs.position_from_others("p")
+        assert asyncio.get_running_loop().time() - started_at > 0.14
+        started_at = asyncio.get_running_loop().time()
+        await group.proofs.position_from_others("p")
+        assert asyncio.get_running_loop().time() - started_at < 0.05
 
     warp(go())
 
 
 def test_a_primary_heard_right_before_proves_that_a_cut_may_be_young(warp):
     async def go():
-        band = _band(["m1", "m2", "m3"], 4, True)
-        primary, clock = band.members["p"], band._clock
+        group = _make_group(["m1", "m2", "m3"], 4, True)
+        primary, clock = group.members["p"], group._clock
         await clock.sleep(2_000_000)
         primary.note_asked(clock.now() - 1_000_000)
         primary.last_answer_at = clock.now() - 10_000
         with pytest.raises(Unreachable):
-            await band.proofs.position_from_others("p")
+            await group.proofs.position_from_others("p")
 
     warp(go())
 
 
 async def _nothing(member):
-    """The primary is asked, and does not answer."""
+    """A STATUS request that the primary does not answer."""
 
 
 def test_an_edge_without_a_lease_may_not_know_all_members_and_proves_nothing(warp):
     async def go():
         with pytest.raises(Unreachable):
-            await _band(["m1", "m2"], 3, False).proofs.position_from_others("p")
+            await _make_group(["m1", "m2"], 3, False).proofs.position_from_others("p")
 
     warp(go())
 
@@ -153,21 +160,21 @@
 def test_fewer_others_than_the_group_ever_had_prove_nothing(warp):
     async def go():
         with pytest.raises(Unreachable):
-            await _band(["m1", "m2"], 4, True).proofs.position_from_others("p")
+            await _make_group(["m1", "m2"], 4, True).proofs.position_from_others("p")
         with pytest.raises(Unreachable):
-            await _band(["m1"], 2, True).proofs.position_from_others("p")
+            await _make_group(["m1"], 2, True).proofs.position_from_others("p")
 
     warp(go())
 
 
-@pytest.mark.parametrize(("floor", "proves"), [((1, 137), True), ((1, 138), False)])
-def test_others_that_lack_what_a_member_that_left_had_prove_nothing(warp, floor, proves):
+@pytest.mark.parametrize(("lower_bound", "proves"), [((1, 137), True), ((1, 138), False)])
+def test_others_that_lack_what_a_member_that_left_had_prove_nothing(warp, lower_bound, proves):
     async def go():
-        band = _band(["m1", "m2", "m3"], 4, True, floor)
+        group = _make_group(["m1", "m2", "m3"], 4, True, lower_bound)
         if proves:
-            assert await band.proofs.position_from_others("p") == (1, 137)
+            assert await group.proofs.position_from_others("p") == (1, 137)
         else:
             with pytest.raises(Unreachable):
-                await band.proofs.position_from_others("p")
+                await group.proofs.position_from_others("p")
 
     warp(go())
