--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -286,7 +286,7 @@
         (relay_calls_silence_unsent, "ran, though nothing had left"),
     ],
 )
-def test_without_its_guard_the_same_draws_find_it(guard, what):
+def test_without_its_guard_the_same_draws_find_the_violation(guard, what):
     class Found(Exception):
         pass
 
--- a/tests/test_channel_model.py
+++ b/tests/test_channel_model.py
@@ -233,7 +233,7 @@
 
 
 @pytest.mark.parametrize("guard,what", GUARDS.items())
-def test_without_its_guard_the_same_draws_find_it(guard, what):
+def test_without_its_guard_the_same_draws_find_the_violation(guard, what):
     class Found(Exception):
         pass
 
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -95,7 +95,7 @@
 
 @settings(max_examples=150, deadline=None, derandomize=True, database=None)
 @given(STEPS, st.sampled_from([1, 3]))
-def test_no_read_is_gated_below_a_commit_acknowledged_before_it(steps, lanes):
+def test_reads_never_miss_a_previously_acknowledged_commit(steps, lanes):
     results, read_clock = run(run_scenario(steps, lanes))
     for required, position, took_us, _ in results:
         assert position is None or position >= required
@@ -103,7 +103,7 @@
     assert read_clock.count["fetches"] <= len(results) * 12
 
 
-def test_without_the_guards_the_model_is_violated():
+def test_mutants_without_a_guard_violate_the_model():
     for guard in ("any_pair_fits", "epoch_voids_nothing"):
         monkeypatch = pytest.MonkeyPatch()
         getattr(mutants, guard)(monkeypatch)
@@ -128,7 +128,7 @@
             monkeypatch.undo()
 
 
-def test_reads_that_arrive_together_share_one_fetch_and_one_after_it_fetches_anew():
+def test_concurrent_reads_share_one_fetch_and_a_later_read_starts_another():
     async def go():
         fetches = []
 
@@ -151,7 +151,7 @@
     run(go())
 
 
-def test_a_stuck_fetch_blocks_nobody_and_its_late_answer_never_replaces_a_newer_one():
+def test_a_stuck_fetch_blocks_no_reads_and_its_late_answer_never_replaces_a_newer_one():
     async def go():
         answers = []
 
@@ -174,7 +174,7 @@
     run(go())
 
 
-def test_an_epoch_change_voids_the_cache_and_waiting_reads_fetch_anew_under_their_own_arrival():
+def test_a_leadership_change_discards_the_position_and_waiting_reads_fetch_again():
     async def go():
         answers = {}
 
@@ -197,7 +197,7 @@
     run(go())
 
 
-def test_the_bound_on_joining_gives_a_read_to_the_primary():
+def test_a_read_without_a_position_gives_up_after_the_time_limit():
     async def go():
         async def fetch(key):
             raise Unreachable("down")
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -99,7 +99,9 @@
     st.integers(1, 4),
     st.integers(1, 6),
 )
-def test_never_more_than_may_be_held_and_everyone_is_served_or_told(actions, plan, most, want):
+def test_the_pool_never_exceeds_its_size_and_every_waiter_gets_an_outcome(
+    actions, plan, most, want
+):
     async def go(s):
         waits, out = [], []
         for what, i in actions:
@@ -141,7 +143,7 @@
     virtual(go, member, most, want)
 
 
-def test_a_connection_fits_whom_it_was_given_to_before():
+def test_a_session_gets_the_connection_that_it_used_before():
     async def go(s):
         a, b = LoadClient({"n": "1"}), LoadClient({"n": "2"})
         ca, cb = await s.acquire(a), await s.acquire(b)
@@ -153,7 +155,7 @@
     virtual(go, Member())
 
 
-def test_who_waits_is_served_in_order():
+def test_waiters_are_served_in_order():
     async def go(s):
         v = LoadClient()
         c = await s.acquire(v)
@@ -166,7 +168,7 @@
     virtual(go, Member(), most=1)
 
 
-def test_more_waiters_than_four_a_connection_are_told_at_once():
+def test_more_than_four_waiters_per_connection_are_rejected_at_once():
     async def go(s):
         v = LoadClient()
         await s.acquire(v)
@@ -178,7 +180,7 @@
     virtual(go, Member(), most=1)
 
 
-def test_a_lost_connection_makes_room():
+def test_a_lost_connection_makes_room_for_another():
     async def go(s):
         v = LoadClient()
         c = await s.acquire(v)
@@ -192,7 +194,7 @@
     virtual(go, Member(), most=1)
 
 
-def test_what_is_quit_comes_back():
+def test_a_cancelled_acquire_returns_its_connection():
     async def go(s):
         v = LoadClient()
         f = s.acquire(v)
@@ -207,7 +209,7 @@
     virtual(go, Member(), most=1)
 
 
-def test_a_full_member_is_not_pressed_for_a_while():
+def test_a_full_member_gets_no_new_connections_for_a_while():
     async def go(s):
         v = LoadClient()
         a, b = s.acquire(v), s.acquire(v)
@@ -225,7 +227,7 @@
     virtual(go, member, most=4)
 
 
-def test_where_nothing_is_open_a_full_member_is_told_at_once():
+def test_a_full_member_without_open_connections_fails_the_waiter_at_once():
     async def go(s):
         with pytest.raises(Busy):
             await s.acquire(LoadClient())
@@ -234,7 +236,7 @@
     virtual(go, Member([(0.01, Busy)]))
 
 
-def test_the_end_declines_who_waits_and_closes_what_comes_back():
+def test_closing_the_pool_fails_waiters_and_closes_released_connections():
     async def go(s):
         v = LoadClient()
         a, b, c = s.acquire(v), s.acquire(v), s.acquire(v)
@@ -253,7 +255,7 @@
     virtual(go, member)
 
 
-def test_what_opens_after_the_end_is_closed():
+def test_a_connection_opened_after_the_pool_closed_is_closed():
     async def go(s):
         f = s.acquire(LoadClient())
         s.close()
--- a/tests/test_member_group.py
+++ b/tests/test_member_group.py
@@ -152,7 +152,7 @@
         asyncio.set_event_loop(None)
 
 
-def test_the_primary_tells_the_position():
+def test_the_primary_answers_with_the_position():
     async def go(e):
         assert await e.position() == (1, 9) and not e.count["fetched_others"]
         assert [m.asked for m in e.members.values()] == [1, 0, 0]
@@ -161,7 +161,7 @@
 
 
 @pytest.mark.parametrize("how", ["mute", "refused", "gone", "full", "busy", "odd", "lost"])
-def test_where_the_primary_is_silent_all_others_together_tell_it(how):
+def test_without_an_answer_of_the_primary_all_others_together_prove_the_position(how):
     async def go(e):
         e.members["p"].how = how
         assert await e.position() == (1, 8) and e.count["fetched_others"]
@@ -206,7 +206,7 @@
     virtual(go, group(9, 8, 4))
 
 
-def test_a_member_that_left_and_has_no_successor_yet_may_have_had_more():
+def test_a_departed_member_without_a_replacement_may_have_had_a_later_position():
     async def go(e):
         e.members["p"].how = "refused"
         e.enter(t="member", name="r3", state="gone", addr="1.1.1.1:3")
@@ -228,7 +228,7 @@
     virtual(go, group(9, 8, 4, 9))
 
 
-def test_a_member_that_has_come_must_be_heard_too():
+def test_a_new_member_must_answer_too():
     async def go(e):
         e.members["p"].how = "refused"
         assert await e.position() == (1, 8)
@@ -252,7 +252,7 @@
     virtual(go, group(9, 8, 4))
 
 
-def test_a_draining_member_must_be_heard_too():
+def test_a_draining_member_must_answer_too():
     async def go(e):
         e.members["p"].how = "refused"
         e.member("r1", "draining")
@@ -263,7 +263,7 @@
     virtual(go, group(9, 8, 4))
 
 
-def test_a_primary_that_is_none_any_more_tells_nothing_and_is_doubted():
+def test_a_former_primary_proves_nothing_and_is_suspected():
     async def go(e):
         e.members["p"].role = "replica"
         assert await e.position() is None and not e.count["fetched_others"]
@@ -278,7 +278,7 @@
     st.lists(st.sampled_from(["fine", "refused", "busy"]), min_size=3, max_size=3),
     st.integers(0, 20),
 )
-def test_whatever_is_told_is_not_below_what_was_acknowledged(logs, hows, behind):
+def test_a_proven_position_is_not_below_an_acknowledged_commit(logs, hows, behind):
     """A commit is acknowledged once one replica has it: the highest log of a replica, or below."""
 
     async def go(e):
@@ -296,7 +296,7 @@
 ZONES = {"p": "a", "r1": "a", "r2": "b", "r3": "c"}
 
 
-def test_the_near_one_is_picked_and_the_primary_only_where_it_is_near():
+def test_a_near_member_is_picked_and_the_primary_only_if_it_is_near():
     async def go(e):
         assert e.band.pick_member((0, 0), set()).name == "p"
         e.band.members["p"].in_flight = 1
@@ -308,7 +308,7 @@
     virtual(go, group(9, 8, 4, 7), zones=ZONES)
 
 
-def test_a_member_that_drains_or_whose_zone_is_emptied_is_not_picked_from_then_on():
+def test_a_draining_or_evacuated_member_is_not_picked():
     async def go(e):
         e.member("r1", "draining")
         assert e.band.pick_member((0, 0), {"p"}).name == "r2"
@@ -329,7 +329,9 @@
     ],
 )
 @pytest.mark.parametrize("fresh", [False, True])
-def test_the_primary_serves_until_the_bound_where_this_edge_heard_of_it_in_time(leave, us, fresh):
+def test_a_leaving_primary_accepts_statements_until_the_limit_unless_the_state_is_a_snapshot(
+    leave, us, fresh
+):
     async def go(e):
         if fresh:
             e.band.apply_control_state = lambda control_state, _, apply=e.band.apply_control_state: (
@@ -359,7 +361,7 @@
 
 @DRAWN
 @given(st.lists(BERTH, min_size=4, max_size=4), st.integers(0, 3))
-def test_a_pick_is_never_worse_than_another_that_may_be_picked(berths, need):
+def test_the_picked_member_is_never_worse_than_another_candidate(berths, need):
     async def go(e):
         how = dict(zip(e.members, berths))
         now = e.clock.now()
@@ -401,7 +403,7 @@
     virtual(go, group(9, 8, 4, 7), zones={"p": "a", "r1": "b", "r2": "c", "r3": "d"})
 
 
-def test_an_leadership_on_the_move_has_no_primary_and_a_turn_is_told():
+def test_a_failover_has_no_primary_and_completes_the_future_of_the_next_change():
     async def go(e):
         f = e.band.next_leadership_change()
         e.leadership("move", "p")
@@ -416,7 +418,7 @@
     virtual(go, group(9, 8, 4))
 
 
-def test_a_primary_that_misses_is_doubted_but_not_while_it_answers_others():
+def test_a_failing_primary_is_suspected_unless_it_answered_recently():
     async def go(e):
         b = e.band.members["p"]
         await asyncio.sleep(1)
@@ -436,7 +438,7 @@
     virtual(go, group(9, 8, 4))
 
 
-def test_a_member_at_a_new_address_is_a_new_one():
+def test_a_member_at_a_new_address_is_a_new_member():
     async def go(e):
         old = e.band.members["r1"]
         m = e.control_state.doc["members"]["r1"]
@@ -448,7 +450,7 @@
     virtual(go, group(9, 8, 4))
 
 
-def test_second_tries_are_within_a_budget():
+def test_retries_stay_within_a_budget():
     async def go(e):
         assert [e.band.try_spend_retry() for _ in range(11)] == [True] * 10 + [False]
         for _ in range(11):
--- a/tests/test_member_model.py
+++ b/tests/test_member_model.py
@@ -301,7 +301,7 @@
 
 @DRAWN
 @given(STEPS, FAULTS)
-def test_replies_writes_and_promises_hold_through_cancels_timeouts_and_resets(steps, hows):
+def test_no_guarantee_is_violated_by_cancellations_timeouts_and_resets(steps, hows):
     assert played(steps, hows) == []
 
 
@@ -377,7 +377,7 @@
         (lost_commit_is_aborted, {"kept against a promise"}),
     ],
 )
-def test_without_its_guard_the_same_draws_find_it(guard, whats):
+def test_without_its_guard_the_same_draws_find_the_violation(guard, whats):
     class Found(Exception):
         pass
 
@@ -397,7 +397,7 @@
             drawn()
 
 
-def test_a_connection_with_replies_due_is_closed_when_it_comes_back():
+def test_a_released_connection_with_pending_replies_is_closed():
     class Conn:
         lost, pending_replies, on_lost = False, 1, None
 
--- a/tests/test_member_proofs.py
+++ b/tests/test_member_proofs.py
@@ -132,7 +132,7 @@
     warp(go())
 
 
-def test_a_primary_heard_right_before_proves_that_a_cut_may_be_young(warp):
+def test_a_recent_answer_of_the_primary_means_that_a_partition_may_be_recent(warp):
     async def go():
         group = _make_group(["m1", "m2", "m3"], 4, True)
         primary, clock = group.members["p"], group._clock
@@ -149,7 +149,7 @@
     """A STATUS request that the primary does not answer."""
 
 
-def test_an_edge_without_a_lease_may_not_know_all_members_and_proves_nothing(warp):
+def test_a_proxy_without_a_lease_may_not_know_all_members_and_proves_nothing(warp):
     async def go():
         with pytest.raises(Unreachable):
             await _make_group(["m1", "m2"], 3, False).proofs.position_from_others("p")
@@ -168,7 +168,7 @@
 
 
 @pytest.mark.parametrize(("lower_bound", "proves"), [((1, 137), True), ((1, 138), False)])
-def test_others_that_lack_what_a_member_that_left_had_prove_nothing(warp, lower_bound, proves):
+def test_others_behind_a_departed_member_prove_nothing(warp, lower_bound, proves):
     async def go():
         group = _make_group(["m1", "m2", "m3"], 4, True, lower_bound)
         if proves:
--- a/tests/test_tenant_pool.py
+++ b/tests/test_tenant_pool.py
@@ -147,7 +147,7 @@
 
 
 # guards against UNASKED: the connection that a tenant gives back goes to the waiter of another
-def test_a_waiter_gets_no_connection_that_another_tenant_gives_back():
+def test_a_waiter_gets_no_connection_that_another_tenant_releases():
     async def go(pool):
         of_a = await pool.acquire(Client("a"))
         waiter = pool.acquire(Client("b"))
@@ -199,7 +199,7 @@
 
 
 # guards against an eviction of what is in use most: the connection that was idle longest makes room
-def test_the_connection_that_was_used_longest_ago_makes_room_for_another_tenant():
+def test_the_least_recently_used_connection_is_closed_for_another_tenant():
     async def go(pool):
         connections = {tenant: await pool.acquire(Client(tenant)) for tenant in ("a", "b", "c")}
         for tenant in ("b", "c", "a"):
@@ -213,7 +213,7 @@
 
 
 # guards against starvation: a tenant that floods the pool has filled the queue, and another is sent away for it
-def test_a_tenant_whose_queue_is_full_does_not_send_other_tenants_away():
+def test_a_tenant_with_a_full_queue_does_not_block_other_tenants():
     async def go(pool):
         flood = [pool.acquire(Client("a")) for _ in range(200)]
         await asyncio.sleep(0.1)
@@ -270,7 +270,7 @@
     st.integers(1, 4),
     st.lists(st.floats(0.1, 0.4), min_size=1, max_size=12),
 )
-def test_a_waiter_is_served_after_at_most_a_few_whoever_floods_the_pool(
+def test_a_waiter_is_served_after_a_few_others_even_if_tenants_flood_the_pool(
     most, flooding, calm, arrivals
 ):
     async def go(pool):
@@ -300,7 +300,7 @@
 
 
 # guards against starvation among equals: tenants that all flood the pool get shares of the same size
-def test_tenants_that_flood_a_pool_alike_get_like_shares():
+def test_tenants_that_flood_the_pool_equally_get_equal_shares():
     async def go(pool):
         grants = []
         await asyncio.gather(
--- a/tests/test_unleased_commits.py
+++ b/tests/test_unleased_commits.py
@@ -208,7 +208,7 @@
 
 @KINDS
 @pytest.mark.parametrize("log", [EVEN, AHEAD])
-def test_one_known_replica_that_shows_it_is_enough(warp, kind, log):
+def test_one_known_replica_that_shows_the_write_is_sufficient(warp, kind, log):
     async def go():
         case = _Case(kind, {"m1": SHORT, "m2": log}, delays={"m1": 10_000_000})
         assert (await case.run()).ok
@@ -219,7 +219,7 @@
 
 
 @KINDS
-def test_silent_replicas_are_not_waited_for_longer_than_the_bound(warp, kind):
+def test_the_wait_for_silent_replicas_is_limited(warp, kind):
     async def go():
         case = _Case(kind, {"m1": EVEN, "m2": EVEN}, delays={"m1": 10**7, "m2": 10**7})
         assert (await case.run()).code == "unsure"
@@ -230,7 +230,7 @@
 
 @KINDS
 @pytest.mark.parametrize(("confirmed", "sync_replicas"), [(True, 1), (False, 0)])
-def test_while_confirmed_or_without_sync_replicas_no_status_is_asked(
+def test_while_confirmed_or_without_sync_replicas_no_status_is_requested(
     warp, kind, confirmed, sync_replicas
 ):
     async def go():
@@ -241,7 +241,7 @@
     warp(go())
 
 
-def test_a_commit_that_wrote_nothing_needs_no_proof(warp):
+def test_a_commit_that_wrote_nothing_needs_no_confirmation(warp):
     async def go():
         case = _Case("commit", {"m1": SHORT}, wrote=False)
         assert (await case.run()).ok
@@ -251,7 +251,7 @@
 
 
 @KINDS
-def test_a_lease_regained_amid_a_move_does_not_vouch_for_what_the_old_primary_answers(warp, kind):
+def test_a_lease_regained_during_a_failover_does_not_confirm_the_old_primarys_answer(warp, kind):
     """Sent while cut off; a new member, known to nobody, lets the old primary answer."""
 
     async def go():
@@ -263,7 +263,7 @@
 
 
 @KINDS
-def test_an_answer_of_an_earlier_term_of_the_primary_in_leadership_needs_proof(warp, kind):
+def test_an_answer_from_an_earlier_term_of_the_current_primary_needs_confirmation(warp, kind):
     async def go():
         case = _Case(kind, {"m1": SHORT, "m2": SHORT}, confirmed=True)
 
@@ -278,7 +278,7 @@
 
 
 @KINDS
-def test_a_planned_move_leaves_a_confirmed_primary_its_word(warp, kind):
+def test_a_switchover_still_trusts_a_confirmed_primary(warp, kind):
     async def go():
         case = _Case(kind, {"m1": SHORT, "m2": SHORT}, confirmed=True)
         case.meanwhile = lambda: case.leadership("swap", "p", 1)
@@ -290,7 +290,7 @@
 
 @KINDS
 @pytest.mark.parametrize("silent_us", [80_000, 120_000])
-def test_a_primary_of_the_own_zone_needs_proof_once_nothing_is_heard_from_beyond(
+def test_a_primary_in_the_own_zone_needs_confirmation_without_recent_remote_contact(
     warp, kind, silent_us
 ):
     """The zone may be cut off, with a new replica inside it that control does not know."""
@@ -305,7 +305,7 @@
 
 
 @KINDS
-def test_a_primary_elsewhere_is_itself_word_from_there(warp, kind):
+def test_a_remote_primary_is_itself_remote_contact(warp, kind):
     async def go():
         case = _Case(kind, {"m1": SHORT, "m2": SHORT}, confirmed=True, far="p")
         case.group.note_answer(case.group.members["p"])
