--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -66,8 +66,11 @@
     read_clock.set_leadership(world["key"])
 
     async def read():
-        arrival = read_clock.logical_clock.next_timestamp()
-        required, key = world["pos"], read_clock.leadership_key
+        arrival, required, key = (
+            read_clock.logical_clock.next_timestamp(),
+            world["pos"],
+            read_clock.leadership_key,
+        )
         started_at = read_clock.clock.now()
         position = await read_clock.request_position(arrival)
         results.append((required, position, read_clock.clock.now() - started_at, key))
@@ -141,7 +144,9 @@
         arrivals = [read_clock.logical_clock.next_timestamp() for _ in range(20)]
         first = read_clock.logical_clock.next_timestamp()
         read_clock.set_leadership((1, "p"))
-        positions = [read_clock.request_position(arrival) for arrival in [first, *arrivals]]
+        positions = [read_clock.request_position(first)] + [
+            read_clock.request_position(arrival) for arrival in arrivals
+        ]
         assert await asyncio.gather(*positions) == [7] * 21
         assert len(fetches) == 1
         assert await read_clock.request_position(arrivals[3]) == 7 and len(fetches) == 1
@@ -179,8 +184,8 @@
         answers = {}
 
         async def fetch(key):
-            answers[key] = asyncio.get_running_loop().create_future()
-            return await answers[key]
+            answer = answers[key] = asyncio.get_running_loop().create_future()
+            return await answer
 
         read_clock = make_read_clock(fetch)
         read_clock.set_leadership((1, "old"))
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""The connections to one member: never more than may be held, and whoever waits is served or told."""
+"""Tests the connection pool: its size limit, and that every waiter gets a connection or an error."""
 
 import asyncio
 
@@ -23,54 +23,59 @@
         return int(asyncio.get_running_loop().time() * 1e6)
 
 
-class LoadClient:
+class Session:
     tenant = ""
 
     def __init__(self, values=None):
         self.values, self.prepared, self.statement_numbers = dict(values or {}), {}, {}
 
 
-class Conn(MemberConnection):
+class Connection(MemberConnection):
     def __init__(self, member):
         super().__init__()
-        self.m = member
+        self.member = member
         member.live.add(self)
 
     def close(self):
         if self.lost:
             return
         self.lost = True
-        self.m.live.discard(self)
+        self.member.live.discard(self)
         if self.on_lost is not None:
             self.on_lost(self)
 
 
 class Member:
-    """Opens connections as it is told: `plan` has (seconds, None or a fault) for each, the last for all others."""
+    """Opens connections as planned.
+
+    `plan` has (seconds, None or a fault) for each connection; the last entry is for all others.
+    """
 
     def __init__(self, plan=((0.01, None),)):
-        self.live, self.plan, self.asked, self.opening = set(), list(plan), 0, 0
+        self.live, self.plan, self.open_requests, self.opening = set(), list(plan), 0, 0
 
     async def open(self, tenant=""):
-        s, fault = self.plan.pop(0) if len(self.plan) > 1 else self.plan[0]
-        self.asked += 1
+        delay_s, fault = self.plan.pop(0) if len(self.plan) > 1 else self.plan[0]
+        self.open_requests += 1
         self.opening += 1
         try:
-            await asyncio.sleep(s)
+            await asyncio.sleep(delay_s)
         finally:
             self.opening -= 1
         if fault is not None:
-            raise fault("told to")
-        return Conn(self)
+            raise fault("as planned")
+        return Connection(self)
 
 
-def virtual(fn, member, most=2, want=9):
+def run_with_pool(scenario, member, max_size=2, useful_size=9):
     loop = WarpLoop()
     asyncio.set_event_loop(loop)
 
     async def go():
-        return await fn(
-            ConnectionPool(LoopClock(), BackgroundTasks(), member.open, most, lambda: want)
+        return await scenario(
+            ConnectionPool(
+                LoopClock(), BackgroundTasks(), member.open, max_size, lambda: useful_size
+            )
         )
 
     try:
@@ -81,9 +86,13 @@
         asyncio.set_event_loop(None)
 
 
-def held(f):
-    """The connection that `f` brought, if it did and is not lost."""
-    return f.result() if f.done() and not f.cancelled() and f.exception() is None else None
+def acquired(future):
+    """Returns the connection of a successful future, else None."""
+    return (
+        future.result()
+        if future.done() and not future.cancelled() and future.exception() is None
+        else None
+    )
 
 
 OUTCOME = st.tuples(st.sampled_from([0.0, 0.01, 0.4]), st.none())
@@ -100,168 +109,178 @@
     st.integers(1, 6),
 )
 def test_the_pool_never_exceeds_its_size_and_every_waiter_gets_an_outcome(
-    actions, plan, most, want
+    actions, plan, max_size, useful_size
 ):
-    async def go(s):
-        waits, out = [], []
-        for what, i in actions:
+    async def go(pool):
+        waiters, in_use = [], []
+        for what, index in actions:
             if what == "acquire":
-                waits.append(s.acquire(clients[i % 3]))
+                waiters.append(pool.acquire(sessions[index % 3]))
             elif what in ("tick", "rest"):
                 await asyncio.sleep(0.01 if what == "tick" else 3)
             elif what == "cancel":
-                if waits:
-                    s.cancel(waits.pop(i % len(waits)))
-            elif out:
-                c = out.pop(i % len(out))
-                c.close() if what == "lose" else getattr(s, what)(c)
-            for f in [f for f in waits if f.done()]:
-                waits.remove(f)
-                c = held(f)
-                if c is not None:
-                    assert c in s.busy or c.lost
-                    out.append(c)
+                if waiters:
+                    pool.cancel(waiters.pop(index % len(waiters)))
+            elif in_use:
+                connection = in_use.pop(index % len(in_use))
+                connection.close() if what == "lose" else getattr(pool, what)(connection)
+            for waiter in [waiter for waiter in waiters if waiter.done()]:
+                waiters.remove(waiter)
+                connection = acquired(waiter)
+                if connection is not None:
+                    assert connection in pool.busy or connection.lost
+                    in_use.append(connection)
                 else:
-                    assert isinstance(f.exception(), Fault)
-            assert s.total <= most and len(member.live) + member.opening <= most
-            assert len(set(map(id, out))) == len(out)
+                    assert isinstance(waiter.exception(), Fault)
+            assert pool.total <= max_size and len(member.live) + member.opening <= max_size
+            assert len(set(map(id, in_use))) == len(in_use)
             await asyncio.sleep(0)
-            if not member.opening and any(not f.done() for f in waits):
-                assert not s.idle and s.total >= s.limit, "who waits is not woken"
+            if not member.opening and any(not waiter.done() for waiter in waiters):
+                assert not pool.idle and pool.total >= pool.limit, "a waiter was not woken"
         for _ in range(200):
             await asyncio.sleep(1)
-            for f in [f for f in waits if f.done()]:
-                waits.remove(f)
-                if held(f) is not None:
-                    out.append(held(f))
-            while out:
-                s.release(out.pop())
-        assert not waits and not s.busy and s.total == len(s.idle) == len(member.live)
+            for waiter in [waiter for waiter in waiters if waiter.done()]:
+                waiters.remove(waiter)
+                if acquired(waiter) is not None:
+                    in_use.append(acquired(waiter))
+            while in_use:
+                pool.release(in_use.pop())
+        assert not waiters and not pool.busy and pool.total == len(pool.idle) == len(member.live)
 
     member = Member([*plan, (0.01, None)])
-    clients = [LoadClient(), LoadClient({"a": "1"}), LoadClient({"a": "2", "b": "1"})]
-    virtual(go, member, most, want)
+    sessions = [Session(), Session({"a": "1"}), Session({"a": "2", "b": "1"})]
+    run_with_pool(go, member, max_size, useful_size)
 
 
 def test_a_session_gets_the_connection_that_it_used_before():
-    async def go(s):
-        a, b = LoadClient({"n": "1"}), LoadClient({"n": "2"})
-        ca, cb = await s.acquire(a), await s.acquire(b)
-        for v, c in ((a, ca), (b, cb)):
-            c.values, c.last_session = dict(v.values), v
-            s.release(c)
-        assert await s.acquire(a) is ca and await s.acquire(b) is cb
+    async def go(pool):
+        first, second = Session({"n": "1"}), Session({"n": "2"})
+        of_first, of_second = await pool.acquire(first), await pool.acquire(second)
+        for session, connection in ((first, of_first), (second, of_second)):
+            connection.values, connection.last_session = dict(session.values), session
+            pool.release(connection)
+        assert await pool.acquire(first) is of_first and await pool.acquire(second) is of_second
 
-    virtual(go, Member())
+    run_with_pool(go, Member())
 
 
 def test_waiters_are_served_in_order():
-    async def go(s):
-        v = LoadClient()
-        c = await s.acquire(v)
-        fs = [s.acquire(v) for _ in range(3)]
-        for f in fs:
-            assert not f.done()
-            s.release(c)
-            assert f.done() and f.result() is c
+    async def go(pool):
+        session = Session()
+        connection = await pool.acquire(session)
+        waiters = [pool.acquire(session) for _ in range(3)]
+        for waiter in waiters:
+            assert not waiter.done()
+            pool.release(connection)
+            assert waiter.done() and waiter.result() is connection
 
-    virtual(go, Member(), most=1)
+    run_with_pool(go, Member(), max_size=1)
 
 
 def test_more_than_four_waiters_per_connection_are_rejected_at_once():
-    async def go(s):
-        v = LoadClient()
-        await s.acquire(v)
-        fs = [s.acquire(v) for _ in range(6)]
-        assert [isinstance(f.exception(), Busy) if f.done() else None for f in fs] == [None] * 4 + [
-            True
-        ] * 2
+    async def go(pool):
+        session = Session()
+        await pool.acquire(session)
+        waiters = [pool.acquire(session) for _ in range(6)]
+        assert [
+            isinstance(waiter.exception(), Busy) if waiter.done() else None for waiter in waiters
+        ] == [None] * 4 + [True] * 2
 
-    virtual(go, Member(), most=1)
+    run_with_pool(go, Member(), max_size=1)
 
 
 def test_a_lost_connection_makes_room_for_another():
-    async def go(s):
-        v = LoadClient()
-        c = await s.acquire(v)
-        f = s.acquire(v)
-        c.close()
-        assert await f is not c and s.total == 1
-        s.release(f.result())
-        s.release(c)
-        assert s.idle == [f.result()]
+    async def go(pool):
+        session = Session()
+        connection = await pool.acquire(session)
+        waiter = pool.acquire(session)
+        connection.close()
+        assert await waiter is not connection and pool.total == 1
+        pool.release(waiter.result())
+        pool.release(connection)
+        assert pool.idle == [waiter.result()]
 
-    virtual(go, Member(), most=1)
+    run_with_pool(go, Member(), max_size=1)
 
 
 def test_a_cancelled_acquire_returns_its_connection():
-    async def go(s):
-        v = LoadClient()
-        f = s.acquire(v)
-        s.cancel(f)
-        assert f.cancelled() and s.total == 1
+    async def go(pool):
+        session = Session()
+        waiter = pool.acquire(session)
+        pool.cancel(waiter)
+        assert waiter.cancelled() and pool.total == 1
         await asyncio.sleep(1)
-        assert len(s.idle) == 1 and not s.busy
-        f = s.acquire(v)
-        s.cancel(f)
-        assert len(s.idle) == 1 and not s.busy
+        assert len(pool.idle) == 1 and not pool.busy
+        waiter = pool.acquire(session)
+        pool.cancel(waiter)
+        assert len(pool.idle) == 1 and not pool.busy
 
-    virtual(go, Member(), most=1)
+    run_with_pool(go, Member(), max_size=1)
 
 
 def test_a_full_member_gets_no_new_connections_for_a_while():
-    async def go(s):
-        v = LoadClient()
-        a, b = s.acquire(v), s.acquire(v)
+    async def go(pool):
+        session = Session()
+        first, second = pool.acquire(session), pool.acquire(session)
         await asyncio.sleep(0.1)
-        assert held(a) and not b.done() and s.limit == 1
-        fs = [s.acquire(v) for _ in range(3)]
-        s.release(held(a))
-        assert held(b) is held(a)
+        assert acquired(first) and not second.done() and pool.limit == 1
+        waiters = [pool.acquire(session) for _ in range(3)]
+        pool.release(acquired(first))
+        assert acquired(second) is acquired(first)
         await asyncio.sleep(1)
-        assert member.asked == 2 and not any(f.done() for f in fs)
+        assert member.open_requests == 2 and not any(waiter.done() for waiter in waiters)
         await asyncio.sleep(1.2)
-        assert member.asked == 5 and s.limit == 4 and all(held(f) for f in fs)
+        assert (
+            member.open_requests == 5
+            and pool.limit == 4
+            and all(acquired(waiter) for waiter in waiters)
+        )
 
     member = Member([(0.01, None), (0.02, Busy), (0.01, None)])
-    virtual(go, member, most=4)
+    run_with_pool(go, member, max_size=4)
 
 
 def test_a_full_member_without_open_connections_fails_the_waiter_at_once():
-    async def go(s):
+    async def go(pool):
         with pytest.raises(Busy):
-            await s.acquire(LoadClient())
-        assert s.total == 0 and s.limit == 1
+            await pool.acquire(Session())
+        assert pool.total == 0 and pool.limit == 1
 
-    virtual(go, Member([(0.01, Busy)]))
+    run_with_pool(go, Member([(0.01, Busy)]))
 
 
 def test_closing_the_pool_fails_waiters_and_closes_released_connections():
-    async def go(s):
-        v = LoadClient()
-        a, b, c = s.acquire(v), s.acquire(v), s.acquire(v)
+    async def go(pool):
+        session = Session()
+        first, second, third = (
+            pool.acquire(session),
+            pool.acquire(session),
+            pool.acquire(session),
+        )
         await asyncio.sleep(0.1)
-        s.release(held(a))
-        d = held(c)
-        e = s.acquire(v)
-        s.close()
-        assert isinstance(e.exception(), NotSent) and isinstance(s.acquire(v).exception(), NotSent)
-        assert held(b) in s.busy and not held(b).lost
-        s.release(held(b))
-        s.release(d)
-        assert not member.live and s.total == 0
+        pool.release(acquired(first))
+        reused = acquired(third)
+        waiter = pool.acquire(session)
+        pool.close()
+        assert isinstance(waiter.exception(), NotSent) and isinstance(
+            pool.acquire(session).exception(), NotSent
+        )
+        assert acquired(second) in pool.busy and not acquired(second).lost
+        pool.release(acquired(second))
+        pool.release(reused)
+        assert not member.live and pool.total == 0
 
     member = Member()
-    virtual(go, member)
+    run_with_pool(go, member)
 
 
 def test_a_connection_opened_after_the_pool_closed_is_closed():
-    async def go(s):
-        f = s.acquire(LoadClient())
-        s.close()
+    async def go(pool):
+        waiter = pool.acquire(Session())
+        pool.close()
         with pytest.raises(NotSent):
-            await f
-        assert not member.live and s.total == 0
+            await waiter
+        assert not member.live and pool.total == 0
 
     member = Member()
-    virtual(go, member)
+    run_with_pool(go, member)
--- a/tests/test_member_model.py
+++ b/tests/test_member_model.py
@@ -1,7 +1,9 @@
-"""Connections to a member, drawn: no reply reaches another session, no write leaves twice, no promise is broken.
+"""Tests connections to a member with generated faults.
 
-Real sessions, pool and wire of an edge; the member and its connections are modelled: answers are late, half, lost or
-refused, connections are reset before or after a statement is read, and clients leave at any moment.
+No reply may reach another session, no write may run twice, and no reply may contradict what the
+member stored. Sessions, pool and member protocol are the real ones of a proxy. The member and its
+connections are modelled: answers are late, incomplete, lost or refused, connections are reset
+before or after a statement is read, and clients disconnect at any time.
 """
 
 import asyncio
@@ -29,8 +31,8 @@
     database=None,
     suppress_health_check=list(HealthCheck),
 )
-PROMISES = {"BUSY", "ABORTED", "LAGGING", "READONLY", "WRONGNODE", "CONNLIMIT"}
-HOWS = ["ok"] * 10 + [
+NOT_RUN_CODES = {"BUSY", "ABORTED", "LAGGING", "READONLY", "WRONGNODE", "CONNLIMIT"}
+REACTIONS = ["ok"] * 10 + [
     "busy",
     "failed",
     "slow",
@@ -41,16 +43,19 @@
     "unread",
     "pieces",
 ]
-WAY_S = 0.002
+NETWORK_DELAY_S = 0.002
 
 
 class Line:
-    """The member's end of one connection: a transport to the edge, the session's state to the member."""
+    """The member's end of one connection.
+
+    It is the transport for the proxy, and has the session state for the member.
+    """
 
     def __init__(self, member, member_connection):
         self.member, self.member_connection = member, member_connection
-        self.state, self.changes, self.owner, self.values = "I", {}, None, {}
-        self.rest, self.closed, self.answering = b"", False, 0.0
+        self.state, self.changes, self.client, self.values = "I", {}, None, {}
+        self.incomplete, self.closed, self.next_answer_at = b"", False, 0.0
 
     def get_extra_info(self, name):
         return self
@@ -63,7 +68,7 @@
 
     def write(self, data):
         assert not self.closed
-        asyncio.get_running_loop().call_later(WAY_S, self._take, data)
+        asyncio.get_running_loop().call_later(NETWORK_DELAY_S, self._receive, data)
 
     def abort(self):
         self.close()
@@ -73,240 +78,262 @@
             self.closed = True
             asyncio.get_running_loop().call_soon(self.member_connection.connection_lost, None)
 
-    def _take(self, data):
-        lines = (self.rest + data).split(b"\r\n")
-        self.rest = lines.pop()
+    def _receive(self, data):
+        lines = (self.incomplete + data).split(b"\r\n")
+        self.incomplete = lines.pop()
         for line in lines:
             if not self.closed:
-                self.member.take(self, line.decode())
+                self.member.receive(self, line.decode())
 
-    def say(self, text, after=0.0, pieces=False):
-        """Answers in order, whole or byte by byte."""
+    def send(self, text, after=0.0, pieces=False):
+        """Sends an answer after the previous ones, complete or byte by byte."""
         loop = asyncio.get_running_loop()
-        self.answering = max(self.answering, loop.time() + after + WAY_S)
+        self.next_answer_at = max(self.next_answer_at, loop.time() + after + NETWORK_DELAY_S)
         for part in text if pieces else [text]:
-            loop.call_at(self.answering, lambda part=part: self._land(part))
+            loop.call_at(self.next_answer_at, lambda part=part: self._deliver(part))
 
-    def _land(self, part):
+    def _deliver(self, part):
         if not self.closed:
             self.member_connection.data_received(part.encode())
 
 
 class Member:
-    """Keeps what was committed, and by which statement each change came."""
-
-    def __init__(self, hows):
-        self.hows = itertools.chain(hows, itertools.repeat("ok"))
-        self.read, self.kept, self.bad, self.lines, self.pos = [], [], [], [], 7
-        self.owner_of, self.values_of = {}, {}
-
-    async def open(self, addr, group, member, us, tenant=""):
+    """A member that records the committed statements and every violation that it sees."""
+
+    def __init__(self, reactions):
+        self.reactions = itertools.chain(reactions, itertools.repeat("ok"))
+        self.received, self.committed, self.violations, self.lines, self.position = (
+            [],
+            [],
+            [],
+            [],
+            7,
+        )
+        self.client_of, self.values_of = {}, {}
+
+    async def open(self, address, group, member, limit_us, tenant=""):
         member_connection = LineMemberConnection()
         line = Line(self, member_connection)
         self.lines.append(line)
         member_connection.connection_made(line)
-        await asyncio.sleep(WAY_S)
+        await asyncio.sleep(NETWORK_DELAY_S)
         return member_connection
 
-    def take(self, line, text):
-        _, num, rest = text.split(" ", 2)
-        how = next(self.hows)
-        if how == "unread":
+    def receive(self, line, text):
+        _, number, rest = text.split(" ", 2)
+        reaction = next(self.reactions)
+        if reaction == "unread":
             return line.close()
         words = rest.split(" ")
         if words[0] == "AFTER":
             words = words[2:]
         if words[0] == "STATUS":
-            return line.say(
-                f"ROW primary 1 1.{self.pos} 0 1 0 9\r\nCOMPLETE -\r\nREADY I 1.{self.pos}\r\n"
+            return line.send(
+                f"ROW primary 1 1.{self.position} 0 1 0 9\r\nCOMPLETE -\r\nREADY I 1.{self.position}\r\n"
             )
-        self.read.append((num, words[0]))
-        rows, end = self._run(line, num, words, how)
-        if how in ("silent", "late"):
-            return line.say(rows + end, 1.3 if how == "late" else 1e6)
-        if how == "reset":
+        self.received.append((number, words[0]))
+        rows, end = self._run(line, number, words, reaction)
+        if reaction in ("silent", "late"):
+            return line.send(rows + end, 1.3 if reaction == "late" else 1e6)
+        if reaction == "reset":
             return line.close()
-        if how == "half":
-            line.say(rows or end[:5])
-            return asyncio.get_running_loop().call_later(2 * WAY_S, line.close)
-        line.say(rows + end, 0.2 if how == "slow" else 0.0, pieces=how == "pieces")
+        if reaction == "half":
+            line.send(rows or end[:5])
+            return asyncio.get_running_loop().call_later(2 * NETWORK_DELAY_S, line.close)
+        line.send(rows + end, 0.2 if reaction == "slow" else 0.0, pieces=reaction == "pieces")
 
-    def _run(self, line, num, words, how):
-        """The reply's rows and end; what it changes is done by then."""
+    def _run(self, line, number, words, reaction):
+        """Runs a statement; returns the rows and the end of the reply."""
         verb, rows, stamp = words[0], "", "-"
         if verb in ("FETCH", "PUT", "COMMIT"):
-            self._judge(line, num, verb)
-            if how in ("busy", "failed"):
-                if how == "failed" and line.state == "T":
+            self._check(line, number, verb)
+            if reaction in ("busy", "failed"):
+                if reaction == "failed" and line.state == "T":
                     line.state = "E"
-                end = f"ERROR {how.upper()} x\r\nREADY {line.state} 1.{self.pos}\r\n"
+                end = f"ERROR {reaction.upper()} x\r\nREADY {line.state} 1.{self.position}\r\n"
                 return "", end
-            stamp = f"s.{num}"
+            stamp = f"s.{number}"
         if verb == "FETCH":
-            rows = f"ROW {num}\r\n"
+            rows = f"ROW {number}\r\n"
         elif verb == "PUT" and line.state == "I":
-            self._keep([num])
+            self._commit([number])
         elif verb == "PUT":
-            line.changes[num] = None
+            line.changes[number] = None
         elif verb == "BEGIN":
-            line.state, line.changes, line.owner = "T", {}, self.owner_of.get(num)
+            line.state, line.changes, line.client = "T", {}, self.client_of.get(number)
         elif verb in ("COMMIT", "ROLLBACK"):
             if verb == "COMMIT" and line.state == "T":
-                self._keep([*line.changes, num])
-            line.state, line.changes, line.owner = "I", {}, None
+                self._commit([*line.changes, number])
+            line.state, line.changes, line.client = "I", {}, None
         elif verb == "SET":
             line.values[words[1]] = words[2]
         elif verb == "RESET":
             line.values = {}
-        return rows, f"COMPLETE {stamp}\r\nREADY {line.state} 1.{self.pos}\r\n"
+        return rows, f"COMPLETE {stamp}\r\nREADY {line.state} 1.{self.position}\r\n"
 
-    def _keep(self, nums):
-        self.pos += 1
-        self.kept += nums
+    def _commit(self, numbers):
+        self.position += 1
+        self.committed += numbers
 
-    def _judge(self, line, num, verb):
-        owner = self.owner_of.get(num)
-        if line.state != "I" and line.owner != owner:
-            self.bad.append(("inside the transaction of another", num))
-        if line.values != self.values_of.get(num):
-            self.bad.append(("under the values of another", num, line.values))
+    def _check(self, line, number, verb):
+        client = self.client_of.get(number)
+        if line.state != "I" and line.client != client:
+            self.violations.append(("ran in another client's transaction", number))
+        if line.values != self.values_of.get(number):
+            self.violations.append(("ran with another client's values", number, line.values))
 
 
 class Client:
-    """A client's connection, and what it was told."""
+    """A client with its connection and the replies it received."""
 
-    nums = itertools.count()
+    numbers = itertools.count()
 
     def __init__(self, door, member, name):
         self.door, self.member, self.name = door, member, name
-        self.told, self.wrote, self.values, self.gone = {}, {}, {}, False
-        self.front, self.tr = door.client()
-
-    async def query(self, text, num):
-        """(word, rest, rows, state) of the reply, or None where there is none."""
-        self.member.owner_of[num] = self.name
-        self.member.values_of[num] = dict(self.values)
-        self.tr.out = b""
-        if self.gone or self.front.gone or self.tr.closed:
+        self.replies, self.writes, self.values, self.disconnected = {}, {}, {}, False
+        self.front, self.transport = door.client()
+
+    async def query(self, text, number):
+        """Returns (keyword, code or stamp, rows, state) of the reply, or None if there is none."""
+        self.member.client_of[number] = self.name
+        self.member.values_of[number] = dict(self.values)
+        self.transport.out = b""
+        if self.disconnected or self.front.gone or self.transport.closed:
             return None
-        self.front.data_received(f"QUERY {num} {text}\r\n".encode())
+        self.front.data_received(f"QUERY {number} {text}\r\n".encode())
         for _ in range(1000):
-            lines = self.tr.out.decode().split("\r\n")
-            if any(x.startswith("READY") for x in lines):
+            lines = self.transport.out.decode().split("\r\n")
+            if any(line.startswith("READY") for line in lines):
                 break
-            if self.tr.closed:
+            if self.transport.closed:
                 return None
             await asyncio.sleep(0.005)
         else:
-            self.member.bad.append(("no reply", num))
+            self.member.violations.append(("no reply", number))
             return None
-        rows = [x[4:] for x in lines if x.startswith("ROW")]
-        word, _, rest = next(x for x in lines if x.startswith(("COMPLETE", "ERROR"))).partition(" ")
-        state = next(x for x in lines if x.startswith("READY")).split(" ")[1]
-        self._judge(num, text, word, rest, rows)
-        return word, rest.split(" ")[0], rows, state
-
-    def _judge(self, num, text, word, rest, rows):
-        if word == "COMPLETE" and text.split(" ")[0] in ("FETCH", "PUT", "COMMIT"):
-            if rest != f"s.{num}" or rows != ([num] if text.startswith("FETCH") else []):
-                self.member.bad.append(("reply of another", num, rest, rows))
-        if word == "COMPLETE" and text.startswith("SET"):
+        rows = [line[4:] for line in lines if line.startswith("ROW")]
+        keyword, _, rest = next(
+            line for line in lines if line.startswith(("COMPLETE", "ERROR"))
+        ).partition(" ")
+        state = next(line for line in lines if line.startswith("READY")).split(" ")[1]
+        self._check(number, text, keyword, rest, rows)
+        return keyword, rest.split(" ")[0], rows, state
+
+    def _check(self, number, text, keyword, rest, rows):
+        if keyword == "COMPLETE" and text.split(" ")[0] in ("FETCH", "PUT", "COMMIT"):
+            if rest != f"s.{number}" or rows != ([number] if text.startswith("FETCH") else []):
+                self.member.violations.append(("reply of another statement", number, rest, rows))
+        if keyword == "COMPLETE" and text.startswith("SET"):
             _, name, value = text.split(" ")
             self.values[name] = value
 
-    async def operate(self, what, i):
-        num = f"n{next(self.nums)}"
-        if what == "read":
-            await self.query("FETCH a", num)
-        elif what == "write":
-            self.wrote[num] = [num]
-            r = await self.query("PUT a b", num)
-            self.told[num] = r[:2] if r else None
-        elif what == "set":
-            await self.query(f"SET v{i % 2} {num}", num)
+    async def run_action(self, action, index):
+        number = f"n{next(self.numbers)}"
+        if action == "read":
+            await self.query("FETCH a", number)
+        elif action == "write":
+            self.writes[number] = [number]
+            reply = await self.query("PUT a b", number)
+            self.replies[number] = reply[:2] if reply else None
+        elif action == "set":
+            await self.query(f"SET v{index % 2} {number}", number)
         else:
-            await self._transact(num, i)
+            await self._run_transaction(number, index)
 
-    async def _transact(self, num, i):
-        r = await self.query("BEGIN" if i % 4 else "BEGIN FETCH", num)
-        puts, state = [], r and r[3]
-        for k in range(i % 3 + 1):
+    async def _run_transaction(self, number, index):
+        reply = await self.query("BEGIN" if index % 4 else "BEGIN FETCH", number)
+        puts, state = [], reply and reply[3]
+        for step in range(index % 3 + 1):
             if state != "T":
                 break
-            n = f"{num}.{k}"
-            reads = k == 1 or not i % 4
-            if not reads:
-                puts.append(n)
-            r = await self.query("FETCH a" if reads else "PUT a b", n)
-            state = r and r[3]
-            await asyncio.sleep(0.003 * (i % 5))
+            step_number = f"{number}.{step}"
+            is_read = step == 1 or not index % 4
+            if not is_read:
+                puts.append(step_number)
+            reply = await self.query("FETCH a" if is_read else "PUT a b", step_number)
+            state = reply and reply[3]
+            await asyncio.sleep(0.003 * (index % 5))
         if state in ("T", "E"):
-            word = "ROLLBACK" if i == 9 else "COMMIT"
-            r = await self.query(word, f"{num}.c")
-            # a transaction that wrote nothing keeps nothing, whatever becomes of its COMMIT
-            self.wrote[f"{num}.c"] = [*puts, f"{num}.c"] if puts else []
-            self.told[f"{num}.c"] = ("ERROR", "ABORTED") if word == "ROLLBACK" else r and r[:2]
+            verb = "ROLLBACK" if index == 9 else "COMMIT"
+            reply = await self.query(verb, f"{number}.c")
+            # A transaction without writes stores nothing, whatever the outcome of its COMMIT.
+            self.writes[f"{number}.c"] = [*puts, f"{number}.c"] if puts else []
+            self.replies[f"{number}.c"] = (
+                ("ERROR", "ABORTED") if verb == "ROLLBACK" else reply and reply[:2]
+            )
         else:
-            self.wrote[f"{num}.c"] = puts
-            self.told[f"{num}.c"] = ("ERROR", "ABORTED")
+            self.writes[f"{number}.c"] = puts
+            self.replies[f"{number}.c"] = ("ERROR", "ABORTED")
 
-    def leave(self):
-        self.gone = True
-        self.tr.close()
+    def disconnect(self):
+        self.disconnected = True
+        self.transport.close()
 
 
 ACTIONS = ["read", "write", "write", "transact", "transact", "set", "tick", "leave", "rest", "rest"]
 STEPS = st.lists(st.tuples(st.sampled_from(ACTIONS), st.integers(0, 9)), min_size=4, max_size=24)
-FAULTS = st.lists(st.sampled_from(HOWS), max_size=40)
+FAULTS = st.lists(st.sampled_from(REACTIONS), max_size=40)
 
 
-def played(steps, hows):
+def run_steps(steps, reactions):
     async def go(door):
-        member = Member(hows)
+        member = Member(reactions)
         door.proxy.wire = member
         clients = [Client(door, member, f"c{i}") for i in range(3)]
-        everybody, busy = list(clients), {}
-        for what, i in steps:
-            c = clients[i % 3]
-            if what == "tick":
-                await asyncio.sleep(0.002 * i)
-            elif what == "rest":
+        all_clients, busy = list(clients), {}
+        for action, index in steps:
+            client = clients[index % 3]
+            if action == "tick":
+                await asyncio.sleep(0.002 * index)
+            elif action == "rest":
                 await asyncio.sleep(1)
-            elif what == "leave":
-                c.leave()
-                clients[i % 3] = Client(door, member, f"d{len(everybody)}")
-                everybody.append(clients[i % 3])
-            elif c not in busy or busy[c].done():
-                busy[c] = asyncio.ensure_future(c.operate(what, i))
+            elif action == "leave":
+                client.disconnect()
+                clients[index % 3] = Client(door, member, f"d{len(all_clients)}")
+                all_clients.append(clients[index % 3])
+            elif client not in busy or busy[client].done():
+                busy[client] = asyncio.ensure_future(client.run_action(action, index))
                 await asyncio.sleep(0)
         await asyncio.sleep(12)
-        for c in everybody:
-            for num, told in c.told.items():
-                if told and told[0] == "ERROR" and told[1] in PROMISES:
-                    if set(c.wrote[num]) & set(member.kept):
-                        member.bad.append(("kept against a promise", num, told))
-                if told and told[0] == "COMPLETE" and not set(c.wrote[num]) <= set(member.kept):
-                    member.bad.append(("acknowledged and not kept", num))
-        if len(set(member.kept)) < len(member.kept):
-            member.bad.append(("twice", sorted(member.kept)))
-        for b in door.proxy.groups.values():
-            for p in b.members.values():
-                for c in p.pool.idle:
-                    if c.pending_replies or c.lost:
-                        member.bad.append(("idle with replies due", c.pending_replies, c.lost))
-        return member.bad
+        for client in all_clients:
+            for number, reply in client.replies.items():
+                if reply and reply[0] == "ERROR" and reply[1] in NOT_RUN_CODES:
+                    if set(client.writes[number]) & set(member.committed):
+                        member.violations.append(
+                            ("committed despite an error reply", number, reply)
+                        )
+                if (
+                    reply
+                    and reply[0] == "COMPLETE"
+                    and not set(client.writes[number]) <= set(member.committed)
+                ):
+                    member.violations.append(("acknowledged and not committed", number))
+        if len(set(member.committed)) < len(member.committed):
+            member.violations.append(("committed twice", sorted(member.committed)))
+        for group in door.proxy.groups.values():
+            for group_member in group.members.values():
+                for connection in group_member.pool.idle:
+                    if connection.pending_replies or connection.lost:
+                        member.violations.append(
+                            (
+                                "idle with pending replies",
+                                connection.pending_replies,
+                                connection.lost,
+                            )
+                        )
+        return member.violations
 
     return virtual(go)
 
 
 @DRAWN
 @given(STEPS, FAULTS)
-def test_no_guarantee_is_violated_by_cancellations_timeouts_and_resets(steps, hows):
-    assert played(steps, hows) == []
+def test_no_guarantee_is_violated_by_cancellations_timeouts_and_resets(steps, reactions):
+    assert run_steps(steps, reactions) == []
 
 
-def next_who_waits(mp):
-    """A reply goes to the first who still waits, not to whose turn it is."""
+def reply_goes_to_next_waiter(monkeypatch):
+    """Gives a reply to the first request that still waits, not to the one that it answers."""
     real = LineMemberConnection._end
 
     def end(self, r):
@@ -314,18 +341,18 @@
             self._awaited.popleft()
         real(self, r)
 
-    mp.setattr(LineMemberConnection, "_end", end)
-    mp.setattr(LineMemberConnection, "pending_replies", 0)
-    mp.setattr(ConnectionPool, "discard", lambda self, c: self.release(c))
+    monkeypatch.setattr(LineMemberConnection, "_end", end)
+    monkeypatch.setattr(LineMemberConnection, "pending_replies", 0)
+    monkeypatch.setattr(ConnectionPool, "discard", lambda self, c: self.release(c))
 
 
-def given_back_with_replies_due(mp):
-    mp.setattr(LineMemberConnection, "pending_replies", 0)
-    mp.setattr(ConnectionPool, "discard", lambda self, c: self.release(c))
+def released_with_pending_replies(monkeypatch):
+    monkeypatch.setattr(LineMemberConnection, "pending_replies", 0)
+    monkeypatch.setattr(ConnectionPool, "discard", lambda self, c: self.release(c))
 
 
-def sent_again_after_silence(mp):
-    """A lost answer counts as never sent."""
+def resent_after_no_answer(monkeypatch):
+    """Treats a lost answer as if the statement was never sent."""
     real = WritePath.run
 
     def run(self, request):
@@ -334,10 +361,10 @@
             reply = yield from real(self, request)
         return reply
 
-    mp.setattr(WritePath, "run", run)
+    monkeypatch.setattr(WritePath, "run", run)
 
 
-def lost_counts_as_unsent(mp):
+def lost_answer_counts_as_unsent(monkeypatch):
     real = MemberCalls.send
 
     async def send(self, request, attempt, *rest):
@@ -347,58 +374,58 @@
             attempt.sent = False
             raise
 
-    mp.setattr(MemberCalls, "send", send)
+    monkeypatch.setattr(MemberCalls, "send", send)
 
 
-def lost_commit_is_aborted(mp):
+def lost_commit_is_aborted(monkeypatch):
     real = TransactionPath._connection_lost
 
     def connection_lost(self, request):
         reply = real(self, request)
         return Reply(code="aborted", state=reply.state) if reply.code == "unsure" else reply
 
-    mp.setattr(TransactionPath, "_connection_lost", connection_lost)
+    monkeypatch.setattr(TransactionPath, "_connection_lost", connection_lost)
 
 
 @pytest.mark.parametrize(
-    "guard,whats",
+    "guard,violations",
     [
-        (next_who_waits, {"reply of another"}),
+        (reply_goes_to_next_waiter, {"reply of another statement"}),
         (
-            given_back_with_replies_due,
+            released_with_pending_replies,
             {
-                "inside the transaction of another",
-                "idle with replies due",
-                "kept against a promise",
+                "ran in another client's transaction",
+                "idle with pending replies",
+                "committed despite an error reply",
             },
         ),
-        (sent_again_after_silence, {"twice"}),
-        (lost_counts_as_unsent, {"twice"}),
-        (lost_commit_is_aborted, {"kept against a promise"}),
+        (resent_after_no_answer, {"committed twice"}),
+        (lost_answer_counts_as_unsent, {"committed twice"}),
+        (lost_commit_is_aborted, {"committed despite an error reply"}),
     ],
 )
-def test_without_its_guard_the_same_draws_find_the_violation(guard, whats):
+def test_without_its_guard_the_same_draws_find_the_violation(guard, violations):
     class Found(Exception):
         pass
 
     @DRAWN
     @given(STEPS, FAULTS)
-    def drawn(steps, hows):
+    def drawn(steps, reactions):
         try:
-            bad = played(steps, hows)
+            found = run_steps(steps, reactions)
         except AssertionError:
             return
-        if any(b[0] in whats for b in bad):
+        if any(violation[0] in violations for violation in found):
             raise Found
 
-    with pytest.MonkeyPatch.context() as mp:
-        guard(mp)
+    with pytest.MonkeyPatch.context() as monkeypatch:
+        guard(monkeypatch)
         with pytest.raises(Found):
             drawn()
 
 
 def test_a_released_connection_with_pending_replies_is_closed():
-    class Conn:
+    class Connection:
         lost, pending_replies, on_lost = False, 1, None
 
         def close(self):
@@ -406,11 +433,11 @@
 
     async def go(door):
         async def opened(_tenant):
-            return Conn()
+            return Connection()
 
         connection_pool = ConnectionPool(door.clock, door.tasks, opened, 2, lambda: 2)
-        c = await connection_pool.acquire(SimpleNamespace(tenant=""))
-        connection_pool.release(c)
-        assert c.lost and not connection_pool.idle
+        connection = await connection_pool.acquire(SimpleNamespace(tenant=""))
+        connection_pool.release(connection)
+        assert connection.lost and not connection_pool.idle
 
     virtual(go)
--- a/tests/test_unleased_commits.py
+++ b/tests/test_unleased_commits.py
@@ -1,5 +1,8 @@
-"""Unless control confirmed the office a moment ago, a commit's success is passed on only once a
-known replica shows it."""
+"""Tests that a proxy confirms commits with a known replica.
+
+A commit's success is passed on only once a known replica shows it, unless the control nodes
+recently confirmed the leadership.
+"""
 
 import asyncio
 import collections
@@ -21,12 +24,12 @@
 from petrelhaven.transport.link import Link
 
 WRITTEN = (1, 241)
-SHORT, EVEN, AHEAD, LATER_TERM = (1, 233), (1, 241), (1, 250), (2, 300)
+BEHIND, EVEN, AHEAD, LATER_TERM = (1, 233), (1, 241), (1, 250), (2, 300)
 REQUEST_US = 2_000_000
 
 
 class _LoopClock(Clock):
-    """The loop's own time, which is virtual here."""
+    """The time of the event loop, which is virtual in these tests."""
 
     def now(self):
         return int(asyncio.get_running_loop().time() * 1e6) + 1
@@ -35,12 +38,12 @@
 class _Connection:
     lost = False
 
-    def __init__(self, position, delay_us, asked, clock):
-        self._position, self._delay_us, self._asked = position, delay_us, asked
+    def __init__(self, position, delay_us, requests, clock):
+        self._position, self._delay_us, self._requests = position, delay_us, requests
         self._clock = clock
 
     async def send_command(self, verb):
-        self._asked.append(verb)
+        self._requests.append(verb)
         await self._clock.sleep(self._delay_us)
         return {"role": "replica", "term": 1, "pos": self._position, "held": 0}
 
@@ -49,26 +52,28 @@
 
 
 class _Wire:
-    """Opens connections to replicas whose logs are at `logs`."""
+    """Opens connections to replicas whose log positions are `logs`."""
 
     def __init__(self, logs, delays, clock):
         self._logs, self._delays, self._clock = logs, delays, clock
-        self.asked = []
+        self.requests = []
 
     async def open(self, address, group, member, limit_us, tenant=""):
-        return _Connection(self._logs[member], self._delays.get(member, 0), self.asked, self._clock)
+        return _Connection(
+            self._logs[member], self._delays.get(member, 0), self.requests, self._clock
+        )
 
 
-class _Calls:
-    """A member that answers every write and commit with success at `WRITTEN`.
+class _MemberCalls:
+    """Answers every write and commit with success at the position `WRITTEN`.
 
-    `meanwhile` happens between the sending and the answer.
+    `meanwhile` is called between the request and the answer.
     """
 
     def __init__(self, meanwhile=lambda: None):
         self._meanwhile = meanwhile
 
-    async def send(self, request, attempt, flight, left_us):
+    async def send(self, request, attempt, after, limit_us):
         attempt.sent = True
         self._meanwhile()
         return Reply(position=WRITTEN, state="I")
@@ -83,23 +88,23 @@
 
 class _Pool:
     def __init__(self):
-        self.given, self.dropped = [], []
+        self.released, self.discarded = [], []
 
     def release(self, connection):
-        self.given.append(connection)
+        self.released.append(connection)
 
     def discard(self, connection):
-        self.dropped.append(connection)
+        self.discarded.append(connection)
 
 
 class _Session:
-    wire_state, settled, transaction = "I", False, None
+    wire_state, transaction_ended, transaction = "I", False, None
 
     def end_transaction(self):
-        self.settled = True
+        self.transaction_ended = True
 
 
-def _proxy(logs, confirmed, delays):
+def _make_proxy(logs, confirmed, delays):
     clock = _LoopClock()
     return types.SimpleNamespace(
         clock=clock,
@@ -119,11 +124,11 @@
     )
 
 
-def _group(proxy, logs, sync_replicas, far):
+def _make_group(proxy, logs, sync_replicas, remote_member):
     control_state = ControlState()
     for index, name in enumerate(["p", *logs]):
         row = {"t": "member", "name": name, "group": "g", "role": "replica"}
-        row |= {"hall": "b" if name == far else "a"}
+        row |= {"hall": "b" if name == remote_member else "a"}
         row |= {"addr": f"10.0.0.{index}:1", "state": "ready", "slots": 5, "count": 1}
         control_state.apply(index + 1, row)
     leadership = {"t": "office", "group": "g", "n": 1, "phase": "serve", "primary": "p", "term": 1}
@@ -134,22 +139,31 @@
     return group, control_state
 
 
-class _Case:
-    """One write or COMMIT answered with success, and what the proxy passed on."""
-
-    def __init__(self, kind, logs, confirmed=False, sync_replicas=1, delays=(), wrote=True, far=""):
-        self.proxy = _proxy(logs, confirmed, dict(delays))
-        self.group, self.control_state = _group(self.proxy, logs, sync_replicas, far)
+class _Scenario:
+    """Runs one write or COMMIT that the primary answers with success."""
+
+    def __init__(
+        self,
+        kind,
+        logs,
+        confirmed=False,
+        sync_replicas=1,
+        delays=(),
+        has_written=True,
+        remote_member="",
+    ):
+        self.proxy = _make_proxy(logs, confirmed, dict(delays))
+        self.group, self.control_state = _make_group(self.proxy, logs, sync_replicas, remote_member)
         self.meanwhile = lambda: None
         self.session, self.pool = _Session(), _Pool()
-        self._kind, self._wrote = kind, wrote
+        self._kind, self._has_written = kind, has_written
 
     async def run(self):
         clock = self.proxy.clock
-        began = clock.now()
+        started_at = clock.now()
         verb = "commit" if self._kind == "commit" else "put"
         statement = types.SimpleNamespace(verb=verb, writes=True)
-        request = Request(self.session, statement, None, self.group, began + REQUEST_US)
+        request = Request(self.session, statement, None, self.group, started_at + REQUEST_US)
         if self._kind == "commit":
             member = self.group.members["p"]
             member.pool = self.pool
@@ -157,161 +171,168 @@
                 connection=types.SimpleNamespace(lost=False),
                 member=member,
                 group=self.group,
-                has_written=self._wrote,
+                has_written=self._has_written,
                 read_only=False,
             )
-            path = TransactionPath(self.proxy, _Calls(self.meanwhile), None)
+            path = TransactionPath(self.proxy, _MemberCalls(self.meanwhile), None)
         else:
-            path = WritePath(self.proxy, _Calls(self.meanwhile))
-        reply = await _drive(path.run(request))
-        self.took_us = clock.now() - began
+            path = WritePath(self.proxy, _MemberCalls(self.meanwhile))
+        reply = await _run_continuation(path.run(request))
+        self.took_us = clock.now() - started_at
         return reply
 
-    def leadership(self, phase, primary, term):
-        """A record of the office reaches the proxy."""
+    def set_leadership(self, phase, primary, term):
+        """Applies a new leadership record to the proxy."""
         number = self.control_state.doc["offices"]["g"]["n"] + 1
         record = {"t": "office", "group": "g", "n": number, "phase": phase, "primary": primary}
         self.control_state.apply(self.control_state.seq + 1, record | {"term": term, "cause": ""})
         self.group.apply_control_state(self.control_state, False)
 
-    def contact_again(self, phase):
-        """The proxy, cut off as it sent, gets its lease back together with a newer office."""
+    def regain_lease(self, phase):
+        """Gives the partitioned proxy its lease back, together with a newer leadership record."""
         self.proxy.core_connection.lease_confirmed = True
-        self.leadership(phase, "p", 1)
+        self.set_leadership(phase, "p", 1)
 
 
-async def _drive(steps):
+async def _run_continuation(continuation):
     try:
         while True:
-            await next(steps)
+            await next(continuation)
     except StopIteration as end:
         return end.value
 
 
-KINDS = pytest.mark.parametrize("kind", ["write", "commit"])
+STATEMENT_KINDS = pytest.mark.parametrize("kind", ["write", "commit"])
 
 
-@KINDS
-@pytest.mark.parametrize("log", [SHORT, LATER_TERM])
+@STATEMENT_KINDS
+@pytest.mark.parametrize("log", [BEHIND, LATER_TERM])
 def test_a_success_that_no_known_replica_shows_is_unsure(warp, kind, log):
     async def go():
-        case = _Case(kind, {"m1": SHORT, "m2": log})
-        reply = await case.run()
-        assert (reply.code, case.proxy.count["unsure"]) == ("unsure", 1)
+        scenario = _Scenario(kind, {"m1": BEHIND, "m2": log})
+        reply = await scenario.run()
+        assert (reply.code, scenario.proxy.count["unsure"]) == ("unsure", 1)
         if kind == "commit":
-            assert case.session.settled
-            assert case.session.transaction is None
-            assert (len(case.pool.given), len(case.pool.dropped)) == (0, 1)
+            assert scenario.session.transaction_ended
+            assert scenario.session.transaction is None
+            assert (len(scenario.pool.released), len(scenario.pool.discarded)) == (0, 1)
 
     warp(go())
 
 
-@KINDS
+@STATEMENT_KINDS
 @pytest.mark.parametrize("log", [EVEN, AHEAD])
 def test_one_known_replica_that_shows_the_write_is_sufficient(warp, kind, log):
     async def go():
-        case = _Case(kind, {"m1": SHORT, "m2": log}, delays={"m1": 10_000_000})
-        assert (await case.run()).ok
-        assert case.proxy.count["unsure"] == 0
-        assert case.took_us < 100_000
+        scenario = _Scenario(kind, {"m1": BEHIND, "m2": log}, delays={"m1": 10_000_000})
+        assert (await scenario.run()).ok
+        assert scenario.proxy.count["unsure"] == 0
+        assert scenario.took_us < 100_000
 
     warp(go())
 
 
-@KINDS
+@STATEMENT_KINDS
 def test_the_wait_for_silent_replicas_is_limited(warp, kind):
     async def go():
-        case = _Case(kind, {"m1": EVEN, "m2": EVEN}, delays={"m1": 10**7, "m2": 10**7})
-        assert (await case.run()).code == "unsure"
-        assert case.took_us < 600_000
+        scenario = _Scenario(kind, {"m1": EVEN, "m2": EVEN}, delays={"m1": 10**7, "m2": 10**7})
+        assert (await scenario.run()).code == "unsure"
+        assert scenario.took_us < 600_000
 
     warp(go())
 
 
-@KINDS
+@STATEMENT_KINDS
 @pytest.mark.parametrize(("confirmed", "sync_replicas"), [(True, 1), (False, 0)])
 def test_while_confirmed_or_without_sync_replicas_no_status_is_requested(
     warp, kind, confirmed, sync_replicas
 ):
     async def go():
-        case = _Case(kind, {"m1": SHORT}, confirmed, sync_replicas)
-        assert (await case.run()).ok
-        assert case.proxy.wire.asked == []
+        scenario = _Scenario(kind, {"m1": BEHIND}, confirmed, sync_replicas)
+        assert (await scenario.run()).ok
+        assert scenario.proxy.wire.requests == []
 
     warp(go())
 
 
 def test_a_commit_that_wrote_nothing_needs_no_confirmation(warp):
     async def go():
-        case = _Case("commit", {"m1": SHORT}, wrote=False)
-        assert (await case.run()).ok
-        assert case.proxy.wire.asked == []
+        scenario = _Scenario("commit", {"m1": BEHIND}, has_written=False)
+        assert (await scenario.run()).ok
+        assert scenario.proxy.wire.requests == []
 
     warp(go())
 
 
-@KINDS
+@STATEMENT_KINDS
 def test_a_lease_regained_during_a_failover_does_not_confirm_the_old_primarys_answer(warp, kind):
-    """Sent while cut off; a new member, known to nobody, lets the old primary answer."""
+    """Guards against lost commits after a partition.
+
+    The statement is sent during a partition, and a new replica that no node knows of acknowledges
+    it to the old primary.
+    """
 
     async def go():
-        case = _Case(kind, {"m1": SHORT, "m2": SHORT})
-        case.meanwhile = lambda: case.contact_again("move")
-        assert (await case.run()).code == "unsure"
+        scenario = _Scenario(kind, {"m1": BEHIND, "m2": BEHIND})
+        scenario.meanwhile = lambda: scenario.regain_lease("move")
+        assert (await scenario.run()).code == "unsure"
 
     warp(go())
 
 
-@KINDS
+@STATEMENT_KINDS
 def test_an_answer_from_an_earlier_term_of_the_current_primary_needs_confirmation(warp, kind):
     async def go():
-        case = _Case(kind, {"m1": SHORT, "m2": SHORT}, confirmed=True)
+        scenario = _Scenario(kind, {"m1": BEHIND, "m2": BEHIND}, confirmed=True)
 
-        def lost_and_won_again():
-            case.leadership("serve", "m1", 2)
-            case.leadership("serve", "p", 3)
+        def lose_and_regain_leadership():
+            scenario.set_leadership("serve", "m1", 2)
+            scenario.set_leadership("serve", "p", 3)
 
-        case.meanwhile = lost_and_won_again
-        assert (await case.run()).code == "unsure"
+        scenario.meanwhile = lose_and_regain_leadership
+        assert (await scenario.run()).code == "unsure"
 
     warp(go())
 
 
-@KINDS
+@STATEMENT_KINDS
 def test_a_switchover_still_trusts_a_confirmed_primary(warp, kind):
     async def go():
-        case = _Case(kind, {"m1": SHORT, "m2": SHORT}, confirmed=True)
-        case.meanwhile = lambda: case.leadership("swap", "p", 1)
-        assert (await case.run()).ok
-        assert case.proxy.wire.asked == []
+        scenario = _Scenario(kind, {"m1": BEHIND, "m2": BEHIND}, confirmed=True)
+        scenario.meanwhile = lambda: scenario.set_leadership("swap", "p", 1)
+        assert (await scenario.run()).ok
+        assert scenario.proxy.wire.requests == []
 
     warp(go())
 
 
-@KINDS
+@STATEMENT_KINDS
 @pytest.mark.parametrize("silent_us", [80_000, 120_000])
 def test_a_primary_in_the_own_zone_needs_confirmation_without_recent_remote_contact(
     warp, kind, silent_us
 ):
-    """The zone may be cut off, with a new replica inside it that control does not know."""
+    """Guards against lost commits in a zone that is partitioned off.
+
+    A new replica in that zone, unknown to the control nodes, may have acknowledged the commit.
+    """
 
     async def go():
-        case = _Case(kind, {"m1": SHORT, "m2": SHORT}, confirmed=True, far="m2")
-        case.group.note_answer(case.group.members["m2"])
-        await case.proxy.clock.sleep(silent_us)
-        assert (await case.run()).ok == (silent_us < 100_000)
+        scenario = _Scenario(kind, {"m1": BEHIND, "m2": BEHIND}, confirmed=True, remote_member="m2")
+        scenario.group.note_answer(scenario.group.members["m2"])
+        await scenario.proxy.clock.sleep(silent_us)
+        assert (await scenario.run()).ok == (silent_us < 100_000)
 
     warp(go())
 
 
-@KINDS
+@STATEMENT_KINDS
 def test_a_remote_primary_is_itself_remote_contact(warp, kind):
     async def go():
-        case = _Case(kind, {"m1": SHORT, "m2": SHORT}, confirmed=True, far="p")
-        case.group.note_answer(case.group.members["p"])
-        await case.proxy.clock.sleep(1_000_000)
-        assert (await case.run()).ok
-        assert case.proxy.wire.asked == []
+        scenario = _Scenario(kind, {"m1": BEHIND, "m2": BEHIND}, confirmed=True, remote_member="p")
+        scenario.group.note_answer(scenario.group.members["p"])
+        await scenario.proxy.clock.sleep(1_000_000)
+        assert (await scenario.run()).ok
+        assert scenario.proxy.wire.requests == []
 
     warp(go())
 
