--- a/src/petrelhaven/control/interface/event_feed.py
+++ b/src/petrelhaven/control/interface/event_feed.py
@@ -28,7 +28,7 @@
         """Takes the records from `chain`."""
         self._chain = chain
 
-    def since(self, seq: int) -> list[Any]:
+    def events_after(self, seq: int) -> list[Any]:
         """A batch of CloudEvents in JSON.
 
         Args:
@@ -38,7 +38,7 @@
             The records after it that are committed here and still stored, 200 at most.
         """
         form = JSONFormat()
-        rows = [row for row in self._chain.store.recs if seq < row[0] <= self._chain.commit]
+        rows = [row for row in self._chain.store.recs if seq < row[0] <= self._chain.committed_seq]
         return [
             json.loads(form.write(self._event(number, view, record)))
             for number, view, record in rows[:_BATCH_SIZE]
--- a/src/petrelhaven/control/resumable/proxy_watch.py
+++ b/src/petrelhaven/control/resumable/proxy_watch.py
@@ -152,12 +152,12 @@
             incarnation=incarnation,
             state=_GONE,
             cause=f"kith: {peer_state}, no lease",
-            by=self._chain.me,
+            by=self._chain.node_name,
         )
-        seq = await self._chain.enter(record.to_document())
+        seq = await self._chain.append_record(record.to_document())
         await self._expire(name, incarnation, seq)
 
     async def _expire(self, name: str, incarnation: int, seq: int) -> None:
         """Records that a proxy's lease has certainly expired, once record `seq` is in force."""
         await self._lease_table.in_force(seq)
-        await self._chain.enter(LeaseExpiryRecord(name, incarnation).to_document())
+        await self._chain.append_record(LeaseExpiryRecord(name, incarnation).to_document())
--- a/src/petrelhaven/simulator/connection_sessions/faults.py
+++ b/src/petrelhaven/simulator/connection_sessions/faults.py
@@ -128,7 +128,9 @@
         vs = [c.node.chain.view for c in self.f.cores if c.node and c.node.chain.view]
         v = max(vs, key=lambda v: v.number, default=None)
         return v is not None and all(
-            c.node and v.names_disk(c.name, c.node.store.disk) for c in self.f.cores if c is not b
+            c.node and v.is_member_disk(c.name, c.node.store.disk)
+            for c in self.f.cores
+            if c is not b
         )
 
     async def _core_disk(self, r):
@@ -231,7 +233,9 @@
 
         def freeze(m):
             heads = [
-                b for b in self.f.cores if b.node and b.node.chain.head and b.node.chain.active
+                b
+                for b in self.f.cores
+                if b.node and b.node.chain.is_head and b.node.chain.is_active
             ]
             for b in heads:
                 g.on_pause.clear()
--- a/tests/embargo_world.py
+++ b/tests/embargo_world.py
@@ -129,7 +129,7 @@
             conn.open_ = None
         return self.reply(conn)
 
-    async def send_command(self, verb, args):
+    async def send_system_verb(self, verb, args):
         if verb == "pause" and args[0] > self.held and self.role == "replica":
             self.held = args[0]
         elif verb == "resume":
@@ -214,8 +214,8 @@
     def send_session_statement(self, verb, args=(), num="-"):
         return self._say(lambda: self.dst.node.send_session_statement(self, verb, args))
 
-    def send_command(self, verb, *args):
-        return self._say(lambda: self.dst.node.send_command(verb, args))
+    def send_system_verb(self, verb, *args):
+        return self._say(lambda: self.dst.node.send_system_verb(verb, args))
 
     def close(self):
         self.lost = True
@@ -346,7 +346,7 @@
         for n in self.edges:
             self.start_edge(n)
         await self.until(
-            lambda: any(c.node and c.node.chain.active for c in self.cores.values()), 20
+            lambda: any(c.node and c.node.chain.is_active for c in self.cores.values()), 20
         )
         await self.call(lambda s: s.apply(self.configuration(), by="op"))
         await self.until(
--- a/tests/model/observer.py
+++ b/tests/model/observer.py
@@ -2,7 +2,7 @@
 
 import json
 
-from petrelhaven.control.consensus.chain import DRIFT
+from petrelhaven.control.consensus.chain import MAX_CLOCK_RATE_RATIO
 
 __all__ = ["Observer"]
 
@@ -49,8 +49,8 @@
             handlers[kind] = self._watched(handlers[kind], check, node)
         node.chain.on_view.append(lambda: self._viewed(node))
         node.chain.on_commit.append(lambda: self._committed(node))
-        node.chain.read = self._read_watched(node, node.chain.read)
-        node.chain.enter = self._enter_watched(node, node.chain.enter)
+        node.chain.read_control_state = self._read_watched(node, node.chain.read_control_state)
+        node.chain.append_record = self._enter_watched(node, node.chain.append_record)
 
     @staticmethod
     def _watched(handler, check, node):
@@ -133,7 +133,7 @@
         if former is None:
             return
         accepted = self._acceptors(_text(view.to_document()))
-        for ids in (json.loads(former)["ids"], view.ids):
+        for ids in (json.loads(former)["ids"], view.members):
             without = sum(disk not in accepted for disk in ids.values())
             if without > len(ids) // 2:
                 self.report("majorities before and after a change meet", f"{former} and {view}")
@@ -160,32 +160,36 @@
         view = node.chain.view
         if view is None:
             return self.report("a majority's word within its bound", f"{node.name} {what}, no view")
-        since = self.loop.time() - node.chain.confirm_us * DRIFT / 1e6 - _WORD_SLACK_S
+        since = (
+            self.loop.time()
+            - node.chain.confirmation_validity_us * MAX_CLOCK_RATE_RATIO / 1e6
+            - _WORD_SLACK_S
+        )
         speakers = [
             name
-            for name in view.ids
+            for name in view.members
             if name == node.name
             or self._words.get((node.name, name), (-1.0, 0))[0] >= since
             and self._words[node.name, name][1] <= view.number
         ]
-        if len(speakers) <= len(view.ids) // 2:
+        if len(speakers) <= len(view.members) // 2:
             self.report(
                 "a majority's word within its bound",
-                f"{node.name} {what} in view {view.number} of {sorted(view.ids)} on the word of {speakers}",
+                f"{node.name} {what} in view {view.number} of {sorted(view.members)} on the word of {speakers}",
             )
         return None
 
     def _committed(self, node):
         chain, recent = node.chain, node.store.recs
         for seq, _, record in recent:
-            if self._checked[node.name] < seq <= chain.commit:
+            if self._checked[node.name] < seq <= chain.committed_seq:
                 self._same(self._records, seq, _text(record), "one record a number", node.name)
                 self._check_version(seq, record)
-        if chain.commit == chain.control_state.seq:
+        if chain.committed_seq == chain.control_state.seq:
             state = _text(chain.control_state.snapshot())
-            self._same(self._states, chain.commit, state, "one state a number", node.name)
-        self._checked[node.name] = max(self._checked[node.name], chain.commit)
-        self.committed = max(self.committed, chain.commit)
+            self._same(self._states, chain.committed_seq, state, "one state a number", node.name)
+        self._checked[node.name] = max(self._checked[node.name], chain.committed_seq)
+        self.committed = max(self.committed, chain.committed_seq)
 
     def _check_version(self, seq, record):
         if record["t"] != "manifest":
@@ -207,18 +211,20 @@
     def turn(self, machines):
         """Checks what must hold at any moment of all cores that run."""
         running = [b.node for b in machines if b.up and not b.frozen and b.node is not None]
-        active = [n for n in running if n.chain.active]
+        active = [n for n in running if n.chain.is_active]
         newest = max((n.chain.view.number for n in active), default=0)
         for node in active:
             self.check_word(node, "is active")
         for node in running:
             chain = node.chain
-            if chain.ruling and chain.view.number < newest:
+            if chain.is_confirmed and chain.view.number < newest:
                 self.report(
                     "no core rules an older view beside an active one",
                     f"{node.name} in view {chain.view.number}, one active in {newest}",
                 )
-            if chain.complete and chain.control_state.seq < self._floor.get(chain.view.number, 0):
+            if chain.is_complete and chain.control_state.seq < self._floor.get(
+                chain.view.number, 0
+            ):
                 self.report(
                     "a complete core holds all that was committed before its view",
                     f"{node.name} holds {chain.control_state.seq} of {self._floor[chain.view.number]}",
--- a/tests/test_member_proofs.py
+++ b/tests/test_member_proofs.py
@@ -80,7 +80,7 @@
             },
         )
     control_state.doc["sizes"]["g"] = size
-    control_state.doc["evidence"]["g"] = Evidence(lower_bound=lower_bound).document()
+    control_state.doc["evidence"]["g"] = Evidence(lower_bound=lower_bound).to_document()
     control_state.apply(
         control_state.seq + 1,
         {
