--- a/src/petrelhaven/proxy/routing/route.py
+++ b/src/petrelhaven/proxy/routing/route.py
@@ -13,7 +13,7 @@
     Attributes:
         host: The database name.
         group: The group that serves it.
-        reads: `strong` or `browsing`.
+        reads: `strong`, or `browsing` for reads that accept stale data.
         timeout_us: The time limit of a statement, in microseconds.
         aim_us: The target latency of a statement, in microseconds.
         stale_us: How old the result of a browsing read may be, in microseconds.
