--- a/src/petrelhaven/proxy/routing/request_slots.py
+++ b/src/petrelhaven/proxy/routing/request_slots.py
@@ -80,7 +80,7 @@
         if not self._free or self.used >= self._limit:
             self.shed_count += 1
             continuation.close()
-            raise Busy("all request slots are taken")
+            raise Busy("every slot is taken")
         index = self._free.pop()
         slot = self._slots[index]
         outcome: asyncio.Future[_Result] = asyncio.get_running_loop().create_future()
@@ -99,7 +99,7 @@
                 index,
                 generation,
                 None,
-                DeadlineExceeded("the time limit of the request has passed"),
+                DeadlineExceeded("horizon passed"),
             )
 
     def _wake(self, index: int, generation: int, awaited: asyncio.Future[Any]) -> None:
@@ -133,7 +133,7 @@
         else:
             if awaited is None:
                 slot.continuation.close()
-                self._end(index, None, Busy("this node is shutting down"))
+                self._end(index, None, Busy("this node ends"))
                 return
             awaited = asyncio.ensure_future(awaited)
             slot.waits_for = awaited
