--- a/src/petrelhaven/limits/holding.py
+++ b/src/petrelhaven/limits/permit_pool.py
@@ -15,7 +15,7 @@
 _US_PER_S = 1_000_000
 
 
-class Holding:
+class PermitPool:
     """Takes permits for operations. Times are microseconds of the proxy's clock.
 
     Attributes:
--- a/src/petrelhaven/proxy/tenants/admission.py
+++ b/src/petrelhaven/proxy/tenants/admission.py
@@ -6,7 +6,7 @@
 import collections
 from typing import TYPE_CHECKING, Any, NamedTuple
 
-from petrelhaven.limits.holding import Holding
+from petrelhaven.limits.permit_pool import PermitPool
 from petrelhaven.limits.reports import AccountReport, Grant
 from petrelhaven.proxy.routing.waiting import first_done
 from petrelhaven.runtime.errors import Fault
@@ -47,7 +47,7 @@
 
     __slots__ = ("holding", "waiting", "is_asking", "is_unanswered", "refuses_until", "retry_us")
 
-    def __init__(self, holding: Holding) -> None:
+    def __init__(self, holding: PermitPool) -> None:
         self.holding = holding
         self.waiting: collections.deque[asyncio.Future[_Outcome]] = collections.deque()
         self.is_asking = self.is_unanswered = False
@@ -166,7 +166,7 @@
         line = self._lines.get(tenant)
         if line is None:
             account = self._proxy.rng.getrandbits(_ACCOUNT_BITS)
-            line = self._lines[tenant] = _Line(Holding(tenant, account, self._clock.now()))
+            line = self._lines[tenant] = _Line(PermitPool(tenant, account, self._clock.now()))
             if not self._renews:
                 self._renews = True
                 self._proxy.tasks.spawn(self._renew())
--- a/tests/test_limits_model.py
+++ b/tests/test_limits_model.py
@@ -16,7 +16,7 @@
 from petrelhaven.control.counting.copies import CopyTracker
 from petrelhaven.control.counting.service import CountingService
 from petrelhaven.limits.counter import TenantCounter
-from petrelhaven.limits.holding import Holding
+from petrelhaven.limits.permit_pool import PermitPool
 from petrelhaven.limits.placement import place
 from petrelhaven.limits.regime import Regime
 from petrelhaven.limits.reports import AccountReport
@@ -55,7 +55,7 @@
 
     def restart(self, now):
         self.account += 1_000
-        self.holding = Holding("t", self.account, self.clock(now))
+        self.holding = PermitPool("t", self.account, self.clock(now))
         self.asked = None
 
 
@@ -565,7 +565,7 @@
 
 
 def grant_without_end(mp):
-    mp.setattr(Holding, "_expire", lambda self, now: None)
+    mp.setattr(PermitPool, "_expire", lambda self, now: None)
 
 
 def returned_counted_twice(mp):
--- a/tests/test_tenant_review.py
+++ b/tests/test_tenant_review.py
@@ -18,7 +18,7 @@
 from petrelhaven.control.configuration.defaults import TENANT_DEFAULTS
 from petrelhaven.control.counting.service import CountingService
 from petrelhaven.limits.counter import TenantCounter
-from petrelhaven.limits.holding import Holding
+from petrelhaven.limits.permit_pool import PermitPool
 from petrelhaven.limits.placement import place
 from petrelhaven.limits.reports import AccountReport, Grant
 from petrelhaven.limits.terms import Quota, QuotaTerms
@@ -106,7 +106,7 @@
 def test_a_permit_put_back_after_its_report_hides_no_later_use():
     window_us = QuotaTerms().window_us
     counter = TenantCounter(2, window_us)
-    holding = granted(Holding("agency", 1, 0), 2, 0)
+    holding = granted(PermitPool("agency", 1, 0), 2, 0)
     assert counter.report("e", AccountReport("agency", 1, 0, 0, 0, 2, 0), 0).granted == 2
     first = holding.take(0)  # waits for a member that it never reaches
     counter.report("e", holding.report(0, 400_000), 400_000)
@@ -155,7 +155,7 @@
 # came with a new account, whose first report the counting node did not count.
 def test_what_was_run_beyond_an_account_that_ended_is_counted_with_the_next():
     counter = TenantCounter(100, 5 * SECOND)
-    holding = granted(Holding("agency", 1, 0), 1, 0)
+    holding = granted(PermitPool("agency", 1, 0), 1, 0)
     counter.report("e", AccountReport("agency", 1, 0, 0, 0, 1, 0), 0)
     holding.use(holding.take(0), 0)
     counter.report("e", holding.report(0, 400_000), 400_000)
--- a/tests/test_tenant_storm.py
+++ b/tests/test_tenant_storm.py
@@ -6,7 +6,7 @@
 
 from petrelhaven.control.counting import service
 from petrelhaven.limits.counter import TenantCounter
-from petrelhaven.limits.holding import Holding
+from petrelhaven.limits.permit_pool import PermitPool
 from petrelhaven.limits.regime import Regime
 from petrelhaven.proxy.node import ProxyNode
 from petrelhaven.proxy.pool.member_connection import MemberConnection
@@ -137,7 +137,7 @@
 
 
 def permits_never_run_out(patch):
-    patch.setattr(Holding, "balance", property(lambda self: 1 if self._granted else 0))
+    patch.setattr(PermitPool, "balance", property(lambda self: 1 if self._granted else 0))
 
 
 # The rules of the judge: a guard that is out is found in a play without any fault.
