--- a/src/petrelhaven/control/counting/copies.py
+++ b/src/petrelhaven/control/counting/copies.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from petrelhaven.limits.counter import TenantCounter
-from petrelhaven.limits.regime import Regime
+from petrelhaven.limits.counter_mode import CounterMode
 from petrelhaven.limits.standby import STANDBY_LIFE_US, CounterCopy
 
 __all__ = ["CopyTracker", "SentCopy"]
@@ -61,7 +61,7 @@
         return self._copied != (counter.uses, counter.grants)
 
     def make(
-        self, tenant: str, counter: TenantCounter, regime: Regime, left_us: int, now: int
+        self, tenant: str, counter: TenantCounter, regime: CounterMode, left_us: int, now: int
     ) -> tuple[CounterCopy, SentCopy]:
         """The copy to send now, and what is to be remembered of it.
 
--- a/src/petrelhaven/control/counting/fresh_start.py
+++ b/src/petrelhaven/control/counting/fresh_start.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 from petrelhaven.control.state.counting_record import CountingStart
-from petrelhaven.limits.regime import Regime
+from petrelhaven.limits.counter_mode import CounterMode
 
 __all__ = ["FreshStart", "decide"]
 
@@ -27,11 +27,11 @@
     """
 
     view_number: int
-    regime: Regime
+    regime: CounterMode
     until: int | None = None
 
 
-def decide(starts: Mapping[str, CountingStart], node: str, view_number: int) -> Regime:
+def decide(starts: Mapping[str, CountingStart], node: str, view_number: int) -> CounterMode:
     """The regime in which `node` begins in a view.
 
     Args:
@@ -43,10 +43,10 @@
     own = starts.get(node)
     others = [start for name, start in starts.items() if name != node]
     if own is None and all(start.first_view >= view_number for start in others):
-        return Regime.REGULAR
+        return CounterMode.REGULAR
     is_open = [start for start in others if not start.is_settled]
     if own is not None and not own.is_settled:
-        return Regime.QUARANTINE
+        return CounterMode.QUARANTINE
     if any(start.view_number < view_number for start in is_open):
-        return Regime.QUARANTINE
-    return Regime.RESTARTED
+        return CounterMode.QUARANTINE
+    return CounterMode.RESTARTED
--- a/src/petrelhaven/control/counting/service.py
+++ b/src/petrelhaven/control/counting/service.py
@@ -13,8 +13,8 @@
 from petrelhaven.control.counting.relay import ReportRelay, ReportRow
 from petrelhaven.control.state.counting_record import CountingRecord
 from petrelhaven.limits.counter import TenantCounter
+from petrelhaven.limits.counter_mode import CounterMode
 from petrelhaven.limits.placement import place
-from petrelhaven.limits.regime import Regime
 from petrelhaven.limits.reports import AccountReport, Grant
 from petrelhaven.limits.standby import STANDBY_LIFE_US, CounterCopy, Standby
 from petrelhaven.runtime.errors import Fault, NotReady
@@ -52,13 +52,13 @@
 
     __slots__ = ("counter", "copies", "_regime", "_until")
 
-    def __init__(self, counter: TenantCounter, regime: Regime, until: int) -> None:
+    def __init__(self, counter: TenantCounter, regime: CounterMode, until: int) -> None:
         self.counter, self._regime, self._until = counter, regime, until
         self.copies = CopyTracker()
 
-    def regime(self, now: int) -> Regime:
+    def regime(self, now: int) -> CounterMode:
         if now >= self._until:
-            self._regime = Regime.REGULAR
+            self._regime = CounterMode.REGULAR
         return self._regime
 
     def follow(self, table: QuotaTable, tenant: str, now: int) -> None:
@@ -270,7 +270,7 @@
         ]
         fresh = [tenant for tenant in missing if not self._go_on(tenant, now)]
         if len(fresh) < len(missing):
-            self._log_taken_over(len(missing) - len(fresh), 0, Regime.REGULAR)
+            self._log_taken_over(len(missing) - len(fresh), 0, CounterMode.REGULAR)
         if not fresh or now - self._view_since < _HANDOVER_US:
             return
         start = self._fresh_start
@@ -284,7 +284,7 @@
             self._counted[tenant] = _Counted(counter, start.regime, start.until)
         self._log_taken_over(0, len(fresh), start.regime)
 
-    def _log_taken_over(self, known: int, fresh: int, regime: Regime) -> None:
+    def _log_taken_over(self, known: int, fresh: int, regime: CounterMode) -> None:
         emit(
             self._node.log,
             Events.COUNTS_TAKEN_OVER,
--- a/src/petrelhaven/limits/regime.py
+++ b/src/petrelhaven/limits/counter_mode.py
@@ -7,7 +7,7 @@
 __all__ = ["Regime"]
 
 
-class Regime(enum.Enum):
+class CounterMode(enum.Enum):
     """What a counter knows of those that counted before it."""
 
     REGULAR = "regular"
@@ -19,6 +19,6 @@
 
     def allowance(self, terms: QuotaTerms, quota: Quota) -> int:
         """How many uses and outstanding permits there may be in all."""
-        if self is Regime.REGULAR:
+        if self is CounterMode.REGULAR:
             return terms.regular(quota)
-        return terms.after_restart(quota) if self is Regime.RESTARTED else 0
+        return terms.after_restart(quota) if self is CounterMode.RESTARTED else 0
--- a/src/petrelhaven/limits/standby.py
+++ b/src/petrelhaven/limits/standby.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from petrelhaven.limits.counter import TenantCounter
-from petrelhaven.limits.regime import Regime
+from petrelhaven.limits.counter_mode import CounterMode
 from petrelhaven.limits.usage_window import UsageWindow
 
 __all__ = ["STANDBY_LIFE_US", "CounterCopy", "Standby"]
@@ -25,7 +25,7 @@
         outstanding: How many permits may still be used.
         reserve: How many more may be granted until the next copy.
         first: Whether this is the first copy, which stands for all that came before.
-        regime: The value of the counter's `Regime`.
+        regime: The value of the counter's `CounterMode`.
         regime_left_us: How much longer that regime lasts, in microseconds; 0 for a regular one.
     """
 
@@ -34,7 +34,7 @@
     outstanding: int
     reserve: int
     first: bool
-    regime: str = Regime.REGULAR.value
+    regime: str = CounterMode.REGULAR.value
     regime_left_us: int = 0
 
 
@@ -54,7 +54,7 @@
         self._life = -1
         self._number = 0
         self._former_lives: set[int] = set()
-        self.regime = Regime.REGULAR
+        self.regime = CounterMode.REGULAR
         self.regime_left_us = 0
 
     def take(self, copy: CounterCopy, life: int, number: int, expires_at: int, now: int) -> bool:
@@ -79,7 +79,7 @@
             self._window.add(count, now - age_us)
         self._bound = copy.outstanding + copy.reserve
         self._expires_at = expires_at
-        self.regime, self.regime_left_us = Regime(copy.regime), copy.regime_left_us
+        self.regime, self.regime_left_us = CounterMode(copy.regime), copy.regime_left_us
         return True
 
     def _is_next(self, copy: CounterCopy, life: int, number: int) -> bool:
--- a/tests/test_limits_model.py
+++ b/tests/test_limits_model.py
@@ -16,9 +16,9 @@
 from petrelhaven.control.counting.copies import CopyTracker
 from petrelhaven.control.counting.service import CountingService
 from petrelhaven.limits.counter import TenantCounter
+from petrelhaven.limits.counter_mode import CounterMode
 from petrelhaven.limits.permit_pool import PermitPool
 from petrelhaven.limits.placement import place
-from petrelhaven.limits.regime import Regime
 from petrelhaven.limits.reports import AccountReport
 from petrelhaven.limits.standby import STANDBY_LIFE_US, Standby
 from petrelhaven.limits.terms import ACCOUNT_LIFE_US, Quota
@@ -101,7 +101,7 @@
     def copy(self):
         """A copy leaves; it arrives by one of the steps below."""
         if self.tracker.is_due(self.counter, self.now):
-            copy, sent = self.tracker.make("t", self.counter, Regime.REGULAR, 0, self.now)
+            copy, sent = self.tracker.make("t", self.counter, CounterMode.REGULAR, 0, self.now)
             self.copy_number += 1
             numbered = copy, self.life, self.copy_number, self.now + STANDBY_LIFE_US
             self.copies.append((self.tracker, numbered, sent, self.now))
@@ -634,7 +634,7 @@
 
 
 def unsettled_not_quarantined(mp):
-    mp.setattr(service, "decide", lambda starts, node, view: Regime.REGULAR)
+    mp.setattr(service, "decide", lambda starts, node, view: CounterMode.REGULAR)
 
 
 PURE = functools.partial(pure_search, 1_500)
@@ -673,7 +673,7 @@
         at = index * 100_000
         counter.report("p", AccountReport("t", 1, index, index, 0, 1, 0), at)
     now = 40 * 100_000
-    copy, _ = CopyTracker().make("t", counter, Regime.REGULAR, 0, now)
+    copy, _ = CopyTracker().make("t", counter, CounterMode.REGULAR, 0, now)
     standby = Standby(WINDOW_US)
     assert standby.take(copy, 1, 1, now + STANDBY_LIFE_US, now)
     later = standby.counter(now)
--- a/tests/test_tenant_storm.py
+++ b/tests/test_tenant_storm.py
@@ -6,8 +6,8 @@
 
 from petrelhaven.control.counting import service
 from petrelhaven.limits.counter import TenantCounter
+from petrelhaven.limits.counter_mode import CounterMode
 from petrelhaven.limits.permit_pool import PermitPool
-from petrelhaven.limits.regime import Regime
 from petrelhaven.proxy.node import ProxyNode
 from petrelhaven.proxy.pool.member_connection import MemberConnection
 from petrelhaven.proxy.tenants.admission import QuotaAdmission
@@ -43,7 +43,7 @@
 
 # The judge and the play: a count that begins anew as if nothing had been granted is found.
 def test_a_count_that_forgets_what_was_granted_before_a_kill_is_found(monkeypatch):
-    monkeypatch.setattr(service, "decide", lambda *_: Regime.REGULAR)
+    monkeypatch.setattr(service, "decide", lambda *_: CounterMode.REGULAR)
     assert "QUOTA" in rules(kills_of_all_control_nodes())
 
 
