--- a/src/petrelhaven/control/counting/fresh_start.py
+++ b/src/petrelhaven/control/counting/fresh_start.py
@@ -1,7 +1,7 @@
 """What a node may grant for tenants of whose count it knows nothing.
 
 A node that begins so says it in a record first. Permits of its predecessor may be out still; beside
-them it may grant what `QuotaTerms.after_restart` leaves, but only one node at a time. So one that
+them it may grant what `QuotaPolicy.after_restart` leaves, but only one node at a time. So one that
 finds the record of another beginning that is not settled yet grants nothing until whatever was
 granted before counts in no window any more.
 """
--- a/src/petrelhaven/control/counting/quotas.py
+++ b/src/petrelhaven/control/counting/quotas.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from petrelhaven.control.configuration.defaults import with_defaults
-from petrelhaven.limits.terms import Quota, QuotaTerms
+from petrelhaven.limits.quota import Quota, QuotaPolicy
 
 __all__ = ["QuotaTable"]
 
@@ -24,7 +24,7 @@
     def __init__(self) -> None:
         """Knows no tenant yet."""
         self._configuration: Mapping[str, Any] | None = None
-        self.terms = QuotaTerms()
+        self.terms = QuotaPolicy()
         self.quotas: dict[str, Quota] = {}
 
     def follow(self, configuration: Mapping[str, Any] | None) -> None:
@@ -37,7 +37,7 @@
             return
         complete = with_defaults(dict(configuration))
         bounds = complete["bounds"]
-        self.terms = QuotaTerms(
+        self.terms = QuotaPolicy(
             bounds["quota_window_us"], bounds["quota_excess"], bounds["quota_slack"]
         )
         self.quotas = {
--- a/src/petrelhaven/limits/counter.py
+++ b/src/petrelhaven/limits/counter.py
@@ -10,8 +10,8 @@
 
 from dataclasses import dataclass
 
+from petrelhaven.limits.quota import ACCOUNT_LIFE_US
 from petrelhaven.limits.reports import AccountReport, Grant
-from petrelhaven.limits.terms import ACCOUNT_LIFE_US
 from petrelhaven.limits.usage_window import UsageWindow
 
 __all__ = ["TenantCounter"]
--- a/src/petrelhaven/limits/counter_mode.py
+++ b/src/petrelhaven/limits/counter_mode.py
@@ -2,7 +2,7 @@
 
 import enum
 
-from petrelhaven.limits.terms import Quota, QuotaTerms
+from petrelhaven.limits.quota import Quota, QuotaPolicy
 
 __all__ = ["Regime"]
 
@@ -17,7 +17,7 @@
     QUARANTINE = "quarantine"
     """Nothing; somebody else may have begun so as well."""
 
-    def allowance(self, terms: QuotaTerms, quota: Quota) -> int:
+    def allowance(self, terms: QuotaPolicy, quota: Quota) -> int:
         """How many uses and outstanding permits there may be in all."""
         if self is CounterMode.REGULAR:
             return terms.regular(quota)
--- a/src/petrelhaven/limits/permit_pool.py
+++ b/src/petrelhaven/limits/permit_pool.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
+from petrelhaven.limits.quota import PERMIT_LIFE_US
 from petrelhaven.limits.reports import AccountReport, Grant
-from petrelhaven.limits.terms import PERMIT_LIFE_US
 
 __all__ = ["Holding"]
 
--- a/src/petrelhaven/limits/terms.py
+++ b/src/petrelhaven/limits/quota.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class QuotaTerms:
+class QuotaPolicy:
     """How limits are judged.
 
     Attributes:
--- a/src/petrelhaven/proxy/tenants/directory.py
+++ b/src/petrelhaven/proxy/tenants/directory.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from petrelhaven.limits.terms import Quota
+from petrelhaven.limits.quota import Quota
 
 __all__ = ["NOBODY", "Tenant", "TenantDirectory"]
 
--- a/tests/limits_world.py
+++ b/tests/limits_world.py
@@ -15,7 +15,7 @@
 from petrelhaven.control.counting.service import CountingService
 from petrelhaven.control.order_messages import EnterAnswer
 from petrelhaven.control.state.control_state import ControlState
-from petrelhaven.limits.terms import Quota
+from petrelhaven.limits.quota import Quota
 from petrelhaven.proxy.tenants.admission import QuotaAdmission
 from petrelhaven.proxy.tenants.directory import TenantDirectory
 from petrelhaven.runtime.clock import Clock
--- a/tests/test_limits_model.py
+++ b/tests/test_limits_model.py
@@ -19,9 +19,9 @@
 from petrelhaven.limits.counter_mode import CounterMode
 from petrelhaven.limits.permit_pool import PermitPool
 from petrelhaven.limits.placement import place
+from petrelhaven.limits.quota import ACCOUNT_LIFE_US, Quota
 from petrelhaven.limits.reports import AccountReport
 from petrelhaven.limits.standby import STANDBY_LIFE_US, Standby
-from petrelhaven.limits.terms import ACCOUNT_LIFE_US, Quota
 from petrelhaven.runtime.errors import NotReady
 
 DRAWN = settings(
--- a/tests/test_tenant_quota.py
+++ b/tests/test_tenant_quota.py
@@ -26,10 +26,10 @@
 
     async def call(self, name, kind, body=None, timeout_us=None):
         from petrelhaven.limits.counter import TenantCounter
-        from petrelhaven.limits.terms import Quota, QuotaTerms
+        from petrelhaven.limits.quota import Quota, QuotaPolicy
         from petrelhaven.transport.quota_messages import GrantList, ReportList
 
-        terms = QuotaTerms()
+        terms = QuotaPolicy()
         request = ReportList.from_body(body if isinstance(body, dict) else kind)
         grants = []
         for report in request.reports:
--- a/tests/test_tenant_review.py
+++ b/tests/test_tenant_review.py
@@ -20,8 +20,8 @@
 from petrelhaven.limits.counter import TenantCounter
 from petrelhaven.limits.permit_pool import PermitPool
 from petrelhaven.limits.placement import place
+from petrelhaven.limits.quota import Quota, QuotaPolicy
 from petrelhaven.limits.reports import AccountReport, Grant
-from petrelhaven.limits.terms import Quota, QuotaTerms
 from petrelhaven.proxy.pool.connection_pool import ConnectionPool
 from petrelhaven.proxy.tenants.admission import QuotaAdmission
 from petrelhaven.proxy.tenants.directory import Tenant, TenantDirectory
@@ -104,7 +104,7 @@
 # Guards against QUOTA: the permit of an operation that never ran, reported as used already, hid the
 # use of another one that ran later, so that this one left the window before its time.
 def test_a_permit_put_back_after_its_report_hides_no_later_use():
-    window_us = QuotaTerms().window_us
+    window_us = QuotaPolicy().window_us
     counter = TenantCounter(2, window_us)
     holding = granted(PermitPool("agency", 1, 0), 2, 0)
     assert counter.report("e", AccountReport("agency", 1, 0, 0, 0, 2, 0), 0).granted == 2
@@ -129,7 +129,7 @@
     limited = {**CONFIG, "Revision": 2, "Routes": [route], "Tenants": tenants}
 
     async def go(door):
-        terms, clock = QuotaTerms(), door.clock
+        terms, clock = QuotaPolicy(), door.clock
         counter = TenantCounter(terms.regular(Quota(rate, burst)), terms.window_us)
         stub = CoreConnectionStub(lambda report: counter.report("e", report, clock.now()))
         door.core_connection.call, door.core_connection.state_age_us = stub.call, 0
@@ -170,7 +170,7 @@
 @pytest.mark.parametrize("quota", [Quota(0, 1), Quota(1, 0), Quota(0, 2), Quota(0, 3)], ids=str)
 @pytest.mark.parametrize("excess", [0, 100])
 def test_a_small_limit_without_slack_lets_most_of_it_run(quota, excess):
-    terms = QuotaTerms(5 * SECOND, excess, 0)
+    terms = QuotaPolicy(5 * SECOND, excess, 0)
     nominal = terms.nominal(quota)
     assert terms.regular(quota) >= max(1, nominal // 2)
 
