--- a/src/petrelhaven/control/counting/copies.py
+++ b/src/petrelhaven/control/counting/copies.py
@@ -6,11 +6,11 @@
 
 from petrelhaven.limits.counter import TenantCounter
 from petrelhaven.limits.counter_mode import CounterMode
-from petrelhaven.limits.standby import STANDBY_LIFE_US, CounterCopy
+from petrelhaven.limits.standby import STANDBY_LIFETIME_US, CounterCopy
 
 __all__ = ["CopyTracker", "SentCopy"]
 
-_CERTAIN_LIFE_US = STANDBY_LIFE_US * 11 // 10
+_CERTAIN_LIFE_US = STANDBY_LIFETIME_US * 11 // 10
 _KEEP_ALIVE_US = 1_000_000
 _LEAST_RESERVE = 4
 _RESERVE_SHARE = 6
--- a/src/petrelhaven/control/counting/service.py
+++ b/src/petrelhaven/control/counting/service.py
@@ -16,7 +16,7 @@
 from petrelhaven.limits.counter_mode import CounterMode
 from petrelhaven.limits.placement import place
 from petrelhaven.limits.reports import AccountReport, Grant
-from petrelhaven.limits.standby import STANDBY_LIFE_US, CounterCopy, Standby
+from petrelhaven.limits.standby import STANDBY_LIFETIME_US, CounterCopy, Standby
 from petrelhaven.runtime.errors import Fault, NotReady
 from petrelhaven.runtime.events import Events, emit
 from petrelhaven.transport.message_kinds import MessageKind
@@ -403,7 +403,7 @@
         if not clocks.knows(name):
             return
         now = self._clock.now()
-        expiry = clocks.expiry(name, STANDBY_LIFE_US)
+        expiry = clocks.expiry(name, STANDBY_LIFETIME_US)
         for tenant, counted in tenants.items():
             counted.follow(self._table, tenant, now)
         made = {tenant: counted.make_copy(tenant, now) for tenant, counted in tenants.items()}
--- a/src/petrelhaven/limits/counter.py
+++ b/src/petrelhaven/limits/counter.py
@@ -10,7 +10,7 @@
 
 from dataclasses import dataclass
 
-from petrelhaven.limits.quota import ACCOUNT_LIFE_US
+from petrelhaven.limits.quota import ACCOUNT_LIFETIME_US
 from petrelhaven.limits.reports import AccountReport, Grant
 from petrelhaven.limits.usage_window import UsageWindow
 
@@ -61,7 +61,7 @@
         """Goes on from what a predecessor had counted; its permits are outstanding still."""
         self._window = window
         self._inherited = outstanding
-        self._inherited_until = now + ACCOUNT_LIFE_US
+        self._inherited_until = now + ACCOUNT_LIFETIME_US
 
     def outstanding(self) -> int:
         """How many permits may still be used."""
@@ -87,7 +87,7 @@
         """
         self._expire(now)
         account = self._settle(proxy, report, now)
-        account.expires_at = now + ACCOUNT_LIFE_US
+        account.expires_at = now + ACCOUNT_LIFETIME_US
         allowed = max(0, self.allowance - self.used(now) - self.outstanding())
         free = allowed if most is None else min(allowed, most)
         needed = min(report.needed, free)
--- a/src/petrelhaven/limits/permit_pool.py
+++ b/src/petrelhaven/limits/permit_pool.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from petrelhaven.limits.quota import PERMIT_LIFE_US
+from petrelhaven.limits.quota import PERMIT_LIFETIME_US
 from petrelhaven.limits.reports import AccountReport, Grant
 
 __all__ = ["Holding"]
@@ -95,7 +95,7 @@
         """Whether there is anything to report, or permits would expire."""
         if self.balance <= 0 and not self._reserved and not self.unreported:
             return False
-        return self.unreported or self.valid_until - now < PERMIT_LIFE_US // 2
+        return self.unreported or self.valid_until - now < PERMIT_LIFETIME_US // 2
 
     def report(self, waiting: int, now: int) -> AccountReport:
         """What to report now, while `waiting` operations wait for a permit."""
@@ -118,7 +118,7 @@
         if grant.account != self.account:
             return
         self._granted = max(self._granted, grant.granted)
-        self.valid_until = max(self.valid_until, asked_at + PERMIT_LIFE_US)
+        self.valid_until = max(self.valid_until, asked_at + PERMIT_LIFETIME_US)
 
     def _note_demand(self, now: int) -> None:
         self._decay(now)
--- a/src/petrelhaven/limits/quota.py
+++ b/src/petrelhaven/limits/quota.py
@@ -6,10 +6,10 @@
 
 __all__ = ["ACCOUNT_LIFE_US", "PERMIT_LIFE_US", "Quota", "QuotaTerms"]
 
-PERMIT_LIFE_US = 3_000_000
+PERMIT_LIFETIME_US = 3_000_000
 """How long a permit may be used after the proxy asked for it or had it confirmed."""
 
-ACCOUNT_LIFE_US = PERMIT_LIFE_US * 11 // 10
+ACCOUNT_LIFETIME_US = PERMIT_LIFETIME_US * 11 // 10
 """After how long without contact a proxy's permits have expired on any clock."""
 
 _US_PER_S = 1_000_000
@@ -66,4 +66,4 @@
     @property
     def quarantine_us(self) -> int:
         """After how long nothing that was granted before counts in any window any more."""
-        return ACCOUNT_LIFE_US + self.window_us
+        return ACCOUNT_LIFETIME_US + self.window_us
--- a/src/petrelhaven/limits/standby.py
+++ b/src/petrelhaven/limits/standby.py
@@ -11,7 +11,7 @@
 
 __all__ = ["STANDBY_LIFE_US", "CounterCopy", "Standby"]
 
-STANDBY_LIFE_US = 4_000_000
+STANDBY_LIFETIME_US = 4_000_000
 """How long a copy may serve a successor after it was made."""
 
 
--- a/tests/test_limits_model.py
+++ b/tests/test_limits_model.py
@@ -19,9 +19,9 @@
 from petrelhaven.limits.counter_mode import CounterMode
 from petrelhaven.limits.permit_pool import PermitPool
 from petrelhaven.limits.placement import place
-from petrelhaven.limits.quota import ACCOUNT_LIFE_US, Quota
+from petrelhaven.limits.quota import ACCOUNT_LIFETIME_US, Quota
 from petrelhaven.limits.reports import AccountReport
-from petrelhaven.limits.standby import STANDBY_LIFE_US, Standby
+from petrelhaven.limits.standby import STANDBY_LIFETIME_US, Standby
 from petrelhaven.runtime.errors import NotReady
 
 DRAWN = settings(
@@ -103,7 +103,7 @@
         if self.tracker.is_due(self.counter, self.now):
             copy, sent = self.tracker.make("t", self.counter, CounterMode.REGULAR, 0, self.now)
             self.copy_number += 1
-            numbered = copy, self.life, self.copy_number, self.now + STANDBY_LIFE_US
+            numbered = copy, self.life, self.copy_number, self.now + STANDBY_LIFETIME_US
             self.copies.append((self.tracker, numbered, sent, self.now))
 
     def deliver_copy(self, index, kept):
@@ -594,7 +594,7 @@
 def uses_counted_early(mp):
     def count(self, uses, now):
         if uses > 0:
-            self._window.add(uses, now - ACCOUNT_LIFE_US // 3)
+            self._window.add(uses, now - ACCOUNT_LIFETIME_US // 3)
             self.uses += uses
 
     mp.setattr(TenantCounter, "_count", count)
@@ -675,7 +675,7 @@
     now = 40 * 100_000
     copy, _ = CopyTracker().make("t", counter, CounterMode.REGULAR, 0, now)
     standby = Standby(WINDOW_US)
-    assert standby.take(copy, 1, 1, now + STANDBY_LIFE_US, now)
+    assert standby.take(copy, 1, 1, now + STANDBY_LIFETIME_US, now)
     later = standby.counter(now)
     assert later.used(now) == counter.used(now)
     assert later.used(now + WINDOW_US // 2) <= counter.used(now + WINDOW_US // 2) + 5
