--- a/src/petrelhaven/control/embargo/calls.py
+++ b/src/petrelhaven/control/embargo/requests.py
@@ -42,7 +42,7 @@
     client: str
 
 
-def parse_call(document: object) -> EmbargoCall:
+def parse_change_request(document: object) -> EmbargoCall:
     """Checks an operator's call and makes a record of it.
 
     Raises:
--- a/src/petrelhaven/control/embargo/service.py
+++ b/src/petrelhaven/control/embargo/service.py
@@ -7,7 +7,6 @@
 from typing import TYPE_CHECKING, Any, Protocol
 
 from petrelhaven.control.embargo.agreed_time import AgreedTime
-from petrelhaven.control.embargo.calls import parse_call, parse_question
 from petrelhaven.control.embargo.records import (
     EmbargoRecord,
     configuration_fields,
@@ -15,6 +14,7 @@
     rules_of,
     scope_of,
 )
+from petrelhaven.control.embargo.requests import parse_change_request, parse_question
 from petrelhaven.control.embargo.rules import report
 from petrelhaven.control.embargo.table import RuleTable
 from petrelhaven.runtime.errors import Duplicate, Fault, NotReady
@@ -168,7 +168,7 @@
 
     async def change(self, document: object) -> dict[str, Any]:
         """Adds, moves or lifts one rule; returns once that is in force at every proxy."""
-        call = parse_call(document)
+        call = parse_change_request(document)
         record = call.record
         if record.action != "lift":
             await self.require_aware_proxies(call.gone_proxies)
--- a/tests/test_embargoes.py
+++ b/tests/test_embargoes.py
@@ -18,8 +18,8 @@
 
 from configuration_documents import configuration_text, internal_name  # noqa: E402
 from petrelhaven.control.configuration.parsing import parse_configuration  # noqa: E402
-from petrelhaven.control.embargo.calls import parse_call  # noqa: E402
 from petrelhaven.control.embargo.records import Rule, configuration_fields, rules_of  # noqa: E402
+from petrelhaven.control.embargo.requests import parse_change_request  # noqa: E402
 from petrelhaven.control.embargo.rules import report  # noqa: E402
 from petrelhaven.control.embargo.table import RuleTable  # noqa: E402
 from petrelhaven.control.resumable.node import ResumableControlNode  # noqa: E402
@@ -207,7 +207,7 @@
         )
 
     def say(self, do, name="n", **kw):
-        self.put(parse_call({"do": do, "name": name, **kw}).record.to_document())
+        self.put(parse_change_request({"do": do, "name": name, **kw}).record.to_document())
 
     def add(self, name="n", **kw):
         self.say("add", **rule(name, **kw), by="me")
@@ -268,7 +268,7 @@
 )
 def test_a_call_that_is_wrong_is_declined_by_field(d, at):
     with pytest.raises(Invalid) as e:
-        parse_call(d)
+        parse_change_request(d)
     assert at in {p for p, _ in e.value.details["faults"]}
 
 
@@ -303,10 +303,10 @@
     c.add("a")
     other = ControlState(json.loads(json.dumps(c.led.snapshot())))
     for r in (
-        parse_call(
+        parse_change_request(
             {"do": "move", "name": "a", "until": "2026-03-01T10:00:00Z"}
         ).record.to_document(),
-        parse_call({"do": "add", **rule("b")}).record.to_document(),
+        parse_change_request({"do": "add", **rule("b")}).record.to_document(),
     ):
         c.put(r)
         other.apply(other.seq + 1, json.loads(json.dumps(r)))
--- a/tests/test_stored_data_compatibility.py
+++ b/tests/test_stored_data_compatibility.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from petrelhaven.control.embargo.calls import parse_call
+from petrelhaven.control.embargo.requests import parse_change_request
 from petrelhaven.control.resumable.control_state import ResumableControlState
 from petrelhaven.control.state.control_state import ControlState
 from petrelhaven.control.storage.core_store import CoreStore
@@ -258,4 +258,4 @@
 
 def test_an_embargo_call_makes_the_expected_record():
     for case in json.loads(STEPS.read_text())["embargo_calls"]:
-        assert plain(parse_call(case["call"]).record.to_document()) == case["record"]
+        assert plain(parse_change_request(case["call"]).record.to_document()) == case["record"]
