--- a/src/petrelhaven/control/counting/service.py
+++ b/src/petrelhaven/control/counting/service.py
@@ -119,7 +119,9 @@
 
     # What others ask
 
-    async def report(self, _channel: Channel | None, body: Mapping[str, Any]) -> dict[str, Any]:
+    async def handle_report(
+        self, _channel: Channel | None, body: Mapping[str, Any]
+    ) -> dict[str, Any]:
         """Answers a proxy's `quota.report`."""
         request = ReportList.from_body(body)
         view = self._require_view()
@@ -137,16 +139,18 @@
         grants = [answer.result() for answer in answers if answer.done()]
         return GrantList([grant for grant in grants if grant is not None]).to_body()
 
-    async def count(self, _channel: Channel | None, body: Mapping[str, Any]) -> dict[str, Any]:
+    async def handle_count(
+        self, _channel: Channel | None, body: Mapping[str, Any]
+    ) -> dict[str, Any]:
         """Answers another node's `quota.count`; reports that can't be counted have no grant."""
         request = CountRequest.from_body(body)
         grants = self._count_all(request.view_number, request.reports)
         return GrantList([grant for grant in grants if grant is not None]).to_body()
 
-    async def copy(self, _channel: Channel | None, body: Mapping[str, Any]) -> None:
+    async def handle_copy(self, _channel: Channel | None, body: Mapping[str, Any]) -> None:
         """Takes a counting node's `quota.copy`."""
         request = CopyList.from_body(body)
-        self.follow_view()
+        self.apply_view()
         newest = self._view_number
         if request.view_number not in (newest, newest - 1):
             raise NotReady("copies of another view")
@@ -159,9 +163,11 @@
         if not all(taken):
             raise NotReady("a copy before is missing")
 
-    async def fetch(self, _channel: Channel | None, body: Mapping[str, Any]) -> dict[str, Any]:
+    async def handle_fetch(
+        self, _channel: Channel | None, body: Mapping[str, Any]
+    ) -> dict[str, Any]:
         """Answers `quota.fetch`: the copies of this view, for a node that was restarted in it."""
-        self.follow_view()
+        self.apply_view()
         now = self._clock.now()
         found = {
             tenant: self._followed[tenant]
@@ -199,7 +205,7 @@
 
     def _count_all(self, view_number: int, rows: Sequence[ReportRow]) -> list[Grant | None]:
         """Grants for reports; NotReady where this node does not count in that view."""
-        self.follow_view()
+        self.apply_view()
         if not self._node.chain.active or self._view_number != view_number:
             raise NotReady("not counting in this view")
         now = self._clock.now()
@@ -221,7 +227,7 @@
             raise NotReady("no view yet")
         return view
 
-    def follow_view(self) -> None:
+    def apply_view(self) -> None:
         """Forgets what does not belong to this node any more."""
         self._table.follow(self._node.chain.control_state.configuration)
         view = self._node.chain.view
@@ -253,7 +259,7 @@
         """Takes over, begins anew and tells successors, for as long as the node runs."""
         while True:
             await self._clock.sleep(_TICK_US)
-            self.follow_view()
+            self.apply_view()
             self._settle_starts()
             if not self._table.quotas or not self._node.chain.active:
                 continue
--- a/src/petrelhaven/control/embargo/requests.py
+++ b/src/petrelhaven/control/embargo/requests.py
@@ -10,7 +10,7 @@
 from petrelhaven.control.configuration.faults import ROOT, ConfigurationFault, declined
 from petrelhaven.control.embargo.records import ACTIONS, Action, EmbargoRecord
 
-__all__ = ["EmbargoCall", "EmbargoQuestion", "parse_call", "parse_question"]
+__all__ = ["EmbargoCall", "EmbargoQuestion", "parse_change_request", "parse_question"]
 
 _FIELDS: dict[Action, tuple[str, ...]] = {
     "add": ("name", "group", "thing", "prefix", "until", "zone", "early"),
--- a/src/petrelhaven/control/node.py
+++ b/src/petrelhaven/control/node.py
@@ -115,7 +115,7 @@
         self.chain.confirmation.asks_minority = True
         self.chain.confirmation.connected_proxies = lambda: len(self.connected_proxies)
         self.chain.on_commit.append(self._committed)
-        self.chain.on_view.append(self.counting.follow_view)
+        self.chain.on_view.append(self.counting.apply_view)
 
     @property
     def embargoes(self) -> EmbargoService:
@@ -159,10 +159,10 @@
             MessageKind.MEMBER_CHECK: self.duty.answer_inspection,
             MessageKind.WALL_CLOCK_READ: self._read_wall_clock,
             MessageKind.AGREED_TIME_READ: self._true_time,
-            MessageKind.QUOTA_REPORT: self.counting.report,
-            MessageKind.QUOTA_COUNT: self.counting.count,
-            MessageKind.QUOTA_COPY: self.counting.copy,
-            MessageKind.QUOTA_FETCH: self.counting.fetch,
+            MessageKind.QUOTA_REPORT: self.counting.handle_report,
+            MessageKind.QUOTA_COUNT: self.counting.handle_count,
+            MessageKind.QUOTA_COPY: self.counting.handle_copy,
+            MessageKind.QUOTA_FETCH: self.counting.handle_fetch,
         }
 
     async def snapshots(self) -> dict[str, dict[str, Any]]:
--- a/src/petrelhaven/limits/counter_mode.py
+++ b/src/petrelhaven/limits/counter_mode.py
@@ -4,7 +4,7 @@
 
 from petrelhaven.limits.quota import Quota, QuotaPolicy
 
-__all__ = ["Regime"]
+__all__ = ["CounterMode"]
 
 
 class CounterMode(enum.Enum):
--- a/src/petrelhaven/limits/permit_pool.py
+++ b/src/petrelhaven/limits/permit_pool.py
@@ -5,7 +5,7 @@
 from petrelhaven.limits.quota import PERMIT_LIFETIME_US
 from petrelhaven.limits.reports import AccountReport, Grant
 
-__all__ = ["Holding"]
+__all__ = ["PermitPool"]
 
 _HORIZON_US = 1_500_000
 """For how long ahead a proxy would hold permits."""
--- a/src/petrelhaven/limits/quota.py
+++ b/src/petrelhaven/limits/quota.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-__all__ = ["ACCOUNT_LIFE_US", "PERMIT_LIFE_US", "Quota", "QuotaTerms"]
+__all__ = ["ACCOUNT_LIFETIME_US", "PERMIT_LIFETIME_US", "Quota", "QuotaPolicy"]
 
 PERMIT_LIFETIME_US = 3_000_000
 """How long a permit may be used after the proxy asked for it or had it confirmed."""
--- a/src/petrelhaven/limits/standby.py
+++ b/src/petrelhaven/limits/standby.py
@@ -9,7 +9,7 @@
 from petrelhaven.limits.counter_mode import CounterMode
 from petrelhaven.limits.usage_window import UsageWindow
 
-__all__ = ["STANDBY_LIFE_US", "CounterCopy", "Standby"]
+__all__ = ["STANDBY_LIFETIME_US", "CounterCopy", "Standby"]
 
 STANDBY_LIFETIME_US = 4_000_000
 """How long a copy may serve a successor after it was made."""
--- a/tests/limits_world.py
+++ b/tests/limits_world.py
@@ -189,10 +189,10 @@
         self.chain, self.log = ChainStub(self), None
         self.counting = CountingService(self, lambda: self.world.rng.getrandbits(40))
         self.handlers = {
-            MessageKind.QUOTA_REPORT: self.counting.report,
-            MessageKind.QUOTA_COUNT: self.counting.count,
-            MessageKind.QUOTA_COPY: self.counting.copy,
-            MessageKind.QUOTA_FETCH: self.counting.fetch,
+            MessageKind.QUOTA_REPORT: self.counting.handle_report,
+            MessageKind.QUOTA_COUNT: self.counting.handle_count,
+            MessageKind.QUOTA_COPY: self.counting.handle_copy,
+            MessageKind.QUOTA_FETCH: self.counting.handle_fetch,
         }
         self.tasks.spawn(self.counting.run())
 
--- a/tests/test_limits_model.py
+++ b/tests/test_limits_model.py
@@ -613,7 +613,7 @@
 
 def old_owner_not_fenced(mp):
     def count_all(self, view_number, reports):
-        self.follow_view()
+        self.apply_view()
         if self._view_number != view_number:
             raise NotReady("not counting in this view")
         now = self._clock.now()
--- a/tests/test_tenant_review.py
+++ b/tests/test_tenant_review.py
@@ -239,7 +239,7 @@
         service = CountingService(node, lambda: 1)
         reports = [AccountReport(counted_by[name], 1, 0, 0, 0, 1, 0) for name in ("c2", "c3")]
         began = node.clock.now()
-        body = await service.report(None, ReportList("e", reports).to_body())
+        body = await service.handle_report(None, ReportList("e", reports).to_body())
         grants = GrantList.from_body(body).grants
         return {grant.tenant for grant in grants}, node.clock.now() - began
 
