--- a/src/petrelhaven/control/embargo/interface.py
+++ b/src/petrelhaven/control/embargo/interface.py
@@ -28,7 +28,7 @@
         document = request.doc()
         if not isinstance(document, dict):
             raise Malformed("the question must be an object")
-        return await node.embargoes.why(document)
+        return await node.embargoes.explain(document)
 
     http_server.on("POST", "/embargoes", change)
     http_server.on("GET", "/embargoes", list_rules)
--- a/src/petrelhaven/control/embargo/service.py
+++ b/src/petrelhaven/control/embargo/service.py
@@ -66,7 +66,7 @@
     def __init__(self, node: EmbargoNode, wall_clock: WallClock | None = None) -> None:
         """Reads no clock before `start`; `wall_clock` is given where the machine's is not meant."""
         self._node = node
-        self.time = AgreedTime(
+        self.agreed_time = AgreedTime(
             node.clock,
             wall_clock or WallClock(),
             node.name,
@@ -89,11 +89,11 @@
         """Keeps readings of the wall clocks from now on."""
         if not self._started:
             self._started = True
-            self._node.tasks.spawn(self.time.run())
+            self._node.tasks.spawn(self.agreed_time.run())
 
-    def proxy_time(self) -> dict[str, Any]:
+    def agreed_time_body(self) -> dict[str, Any]:
         """The interval around true time, as the body of an answer to a proxy."""
-        interval = self.time.interval()
+        interval = self.agreed_time.interval()
         if interval is None:
             return {"ok": False, "lo": 0, "hi": 0}
         return {"ok": True, "lo": interval.lowest, "hi": interval.highest}
@@ -148,7 +148,9 @@
         except Fault:
             return None
 
-    async def apply(self, configuration: Configuration, record: Document) -> EnterAnswer:
+    async def apply_configuration(
+        self, configuration: Configuration, record: Document
+    ) -> EnterAnswer:
         """Enters a configuration with embargoes.
 
         Args:
@@ -201,14 +203,14 @@
 
     async def list(self) -> dict[str, Any]:
         """All rules, the groups, the newest changes and the time, as the tail answers them."""
-        return {**report(await self._node.control_state()), "time": self.time.status()}
+        return {**report(await self._node.control_state()), "time": self.agreed_time.status()}
 
-    async def why(self, document: dict[str, Any]) -> dict[str, Any]:
+    async def explain(self, document: dict[str, Any]) -> dict[str, Any]:
         """Which rules cover a thing, and whether a proxy with a lease withholds it now."""
         question = parse_question(document)
         state = await self._node.control_state()
         table = RuleTable(rules_of(state))
-        interval = self.time.interval()
+        interval = self.agreed_time.interval()
         lowest_us = interval.lowest if interval is not None else 0
         latest = table.latest_release(question.group, [question.thing], question.client, lowest_us)
         return {
--- a/src/petrelhaven/control/node.py
+++ b/src/petrelhaven/control/node.py
@@ -243,12 +243,12 @@
     async def _read_wall_clock(
         self, _channel: Channel | None, _body: Mapping[str, Any]
     ) -> dict[str, Any]:
-        return {"wall": self.embargoes.time.wall_clock.now()}
+        return {"wall": self.embargoes.agreed_time.wall_clock.now()}
 
     async def _true_time(
         self, _channel: Channel | None, _body: Mapping[str, Any]
     ) -> dict[str, Any]:
-        answer: dict[str, Any] = self.embargoes.proxy_time()
+        answer: dict[str, Any] = self.embargoes.agreed_time_body()
         return answer
 
     # Orders
@@ -281,7 +281,7 @@
                 await self.lease_table.in_force(seq)
             raise
 
-    async def apply(
+    async def apply_configuration(
         self, text: str, by: str = "", retire: bool = True, within_us: int = _ORDER_TIMEOUT_US
     ) -> dict[str, Any]:
         """Checks and applies a configuration; returns once it is on every disk of the view."""
@@ -295,7 +295,7 @@
         if not retire:
             record["retire"] = False
         if configuration.embargoing or configuration.embargoes:
-            answer = await self.embargoes.apply(configuration, record)
+            answer = await self.embargoes.apply_configuration(configuration, record)
         else:
             answer = await self.enter(record, False, within_us)
         return {"version": configuration.version, "change": answer.seq}
@@ -370,5 +370,5 @@
             "tied": self.connected_proxies.names(),
             "garbage": self.link.garbage,
             "counting": self.counting.status(),
-            **({"time": embargoes.time.status()} if embargoes else {}),
+            **({"time": embargoes.agreed_time.status()} if embargoes else {}),
         }
--- a/tests/test_embargo_world.py
+++ b/tests/test_embargo_world.py
@@ -474,15 +474,17 @@
     async def go(w):
         await w.embargo("add", "opening", w.true() + 60 * S, early=["ed"])
         ask = {"group": "g", "thing": "opening"}
-        r = await w.call(lambda s: s.embargoes.why(ask))
+        r = await w.call(lambda s: s.embargoes.explain(ask))
         assert (
             r["withheld"]
             and r["by"] == "x-opening"
             and r["embargoed_group"]
             and len(r["rules"]) == 1
         )
-        assert not (await w.call(lambda s: s.embargoes.why({**ask, "visitor": "ed"})))["withheld"]
-        assert not (await w.call(lambda s: s.embargoes.why({**ask, "thing": "x"})))["withheld"]
+        assert not (await w.call(lambda s: s.embargoes.explain({**ask, "visitor": "ed"})))[
+            "withheld"
+        ]
+        assert not (await w.call(lambda s: s.embargoes.explain({**ask, "thing": "x"})))["withheld"]
         r = await w.call(lambda s: s.embargoes.list())
         assert r["past"][0]["by"] == "op" and any(
             "E330" in x[2] and "by=op" in x[2] for x in w.net.log
