--- a/src/petrelhaven/control/embargo/rules.py
+++ b/src/petrelhaven/control/embargo/rules.py
@@ -22,14 +22,14 @@
 
     from petrelhaven.control.state.record import Document
 
-__all__ = ["apply", "apply_configuration", "check", "check_configuration", "report"]
+__all__ = ["apply_configuration", "apply_embargo_record", "check_configuration", "check_embargo_record", "report"]
 
 _STORED_BYTES = 2 << 20
 """Bound on all placed rules together, as JSON."""
 _PAST_CHANGES = 64
 
 
-def check(state: Document, record: EmbargoRecord) -> None:
+def check_embargo_record(state: Document, record: EmbargoRecord) -> None:
     """Checks whether an embargo record may be applied now.
 
     Args:
@@ -103,7 +103,7 @@
         )
 
 
-def apply(state: Document, record: EmbargoRecord, seq: int) -> None:
+def apply_embargo_record(state: Document, record: EmbargoRecord, seq: int) -> None:
     """Applies an embargo record, number `seq`, which has been checked."""
     rules = state.setdefault("embargoes", {})
     past = state.setdefault("embargo_past", [])
--- a/src/petrelhaven/control/state/control_state.py
+++ b/src/petrelhaven/control/state/control_state.py
@@ -384,14 +384,14 @@
         self.doc.setdefault("counting", {})[record.node] = list(start)
 
     def _check_embargo(self, record: EmbargoRecord) -> None:
-        from petrelhaven.control.embargo.rules import check
+        from petrelhaven.control.embargo.rules import check_embargo_record
 
-        check(self.doc, record)
+        check_embargo_record(self.doc, record)
 
     def _apply_embargo(self, record: EmbargoRecord) -> None:
-        from petrelhaven.control.embargo.rules import apply
+        from petrelhaven.control.embargo.rules import apply_embargo_record
 
-        apply(self.doc, record, self.seq + 1)
+        apply_embargo_record(self.doc, record, self.seq + 1)
 
     def _belief_of_groups(self) -> Document:
         """What differs between the kinds of sessions in what `petrelhaven-diff` compares."""
