--- a/src/petrelhaven/control/embargo/rules.py
+++ b/src/petrelhaven/control/embargo/rules.py
@@ -22,7 +22,13 @@
 
     from petrelhaven.control.state.record import Document
 
-__all__ = ["apply_configuration", "apply_embargo_record", "check_configuration", "check_embargo_record", "report"]
+__all__ = [
+    "apply_configuration",
+    "apply_embargo_record",
+    "check_configuration",
+    "check_embargo_record",
+    "report",
+]
 
 _STORED_BYTES = 2 << 20
 """Bound on all placed rules together, as JSON."""
--- a/src/petrelhaven/proxy/embargo.py
+++ b/src/petrelhaven/proxy/embargo.py
@@ -119,7 +119,7 @@
     def __init__(self, proxy: ProxyServices) -> None:
         """Withholds nothing until `apply_records` gives it the rules."""
         self._proxy = proxy
-        self.time = ProxyTime(proxy.clock, proxy.name, 0)
+        self.true_time = ProxyTime(proxy.clock, proxy.name, 0)
         self.scope: frozenset[str] = frozenset()
         self.table: RuleTable[RuleKey] = RuleTable()
         self._spread_us = 0
@@ -142,7 +142,7 @@
         state = control_state.doc
         limits = limits_of(state)
         self.scope = frozenset(scope_of(state))
-        self.time.wall_us = limits.wall_us if limits is not None else 0
+        self.true_time.wall_us = limits.wall_us if limits is not None else 0
         self._spread_us = limits.spread_us if limits is not None else 0
         if fresh or any(record["t"] == "manifest" for record in records):
             self.table = RuleTable(rules_of(state))
@@ -160,7 +160,7 @@
             self.table.put(key, PlacedRule.from_document(stored))
 
     @property
-    def on(self) -> bool:
+    def is_active(self) -> bool:
         """Whether there is anything to withhold."""
         return bool(self.scope) or len(self.table) > 0
 
@@ -168,14 +168,16 @@
         """Why a read of `things` is withheld from `client` now, or None."""
         if group in self.scope and not self._proxy.core_connection.holds_lease:
             return Withholding("lease")
-        now_us = self.time.lowest()
+        now_us = self.true_time.lowest()
         latest = self.table.latest_release(group, things, client, now_us)
         if latest is None:
             return None
         key, rule = latest
         return Withholding("embargo", rule.until_us - now_us if now_us else 0, key.name)
 
-    def refusal(self, session: ClientSession, statement: Statement, group: str) -> Reply | None:
+    def refuse_if_withheld(
+        self, session: ClientSession, statement: Statement, group: str
+    ) -> Reply | None:
         """The reply to a read that must not be served now, or None."""
         if statement.writes or statement.verb not in _FILTERED_VERBS:
             return None
@@ -204,7 +206,7 @@
         """The reply of a read, or a refusal if a rule came or the lease went since it was sent."""
         if reply.code in _PROXY_CODES:
             return reply
-        refusal = self.refusal(session, statement, group)
+        refusal = self.refuse_if_withheld(session, statement, group)
         if refusal is None:
             return reply
         self._counts["late"] += 1
@@ -242,7 +244,7 @@
         return {
             "scope": sorted(self.scope),
             "rules": len(self.table),
-            "time": self.time.interval(),
+            "time": self.true_time.interval(),
             "lease": self._proxy.core_connection.holds_lease,
             "count": dict(self._counts),
         }
--- a/src/petrelhaven/proxy/node.py
+++ b/src/petrelhaven/proxy/node.py
@@ -209,9 +209,9 @@
 
             self.embargo, fresh = EmbargoFilter(self), True
         self.embargo.apply_records(control_state, records, fresh)
-        if not self.embargo.on:
+        if not self.embargo.is_active:
             self.embargo = None
-        time = self.embargo.time if self.embargo is not None else None
+        time = self.embargo.true_time if self.embargo is not None else None
         self.core_connection.true_time = time
 
     def _configure(self, configuration: dict[str, Any]) -> None:
@@ -325,7 +325,7 @@
             return self._path.transactions.refuse(request, self.retry_after())
         self._follow_tenant(session, tenant)
         if self.embargo is not None:
-            refusal = self.embargo.refusal(session, statement, group.name)
+            refusal = self.embargo.refuse_if_withheld(session, statement, group.name)
             if refusal is not None:
                 return refusal
         self.count["asked"] += 1
--- a/src/petrelhaven/simulator/embargo_cost.py
+++ b/src/petrelhaven/simulator/embargo_cost.py
@@ -64,8 +64,8 @@
     t = time.process_time()
     if n is not None:
         for a in asks:
-            g.embargo.refusal(v, a, "g1")
-            g.embargo.refusal(v, a, "g1")
+            g.embargo.refuse_if_withheld(v, a, "g1")
+            g.embargo.refuse_if_withheld(v, a, "g1")
     return total_s, time.process_time() - t, size
 
 
--- a/tests/test_embargo_world.py
+++ b/tests/test_embargo_world.py
@@ -236,10 +236,10 @@
 def transactions_unseen(mp):
     from petrelhaven.proxy import embargo
 
-    real = embargo.EmbargoFilter.refusal
+    real = embargo.EmbargoFilter.refuse_if_withheld
     mp.setattr(
         embargo.EmbargoFilter,
-        "refusal",
+        "refuse_if_withheld",
         lambda self, v, a, group: None if v.transaction is not None else real(self, v, a, group),
     )
 
