--- a/src/petrelhaven/proxy/node.py
+++ b/src/petrelhaven/proxy/node.py
@@ -23,7 +23,7 @@
 from petrelhaven.proxy.session.immediate_reply import reply_at_once
 from petrelhaven.proxy.session.statement import Reply, Statement
 from petrelhaven.proxy.tenants.admission import QuotaAdmission
-from petrelhaven.proxy.tenants.directory import NOBODY, Tenant, TenantDirectory
+from petrelhaven.proxy.tenants.directory import ANONYMOUS_TENANT, Tenant, TenantDirectory
 from petrelhaven.runtime.clock import Clock
 from petrelhaven.runtime.errors import Busy, DeadlineExceeded, Denied, NoRoute
 from petrelhaven.runtime.events import Events, emit
@@ -217,7 +217,7 @@
     def _configure(self, configuration: dict[str, Any]) -> None:
         configuration = with_defaults(configuration)
         tenants = TenantDirectory(configuration)
-        self.admission.apply(self.tenants, tenants)
+        self.admission.apply_directory(self.tenants, tenants)
         self.tenants = tenants
         self.routes = {
             row["host"]: Route.from_configuration(row) for row in reversed(configuration["routes"])
@@ -237,7 +237,7 @@
             seq=self.core_connection.control_state.seq,
             version=configuration["version"],
             routes=len(self.routes),
-            tenants=len(tenants.tenants) if tenants.is_required else "-",
+            tenants=len(tenants.tenants) if tenants.requires_keys else "-",
         )
 
     def route(self, host: str) -> tuple[Route, MemberGroup]:
@@ -267,7 +267,7 @@
         if tenant is None:
             self.count["denied"] += 1
             raise Denied("no tenant has this key")
-        name = tenant.name if self.tenants.is_required else client.partition(" ")[0]
+        name = tenant.name if self.tenants.requires_keys else client.partition(" ")[0]
         session = ClientSession(host, name, digest, tenant.name)
         self.sessions.add(session)
         if route.reads == "strong":
@@ -315,13 +315,15 @@
         tenant = self.tenants.identify(session.key_digest, route.public)
         limit_us = route.timeout_us - _SLACK_US
         started = self.clock.now()
-        request = Request(session, statement, route, group, started + limit_us, tenant or NOBODY)
+        request = Request(
+            session, statement, route, group, started + limit_us, tenant or ANONYMOUS_TENANT
+        )
         if tenant is None:
             return self._deny(request)
         if self._has_moved(session, tenant):
             text = "another tenant has this key now"
             return self._path.transactions.abort(request, text)
-        if tenant is not NOBODY and not self._keys_are_certain():
+        if tenant is not ANONYMOUS_TENANT and not self._keys_are_certain():
             return self._path.transactions.refuse(request, self.retry_after())
         self._follow_tenant(session, tenant)
         if self.embargo is not None:
@@ -361,7 +363,7 @@
     def _follow_tenant(self, session: ClientSession, tenant: Tenant) -> None:
         """The session's key belongs to `tenant` by now."""
         session.tenant = tenant.name
-        if self.tenants.is_required:
+        if self.tenants.requires_keys:
             session.client = tenant.name
 
     async def _run_slotted(self, request: Request, horizon_us: int) -> Reply:
--- a/src/petrelhaven/proxy/routing/request.py
+++ b/src/petrelhaven/proxy/routing/request.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from petrelhaven.proxy.tenants.directory import NOBODY, Tenant
+from petrelhaven.proxy.tenants.directory import ANONYMOUS_TENANT, Tenant
 
 if TYPE_CHECKING:
     from petrelhaven.proxy.routing.group import MemberGroup
@@ -38,7 +38,7 @@
     route: Route
     group: MemberGroup
     end: int
-    tenant: Tenant = NOBODY
+    tenant: Tenant = ANONYMOUS_TENANT
     permit: int | None = None
     runs: int = 0
 
--- a/src/petrelhaven/proxy/tenants/admission.py
+++ b/src/petrelhaven/proxy/tenants/admission.py
@@ -145,7 +145,7 @@
             line.holding.put_back(permit)
             line.admit_waiting(self._clock.now())
 
-    def apply(self, before: TenantDirectory, after: TenantDirectory) -> None:
+    def apply_directory(self, before: TenantDirectory, after: TenantDirectory) -> None:
         """Another configuration is in force: permits under a higher limit go back."""
         for name, line in list(self._lines.items()):
             old, new = before.tenants.get(name), after.tenants.get(name)
--- a/src/petrelhaven/proxy/tenants/directory.py
+++ b/src/petrelhaven/proxy/tenants/directory.py
@@ -8,7 +8,7 @@
 
 from petrelhaven.limits.quota import Quota
 
-__all__ = ["NOBODY", "Tenant", "TenantDirectory"]
+__all__ = ["ANONYMOUS_TENANT", "Tenant", "TenantDirectory"]
 
 _NO_LIMIT = -1
 
@@ -21,7 +21,7 @@
     quota: Quota | None = None
 
 
-NOBODY = Tenant("")
+ANONYMOUS_TENANT = Tenant("")
 """Stands for the clients of public routes that show no key."""
 
 
@@ -36,7 +36,7 @@
     def __init__(self, configuration: Mapping[str, Any] | None = None) -> None:
         """Reads a configuration whose defaults are filled in; knows nobody without one."""
         configuration = configuration or {"keyed": False, "tenants": ()}
-        self.is_required: bool = configuration["keyed"]
+        self.requires_keys: bool = configuration["keyed"]
         self.tenants = {row["name"]: _tenant(row) for row in configuration["tenants"]}
         self._by_key = {
             key: self.tenants[row["name"]]
@@ -46,10 +46,10 @@
 
     def identify(self, key_digest: str, is_public: bool) -> Tenant | None:
         """The tenant that a client's statements run for; None if they may not run."""
-        if not self.is_required:
-            return NOBODY
+        if not self.requires_keys:
+            return ANONYMOUS_TENANT
         tenant = self._by_key.get(key_digest)
-        return NOBODY if tenant is None and is_public else tenant
+        return ANONYMOUS_TENANT if tenant is None and is_public else tenant
 
 
 def _tenant(row: Mapping[str, Any]) -> Tenant:
--- a/tests/limits_world.py
+++ b/tests/limits_world.py
@@ -273,7 +273,7 @@
         """The configuration that is in force now reaches this proxy."""
         after = TenantDirectory(self.world.control_state.configuration_with_defaults)
         before, self.directory = self.directory, after
-        self.admission.apply(before, after)
+        self.admission.apply_directory(before, after)
 
     def ask(self, tenant):
         self.tasks.spawn(self._operate(self.directory.tenants[tenant]))
--- a/tests/test_tenant_review.py
+++ b/tests/test_tenant_review.py
@@ -185,7 +185,7 @@
             finish(limits.admit(request_of(before.tenants["agency"], 500_000, 5 * SECOND)))
         )
         await asyncio.sleep(0.1)
-        limits.apply(before, after)
+        limits.apply_directory(before, after)
         return await waiting
 
     assert virtual(work) is None
--- a/tests/test_tenant_storm.py
+++ b/tests/test_tenant_storm.py
@@ -112,7 +112,7 @@
     def keep(self, configuration):
         known = self.tenants
         configure(self, configuration)
-        if known.is_required:
+        if known.requires_keys:
             self.tenants = known
 
     patch.setattr(ProxyNode, "_configure", keep)
