--- a/src/petrelhaven/control/counting/service.py
+++ b/src/petrelhaven/control/counting/service.py
@@ -14,7 +14,7 @@
 from petrelhaven.control.state.counting_record import CountingRecord
 from petrelhaven.limits.counter import TenantCounter
 from petrelhaven.limits.counter_mode import CounterMode
-from petrelhaven.limits.placement import place
+from petrelhaven.limits.placement import assign_counting_node
 from petrelhaven.limits.reports import AccountReport, Grant
 from petrelhaven.limits.standby import STANDBY_LIFETIME_US, CounterCopy, Standby
 from petrelhaven.runtime.errors import Fault, NotReady
@@ -129,7 +129,7 @@
             return GrantList([]).to_body()
         answers = [
             self._relay.submit(
-                place(report.tenant, view.chain).counting or self._node.name,
+                assign_counting_node(report.tenant, view.chain).counting_node or self._node.name,
                 (request.proxy, report),
             )
             for report in request.reports
@@ -238,7 +238,7 @@
         before, self._counted = self._counted if is_next else {}, {}
         leaving: dict[str, dict[str, _Counted]] = {}
         for tenant, counted in before.items():
-            counting = place(tenant, view.chain).counting
+            counting = assign_counting_node(tenant, view.chain).counting_node
             if counting == self._node.name:
                 counted.copies = CopyTracker()
                 self._counted[tenant] = counted
@@ -272,7 +272,8 @@
         missing = [
             tenant
             for tenant in self._table.quotas
-            if tenant not in self._counted and place(tenant, view.chain).counting == self._node.name
+            if tenant not in self._counted
+            and assign_counting_node(tenant, view.chain).counting_node == self._node.name
         ]
         fresh = [tenant for tenant in missing if not self._go_on(tenant, now)]
         if len(fresh) < len(missing):
@@ -321,7 +322,7 @@
         self._may_be_remembered = False
         by_successor: dict[str, list[str]] = {}
         for tenant in tenants:
-            successor = place(tenant, view.chain).successor
+            successor = assign_counting_node(tenant, view.chain).successor
             if successor is not None:
                 by_successor.setdefault(successor, []).append(tenant)
         asked = [self._fetch_from(name, view, names) for name, names in by_successor.items()]
@@ -396,7 +397,7 @@
         now, view = self._clock.now(), self._require_view()
         due: dict[str, dict[str, _Counted]] = {}
         for tenant, counted in self._counted.items():
-            successor = place(tenant, view.chain).successor
+            successor = assign_counting_node(tenant, view.chain).successor
             if successor is not None and counted.copies.is_due(counted.counter, now):
                 due.setdefault(successor, {})[tenant] = counted
         for name, tenants in due.items():
--- a/src/petrelhaven/control/embargo/records.py
+++ b/src/petrelhaven/control/embargo/records.py
@@ -49,7 +49,7 @@
     """A release time: the moment in microseconds of UTC, and how the operator wrote it."""
 
     until_us: int
-    written: str
+    until_text: str
     zone: str
 
     @classmethod
@@ -64,7 +64,7 @@
 
     def to_document(self) -> Document:
         """The fields as they are stored."""
-        return {"until": self.until_us, "said": self.written, "zone": self.zone}
+        return {"until": self.until_us, "said": self.until_text, "zone": self.zone}
 
 
 @dataclass(frozen=True, slots=True)
@@ -75,12 +75,12 @@
     """
 
     group: str
-    thing: str
+    record_key: str
     prefix: str
     until_us: int
-    written: str
+    until_text: str
     zone: str
-    early: tuple[str, ...]
+    exempt_clients: tuple[str, ...]
 
     @classmethod
     def of(cls, rule: EmbargoRule) -> Rule:
@@ -105,28 +105,28 @@
     @property
     def release(self) -> Release:
         """Its release time."""
-        return Release(self.until_us, self.written, self.zone)
+        return Release(self.until_us, self.until_text, self.zone)
 
     def to_document(self) -> Document:
         """The fields as they are stored."""
         return {
             "group": self.group,
-            "thing": self.thing,
+            "thing": self.record_key,
             "prefix": self.prefix,
             **self.release.to_document(),
-            "early": list(self.early),
+            "early": list(self.exempt_clients),
         }
 
     def placed(self, change: int, by: str, seq: int) -> PlacedRule:
         """This rule as the record number `seq` of `by` leaves it, its change number `change`."""
         return PlacedRule(
             self.group,
-            self.thing,
+            self.record_key,
             self.prefix,
             self.until_us,
-            self.written,
+            self.until_text,
             self.zone,
-            self.early,
+            self.exempt_clients,
             change,
             by,
             seq,
@@ -163,7 +163,7 @@
         return dataclasses.replace(
             self,
             until_us=release.until_us,
-            written=release.written,
+            until_text=release.until_text,
             zone=release.zone,
             change=self.change + 1,
             by=by,
--- a/src/petrelhaven/control/embargo/service.py
+++ b/src/petrelhaven/control/embargo/service.py
@@ -180,7 +180,7 @@
             self._log_change(record, again=True)
             fault.details["in_force"] = True
             raise
-        written = "-" if record.release is None else record.release.written
+        written = "-" if record.release is None else record.release.until_text
         self._log_change(record, seq=answer.seq, until=written)
         return {
             "do": record.action,
--- a/src/petrelhaven/control/embargo/table.py
+++ b/src/petrelhaven/control/embargo/table.py
@@ -37,21 +37,21 @@
         """Adds a rule, in place of the one under this key if there is one."""
         self.drop(key)
         self._rules[key] = rule
-        self._index(rule).setdefault(rule.thing or rule.prefix, {})[key] = rule
+        self._index(rule).setdefault(rule.record_key or rule.prefix, {})[key] = rule
 
     def drop(self, key: Key) -> None:
         """Takes a rule out, if it is there."""
         rule = self._rules.pop(key, None)
         if rule is None:
             return
-        index, entry = self._index(rule), rule.thing or rule.prefix
+        index, entry = self._index(rule), rule.record_key or rule.prefix
         del index[entry][key]
         if not index[entry]:
             del index[entry]
 
     def _index(self, rule: Rule) -> MutableMapping[str, dict[Key, Rule]]:
         """The index of the rule's group and kind."""
-        if rule.thing:
+        if rule.record_key:
             return self._things.setdefault(rule.group, {})
         if rule.group not in self._prefixes:
             self._prefixes[rule.group] = SortedDict()
@@ -96,7 +96,7 @@
         latest: tuple[Key, Rule] | None = None
         for thing in things:
             for key, rule in self.covering(group, thing):
-                if rule.until_us <= now_us or client in rule.early:
+                if rule.until_us <= now_us or client in rule.exempt_clients:
                     continue
                 if latest is None or rule.until_us > latest[1].until_us:
                     latest = (key, rule)
--- a/src/petrelhaven/control/node.py
+++ b/src/petrelhaven/control/node.py
@@ -281,7 +281,7 @@
                 await self.lease_table.in_force(seq)
             raise
 
-    async def apply_configuration(
+    async def apply(
         self, text: str, by: str = "", retire: bool = True, within_us: int = _ORDER_TIMEOUT_US
     ) -> dict[str, Any]:
         """Checks and applies a configuration; returns once it is on every disk of the view."""
--- a/src/petrelhaven/limits/placement.py
+++ b/src/petrelhaven/limits/placement.py
@@ -6,17 +6,17 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-__all__ = ["Placement", "place"]
+__all__ = ["Placement", "assign_counting_node"]
 
 
 class Placement(NamedTuple):
     """The node that counts a tenant, and the one that follows it; None where there is none."""
 
-    counting: str | None
+    counting_node: str | None
     successor: str | None
 
 
-def place(tenant: str, nodes: Iterable[str]) -> Placement:
+def assign_counting_node(tenant: str, nodes: Iterable[str]) -> Placement:
     """Where `tenant` is counted among `nodes`.
 
     A node that leaves moves only its own tenants, each to the successor that it had; a node that
--- a/src/petrelhaven/simulator/embargo_cost.py
+++ b/src/petrelhaven/simulator/embargo_cost.py
@@ -32,12 +32,12 @@
         half = i % 2
         rule = Rule(
             group=group,
-            thing="" if half else k,
+            record_key="" if half else k,
             prefix=k if half else "",
             until_us=(1 << 53) - 1,
-            written="",
+            until_text="",
             zone="",
-            early=(),
+            exempt_clients=(),
         )
         yield RuleKey("placed", f"x{i}"), rule
 
--- a/tests/test_embargoes.py
+++ b/tests/test_embargoes.py
@@ -329,17 +329,19 @@
 def as_rule(d):
     return Rule(
         group=d["group"],
-        thing="" if d["kind"] else d["at"],
+        record_key="" if d["kind"] else d["at"],
         prefix=d["at"] if d["kind"] else "",
         until_us=d["until"],
-        written="",
+        until_text="",
         zone="",
-        early=tuple(d["early"]),
+        exempt_clients=tuple(d["early"]),
     )
 
 
 def covers(r, group, thing):
-    return r.group == group and (r.thing == thing if r.thing else thing.startswith(r.prefix))
+    return r.group == group and (
+        r.record_key == thing if r.record_key else thing.startswith(r.prefix)
+    )
 
 
 @DRAWN
@@ -367,7 +369,9 @@
         holds = [
             r.until_us
             for r in model.values()
-            if r.until_us > now and client not in r.early and any(covers(r, g, x) for x in things)
+            if r.until_us > now
+            and client not in r.exempt_clients
+            and any(covers(r, g, x) for x in things)
         ]
         hit = t.latest_release(g, things, client, now)
         assert (hit[1].until_us if hit else None) == max(holds, default=None)
--- a/tests/test_limits_model.py
+++ b/tests/test_limits_model.py
@@ -18,7 +18,7 @@
 from petrelhaven.limits.counter import TenantCounter
 from petrelhaven.limits.counter_mode import CounterMode
 from petrelhaven.limits.permit_pool import PermitPool
-from petrelhaven.limits.placement import place
+from petrelhaven.limits.placement import assign_counting_node
 from petrelhaven.limits.quota import ACCOUNT_LIFETIME_US, Quota
 from petrelhaven.limits.reports import AccountReport
 from petrelhaven.limits.standby import STANDBY_LIFETIME_US, Standby
@@ -282,7 +282,7 @@
 
 def apply(world, kind, for_s):
     """One entry of a schedule."""
-    owner, successor = place("t", world.view.chain)
+    owner, successor = assign_counting_node("t", world.view.chain)
     rest = [name for name in world.nodes if name not in {owner, successor}]
     if kind == "kill owner":
         world.kill(owner, down_s=for_s)
@@ -394,10 +394,12 @@
 
 
 ALL = "abcde"
-OWNER, SUCCESSOR = place("t", ALL)
+OWNER, SUCCESSOR = assign_counting_node("t", ALL)
 REST = [name for name in ALL if name not in {OWNER, SUCCESSOR}]
-NEXT_OWNER, NEXT_SUCCESSOR = place("t", REST)
-OTHER = next(name for name in "uvwxyz" if place(name, ALL).counting == NEXT_OWNER)
+NEXT_OWNER, NEXT_SUCCESSOR = assign_counting_node("t", REST)
+OTHER = next(
+    name for name in "uvwxyz" if assign_counting_node(name, ALL).counting_node == NEXT_OWNER
+)
 
 
 # Guards against QUOTA: the copy of a node that may grant nothing yet is gone on with as a restart's.
--- a/tests/test_tenant_review.py
+++ b/tests/test_tenant_review.py
@@ -19,7 +19,7 @@
 from petrelhaven.control.counting.service import CountingService
 from petrelhaven.limits.counter import TenantCounter
 from petrelhaven.limits.permit_pool import PermitPool
-from petrelhaven.limits.placement import place
+from petrelhaven.limits.placement import assign_counting_node
 from petrelhaven.limits.quota import Quota, QuotaPolicy
 from petrelhaven.limits.reports import AccountReport, Grant
 from petrelhaven.proxy.pool.connection_pool import ConnectionPool
@@ -232,7 +232,11 @@
 # permits of all tenants that a proxy had asked for in one message.
 def test_a_lost_counting_node_holds_up_no_other_tenants_permits():
     names = ["c1", "c2", "c3"]
-    counted_by = {name: f"t{n}" for n in range(50) for name in [place(f"t{n}", names).counting]}
+    counted_by = {
+        name: f"t{n}"
+        for n in range(50)
+        for name in [assign_counting_node(f"t{n}", names).counting_node]
+    }
 
     async def work():
         node = CountingNodeStub(names, {"c2"})
