--- a/src/petrelhaven/control/counting/contracts.py
+++ b/src/petrelhaven/control/counting/contracts.py
@@ -1,7 +1,7 @@
-"""What counting needs of the control node that it belongs to.
+"""The interface of a control node that the counting service uses.
 
-For type checkers and readers: nothing imports this module at run time, so that imports go in one
-direction, from `control/node` to this package.
+Only type checkers import this module, so that imports at run time go in one direction, from
+`control/node` to this package.
 """
 
 from __future__ import annotations
@@ -17,18 +17,18 @@
     from petrelhaven.runtime.clock import Clock
     from petrelhaven.runtime.tasks import BackgroundTasks
 
-__all__ = ["CountingNode"]
+__all__ = ["CountingHost"]
 
 
-class CountingNode(Protocol):
-    """A control node; `control/node.ControlNode` is the one there is.
+class CountingHost(Protocol):
+    """The control node that runs a counting service; implemented by `control/node.ControlNode`.
 
     Attributes:
-        name: Its name.
+        name: The node's name.
         clock: Monotonic time, in microseconds.
-        tasks: Its background tasks, which end with it.
-        chain: Its place in the chain.
-        log: Where its events go, or None.
+        tasks: The node's background tasks, which end when it stops.
+        chain: The node's replica of the chain.
+        log: The logger for events, or None.
     """
 
     name: str
@@ -40,9 +40,9 @@
     async def call(
         self, name: str, kind: str, body: Mapping[str, Any], timeout_us: int
     ) -> dict[str, Any]:
-        """Calls another control node by name."""
+        """Sends a request to the control node `name` and returns the answer."""
 
     async def enter(
         self, record: dict[str, Any], force: bool = ..., within_us: int = ...
     ) -> EnterAnswer:
-        """Enters a record at the head."""
+        """Appends a record to the chain through its head."""
--- a/src/petrelhaven/control/counting/quotas.py
+++ b/src/petrelhaven/control/counting/quotas.py
@@ -1,4 +1,4 @@
-"""The tenants' limits of the configuration in force."""
+"""The limits of tenants in the active configuration."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 
 __all__ = ["QuotaTable"]
 
-_NO_LIMIT = -1
+_UNLIMITED_RATE = -1
 
 
 class QuotaTable:
-    """Follows the configuration.
+    """The quotas and the policy of the active configuration.
 
     Attributes:
-        terms: How limits are judged.
-        quotas: The limit of each tenant that has one.
+        policy: The window and the excess that limits allow.
+        quotas: The quota of each tenant that has one.
     """
 
     def __init__(self) -> None:
-        """Knows no tenant yet."""
+        """Creates a table without tenants."""
         self._configuration: Mapping[str, Any] | None = None
-        self.terms = QuotaPolicy()
+        self.policy = QuotaPolicy()
         self.quotas: dict[str, Quota] = {}
 
-    def follow(self, configuration: Mapping[str, Any] | None) -> None:
-        """Takes the configuration in force, or None before the first."""
+    def apply_configuration(self, configuration: Mapping[str, Any] | None) -> None:
+        """Reads the active configuration; None if there is none yet."""
         if configuration is self._configuration:
             return
         self._configuration = configuration
@@ -37,11 +37,11 @@
             return
         complete = with_defaults(dict(configuration))
         bounds = complete["bounds"]
-        self.terms = QuotaPolicy(
+        self.policy = QuotaPolicy(
             bounds["quota_window_us"], bounds["quota_excess"], bounds["quota_slack"]
         )
         self.quotas = {
             row["name"]: Quota(row["rate"], row["burst"])
             for row in complete["tenants"]
-            if row["rate"] != _NO_LIMIT
+            if row["rate"] != _UNLIMITED_RATE
         }
--- a/src/petrelhaven/control/counting/relay.py
+++ b/src/petrelhaven/control/counting/relay.py
@@ -1,4 +1,4 @@
-"""Passes proxies' reports on to counting nodes, several proxies' in one message."""
+"""Forwards proxies' reports to counting nodes, batching the reports of several proxies."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 __all__ = ["ReportRelay", "ReportRow"]
 
-_COALESCE_US = 15_000
+_BATCH_DELAY_US = 15_000
 
 ReportRow = tuple[str, AccountReport]
-"""A report with the name of the proxy that sent it."""
-Send = Callable[[str, list[ReportRow]], Awaitable[list[Grant | None]]]
-"""Sends reports to a node; its grants in the same order, None where it grants nothing."""
+"""A report, preceded by the name of the proxy that sent it."""
+SendReports = Callable[[str, list[ReportRow]], Awaitable[list[Grant | None]]]
+"""Sends reports to a node and returns its grants in the same order; None for a missing grant."""
 
 
 class _Batch:
-    """Reports that go to one node together."""
+    """Reports that are sent to one node in a single message."""
 
     __slots__ = ("rows", "answers")
 
@@ -34,19 +34,19 @@
 
 
 class ReportRelay:
-    """Collects reports by the node that counts their tenants."""
+    """Batches reports per counting node."""
 
-    def __init__(self, clock: Clock, tasks: BackgroundTasks, send: Send) -> None:
-        """Sends each batch with `send`."""
+    def __init__(self, clock: Clock, tasks: BackgroundTasks, send: SendReports) -> None:
+        """Creates a relay that sends each batch with `send`."""
         self._clock, self._tasks, self._send = clock, tasks, send
         self._batches: dict[str, _Batch] = {}
 
     def submit(self, node: str, row: ReportRow) -> asyncio.Future[Grant | None]:
-        """The grant that `node` answers to a report, or None."""
+        """Adds a report to the batch for `node`; the future yields its grant, or None."""
         batch = self._batches.get(node)
         if batch is None:
             batch = self._batches[node] = _Batch()
-            self._clock.later(_COALESCE_US, lambda: self._flush(node))
+            self._clock.later(_BATCH_DELAY_US, lambda: self._flush(node))
         answer: asyncio.Future[Grant | None] = asyncio.get_running_loop().create_future()
         batch.rows.append(row)
         batch.answers.append(answer)
@@ -55,22 +55,22 @@
     def _flush(self, node: str) -> None:
         batch = self._batches.pop(node)
         if self._tasks.spawn(self._deliver(node, batch)) is None:
-            _answer(batch, [None] * len(batch.rows))
+            _resolve(batch, [None] * len(batch.rows))
 
     async def _deliver(self, node: str, batch: _Batch) -> None:
         grants: list[Grant | None] = [None] * len(batch.rows)
         try:
-            answered = await self._send(node, batch.rows)
-            if len(answered) != len(grants):
-                raise NotReady("another number of grants than of reports")
-            grants = answered
+            received = await self._send(node, batch.rows)
+            if len(received) != len(grants):
+                raise NotReady("the number of grants differs from the number of reports")
+            grants = received
         except Fault:
             pass
         finally:
-            _answer(batch, grants)
+            _resolve(batch, grants)
 
 
-def _answer(batch: _Batch, grants: list[Grant | None]) -> None:
+def _resolve(batch: _Batch, grants: list[Grant | None]) -> None:
     for answer, grant in zip(batch.answers, grants, strict=True):
         if not answer.done():
             answer.set_result(grant)
--- a/src/petrelhaven/control/embargo/__init__.py
+++ b/src/petrelhaven/control/embargo/__init__.py
@@ -1,1 +1,1 @@
-"""Embargoes in the control state: rules, their records, and the true time that releases them."""
+"""Embargoes at the control nodes: rules, the records that change them, and the agreed time."""
--- a/src/petrelhaven/control/embargo/agreed_time.py
+++ b/src/petrelhaven/control/embargo/agreed_time.py
@@ -1,7 +1,7 @@
-"""A control node's bounds on true time.
+"""Computes an interval that contains true time, from the wall clocks of the control nodes.
 
-They are what the wall clocks of a majority agree on, carried on by monotonic time.
-docs/notes/embargoes.md derives the interval.
+The interval is the one on which the wall clocks of a majority agree, extrapolated with the
+monotonic clock. docs/notes/embargoes.md derives it.
 """
 
 from __future__ import annotations
@@ -19,23 +19,23 @@
 if TYPE_CHECKING:
     import logbook
 
-    from petrelhaven.control.embargo.records import Limits
+    from petrelhaven.control.embargo.records import EmbargoBounds
     from petrelhaven.runtime.clock import Clock
     from petrelhaven.runtime.tasks import BackgroundTasks
     from petrelhaven.runtime.wall_clock import WallClock
 
-__all__ = ["AgreedTime", "widened"]
+__all__ = ["AgreedTime", "extrapolate_interval"]
 
-Call: TypeAlias = Callable[[str, str, dict[str, Any], int], Awaitable[dict[str, Any]]]
+CallNode: TypeAlias = Callable[[str, str, dict[str, Any], int], Awaitable[dict[str, Any]]]
 
-_READ_EVERY_US = 500_000
-_CALL_US = 400_000
-_READING_TRUSTED_US = 3_000_000
-_SUSPICION_US = 60_000_000
+_READ_INTERVAL_US = 500_000
+_READ_TIMEOUT_US = 400_000
+_MAX_READING_AGE_US = 3_000_000
+_CLOCK_JUMP_SUSPICION_US = 60_000_000
 
 
-def widened(interval: TimeInterval, elapsed_us: int) -> TimeInterval:
-    """The interval `elapsed_us` later, by a monotonic clock whose rate may be off."""
+def extrapolate_interval(interval: TimeInterval, elapsed_us: int) -> TimeInterval:
+    """Returns the interval `elapsed_us` later, widened by the drift of the monotonic clock."""
     return TimeInterval(
         interval.lowest + int(elapsed_us / DRIFT), interval.highest + int(elapsed_us * DRIFT)
     )
@@ -43,118 +43,121 @@
 
 @dataclass(frozen=True, slots=True)
 class _Reading:
-    """What a control node's wall clock showed at some moment between two of ours."""
+    """A control node's wall clock reading, taken between `requested_us` and `received_us`.
 
-    asked_us: int
+    Both are times of the local monotonic clock.
+    """
+
+    requested_us: int
     received_us: int
     wall_us: int
 
     def interval(self, now_us: int, skew_us: int) -> TimeInterval:
-        """Where true time is now if that wall clock was within `skew_us` of it."""
-        then = TimeInterval(self.wall_us - skew_us, self.wall_us + skew_us)
+        """Returns the interval of true time now if that clock's error was at most `skew_us`."""
+        at_reading = TimeInterval(self.wall_us - skew_us, self.wall_us + skew_us)
         return TimeInterval(
-            widened(then, now_us - self.received_us).lowest,
-            widened(then, now_us - self.asked_us).highest,
+            extrapolate_interval(at_reading, now_us - self.received_us).lowest,
+            extrapolate_interval(at_reading, now_us - self.requested_us).highest,
         )
 
 
 class AgreedTime:
-    """Reads the wall clocks of all control nodes while embargoes are on; works out true time."""
+    """Reads the wall clocks of all control nodes while embargoes are enabled."""
 
-    def __init__(  # noqa: PLR0913, PLR0917 (a node hands over its parts)
+    def __init__(  # noqa: PLR0913, PLR0917 (the parts of a control node)
         self,
         clock: Clock,
         wall_clock: WallClock,
         name: str,
         node_names: Callable[[], Collection[str]],
-        limits: Callable[[], Limits | None],
-        call: Call,
+        bounds: Callable[[], EmbargoBounds | None],
+        call: CallNode,
         tasks: BackgroundTasks,
         log: logbook.Logger | None = None,
     ) -> None:
-        """Reads no clock yet.
+        """Creates an instance without readings.
 
         Args:
             clock: the node's monotonic clock.
             wall_clock: the node's wall clock, which may be wrong.
             name: the node's name.
-            node_names: answers the names of all control nodes.
-            limits: answers the configuration's limits, None while embargoes are off.
-            call: calls a control node by its name, with kind, body and timeout in microseconds.
-            tasks: the node's tasks.
-            log: where events go.
+            node_names: returns the names of all control nodes.
+            bounds: returns the bounds of the configuration, None while embargoes are disabled.
+            call: sends a request to a control node: name, message kind, body, timeout in us.
+            tasks: the node's background tasks.
+            log: the logger for events.
         """
         self._clock = clock
         self.wall_clock = wall_clock
         self._name = name
         self._node_names = node_names
-        self._limits = limits
+        self._bounds = bounds
         self._call = call
         self._tasks = tasks
         self._log = log
         self._readings: dict[str, _Reading] = {}
         self._previous: tuple[int, TimeInterval] | None = None
-        self._suspected_until_us = 0
+        self._clocks_suspected_until_us = 0
         self._was_agreed: bool | None = None
-        self._own_clock_was_good = True
+        self._own_clock_was_valid = True
 
     async def run(self) -> None:
-        """Keeps readings of all control nodes."""
+        """Reads the wall clocks of all control nodes periodically."""
         while True:
-            if self._limits() is not None:
+            if self._bounds() is not None:
                 for name in self._node_names():
                     self._tasks.spawn(self._read(name))
                 self._log_changes()
-            await self._clock.sleep(_READ_EVERY_US)
+            await self._clock.sleep(_READ_INTERVAL_US)
 
     async def _read(self, name: str) -> None:
-        asked_us = self._clock.now()
+        requested_us = self._clock.now()
         if name == self._name:
             wall_us = self.wall_clock.now()
         else:
             try:
                 answer = await self._call(
-                    name, MessageKind.WALL_CLOCK_READ, {"name": self._name}, _CALL_US
+                    name, MessageKind.WALL_CLOCK_READ, {"name": self._name}, _READ_TIMEOUT_US
                 )
             except Fault:
                 return
             wall_us = answer["wall"]
         newest = self._readings.get(name)
-        if newest is None or asked_us >= newest.asked_us:
-            self._readings[name] = _Reading(asked_us, self._clock.now(), wall_us)
+        if newest is None or requested_us >= newest.requested_us:
+            self._readings[name] = _Reading(requested_us, self._clock.now(), wall_us)
 
     def interval(self) -> TimeInterval | None:
-        """Where true time can be now; None while no majority agrees closely enough."""
-        limits = self._limits()
-        if limits is None:
+        """Returns the interval that contains true time; None without a close enough majority."""
+        bounds = self._bounds()
+        if bounds is None:
             return None
         now_us = self._clock.now()
-        interval = self._majority_interval(now_us, limits.skew_us)
+        interval = self._majority_interval(now_us, bounds.skew_us)
         if interval is None:
             return None
         self._compare_with_previous(interval, now_us)
-        too_wide = interval.highest - interval.lowest > limits.wall_us
-        if now_us < self._suspected_until_us or too_wide:
+        too_wide = interval.highest - interval.lowest > bounds.wall_us
+        if now_us < self._clocks_suspected_until_us or too_wide:
             return None
         return interval
 
     def _majority_interval(self, now_us: int, skew_us: int) -> TimeInterval | None:
         names = self._node_names()
-        trusted = [
+        usable = [
             self._readings[name].interval(now_us, skew_us)
             for name in names
             if name in self._readings
-            and now_us - self._readings[name].asked_us < _READING_TRUSTED_US
+            and now_us - self._readings[name].requested_us < _MAX_READING_AGE_US
         ]
-        return agreed(trusted, len(names) // 2 + 1)
+        return agreed(usable, len(names) // 2 + 1)
 
     def _compare_with_previous(self, interval: TimeInterval, now_us: int) -> None:
-        """Suspects the majority's clocks where they cannot have come here from where they were."""
+        """Suspects the majority's clocks if the interval jumped further than drift explains."""
         if self._previous is not None:
-            then_us, previous = self._previous
-            possible = widened(previous, now_us - then_us)
+            previous_us, previous = self._previous
+            possible = extrapolate_interval(previous, now_us - previous_us)
             if interval.highest < possible.lowest or interval.lowest > possible.highest:
-                self._suspected_until_us = now_us + _SUSPICION_US
+                self._clocks_suspected_until_us = now_us + _CLOCK_JUMP_SUSPICION_US
                 emit(self._log, Events.AGREED_TIME_JUMPED, us=interval.lowest - possible.lowest)
         self._previous = (now_us, interval)
 
@@ -168,22 +171,24 @@
             self._log_own_clock(interval)
 
     def _log_own_clock(self, interval: TimeInterval) -> None:
-        limits, reading = self._limits(), self._readings.get(self._name)
-        if limits is None or reading is None:
+        bounds, reading = self._bounds(), self._readings.get(self._name)
+        if bounds is None or reading is None:
             return
-        own = reading.interval(self._clock.now(), limits.skew_us)
-        is_good = own.lowest <= interval.highest and own.highest >= interval.lowest
-        if self._own_clock_was_good and not is_good:
+        own_interval = reading.interval(self._clock.now(), bounds.skew_us)
+        is_valid = (
+            own_interval.lowest <= interval.highest and own_interval.highest >= interval.lowest
+        )
+        if self._own_clock_was_valid and not is_valid:
             emit(
                 self._log,
                 Events.WALL_CLOCK_WRONG,
                 core=self._name,
-                us=own.lowest - interval.lowest,
+                us=own_interval.lowest - interval.lowest,
             )
-        self._own_clock_was_good = is_good
+        self._own_clock_was_valid = is_valid
 
     def status(self) -> dict[str, Any]:
-        """The interval, and how far each node's reading is from its middle."""
+        """Returns the interval and the offset of each node's reading from its middle."""
         interval, now_us = self.interval(), self._clock.now()
         if interval is None:
             return {"interval": None, "off_us": {}}
--- a/src/petrelhaven/control/embargo/interface.py
+++ b/src/petrelhaven/control/embargo/interface.py
@@ -1,6 +1,6 @@
-"""Operators' calls about embargoes, as routes of a control node's HTTP interface.
+"""The embargo routes of a control node's HTTP interface.
 
-Nothing else of this package is loaded until one is called.
+The rest of this package is only imported when one of them is called.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def add_routes(http_server: HttpRoutes, node: NodeInterface) -> None:
-    """Adds the routes to a control node's server."""
+    """Adds the embargo routes to a control node's HTTP server."""
 
     async def change(request: Request) -> dict[str, Any]:
         return await node.embargoes.change(request.doc())
@@ -27,7 +27,7 @@
     async def explain(request: Request) -> dict[str, Any]:
         document = request.doc()
         if not isinstance(document, dict):
-            raise Malformed("the question must be an object")
+            raise Malformed("the query must be an object")
         return await node.embargoes.explain(document)
 
     http_server.on("POST", "/embargoes", change)
--- a/src/petrelhaven/control/embargo/records.py
+++ b/src/petrelhaven/control/embargo/records.py
@@ -1,6 +1,6 @@
-"""Embargo rules as the control state stores them, and the records that change them.
+"""Embargo rules as stored in the control state, and the records that change them.
 
-The names of their fields on disk and on links are those of `to_document` and `from_document`.
+`to_document` and `from_document` define the field names in stored data and in messages.
 """
 
 from __future__ import annotations
@@ -20,17 +20,17 @@
 __all__ = [
     "ACTIONS",
     "Action",
-    "Change",
+    "EmbargoBounds",
     "EmbargoRecord",
-    "Limits",
     "PlacedRule",
-    "Release",
+    "ReleaseTime",
     "Rule",
+    "RuleChange",
     "RuleKey",
     "configuration_fields",
-    "limits_of",
-    "rules_of",
-    "scope_of",
+    "embargo_bounds",
+    "embargoed_groups",
+    "stored_rules",
 ]
 
 Action = Literal["add", "move", "lift"]
@@ -38,40 +38,43 @@
 
 
 class RuleKey(NamedTuple):
-    """What a rule is found by; from `manifest` (the configuration) or `placed` (a record)."""
+    """Identifies a rule by its name and its source.
+
+    The source is `manifest` for rules of the configuration, `placed` for rules added by a record.
+    """
 
     source: str
     name: str
 
 
 @dataclass(frozen=True, slots=True)
-class Release:
-    """A release time: the moment in microseconds of UTC, and how the operator wrote it."""
+class ReleaseTime:
+    """When a rule ends, in microseconds of UTC, and the text and zone that the operator gave."""
 
     until_us: int
     until_text: str
     zone: str
 
     @classmethod
-    def of(cls, rule: EmbargoRule) -> Release:
-        """The release time of a checked rule."""
+    def from_rule(cls, rule: EmbargoRule) -> ReleaseTime:
+        """Returns the release time of a validated rule."""
         return cls(parse_instant(rule.until, rule.zone), rule.until, rule.zone)
 
     @classmethod
-    def from_document(cls, document: Mapping[str, Any]) -> Release:
-        """Reads a stored rule's or record's release time."""
+    def from_document(cls, document: Mapping[str, Any]) -> ReleaseTime:
+        """Reads the release time of a stored rule or record."""
         return cls(document["until"], document["said"], document["zone"])
 
     def to_document(self) -> Document:
-        """The fields as they are stored."""
+        """Returns the fields as they are stored."""
         return {"until": self.until_us, "said": self.until_text, "zone": self.zone}
 
 
 @dataclass(frozen=True, slots=True)
 class Rule:
-    """A rule with its release time, as `Release` describes it.
+    """A rule with its release time, whose fields are those of `ReleaseTime`.
 
-    Either `thing` or `prefix` is set; `early` names clients that are exempt.
+    Either `record_key` or `prefix` is set. `exempt_clients` names clients that may read early.
     """
 
     group: str
@@ -83,11 +86,11 @@
     exempt_clients: tuple[str, ...]
 
     @classmethod
-    def of(cls, rule: EmbargoRule) -> Rule:
-        """The rule that an operator wrote; it has been checked."""
-        moment = parse_instant(rule.until, rule.zone)
-        early = tuple(sorted(set(rule.early)))
-        return cls(rule.group, rule.thing, rule.prefix, moment, rule.until, rule.zone, early)
+    def from_operator(cls, rule: EmbargoRule) -> Rule:
+        """Converts a validated rule from an operator."""
+        until_us = parse_instant(rule.until, rule.zone)
+        exempt = tuple(sorted(set(rule.early)))
+        return cls(rule.group, rule.thing, rule.prefix, until_us, rule.until, rule.zone, exempt)
 
     @classmethod
     def from_document(cls, document: Mapping[str, Any]) -> Rule:
@@ -103,12 +106,12 @@
         )
 
     @property
-    def release(self) -> Release:
-        """Its release time."""
-        return Release(self.until_us, self.until_text, self.zone)
+    def release(self) -> ReleaseTime:
+        """The release time of this rule."""
+        return ReleaseTime(self.until_us, self.until_text, self.zone)
 
     def to_document(self) -> Document:
-        """The fields as they are stored."""
+        """Returns the fields as they are stored."""
         return {
             "group": self.group,
             "thing": self.record_key,
@@ -117,8 +120,8 @@
             "early": list(self.exempt_clients),
         }
 
-    def placed(self, change: int, by: str, seq: int) -> PlacedRule:
-        """This rule as the record number `seq` of `by` leaves it, its change number `change`."""
+    def to_placed(self, change: int, by: str, seq: int) -> PlacedRule:
+        """Returns this rule as a placed one, with the fields of `PlacedRule`."""
         return PlacedRule(
             self.group,
             self.record_key,
@@ -135,12 +138,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacedRule(Rule):
-    """A rule that was placed by a record.
+    """A rule that was added by a record.
 
     Attributes:
-        change: how often it has been changed, from 1.
-        by: who changed it last.
-        seq: the number of the record that changed it last.
+        change: the number of its latest change, starting at 1.
+        by: who made the latest change.
+        seq: the sequence number of the record with the latest change.
     """
 
     change: int
@@ -151,15 +154,15 @@
     def from_document(cls, document: Mapping[str, Any]) -> PlacedRule:
         """Reads a stored rule."""
         rule = Rule.from_document(document)
-        return rule.placed(document["n"], document["by"], document["seq"])
+        return rule.to_placed(document["n"], document["by"], document["seq"])
 
     def to_document(self) -> Document:
-        """The fields as they are stored."""
+        """Returns the fields as they are stored."""
         fields = Rule.to_document(self)
         return {**fields, "n": self.change, "by": self.by, "seq": self.seq}
 
-    def moved(self, release: Release, by: str, seq: int) -> PlacedRule:
-        """This rule with another release time."""
+    def with_release(self, release: ReleaseTime, by: str, seq: int) -> PlacedRule:
+        """Returns this rule with another release time, as its next change."""
         return dataclasses.replace(
             self,
             until_us=release.until_us,
@@ -173,47 +176,49 @@
 
 @dataclass(frozen=True, slots=True)
 class EmbargoRecord:
-    """A record that adds, moves or lifts one rule.
+    """A record that adds a rule, moves its release time, or lifts it.
 
     Attributes:
-        action: what it does.
+        action: the kind of change.
         name: the name of the rule.
-        rule: the rule to add; None in other records.
-        release: the new release time of a record that adds or moves; None where it lifts.
-        next_change: which change of the rule this is meant to be; 0 where that does not matter.
-        by: who asked for it.
+        rule: the rule to add; None for other actions.
+        release: the new release time; None for `lift`.
+        next_change: the expected number of this change; 0 if any number is accepted.
+        by: who requested the change.
     """
 
     kind: ClassVar[str] = "embargo"
     action: Action
     name: str
     rule: Rule | None
-    release: Release | None
+    release: ReleaseTime | None
     next_change: int
     by: str
 
     @classmethod
-    def of(cls, action: Action, written: EmbargoRule, next_change: int, by: str) -> EmbargoRecord:
-        """The record for an operator's call, whose fields have been checked."""
-        rule = Rule.of(written) if action == "add" else None
-        release = None if action == "lift" else Release.of(written)
-        return cls(action, written.name, rule, release, next_change, by)
+    def from_operator(
+        cls, action: Action, operator_rule: EmbargoRule, next_change: int, by: str
+    ) -> EmbargoRecord:
+        """Creates the record for an operator's request with validated fields."""
+        rule = Rule.from_operator(operator_rule) if action == "add" else None
+        release = None if action == "lift" else ReleaseTime.from_rule(operator_rule)
+        return cls(action, operator_rule.name, rule, release, next_change, by)
 
     @classmethod
     def from_document(cls, document: Mapping[str, Any]) -> EmbargoRecord:
-        """Reads a record of the chain."""
+        """Reads a record from the chain."""
         action = cast(Action, document["do"])
         return cls(
             action,
             document["name"],
             Rule.from_document(document) if action == "add" else None,
-            None if action == "lift" else Release.from_document(document),
+            None if action == "lift" else ReleaseTime.from_document(document),
             document["n"],
             document["by"],
         )
 
     def to_document(self) -> Document:
-        """The record as the chain carries it."""
+        """Returns the record as stored in the chain."""
         fields: Document = {}
         if self.rule is not None:
             fields = self.rule.to_document()
@@ -230,8 +235,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
-    """A past change of a rule: its record, and the release times before and after (0: none)."""
+class RuleChange:
+    """A past change of a rule, with the release times before and after it (0 if there is none)."""
 
     seq: int
     action: Action
@@ -241,7 +246,7 @@
     until_us: int
 
     def to_document(self) -> Document:
-        """The fields as they are stored."""
+        """Returns the fields as they are stored."""
         return {
             "seq": self.seq,
             "do": self.action,
@@ -253,8 +258,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
-    """Limits of the configuration in microseconds, which `document.Bounds` describes."""
+class EmbargoBounds:
+    """Bounds of the configuration in microseconds, documented at `document.Bounds`."""
 
     wall_us: int
     skew_us: int
@@ -262,12 +267,12 @@
 
 
 def configuration_fields(configuration: Configuration) -> Document:
-    """What a record of `configuration` carries of embargoes: nothing where it has none."""
+    """Returns the embargo fields for a record of `configuration`; empty if it has no embargoes."""
     if not configuration.has_embargoes:
         return {}
     from petrelhaven.control.configuration.embargoes import embargo_rules
 
-    rules = {written.name: Rule.of(written) for written in embargo_rules(configuration)}
+    rules = {rule.name: Rule.from_operator(rule) for rule in embargo_rules(configuration)}
     groups = {*configuration.embargoing, *(rule.group for rule in rules.values())}
     bounds = configuration.bounds
     return {
@@ -281,28 +286,28 @@
     }
 
 
-def _section(state: Document) -> Document:
-    """What the configuration in force says of embargoes; empty while they are off."""
+def _configuration_section(state: Document) -> Document:
+    """Returns the embargo section of the active configuration; empty if embargoes are disabled."""
     return (state["manifest"] or {}).get("embargo") or {}
 
 
-def scope_of(state: Document) -> list[str]:
-    """The groups of a control state in which records may be embargoed, sorted."""
-    scope: list[str] = _section(state).get("scope", [])
-    return scope
+def embargoed_groups(state: Document) -> list[str]:
+    """Returns the groups in which records may be embargoed, sorted."""
+    groups: list[str] = _configuration_section(state).get("scope", [])
+    return groups
 
 
-def limits_of(state: Document) -> Limits | None:
-    """The limits in force, or None while embargoes are off."""
-    section = _section(state)
+def embargo_bounds(state: Document) -> EmbargoBounds | None:
+    """Returns the active bounds, or None if embargoes are disabled."""
+    section = _configuration_section(state)
     if not section:
         return None
-    return Limits(section["wall_us"], section["skew_us"], section["spread_us"])
+    return EmbargoBounds(section["wall_us"], section["skew_us"], section["spread_us"])
 
 
-def rules_of(state: Document) -> Iterator[tuple[RuleKey, Rule]]:
-    """All rules of a control state."""
-    for name, document in _section(state).get("rules", {}).items():
+def stored_rules(state: Document) -> Iterator[tuple[RuleKey, Rule]]:
+    """Yields all rules of a control state with their keys."""
+    for name, document in _configuration_section(state).get("rules", {}).items():
         yield RuleKey("manifest", name), Rule.from_document(document)
     for name, document in state.get("embargoes", {}).items():
         yield RuleKey("placed", name), PlacedRule.from_document(document)
--- a/src/petrelhaven/control/embargo/rules.py
+++ b/src/petrelhaven/control/embargo/rules.py
@@ -1,4 +1,4 @@
-"""What embargo records, and configurations with embargoes, do to the control state."""
+"""Checks embargo records and configurations against the control state, and applies them."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 from petrelhaven.control.configuration.faults import ConfigurationFault, declined
 from petrelhaven.control.embargo.records import (
-    Change,
     EmbargoRecord,
     PlacedRule,
     Rule,
-    rules_of,
-    scope_of,
+    RuleChange,
+    embargoed_groups,
+    stored_rules,
 )
 from petrelhaven.runtime.errors import Conflict, Duplicate, Stale, TooLarge
 from petrelhaven.runtime.instant import format_instant
@@ -27,12 +27,12 @@
     "apply_embargo_record",
     "check_configuration",
     "check_embargo_record",
-    "report",
+    "rules_report",
 ]
 
-_STORED_BYTES = 2 << 20
-"""Bound on all placed rules together, as JSON."""
-_PAST_CHANGES = 64
+_MAX_STORED_BYTES = 2 << 20
+"""The maximum size of all placed rules together, as JSON."""
+_MAX_PAST_CHANGES = 64
 
 
 def check_embargo_record(state: Document, record: EmbargoRecord) -> None:
@@ -43,11 +43,11 @@
         record: the record.
 
     Raises:
-        Invalid: its group is not one in which records may be embargoed.
-        Duplicate: it changes nothing.
-        Stale: it rests on a rule that has another content, or is not there.
-        Conflict: the rule was changed in between.
-        TooLarge: there are too many rules.
+        Invalid: the configuration does not list the rule's group as embargoed.
+        Duplicate: the record would change nothing.
+        Stale: the rule has other contents or does not exist.
+        Conflict: the rule was changed in the meantime.
+        TooLarge: the stored rules would exceed their maximum size.
     """
     stored = state.get("embargoes", {}).get(record.name)
     before = None if stored is None else PlacedRule.from_document(stored)
@@ -61,42 +61,48 @@
     state: Document, record: EmbargoRecord, rule: Rule, before: PlacedRule | None
 ) -> None:
     name = record.name
-    if rule.group not in scope_of(state):
-        message = f"group {rule.group} is not named in the manifest's embargoing"
+    if rule.group not in embargoed_groups(state):
+        message = f"group {rule.group} is not listed in the manifest's embargoing"
         raise declined("embargo declined", [ConfigurationFault("group", message)])
     if before is not None:
         if Rule.to_document(before) == rule.to_document():
-            raise Duplicate(f"embargo {name} stands already", details={"n": before.change})
+            raise Duplicate(f"embargo {name} already exists", details={"n": before.change})
         raise Stale(
-            f"embargo {name} stands with another content; move or lift it",
+            f"embargo {name} exists with other contents; move or lift it",
             details={"n": before.change},
         )
-    stored = sum(_size(rule_document) for rule_document in state.get("embargoes", {}).values())
-    if stored + _size(record.to_document()) > _STORED_BYTES:
-        raise TooLarge("no room for one more embargo; lift old ones, or place one on a prefix")
+    stored_bytes = sum(
+        _json_size(rule_document) for rule_document in state.get("embargoes", {}).values()
+    )
+    if stored_bytes + _json_size(record.to_document()) > _MAX_STORED_BYTES:
+        raise TooLarge(
+            "no space for another embargo; lift old ones, or use one prefix rule instead of many"
+        )
 
 
 def _check_changed(record: EmbargoRecord, before: PlacedRule | None) -> None:
     name = record.name
     if before is None:
         if record.action == "lift":
-            raise Duplicate(f"no embargo {name} stands")
-        raise Stale(f"no embargo {name}")
+            raise Duplicate(f"embargo {name} does not exist")
+        raise Stale(f"embargo {name} does not exist")
     if record.next_change and record.next_change != before.change + 1:
-        raise Conflict(f"embargo {name} was changed meanwhile", details={"n": before.change})
+        raise Conflict(f"embargo {name} was changed in the meantime", details={"n": before.change})
     if record.release is not None and record.release.until_us == before.until_us:
-        raise Duplicate(f"embargo {name} is released then already", details={"n": before.change})
+        raise Duplicate(
+            f"embargo {name} already has this release time", details={"n": before.change}
+        )
 
 
 def check_configuration(state: Document, section: Mapping[str, Any] | None) -> None:
-    """Checks what a configuration's record says of embargoes against the rules that are placed.
+    """Checks the embargo section of a configuration against the placed rules.
 
     Raises:
-        Invalid: it no longer names a group for which a rule is placed.
+        Invalid: the configuration no longer names a group that has a placed rule.
     """
-    scope = section["scope"] if section is not None else ()
-    groups = {rule["group"] for rule in state.get("embargoes", {}).values()}
-    missing = sorted(groups - set(scope))
+    configured = section["scope"] if section is not None else ()
+    in_use = {rule["group"] for rule in state.get("embargoes", {}).values()}
+    missing = sorted(in_use - set(configured))
     if missing:
         raise declined(
             "manifest declined",
@@ -110,19 +116,19 @@
 
 
 def apply_embargo_record(state: Document, record: EmbargoRecord, seq: int) -> None:
-    """Applies an embargo record, number `seq`, which has been checked."""
+    """Applies a checked embargo record with the sequence number `seq`."""
     rules = state.setdefault("embargoes", {})
     past = state.setdefault("embargo_past", [])
     stored = rules.get(record.name)
     before = None if stored is None else PlacedRule.from_document(stored)
     if record.rule is not None:
-        rules[record.name] = record.rule.placed(1, record.by, seq).to_document()
+        rules[record.name] = record.rule.to_placed(1, record.by, seq).to_document()
     elif record.release is not None:
         assert before is not None, record.name
-        rules[record.name] = before.moved(record.release, record.by, seq).to_document()
+        rules[record.name] = before.with_release(record.release, record.by, seq).to_document()
     else:
         rules.pop(record.name, None)
-    change = Change(
+    change = RuleChange(
         seq=seq,
         action=record.action,
         name=record.name,
@@ -131,28 +137,28 @@
         until_us=record.release.until_us if record.release is not None else 0,
     )
     past.append(change.to_document())
-    del past[:-_PAST_CHANGES]
+    del past[:-_MAX_PAST_CHANGES]
 
 
 def apply_configuration(state: Document, section: Mapping[str, Any] | None, seq: int) -> None:
-    """Notes for each group since which record its records may be embargoed.
+    """Stores, for each group, the record since which its records may be embargoed.
 
     Args:
         state: the control state's document.
-        section: what the configuration's record says of embargoes; None while they are off.
-        seq: the number of that record.
+        section: the embargo section of the configuration; None if embargoes are disabled.
+        seq: the sequence number of the configuration's record.
     """
-    before = state.get("embargo_since", {})
-    scope = section["scope"] if section is not None else ()
-    now = {group: before.get(group, seq) for group in scope}
-    if before or now:
-        state["embargo_since"] = now
+    previous = state.get("embargo_since", {})
+    groups = section["scope"] if section is not None else ()
+    since = {group: previous.get(group, seq) for group in groups}
+    if previous or since:
+        state["embargo_since"] = since
 
 
-def report(state: Document) -> dict[str, Any]:
-    """What `petrelhavenctl embargo list` shows of a control state."""
+def rules_report(state: Document) -> dict[str, Any]:
+    """Returns the part of a control state that `petrelhavenctl embargo list` shows."""
     return {
-        "scope": scope_of(state),
+        "scope": embargoed_groups(state),
         "past": state.get("embargo_past", []),
         "rules": [
             {
@@ -161,10 +167,10 @@
                 **rule.to_document(),
                 "release": format_instant(rule.until_us),
             }
-            for key, rule in rules_of(state)
+            for key, rule in stored_rules(state)
         ],
     }
 
 
-def _size(document: Document) -> int:
+def _json_size(document: Document) -> int:
     return len(json.dumps(document))
--- a/src/petrelhaven/control/embargo/service.py
+++ b/src/petrelhaven/control/embargo/service.py
@@ -1,4 +1,4 @@
-"""What a control node does about embargoes: operators' calls, true time, proxies that know."""
+"""Handles operators' embargo requests at a control node, and serves the agreed time."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from petrelhaven.control.embargo.records import (
     EmbargoRecord,
     configuration_fields,
-    limits_of,
-    rules_of,
-    scope_of,
+    embargo_bounds,
+    embargoed_groups,
+    stored_rules,
 )
-from petrelhaven.control.embargo.requests import parse_change_request, parse_question
-from petrelhaven.control.embargo.rules import report
+from petrelhaven.control.embargo.requests import parse_change_request, parse_query
+from petrelhaven.control.embargo.rules import rules_report
 from petrelhaven.control.embargo.table import RuleTable
 from petrelhaven.runtime.errors import Duplicate, Fault, NotReady
 from petrelhaven.runtime.events import Events, emit
@@ -28,21 +28,21 @@
 
     from petrelhaven.control.configuration.document import Configuration
     from petrelhaven.control.consensus.chain import Chain
-    from petrelhaven.control.embargo.records import Limits
+    from petrelhaven.control.embargo.records import EmbargoBounds
     from petrelhaven.control.order_messages import EnterAnswer
     from petrelhaven.control.state.record import Document
     from petrelhaven.runtime.clock import Clock
     from petrelhaven.runtime.tasks import BackgroundTasks
 
-__all__ = ["EmbargoNode", "EmbargoService"]
+__all__ = ["EmbargoHost", "EmbargoService"]
 
-_CALL_US = 600_000
-_PROXIES_SHOWN = 200
-"""Letters of the names of proxies in a fault's note."""
+_REPORT_TIMEOUT_US = 600_000
+_MAX_PROXY_NAMES_LENGTH = 200
+"""The maximum length of the list of proxies in an error message, in characters."""
 
 
-class EmbargoNode(Protocol):
-    """What this service needs of its control node."""
+class EmbargoHost(Protocol):
+    """The control node that runs an embargo service."""
 
     name: str
     clock: Clock
@@ -50,28 +50,33 @@
     log: logbook.Logger | None
     chain: Chain
 
-    async def call(self, name: str, kind: str, body: dict[str, Any], us: int) -> dict[str, Any]:
-        """Calls a control node by its name."""
+    async def call(
+        self, name: str, kind: str, body: dict[str, Any], timeout_us: int
+    ) -> dict[str, Any]:
+        """Sends a request to the control node `name` and returns the answer."""
 
     async def enter(self, record: Document, force: bool) -> EnterAnswer:
-        """Enters a record at the head."""
+        """Appends a record to the chain through its head."""
 
     async def control_state(self) -> Document:
-        """The control state as the tail answers it."""
+        """Reads the control state from the tail."""
 
 
 class EmbargoService:
-    """Made by a control node when it first has to do with embargoes."""
+    """Handles embargoes at a control node, which creates it on first use."""
 
-    def __init__(self, node: EmbargoNode, wall_clock: WallClock | None = None) -> None:
-        """Reads no clock before `start`; `wall_clock` is given where the machine's is not meant."""
+    def __init__(self, node: EmbargoHost, wall_clock: WallClock | None = None) -> None:
+        """Creates a service that reads no clock before `start`.
+
+        `wall_clock` defaults to the clock of the machine.
+        """
         self._node = node
         self.agreed_time = AgreedTime(
             node.clock,
             wall_clock or WallClock(),
             node.name,
             self._node_names,
-            self._limits,
+            self._bounds,
             node.call,
             node.tasks,
             node.log,
@@ -82,33 +87,32 @@
         view = self._node.chain.view
         return sorted(view.ids) if view else []
 
-    def _limits(self) -> Limits | None:
-        return limits_of(self._node.chain.control_state.doc)
+    def _bounds(self) -> EmbargoBounds | None:
+        return embargo_bounds(self._node.chain.control_state.doc)
 
     def start(self) -> None:
-        """Keeps readings of the wall clocks from now on."""
+        """Starts reading the wall clocks of the control nodes; idempotent."""
         if not self._started:
             self._started = True
             self._node.tasks.spawn(self.agreed_time.run())
 
     def agreed_time_body(self) -> dict[str, Any]:
-        """The interval around true time, as the body of an answer to a proxy."""
+        """Returns the agreed time interval as the body of an answer to a proxy."""
         interval = self.agreed_time.interval()
         if interval is None:
             return {"ok": False, "lo": 0, "hi": 0}
         return {"ok": True, "lo": interval.lowest, "hi": interval.highest}
 
     async def require_aware_proxies(self, gone: Collection[str] = ()) -> None:
-        """Checks that every proxy knows which groups have embargoed records.
+        """Checks that every proxy has the list of groups with embargoed records.
 
-        A proxy that never heard that a group is embargoed does not withhold its reads when it
-        loses touch.
+        A proxy without that list does not withhold reads of those groups when it loses its lease.
 
         Args:
-            gone: names of proxies that are gone for good.
+            gone: names of proxies that were removed permanently.
 
         Raises:
-            NotReady: a proxy has not applied the configuration yet that names an embargoed group.
+            NotReady: a proxy has not yet applied the configuration that names an embargoed group.
         """
         state = await self._node.control_state()
         since = max(state.get("embargo_since", {}).values(), default=0)
@@ -118,32 +122,36 @@
         )
         if unaware:
             raise NotReady(
-                "edges that may not know that embargoes are on: "
-                + ", ".join(unaware)[:_PROXIES_SHOWN]
-                + "; restart them, or name those that are gone for good",
+                "proxies that may not have applied the embargo configuration: "
+                + ", ".join(unaware)[:_MAX_PROXY_NAMES_LENGTH]
+                + "; restart them, or name those that were removed permanently",
                 details={"edges": unaware},
             )
 
     async def _acknowledged(self, seq: int) -> dict[str, int]:
-        """The newest record that each proxy has acknowledged to any control node of the chain."""
+        """Returns the newest record that each proxy acknowledged to a control node of the chain."""
         view = self._node.chain.view
         if view is None:
-            raise NotReady("no view yet")
-        answers = await asyncio.gather(*[self._proxies_heard(name, seq) for name in view.chain])
+            raise NotReady("this node has no view yet")
+        answers = await asyncio.gather(
+            *[self._fetch_acknowledgements(name, seq) for name in view.chain]
+        )
         newest: dict[str, int] = {}
         for answer in answers:
             if answer is None:
-                raise NotReady("a core does not say which edges it knows")
+                raise NotReady("a control node did not report which proxies it serves")
             for proxy in answer.lease_us:
                 newest.setdefault(proxy, 0)
             for proxy, acknowledged in answer.acknowledged.items():
                 newest[proxy] = max(newest.get(proxy, 0), acknowledged)
         return newest
 
-    async def _proxies_heard(self, name: str, seq: int) -> AcknowledgementReport | None:
+    async def _fetch_acknowledgements(self, name: str, seq: int) -> AcknowledgementReport | None:
         try:
             return AcknowledgementReport.from_body(
-                await self._node.call(name, MessageKind.CHAIN_IN_FORCE, {"seq": seq}, _CALL_US)
+                await self._node.call(
+                    name, MessageKind.CHAIN_IN_FORCE, {"seq": seq}, _REPORT_TIMEOUT_US
+                )
             )
         except Fault:
             return None
@@ -151,14 +159,14 @@
     async def apply_configuration(
         self, configuration: Configuration, record: Document
     ) -> EnterAnswer:
-        """Enters a configuration with embargoes.
+        """Appends the record of a configuration with embargoes.
 
         Args:
-            configuration: the configuration, checked.
-            record: its record, without what it carries of embargoes.
+            configuration: the validated configuration.
+            record: its record, without the embargo fields.
 
         Returns:
-            The head's answer, once the record is in force and every proxy is aware of embargoes.
+            The head's answer, once the record is in force and every proxy has applied it.
         """
         try:
             answer = await self._node.enter({**record, **configuration_fields(configuration)}, True)
@@ -169,19 +177,19 @@
         return answer
 
     async def change(self, document: object) -> dict[str, Any]:
-        """Adds, moves or lifts one rule; returns once that is in force at every proxy."""
-        call = parse_change_request(document)
-        record = call.record
+        """Adds, moves or lifts one rule; returns once the change is in force at every proxy."""
+        request = parse_change_request(document)
+        record = request.record
         if record.action != "lift":
-            await self.require_aware_proxies(call.gone_proxies)
+            await self.require_aware_proxies(request.gone_proxies)
         try:
             answer = await self._node.enter(record.to_document(), True)
         except Duplicate as fault:
             self._log_change(record, again=True)
             fault.details["in_force"] = True
             raise
-        written = "-" if record.release is None else record.release.until_text
-        self._log_change(record, seq=answer.seq, until=written)
+        until_text = "-" if record.release is None else record.release.until_text
+        self._log_change(record, seq=answer.seq, until=until_text)
         return {
             "do": record.action,
             "name": record.name,
@@ -202,24 +210,24 @@
         )
 
     async def list(self) -> dict[str, Any]:
-        """All rules, the groups, the newest changes and the time, as the tail answers them."""
-        return {**report(await self._node.control_state()), "time": self.agreed_time.status()}
+        """Returns rules, embargoed groups and latest changes, read from the tail, and the time."""
+        return {**rules_report(await self._node.control_state()), "time": self.agreed_time.status()}
 
     async def explain(self, document: dict[str, Any]) -> dict[str, Any]:
-        """Which rules cover a thing, and whether a proxy with a lease withholds it now."""
-        question = parse_question(document)
+        """Returns the rules that cover a record, and whether proxies with a lease withhold it."""
+        query = parse_query(document)
         state = await self._node.control_state()
-        table = RuleTable(rules_of(state))
+        table = RuleTable(stored_rules(state))
         interval = self.agreed_time.interval()
         lowest_us = interval.lowest if interval is not None else 0
-        latest = table.latest_release(question.group, [question.thing], question.client, lowest_us)
+        latest = table.latest_release(query.group, [query.record_key], query.client, lowest_us)
         return {
             "rules": [
                 {"source": key.source, "name": key.name, **rule.to_document()}
-                for key, rule in table.covering(question.group, question.thing)
+                for key, rule in table.covering(query.group, query.record_key)
             ],
             "withheld": latest is not None,
             "by": latest[0].name if latest is not None else None,
             "interval": interval,
-            "embargoed_group": question.group in scope_of(state),
+            "embargoed_group": query.group in embargoed_groups(state),
         }
--- a/src/petrelhaven/limits/__init__.py
+++ b/src/petrelhaven/limits/__init__.py
@@ -1,8 +1,9 @@
-"""Limits on what tenants may run, summed over all proxies: the decisions, without any transport.
+"""Limits on the operations of tenants, summed over all proxies, without any transport.
 
-Everything here takes the time and reports as arguments and returns decisions, so that the control
-nodes, the proxies, the simulator and the models drive the same code. Reading order: `terms` (what
-a limit means), `holding` (the permits that a proxy holds), `counter` (the node that counts a
-tenant), `standby` (what its successor knows), `placement` (which node counts which tenant).
-docs/notes/tenant-limits.md has the invariant, its proof, and what was weighed.
+The functions and classes here take the time and the received reports as arguments and return
+decisions, so that control nodes, proxies, the simulator and the model tests run the same code.
+Reading order: `quota` (what a limit allows), `permit_pool` (the permits of one proxy), `counter`
+(the node that counts a tenant), `standby` (the state of its successor), `placement` (which node
+counts which tenant). docs/notes/tenant-limits.md has the invariant, its proof and the alternatives
+that were considered.
 """
--- a/src/petrelhaven/limits/counter_mode.py
+++ b/src/petrelhaven/limits/counter_mode.py
@@ -1,4 +1,4 @@
-"""Which part of a limit a counter may grant."""
+"""The modes of a tenant counter, which decide how large its allowance is."""
 
 import enum
 
@@ -8,17 +8,17 @@
 
 
 class CounterMode(enum.Enum):
-    """What a counter knows of those that counted before it."""
+    """How much a counter has of the state of the counters before it."""
 
     REGULAR = "regular"
-    """Everything that still counts in a window."""
+    """It has every use and every permit that can still fall into a window."""
     RESTARTED = "restarted"
-    """Nothing; and nobody else has begun so lately."""
+    """It has no earlier state, and no other node has recently started without state."""
     QUARANTINE = "quarantine"
-    """Nothing; somebody else may have begun so as well."""
+    """It has no earlier state, and another node may also have started without state."""
 
-    def allowance(self, terms: QuotaPolicy, quota: Quota) -> int:
-        """How many uses and outstanding permits there may be in all."""
+    def allowance(self, policy: QuotaPolicy, quota: Quota) -> int:
+        """Returns the maximum of uses in a window plus outstanding permits in this mode."""
         if self is CounterMode.REGULAR:
-            return terms.regular(quota)
-        return terms.after_restart(quota) if self is CounterMode.RESTARTED else 0
+            return policy.regular_allowance(quota)
+        return policy.restart_allowance(quota) if self is CounterMode.RESTARTED else 0
--- a/src/petrelhaven/limits/permit_pool.py
+++ b/src/petrelhaven/limits/permit_pool.py
@@ -1,4 +1,4 @@
-"""The permits that one proxy holds for one tenant, and how many it asks for."""
+"""The permits of one tenant at one proxy, and how many more the proxy requests."""
 
 from __future__ import annotations
 
@@ -7,102 +7,106 @@
 
 __all__ = ["PermitPool"]
 
-_HORIZON_US = 1_500_000
-"""For how long ahead a proxy would hold permits."""
-_SMOOTHING_US = 3_000_000
+_PREFETCH_HORIZON_US = 1_500_000
+"""A proxy requests permits for the demand expected within this time."""
+_DEMAND_SMOOTHING_US = 3_000_000
 _IDLE_US = 4_000_000
-"""After this long without a use, a proxy gives back what it holds."""
+"""A proxy returns its permits when it has used none for this long."""
 _US_PER_S = 1_000_000
 
 
 class PermitPool:
-    """Takes permits for operations. Times are microseconds of the proxy's clock.
+    """Reserves permits for operations. Times are microseconds of the proxy's clock.
 
     Attributes:
         tenant: The tenant's name.
-        account: The number of the present account.
+        account: The number of the current account.
         valid_until: When the permits expire.
-        unreported: Whether uses or returns were not reported yet.
+        has_unreported: Whether there are uses or returned permits that were not reported yet.
     """
 
     __slots__ = (
         "tenant",
         "account",
         "valid_until",
-        "unreported",
+        "has_unreported",
         "_granted",
         "_used",
         "_reserved",
         "_returned",
-        "_rate",
-        "_rate_at",
-        "_last_use",
+        "_demand_per_s",
+        "_demand_updated_at",
+        "_last_reservation",
     )
 
     def __init__(self, tenant: str, account: int, now: int) -> None:
-        """Holds nothing yet."""
+        """Creates an empty pool."""
         self.tenant, self.account = tenant, account
         self.valid_until = 0
-        self.unreported = False
+        self.has_unreported = False
         self._granted = self._used = self._reserved = self._returned = 0
-        self._rate, self._rate_at = 0.0, now
-        self._last_use = now
+        self._demand_per_s, self._demand_updated_at = 0.0, now
+        self._last_reservation = now
 
     @property
-    def balance(self) -> int:
-        """How many permits are free; below 0 if more was run than was permitted."""
+    def available(self) -> int:
+        """The number of free permits; negative if more operations ran than were permitted."""
         return self._granted - self._used - self._returned - self._reserved
 
-    def take(self, now: int) -> int | None:
-        """Reserves a permit for one operation; its account, or None if there is no permit."""
+    def reserve(self, now: int) -> int | None:
+        """Reserves a permit for one operation.
+
+        Returns:
+            The number of the permit's account, or None if there is no permit.
+        """
         self._expire(now)
-        if self.balance <= 0:
+        if self.available <= 0:
             return None
         self._reserved += 1
         self._note_demand(now)
         return self.account
 
     def use(self, account: int, now: int) -> None:
-        """The operation that reserved a permit of `account` is sent now."""
+        """Records that the operation with a permit of `account` is being sent."""
         self._expire(now)
         if account == self.account:
             self._reserved -= 1
         self._used += 1
-        self.unreported = True
+        self.has_unreported = True
 
-    def charge(self, now: int) -> None:
-        """Counts an operation that is sent once more after its permit was used."""
+    def use_without_permit(self, now: int) -> None:
+        """Records that an operation is being sent again after its permit was used."""
         self._expire(now)
         self._used += 1
-        self.unreported = True
+        self.has_unreported = True
 
-    def put_back(self, account: int) -> None:
-        """The operation that reserved a permit of `account` was not sent."""
+    def release(self, account: int) -> None:
+        """Releases a reserved permit of `account` whose operation was not sent."""
         if account == self.account:
             self._reserved -= 1
 
-    def give_back(self) -> None:
-        """Returns every permit: the tenant's limit was lowered."""
-        if self.balance > 0:
-            self._returned += self.balance
-            self.unreported = True
+    def return_all(self) -> None:
+        """Returns every free permit, for example after the tenant's limit was lowered."""
+        if self.available > 0:
+            self._returned += self.available
+            self.has_unreported = True
 
     def is_idle(self, now: int) -> bool:
-        """Whether nothing was used for a while."""
-        return now - self._last_use > _IDLE_US
+        """Whether no permit was reserved within the idle time."""
+        return now - self._last_reservation > _IDLE_US
 
     def needs_renewal(self, now: int) -> bool:
-        """Whether there is anything to report, or permits would expire."""
-        if self.balance <= 0 and not self._reserved and not self.unreported:
+        """Whether a report is due, either for its contents or to keep permits from expiring."""
+        if self.available <= 0 and not self._reserved and not self.has_unreported:
             return False
-        return self.unreported or self.valid_until - now < PERMIT_LIFETIME_US // 2
+        return self.has_unreported or self.valid_until - now < PERMIT_LIFETIME_US // 2
 
-    def report(self, waiting: int, now: int) -> AccountReport:
-        """What to report now, while `waiting` operations wait for a permit."""
+    def make_report(self, waiting: int, now: int) -> AccountReport:
+        """Returns the report to send at `now`, while `waiting` operations wait for a permit."""
         self._expire(now)
         if self.is_idle(now) and not waiting:
-            self.give_back()
-        self.unreported = False
+            self.return_all()
+        self.has_unreported = False
         return AccountReport(
             self.tenant,
             self.account,
@@ -113,32 +117,32 @@
             0 if self.is_idle(now) else self._wanted(now),
         )
 
-    def take_grant(self, grant: Grant, asked_at: int) -> None:
-        """Takes the answer to a report that was sent at `asked_at`."""
+    def apply_grant(self, grant: Grant, requested_at: int) -> None:
+        """Applies the answer to a report that was sent at `requested_at`."""
         if grant.account != self.account:
             return
         self._granted = max(self._granted, grant.granted)
-        self.valid_until = max(self.valid_until, asked_at + PERMIT_LIFETIME_US)
+        self.valid_until = max(self.valid_until, requested_at + PERMIT_LIFETIME_US)
 
     def _note_demand(self, now: int) -> None:
-        self._decay(now)
-        self._rate += _US_PER_S / _SMOOTHING_US
-        self._last_use = now
+        self._decay_demand(now)
+        self._demand_per_s += _US_PER_S / _DEMAND_SMOOTHING_US
+        self._last_reservation = now
 
-    def _decay(self, now: int) -> None:
-        """Lets the rate, in operations a second, fade as time passes."""
-        passed_us = now - self._rate_at
-        self._rate *= max(0.0, 1 - passed_us / _SMOOTHING_US)
-        self._rate_at = now
+    def _decay_demand(self, now: int) -> None:
+        """Reduces the demand estimate by the time since its last update."""
+        elapsed_us = now - self._demand_updated_at
+        self._demand_per_s *= max(0.0, 1 - elapsed_us / _DEMAND_SMOOTHING_US)
+        self._demand_updated_at = now
 
     def _wanted(self, now: int) -> int:
-        self._decay(now)
-        return int(self._rate * _HORIZON_US / _US_PER_S + 0.5)
+        self._decay_demand(now)
+        return int(self._demand_per_s * _PREFETCH_HORIZON_US / _US_PER_S + 0.5)
 
     def _expire(self, now: int) -> None:
-        """Begins a new account once the permits of the present one have expired.
+        """Starts a new account once the permits of the current one have expired.
 
-        What was run beyond what was permitted is taken along.
+        Uses beyond the granted permits are carried over to the new account.
         """
         if now < self.valid_until or not self._granted:
             return
@@ -146,4 +150,4 @@
         self.account += 1
         self._granted = self._reserved = self._returned = 0
         self._used = overdrawn
-        self.unreported = overdrawn > 0
+        self.has_unreported = overdrawn > 0
--- a/src/petrelhaven/limits/placement.py
+++ b/src/petrelhaven/limits/placement.py
@@ -1,4 +1,4 @@
-"""Which control node counts a tenant: rendezvous hashing over the nodes of a view."""
+"""Assigns tenants to control nodes by rendezvous hashing over the nodes of a view."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 
 class Placement(NamedTuple):
-    """The node that counts a tenant, and the one that follows it; None where there is none."""
+    """The counting node of a tenant and its successor; None where there is no such node."""
 
     counting_node: str | None
     successor: str | None
 
 
 def assign_counting_node(tenant: str, nodes: Iterable[str]) -> Placement:
-    """Where `tenant` is counted among `nodes`.
+    """Chooses the counting node of `tenant`, and its successor, among `nodes`.
 
-    A node that leaves moves only its own tenants, each to the successor that it had; a node that
-    comes takes tenants from all others alike.
+    When a node leaves, only its own tenants move, each to its former successor. When a node joins,
+    it takes over about the same share of tenants from each of the others.
     """
     ranked = sorted(nodes, key=lambda node: (_weight(tenant, node), node), reverse=True)
     first = ranked[0] if ranked else None
--- a/src/petrelhaven/limits/reports.py
+++ b/src/petrelhaven/limits/reports.py
@@ -1,7 +1,7 @@
-"""What proxies and counting nodes tell each other about permits.
+"""Messages about permits between proxies and counting nodes.
 
-All numbers of an account only grow, so a message that is doubled, late or lost changes nothing that
-the next one doesn't put right.
+The totals of an account only grow, so the next message repairs the effect of a duplicated, late or
+lost one.
 """
 
 from __future__ import annotations
@@ -12,16 +12,16 @@
 
 
 class AccountReport(NamedTuple):
-    """What a proxy reports of its permits for one tenant.
+    """A proxy's report on its permits for one tenant.
 
     Attributes:
         tenant: The tenant.
-        account: Which account of this proxy; a new one begins once permits have expired.
-        granted: How many permits it has received in all.
-        used: How many of them it has used.
-        returned: How many it has given back.
+        account: The number of the proxy's account; a new one starts when permits have expired.
+        granted: How many permits the account has received in total.
+        used: How many of them were used.
+        returned: How many of them were returned.
         needed: How many operations wait for a permit.
-        wanted: How many permits it would hold beside those.
+        wanted: How many permits the proxy requests in advance, beyond those needed.
     """
 
     tenant: str
@@ -34,13 +34,13 @@
 
 
 class Grant(NamedTuple):
-    """What the counting node answers to an `AccountReport`.
+    """The counting node's answer to an `AccountReport`.
 
     Attributes:
         tenant: The tenant.
         account: The account.
-        granted: How many permits the account has been granted in all.
-        retry_us: When operations that got no permit should come back; 0 if none went without.
+        granted: How many permits the account has been granted in total.
+        retry_us: The delay before operations without a permit should be retried; 0 if all got one.
     """
 
     tenant: str
--- a/src/petrelhaven/limits/standby.py
+++ b/src/petrelhaven/limits/standby.py
@@ -1,4 +1,4 @@
-"""What the successor of a counting node knows of one tenant."""
+"""The replicated state of one tenant's counter at the successor of its counting node."""
 
 from __future__ import annotations
 
@@ -12,108 +12,112 @@
 __all__ = ["STANDBY_LIFETIME_US", "CounterCopy", "Standby"]
 
 STANDBY_LIFETIME_US = 4_000_000
-"""How long a copy may serve a successor after it was made."""
+"""How long after its creation a successor may take over from a copy."""
 
 
 class CounterCopy(NamedTuple):
-    """What a counting node sends of a tenant.
+    """An update that a counting node sends to the successor for one tenant.
 
     Attributes:
         tenant: The tenant.
-        uses: The uses counted since the copy before, or all that count in the first one: how long
-            ago, in microseconds, and how many; the oldest first.
+        uses: Pairs of an age in microseconds and a number of uses, the oldest first. A full copy
+            contains all uses in the window, any other those since the previous copy.
         outstanding: How many permits may still be used.
-        reserve: How many more may be granted until the next copy.
-        first: Whether this is the first copy, which stands for all that came before.
-        regime: The value of the counter's `CounterMode`.
-        regime_left_us: How much longer that regime lasts, in microseconds; 0 for a regular one.
+        reserve: How many more permits may be granted until the next copy.
+        is_full: Whether this copy replaces all earlier ones.
+        mode: The value of the counter's `CounterMode`.
+        mode_left_us: How much longer that mode lasts, in microseconds; 0 for the regular mode.
     """
 
     tenant: str
     uses: Sequence[tuple[int, int]]
     outstanding: int
     reserve: int
-    first: bool
-    regime: str = CounterMode.REGULAR.value
-    regime_left_us: int = 0
+    is_full: bool
+    mode: str = CounterMode.REGULAR.value
+    mode_left_us: int = 0
 
 
 class Standby:
-    """Follows one tenant's count, so that the node can go on with it.
+    """Follows one tenant's counter so that this node can take over the count.
 
     Attributes:
-        regime: The regime of the counter.
-        regime_left_us: How much longer that lasted when the newest copy was made.
+        mode: The mode of the counter.
+        mode_left_us: How much longer that mode lasted when the newest copy was made.
     """
 
     def __init__(self, window_us: int) -> None:
-        """Knows nothing yet."""
+        """Creates a standby that has received no copy."""
         self._window = UsageWindow(window_us)
-        self._bound = 0
+        self._max_outstanding = 0
         self._expires_at = 0
-        self._life = -1
-        self._number = 0
-        self._former_lives: set[int] = set()
-        self.regime = CounterMode.REGULAR
-        self.regime_left_us = 0
+        self._incarnation = -1
+        self._copy_number = 0
+        self._former_incarnations: set[int] = set()
+        self.mode = CounterMode.REGULAR
+        self.mode_left_us = 0
 
-    def take(self, copy: CounterCopy, life: int, number: int, expires_at: int, now: int) -> bool:
-        """Takes a copy. The ages of its uses count from now on, so none seems older than it is.
+    def apply_copy(
+        self, copy: CounterCopy, incarnation: int, copy_number: int, expires_at: int, now: int
+    ) -> bool:
+        """Applies a copy.
+
+        The ages of its uses are taken relative to `now`, so no use appears older than it is.
 
         Args:
             copy: The copy.
-            life: Which process made it.
-            number: Its number among that process's copies.
-            expires_at: Until when it may serve, by the clock here.
-            now: The present time.
+            incarnation: The number of the process that made it.
+            copy_number: Its number among the copies of that process.
+            expires_at: Until when this node may take over from it, by the local clock.
+            now: The current time.
 
         Returns:
-            False if it is out of date, or one before it is missing.
+            False if the copy is outdated or an earlier copy that it builds on is missing.
         """
-        if not self._is_next(copy, life, number):
+        if not self._is_next(copy, incarnation, copy_number):
             return False
-        if copy.first:
+        if copy.is_full:
             self._window = UsageWindow(self._window.window_us)
         self._window.advance(now)
         for age_us, count in copy.uses:
             self._window.add(count, now - age_us)
-        self._bound = copy.outstanding + copy.reserve
+        self._max_outstanding = copy.outstanding + copy.reserve
         self._expires_at = expires_at
-        self.regime, self.regime_left_us = CounterMode(copy.regime), copy.regime_left_us
+        self.mode, self.mode_left_us = CounterMode(copy.mode), copy.mode_left_us
         return True
 
-    def _is_next(self, copy: CounterCopy, life: int, number: int) -> bool:
-        if life in self._former_lives:
+    def _is_next(self, copy: CounterCopy, incarnation: int, copy_number: int) -> bool:
+        if incarnation in self._former_incarnations:
             return False
-        if life != self._life:
-            if not copy.first:
+        if incarnation != self._incarnation:
+            if not copy.is_full:
                 return False
-            self._former_lives.add(self._life)
-            self._life, self._number = life, 0
-        if number <= self._number:
+            self._former_incarnations.add(self._incarnation)
+            self._incarnation, self._copy_number = incarnation, 0
+        if copy_number <= self._copy_number:
             return False
-        self._number = number
+        self._copy_number = copy_number
         return True
 
     def is_current(self, now: int) -> bool:
-        """Whether what is known here bounds what the counting node has granted."""
+        """Whether the stored state still covers everything that the counting node has granted."""
         return now <= self._expires_at
 
-    def copy(self, tenant: str, now: int) -> CounterCopy:
-        """What is known here, as a first copy for a node that has forgotten it."""
+    def make_full_copy(self, tenant: str, now: int) -> CounterCopy:
+        """Returns the stored state as a full copy, for a counting node that was restarted."""
         return CounterCopy(
             tenant,
-            self._window.by_age(now),
-            self._bound,
+            self._window.uses_by_age(now),
+            self._max_outstanding,
             0,
             True,
-            self.regime.value,
-            self.regime_left_us,
+            self.mode.value,
+            self.mode_left_us,
         )
 
-    def counter(self, now: int) -> TenantCounter:
-        """A counter that goes on from here; its allowance is still to be set."""
+    def make_counter(self, now: int) -> TenantCounter:
+        """Returns a counter that continues the count; the caller sets its allowance."""
         self._window.advance(now)
         counter = TenantCounter(0, self._window.window_us)
-        counter.inherit(self._window, self._bound, now)
+        counter.inherit(self._window, self._max_outstanding, now)
         return counter
--- a/src/petrelhaven/proxy/tenants/__init__.py
+++ b/src/petrelhaven/proxy/tenants/__init__.py
@@ -1,1 +1,1 @@
-"""Tenants as a proxy knows them: who a client is, and whether its operations may run now."""
+"""Identifies the tenants of clients at a proxy, and enforces their limits."""
--- a/src/petrelhaven/proxy/tenants/admission.py
+++ b/src/petrelhaven/proxy/tenants/admission.py
@@ -1,4 +1,4 @@
-"""Admits tenants' operations: each takes a permit that the tenant's counting node has granted."""
+"""Admits the operations of tenants; each needs a permit from the tenant's counting node."""
 
 from __future__ import annotations
 
@@ -21,215 +21,229 @@
 
 __all__ = ["QuotaAdmission"]
 
-_COALESCE_US = 3_000
-_RENEWAL_US = 400_000
-_ASK_LIMIT_US = 700_000
-_RETRY_US = 100_000
-_LEAST_WAIT_US = 300_000
-_PATIENCE_SHARE = 4
-"""The part of its latency target for which an operation waits while no counting node answers."""
-_COME_BACK_US = 400_000
-_LONGEST_COME_BACK_US = 2_000_000
-_REFUSAL_STANDS_US = 100_000
-"""For how long a counting node is not asked again after it had no permits."""
-_ACCOUNT_BITS = 40
+_REQUEST_DELAY_US = 3_000
+_RENEWAL_INTERVAL_US = 400_000
+_REPORT_TIMEOUT_US = 700_000
+_REPORT_RETRY_US = 100_000
+_MIN_PERMIT_WAIT_US = 300_000
+_UNANSWERED_WAIT_DIVISOR = 4
+"""While no counting node answers, an operation waits for one fourth of its latency target."""
+_DEFAULT_RETRY_AFTER_US = 400_000
+_MAX_RETRY_AFTER_US = 2_000_000
+_MAX_REFUSAL_CACHE_US = 100_000
+"""How long operations are refused without a request after the counting node had no permits."""
+_ACCOUNT_NUMBER_BITS = 40
 
 
-class _Outcome(NamedTuple):
-    """What a waiting operation gets: the account of its permit, or when to come back."""
+class _WaitResult(NamedTuple):
+    """The result of a wait: the account of the permit, or the delay before a retry.
+
+    Both are None for an operation that may run because its tenant no longer has a limit.
+    """
 
     permit: int | None
     retry_us: int | None = None
 
 
-class _Line:
-    """The operations of one tenant that wait for permits, first come first served."""
+class _PermitQueue:
+    """The operations of one tenant that wait for permits, in order of arrival."""
 
-    __slots__ = ("holding", "waiting", "is_asking", "is_unanswered", "refuses_until", "retry_us")
+    __slots__ = (
+        "pool",
+        "waiting",
+        "is_requesting",
+        "is_unanswered",
+        "refused_until",
+        "retry_us",
+    )
 
-    def __init__(self, holding: PermitPool) -> None:
-        self.holding = holding
-        self.waiting: collections.deque[asyncio.Future[_Outcome]] = collections.deque()
-        self.is_asking = self.is_unanswered = False
-        self.refuses_until = self.retry_us = 0
+    def __init__(self, pool: PermitPool) -> None:
+        self.pool = pool
+        self.waiting: collections.deque[asyncio.Future[_WaitResult]] = collections.deque()
+        self.is_requesting = self.is_unanswered = False
+        self.refused_until = self.retry_us = 0
 
     def waiting_count(self) -> int:
-        """How many operations wait."""
+        """Removes operations that gave up, and returns how many still wait."""
         if self.waiting and any(waiter.done() for waiter in self.waiting):
-            waiting = [waiter for waiter in self.waiting if not waiter.done()]
-            self.waiting = collections.deque(waiting)
+            remaining = [waiter for waiter in self.waiting if not waiter.done()]
+            self.waiting = collections.deque(remaining)
         return len(self.waiting)
 
     def admit_waiting(self, now: int) -> None:
-        """Admits who waits, as far as there are permits."""
+        """Admits waiting operations in order, as long as there are permits."""
         count = self.waiting_count()
         while count:
-            permit = self.holding.take(now)
+            permit = self.pool.reserve(now)
             if permit is None:
                 return
-            self.waiting.popleft().set_result(_Outcome(permit))
+            self.waiting.popleft().set_result(_WaitResult(permit))
             count -= 1
 
-    def end(self, retry_us: int | None) -> None:
-        """Sends all that wait away, or lets them run if there is no limit any more (None)."""
+    def resolve_all(self, retry_us: int | None) -> None:
+        """Refuses all waiting operations, or lets them run if `retry_us` is None."""
         for waiter in self.waiting:
             if not waiter.done():
-                waiter.set_result(_Outcome(None, retry_us))
+                waiter.set_result(_WaitResult(None, retry_us))
         self.waiting.clear()
 
 
 class QuotaAdmission:
-    """Holds this proxy's permits and asks the counting nodes for more."""
+    """Manages this proxy's permits, and requests more from the counting nodes."""
 
     def __init__(self, proxy: ProxyServices) -> None:
-        """Uses the clock, the tasks and the core connection of `proxy`."""
+        """Creates an admission that uses the clock, tasks and core connection of `proxy`."""
         self._proxy, self._clock = proxy, proxy.clock
-        self._lines: dict[str, _Line] = {}
-        self._flush: asyncio.TimerHandle | None = None
-        self._renews = False
+        self._queues: dict[str, _PermitQueue] = {}
+        self._request_timer: asyncio.TimerHandle | None = None
+        self._is_renewing = False
 
     def admit(self, request: AdmittedRequest) -> Continuation[str | None]:
-        """Reserves a permit for an operation; `request` then knows its account.
+        """Reserves a permit for an operation, and stores its account in `request.permit`.
 
         Returns:
-            None once it may run; else why it may not, with the time to come back.
+            None once the operation may run; otherwise a refusal that says when to retry.
         """
         if request.tenant.quota is None:
             return None
-        line = self._line(request.tenant.name)
+        queue = self._get_or_create_queue(request.tenant.name)
         now = self._clock.now()
-        if not line.waiting_count():
-            request.permit = line.holding.take(now)
+        if not queue.waiting_count():
+            request.permit = queue.pool.reserve(now)
         if request.permit is not None:
             return None
-        if now < line.refuses_until:
-            return self._refusal(line.retry_us)
-        waiter: asyncio.Future[_Outcome] = asyncio.get_running_loop().create_future()
-        line.waiting.append(waiter)
-        self._ask_soon()
+        if now < queue.refused_until:
+            return self._refuse(queue.retry_us)
+        waiter: asyncio.Future[_WaitResult] = asyncio.get_running_loop().create_future()
+        queue.waiting.append(waiter)
+        self._request_permits_soon()
         try:
-            patience_us = request.route.aim_us // _PATIENCE_SHARE
-            yield first_done(self._clock, [waiter], min(patience_us, request.end - now))
-            if not waiter.done() and not line.is_unanswered:
-                end = min(request.end, now + max(request.route.aim_us, _LEAST_WAIT_US))
-                yield first_done(self._clock, [waiter], end - self._clock.now())
+            unanswered_wait_us = request.route.aim_us // _UNANSWERED_WAIT_DIVISOR
+            yield first_done(self._clock, [waiter], min(unanswered_wait_us, request.end - now))
+            if not waiter.done() and not queue.is_unanswered:
+                wait_end = min(request.end, now + max(request.route.aim_us, _MIN_PERMIT_WAIT_US))
+                yield first_done(self._clock, [waiter], wait_end - self._clock.now())
         finally:
             if not waiter.done():
                 waiter.cancel()
         if waiter.cancelled():
-            return self._refusal(_COME_BACK_US)
-        outcome = waiter.result()
-        request.permit = outcome.permit
-        return None if outcome.retry_us is None else self._refusal(outcome.retry_us)
+            return self._refuse(_DEFAULT_RETRY_AFTER_US)
+        result = waiter.result()
+        request.permit = result.permit
+        return None if result.retry_us is None else self._refuse(result.retry_us)
 
-    def _refusal(self, retry_us: int) -> str:
+    def _refuse(self, retry_us: int) -> str:
         self._proxy.count["over_quota"] += 1
-        return self._proxy.retry_after(min(retry_us, _LONGEST_COME_BACK_US))
+        return self._proxy.retry_after(min(retry_us, _MAX_RETRY_AFTER_US))
 
     def note_sent(self, request: AdmittedRequest) -> None:
-        """A member gets an operation now: its permit is used, or counted once more."""
-        line = self._lines.get(request.tenant.name)
-        if line is None or request.tenant.quota is None:
+        """Counts an operation that is being sent to a member, for the first time or again."""
+        queue = self._queues.get(request.tenant.name)
+        if queue is None or request.tenant.quota is None:
             return
         permit, request.permit = request.permit, None
         if permit is not None:
-            line.holding.use(permit, self._clock.now())
+            queue.pool.use(permit, self._clock.now())
         elif request.runs:
-            line.holding.charge(self._clock.now())
+            queue.pool.use_without_permit(self._clock.now())
 
     def put_back(self, request: AdmittedRequest) -> None:
-        """An admitted operation has ended; a permit that it did not use is free again."""
-        line = self._lines.get(request.tenant.name)
+        """Releases the permit of an admitted operation that ended without using it."""
+        queue = self._queues.get(request.tenant.name)
         permit, request.permit = request.permit, None
-        if line is not None and permit is not None:
-            line.holding.put_back(permit)
-            line.admit_waiting(self._clock.now())
+        if queue is not None and permit is not None:
+            queue.pool.release(permit)
+            queue.admit_waiting(self._clock.now())
 
     def apply_directory(self, before: TenantDirectory, after: TenantDirectory) -> None:
-        """Another configuration is in force: permits under a higher limit go back."""
-        for name, line in list(self._lines.items()):
+        """Applies a new configuration; returns the permits of tenants whose limit was lowered."""
+        for name, queue in list(self._queues.items()):
             old, new = before.tenants.get(name), after.tenants.get(name)
             if new is None or new.quota is None:
-                line.end(None if new is not None else _COME_BACK_US)
-                del self._lines[name]
+                queue.resolve_all(None if new is not None else _DEFAULT_RETRY_AFTER_US)
+                del self._queues[name]
             elif old is not None and old.quota is not None and _is_lower(new, old):
-                line.holding.give_back()
+                queue.pool.return_all()
 
     def status(self) -> dict[str, Any]:
-        """Permits by tenant, and how many operations wait."""
+        """Returns the free permits and the number of waiting operations per tenant."""
         return {
-            name: {"permits": line.holding.balance, "waiting": line.waiting_count()}
-            for name, line in sorted(self._lines.items())
+            name: {"permits": queue.pool.available, "waiting": queue.waiting_count()}
+            for name, queue in sorted(self._queues.items())
         }
 
-    def _line(self, tenant: str) -> _Line:
-        line = self._lines.get(tenant)
-        if line is None:
-            account = self._proxy.rng.getrandbits(_ACCOUNT_BITS)
-            line = self._lines[tenant] = _Line(PermitPool(tenant, account, self._clock.now()))
-            if not self._renews:
-                self._renews = True
+    def _get_or_create_queue(self, tenant: str) -> _PermitQueue:
+        queue = self._queues.get(tenant)
+        if queue is None:
+            account = self._proxy.rng.getrandbits(_ACCOUNT_NUMBER_BITS)
+            queue = self._queues[tenant] = _PermitQueue(
+                PermitPool(tenant, account, self._clock.now())
+            )
+            if not self._is_renewing:
+                self._is_renewing = True
                 self._proxy.tasks.spawn(self._renew())
-        return line
+        return queue
 
-    def _ask_soon(self, delay_us: int = _COALESCE_US) -> None:
-        if self._flush is None:
-            self._flush = self._clock.later(delay_us, self._ask_now)
+    def _request_permits_soon(self, delay_us: int = _REQUEST_DELAY_US) -> None:
+        if self._request_timer is None:
+            self._request_timer = self._clock.later(delay_us, self._request_permits_now)
 
-    def _ask_now(self) -> None:
-        self._flush = None
-        lines = [line for line in self._lines.values() if line.waiting_count()]
-        self._ask_for(line for line in lines if not line.is_asking)
+    def _request_permits_now(self) -> None:
+        self._request_timer = None
+        queues = [queue for queue in self._queues.values() if queue.waiting_count()]
+        self._request_permits_for(queue for queue in queues if not queue.is_requesting)
 
     async def _renew(self) -> None:
-        """Reports uses and keeps permits from expiring, for as long as the proxy runs."""
+        """Reports uses and renews permits periodically until the proxy stops."""
         while True:
-            await self._clock.sleep(_RENEWAL_US)
+            await self._clock.sleep(_RENEWAL_INTERVAL_US)
             now = self._clock.now()
-            lines = [line for line in self._lines.values() if line.holding.needs_renewal(now)]
-            self._ask_for(line for line in lines if not line.is_asking)
+            queues = [queue for queue in self._queues.values() if queue.pool.needs_renewal(now)]
+            self._request_permits_for(queue for queue in queues if not queue.is_requesting)
 
-    def _ask_for(self, lines: Iterable[_Line]) -> None:
-        chosen = list(lines)
+    def _request_permits_for(self, queues: Iterable[_PermitQueue]) -> None:
+        chosen = list(queues)
         if not chosen:
             return
-        for line in chosen:
-            line.is_asking = True
-        self._proxy.tasks.spawn(self._ask(chosen))
+        for queue in chosen:
+            queue.is_requesting = True
+        self._proxy.tasks.spawn(self._send_reports(chosen))
 
-    async def _ask(self, lines: list[_Line]) -> None:
+    async def _send_reports(self, queues: list[_PermitQueue]) -> None:
         now = self._clock.now()
-        reports = [line.holding.report(line.waiting_count(), now) for line in lines]
+        reports = [queue.pool.make_report(queue.waiting_count(), now) for queue in queues]
         request = ReportList(self._proxy.name, reports)
         try:
             body = await self._proxy.core_connection.call(
-                MessageKind.QUOTA_REPORT, request.to_body(), _ASK_LIMIT_US
+                MessageKind.QUOTA_REPORT, request.to_body(), _REPORT_TIMEOUT_US
             )
             grants = {grant.tenant: grant for grant in GrantList.from_body(body).grants}
         except Fault:
             grants = {}
         finally:
-            for line in lines:
-                line.is_asking = False
-        for line, report in zip(lines, reports, strict=True):
-            self._take(line, report, grants.get(report.tenant), now)
-
-    def _take(self, line: _Line, report: AccountReport, grant: Grant | None, asked_at: int) -> None:
+            for queue in queues:
+                queue.is_requesting = False
+        for queue, report in zip(queues, reports, strict=True):
+            self._apply_grant(queue, report, grants.get(report.tenant), now)
+
+    def _apply_grant(
+        self, queue: _PermitQueue, report: AccountReport, grant: Grant | None, requested_at: int
+    ) -> None:
         now = self._clock.now()
         if grant is None:
-            line.holding.unreported = True
-            line.is_unanswered = True
+            queue.pool.has_unreported = True
+            queue.is_unanswered = True
         else:
-            line.is_unanswered = False
-            line.holding.take_grant(grant, asked_at)
-        line.admit_waiting(now)
+            queue.is_unanswered = False
+            queue.pool.apply_grant(grant, requested_at)
+        queue.admit_waiting(now)
         if grant is not None and grant.retry_us:
-            line.end(grant.retry_us)
-            line.refuses_until = now + min(grant.retry_us, _REFUSAL_STANDS_US)
-            line.retry_us = grant.retry_us
-        if line.waiting_count():
-            is_served = grant is not None and grant.granted - report.granted >= report.needed
-            self._ask_soon(_COALESCE_US if is_served else _RETRY_US)
+            queue.resolve_all(grant.retry_us)
+            queue.refused_until = now + min(grant.retry_us, _MAX_REFUSAL_CACHE_US)
+            queue.retry_us = grant.retry_us
+        if queue.waiting_count():
+            is_satisfied = grant is not None and grant.granted - report.granted >= report.needed
+            self._request_permits_soon(_REQUEST_DELAY_US if is_satisfied else _REPORT_RETRY_US)
 
 
 def _is_lower(new: Tenant, old: Tenant) -> bool:
--- a/src/petrelhaven/proxy/tenants/directory.py
+++ b/src/petrelhaven/proxy/tenants/directory.py
@@ -1,4 +1,4 @@
-"""Which tenant a client's key belongs to."""
+"""Maps the API keys of clients to tenants."""
 
 from __future__ import annotations
 
@@ -10,31 +10,31 @@
 
 __all__ = ["ANONYMOUS_TENANT", "Tenant", "TenantDirectory"]
 
-_NO_LIMIT = -1
+_UNLIMITED_RATE = -1
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A tenant's name, and its limit if it has one."""
+    """A tenant: its name, and its quota if it has one."""
 
     name: str
     quota: Quota | None = None
 
 
 ANONYMOUS_TENANT = Tenant("")
-"""Stands for the clients of public routes that show no key."""
+"""The tenant of clients without a known key, on public routes or where keys are not required."""
 
 
 class TenantDirectory:
     """The tenants of one configuration.
 
     Attributes:
-        is_required: Whether clients need a key on routes that are not public.
+        requires_keys: Whether clients need a key on routes that are not public.
         tenants: The tenants by name.
     """
 
     def __init__(self, configuration: Mapping[str, Any] | None = None) -> None:
-        """Reads a configuration whose defaults are filled in; knows nobody without one."""
+        """Reads a configuration with defaults filled in; without one there are no tenants."""
         configuration = configuration or {"keyed": False, "tenants": ()}
         self.requires_keys: bool = configuration["keyed"]
         self.tenants = {row["name"]: _tenant(row) for row in configuration["tenants"]}
@@ -45,7 +45,7 @@
         }
 
     def identify(self, key_digest: str, is_public: bool) -> Tenant | None:
-        """The tenant that a client's statements run for; None if they may not run."""
+        """Returns the tenant for which a client's statements run; None if they must not run."""
         if not self.requires_keys:
             return ANONYMOUS_TENANT
         tenant = self._by_key.get(key_digest)
@@ -53,6 +53,6 @@
 
 
 def _tenant(row: Mapping[str, Any]) -> Tenant:
-    if row["rate"] == _NO_LIMIT:
+    if row["rate"] == _UNLIMITED_RATE:
         return Tenant(row["name"])
     return Tenant(row["name"], Quota(row["rate"], row["burst"]))
--- a/tests/embargo_world.py
+++ b/tests/embargo_world.py
@@ -1,4 +1,4 @@
-"""Cores, edges and members of the held path on simulated machines in virtual time, and who reads embargoed records."""
+"""Simulates a fleet with connection sessions in virtual time, and checks who reads embargoed records."""
 
 import asyncio
 import json
@@ -15,149 +15,154 @@
 from petrelhaven.simulator.net import Net, SimulatedMachine
 from petrelhaven.simulator.virtual_time import WarpLoop, end_all
 
-BASE = 1_780_000_000_000_000
+START_TIME_US = 1_780_000_000_000_000
 ZONES = "abc"
 
 
-def virtual(fn, seed=1, **kw):
-    """What `fn(world)` returns, run in virtual time; a task that fails in any node fails the run."""
+def virtual(scene, seed=1, **kw):
+    """Runs `scene(world)` in virtual time and returns its result.
+
+    A task that fails in any node fails the run.
+    """
     loop = WarpLoop()
     asyncio.set_event_loop(loop)
 
-    async def go():
-        w = World(loop, seed, **kw)
-        await w.start()
-        out = await fn(w)
-        assert w.net.findings == [], w.net.findings[:3]
-        return out
+    async def run():
+        world = World(loop, seed, **kw)
+        await world.start()
+        result = await scene(world)
+        assert world.net.findings == [], world.net.findings[:3]
+        return result
 
     try:
-        return loop.run_until_complete(go())
+        return loop.run_until_complete(run())
     finally:
         end_all(loop)
         loop.close()
         asyncio.set_event_loop(None)
 
 
-class SimWall:
-    """A machine's time of day: true time and an error that a test sets."""
+class SimulatedWallClock:
+    """A machine's wall clock: true time plus an error that a test sets."""
 
-    def __init__(self, world, off):
-        self.world, self.off = world, off
+    def __init__(self, world, error_us):
+        self.world, self.error_us = world, error_us
 
     def now(self):
-        return self.world.true() + self.off
+        return self.world.true_time() + self.error_us
 
 
 class Member:
-    """One member: a log of (term, thing, data), a role, and how far behind it copies."""
+    """A member with a log of (term, record key, data), a role, and a replication interval."""
 
     def __init__(self, world, machine, role):
-        self.w, self.machine, self.role = world, machine, role
-        self.log, self.held, self.lag = [], 0, 0.01
+        self.world, self.machine, self.role = world, machine, role
+        self.log, self.paused_term, self.replication_interval_s = [], 0, 0.01
 
     @property
-    def pos(self):
+    def position(self):
         return (self.log[-1][0], len(self.log)) if self.log else (0, 0)
 
     def row(self):
         return {
             "role": self.role,
-            "term": self.w.term,
-            "pos": self.pos,
-            "held": self.held,
+            "term": self.world.term,
+            "pos": self.position,
+            "held": self.paused_term,
             "lag_ms": "0",
             "busy": 0,
             "conns": 1,
-            "at": self.pos,
+            "at": self.position,
         }
 
-    def reply(self, conn, rows=(), code=None):
-        state = "I" if conn.open_ is None else "T"
-        return Reply(rows, "s" if code is None else "-", code, state=state, pos=self.pos)
+    def reply(self, connection, rows=(), code=None):
+        state = "I" if connection.open_writes is None else "T"
+        return Reply(rows, "s" if code is None else "-", code, state=state, pos=self.position)
 
-    async def run(self, conn, text, after):
-        """A client's statement."""
+    async def run(self, connection, text, after):
+        """Runs a client's statement."""
         await self.machine.clock.sleep(4_000)
-        w, _, rest = text.partition(" ")
-        if w == "EXECUTE":
+        keyword, _, rest = text.partition(" ")
+        if keyword == "EXECUTE":
             alias, _, rest = rest.partition(" ")
-            w = conn.shaped[alias].split(" ")[0]
-        if after is not None and self.pos < after:
-            return self.reply(conn, code="lagging")
-        if w == "FETCH":
-            kept = {t: d for _, t, d in self.log}
-            kept.update(conn.open_ or {})
-            return self.reply(conn, [kept[rest]] if rest in kept else [])
+            keyword = connection.prepared[alias].split(" ")[0]
+        if after is not None and self.position < after:
+            return self.reply(connection, code="lagging")
+        if keyword == "FETCH":
+            records = {record_key: data for _, record_key, data in self.log}
+            records.update(connection.open_writes or {})
+            return self.reply(connection, [records[rest]] if rest in records else [])
         if self.role != "primary":
-            return self.reply(conn, code="readonly")
-        if w == "PUT":
-            thing, _, data = rest.partition(" ")
-            if conn.open_ is not None:
-                conn.open_[thing] = data
-                return self.reply(conn)
-            return await self.commit(conn, [(thing, data)])
-        writes, conn.open_ = conn.open_, None
-        return await self.commit(conn, list(writes.items()))
-
-    async def commit(self, conn, writes):
-        self.log += [(self.w.term, t, d) for t, d in writes]
-        n = len(self.log)
+            return self.reply(connection, code="readonly")
+        if keyword == "PUT":
+            record_key, _, data = rest.partition(" ")
+            if connection.open_writes is not None:
+                connection.open_writes[record_key] = data
+                return self.reply(connection)
+            return await self.commit(connection, [(record_key, data)])
+        writes, connection.open_writes = connection.open_writes, None
+        return await self.commit(connection, list(writes.items()))
+
+    async def commit(self, connection, writes):
+        self.log += [(self.world.term, record_key, data) for record_key, data in writes]
+        length = len(self.log)
         for _ in range(300):
             if self.role != "primary":
-                raise Unreachable("deposed")
+                raise Unreachable("the member is no longer primary")
             if not writes or any(
-                m.log[:n] == self.log[:n] for m in self.w.members.values() if m is not self
+                member.log[:length] == self.log[:length]
+                for member in self.world.members.values()
+                if member is not self
             ):
-                return self.reply(conn)
+                return self.reply(connection)
             await self.machine.clock.sleep(10_000)
-        raise Unreachable("no replica")
+        raise Unreachable("no replica has the writes")
 
-    async def plain(self, conn, verb, args):
-        """What the system says for itself or says again."""
+    async def plain(self, connection, verb, args):
+        """Runs a statement that the proxy sends itself or sends again."""
         if verb == "begin":
-            if args[1] is not None and self.pos < args[1]:
-                return self.reply(conn, code="lagging")
+            if args[1] is not None and self.position < args[1]:
+                return self.reply(connection, code="lagging")
             if args[0] != "reads" and self.role != "primary":
-                return self.reply(conn, code="readonly")
-            conn.open_ = {}
+                return self.reply(connection, code="readonly")
+            connection.open_writes = {}
         elif verb == "prepare":
-            conn.shaped[args[0]] = args[1]
+            connection.prepared[args[0]] = args[1]
         elif verb == "reset":
-            conn.shaped = {}
+            connection.prepared = {}
         elif verb == "rollback":
-            conn.open_ = None
-        return self.reply(conn)
+            connection.open_writes = None
+        return self.reply(connection)
 
     async def own(self, verb, args):
-        if verb == "pause" and args[0] > self.held and self.role == "replica":
-            self.held = args[0]
+        if verb == "pause" and args[0] > self.paused_term and self.role == "replica":
+            self.paused_term = args[0]
         elif verb == "resume":
-            self.held = 0
+            self.paused_term = 0
         return self.row()
 
-    async def follow(self):
-        """Copies the primary's log while it can."""
+    async def replicate(self):
+        """Copies the primary's log periodically while the primary is reachable."""
         while True:
-            await self.machine.clock.sleep(int(self.lag * 1e6))
-            p = next((m for m in self.w.members.values() if m.role == "primary"), None)
+            await self.machine.clock.sleep(int(self.replication_interval_s * 1e6))
+            primary = next((m for m in self.world.members.values() if m.role == "primary"), None)
             if (
-                p is None
-                or p is self
-                or self.held
-                or not p.machine.up
-                or self.w.net.is_cut(p.machine.name, self.machine.name)
+                primary is None
+                or primary is self
+                or self.paused_term
+                or not primary.machine.up
+                or self.world.net.is_cut(primary.machine.name, self.machine.name)
             ):
                 continue
-            self.log = list(p.log)
+            self.log = list(primary.log)
 
     async def heartbeat(self):
-        """Tells the cores of itself."""
+        """Sends announcements to the control nodes."""
         count = 0
         while True:
             count += 1
-            c = self.w.rng.choice(sorted(self.w.cores))
-            doc = {
+            target = self.world.rng.choice(sorted(self.world.control_nodes))
+            document = {
                 "member": self.machine.name,
                 "group": "g",
                 "hall": self.machine.zone,
@@ -168,138 +173,157 @@
                 "count": count,
             }
             try:
-                await self.w.net.trip(
-                    self.machine, self.w.cores[c], lambda: self.w.heard(c, doc), 500_000
+                await self.world.net.trip(
+                    self.machine,
+                    self.world.control_nodes[target],
+                    lambda: self.world.announce(target, document),
+                    500_000,
                 )
             except Fault:
                 pass
             await self.machine.clock.sleep(250_000)
 
 
-class SimStrand(MemberConnection):
-    """A connection to a member over the simulated net; statements go one after the other."""
+class SimulatedMemberConnection(MemberConnection):
+    """A connection to a member over the simulated network; statements run one at a time."""
 
-    def __init__(self, src, dst, net):
+    def __init__(self, source, target, net):
         super().__init__()
-        self.src, self.dst, self.net, self.life = src, dst, net, dst.life
-        self.open_, self.shaped = None, {}
+        self.source, self.target, self.net, self.life = source, target, net, target.life
+        self.open_writes, self.prepared = None, {}
         self._last = None
 
-    def _say(self, fn):
-        f = asyncio.get_running_loop().create_future()
-        was, self._last = self._last, f
-        if self.src.tasks.spawn(self._go(f, was, fn)) is None:
-            f.cancel()
-        return f
+    def _enqueue(self, statement):
+        reply = asyncio.get_running_loop().create_future()
+        previous, self._last = self._last, reply
+        if self.source.tasks.spawn(self._send(reply, previous, statement)) is None:
+            reply.cancel()
+        return reply
 
-    async def _go(self, f, was, fn):
+    async def _send(self, reply, previous, statement):
         try:
-            if was is not None and not was.done():
-                await asyncio.wait([was])
-            if self.lost or self.dst.life != self.life:
+            if previous is not None and not previous.done():
+                await asyncio.wait([previous])
+            if self.lost or self.target.life != self.life:
                 raise Unreachable("connection lost")
-            r = await self.net.trip(self.src, self.dst, fn, 4_000_000)
-            if not f.done():
-                f.set_result(r)
+            result = await self.net.trip(self.source, self.target, statement, 4_000_000)
+            if not reply.done():
+                reply.set_result(result)
         except Fault:
             self.close()
-            if not f.done():
-                f.set_exception(Unreachable("connection lost"))
-                f.exception()
+            if not reply.done():
+                reply.set_exception(Unreachable("connection lost"))
+                reply.exception()
 
-    def ask(self, a, after=None, alias=None):
-        text = a.text if alias is None else f"EXECUTE {alias} {a.data}"
-        return self._say(lambda: self.dst.node.run(self, text, after))
+    def ask(self, statement, after=None, alias=None):
+        text = statement.text if alias is None else f"EXECUTE {alias} {statement.data}"
+        return self._enqueue(lambda: self.target.node.run(self, text, after))
 
-    def plain(self, verb, args=(), num="-"):
-        return self._say(lambda: self.dst.node.plain(self, verb, args))
+    def plain(self, verb, args=(), number="-"):
+        return self._enqueue(lambda: self.target.node.plain(self, verb, args))
 
     def own(self, verb, *args):
-        return self._say(lambda: self.dst.node.own(verb, args))
+        return self._enqueue(lambda: self.target.node.own(verb, args))
 
     def close(self):
         self.lost = True
-        self.open_ = None
+        self.open_writes = None
+
 
+class SimulatedWire:
+    """Opens connections from one machine to members."""
 
-class SimWire:
     def __init__(self, world, machine):
-        self.w, self.machine = world, machine
+        self.world, self.machine = world, machine
 
     async def open(self, addr, group, member, us, tenant=""):
-        dst = self.w.net.machines[member]
+        target = self.world.net.machines[member]
 
-        async def hello():
+        async def accept():
             return True
 
         try:
-            await self.w.net.trip(self.machine, dst, hello, us, fresh=True)
+            await self.world.net.trip(self.machine, target, accept, us, fresh=True)
         except Unreachable:
-            raise NotSent("refused") from None
+            raise NotSent("connection refused") from None
         except DeadlineExceeded:
-            raise NotSent("mute") from None
-        return SimStrand(self.machine, dst, self.w.net)
+            raise NotSent("no answer") from None
+        return SimulatedMemberConnection(self.machine, target, self.world.net)
+
 
+class EmbargoedRecord:
+    """The release times of one embargoed record, each with the period in which it may be in force.
 
-class Record:
-    """An embargoed record and when which release time may have been in force."""
+    `releases` has lists of the time of the request, the release time (None after a lift), and the
+    time at which a later change was acknowledged, once there is one.
+    """
 
-    def __init__(self, thing):
-        self.thing, self.states, self.written = thing, [], False
+    def __init__(self, record_key):
+        self.record_key, self.releases, self.is_written = record_key, [], False
 
-    def said(self, now, until):
-        """A release time is asked for (None: lifted); returns what is to be called when it is acknowledged."""
-        self.states.append([now, until])
-        i = len(self.states) - 1
+    def add_release(self, now, until):
+        """Adds a requested release time; returns a function to call once it is acknowledged."""
+        self.releases.append([now, until])
+        index = len(self.releases) - 1
 
-        def acked(at):
-            for s in self.states[:i]:
-                if len(s) == 2:
-                    s.append(at)
+        def acknowledge(at):
+            for release in self.releases[:index]:
+                if len(release) == 2:
+                    release.append(at)
 
-        return acked
+        return acknowledge
 
-    def may_be_seen(self, now):
-        """Whether some release time that may be in force at `now` has passed."""
+    def may_be_read(self, now):
+        """Whether any release time that may be in force at `now` has passed."""
         return any(
-            (s[1] is None or s[1] <= now)
-            for s in self.states
-            if s[0] <= now and (len(s) == 2 or now < s[2])
+            (release[1] is None or release[1] <= now)
+            for release in self.releases
+            if release[0] <= now and (len(release) == 2 or now < release[2])
         )
 
 
 class World:
-    """Three cores, edges and a group of three members."""
+    """Three control nodes, proxies, and a group of three members."""
 
-    def __init__(self, loop, seed, edges=3, rates=True, **configuration):
+    def __init__(self, loop, seed, proxies=3, rates=True, **configuration):
         self.loop, self.rng = loop, random.Random(seed)
         self.net = Net(loop, self.rng)
-        self.term, self.version, self.more = 1, 0, {"embargoing": ["g"], **configuration}
-        r = self.rng
-        self.cores = {
-            f"c{i + 1}": SimulatedMachine(
-                self.net, f"c{i + 1}", h, r.uniform(0.99, 1.01) if rates else 1.0
+        self.term, self.version, self.configuration_fields = (
+            1,
+            0,
+            {"embargoing": ["g"], **configuration},
+        )
+        rng = self.rng
+        self.control_nodes = {
+            f"c{index + 1}": SimulatedMachine(
+                self.net, f"c{index + 1}", zone, rng.uniform(0.99, 1.01) if rates else 1.0
             )
-            for i, h in enumerate(ZONES)
+            for index, zone in enumerate(ZONES)
         }
-        self.edges = {
-            f"e{i + 1}": SimulatedMachine(
-                self.net, f"e{i + 1}", ZONES[i % 3], r.uniform(0.99, 1.01) if rates else 1.0
+        self.proxies = {
+            f"e{index + 1}": SimulatedMachine(
+                self.net,
+                f"e{index + 1}",
+                ZONES[index % 3],
+                rng.uniform(0.99, 1.01) if rates else 1.0,
             )
-            for i in range(edges)
+            for index in range(proxies)
+        }
+        self.wall_clocks = {
+            name: SimulatedWallClock(self, rng.randrange(-80_000, 80_000))
+            for name in self.control_nodes
         }
-        self.walls = {n: SimWall(self, r.randrange(-80_000, 80_000)) for n in self.cores}
         self.members = {}
-        self.records, self.seen, self.bad, self.refused = {}, [], [], 0
-        self.fence, self.reading = 0, True
+        self.records, self.served_reads, self.early_reads, self.withheld_reads = {}, [], [], 0
+        self.fence, self.readers_run = 0, True
 
-    def true(self):
-        """True time, in microseconds."""
-        return BASE + int(self.loop.time() * 1e6)
+    def true_time(self):
+        """Returns true time in microseconds."""
+        return START_TIME_US + int(self.loop.time() * 1e6)
 
     def configuration(self, **kw):
         self.version += 1
-        self.more |= kw
+        self.configuration_fields |= kw
         return json.dumps(
             {
                 "name": "fleet",
@@ -331,253 +355,283 @@
                     },
                 ],
                 "bounds": {"keepers": 0, "idle_txn_us": 30_000_000},
-                **self.more,
+                **self.configuration_fields,
             }
         )
 
     async def start(self):
-        for i, h in enumerate(ZONES):
-            b = SimulatedMachine(self.net, f"m{i + 1}", h).boot()
-            m = b.node = self.members[b.name] = Member(self, b, "replica" if i else "primary")
-            for co in (m.follow(), m.heartbeat()):
-                b.tasks.spawn(co)
-        for n in self.cores:
-            self.start_core(n)
-        for n in self.edges:
-            self.start_edge(n)
-        await self.until(
-            lambda: any(c.node and c.node.chain.active for c in self.cores.values()), 20
+        for index, zone in enumerate(ZONES):
+            machine = SimulatedMachine(self.net, f"m{index + 1}", zone).boot()
+            member = machine.node = self.members[machine.name] = Member(
+                self, machine, "replica" if index else "primary"
+            )
+            for coroutine in (member.replicate(), member.heartbeat()):
+                machine.tasks.spawn(coroutine)
+        for name in self.control_nodes:
+            self.start_control_node(name)
+        for name in self.proxies:
+            self.start_proxy(name)
+        await self.wait_until(
+            lambda: any(m.node and m.node.chain.active for m in self.control_nodes.values()), 20
         )
-        await self.call(lambda s: s.apply(self.configuration(), by="op"))
-        await self.until(
+        await self.call(lambda node: node.apply(self.configuration(), by="op"))
+        await self.wait_until(
             lambda: all(
-                e.node.ready and e.node.core_connection.holds_lease for e in self.edges.values()
+                m.node.ready and m.node.core_connection.holds_lease for m in self.proxies.values()
             ),
             20,
         )
-        await self.until(
-            lambda: all(e.node.groups["g"].leadership for e in self.edges.values()), 20
+        await self.wait_until(
+            lambda: all(m.node.groups["g"].leadership for m in self.proxies.values()), 20
         )
 
-    def start_core(self, n):
-        b = self.cores[n].boot()
-        s = ControlNode(
-            ControlNodeIdentity(n, b.zone, [f"sim:{x}" for x in sorted(self.cores)]),
+    def start_control_node(self, name):
+        machine = self.control_nodes[name].boot()
+        node = ControlNode(
+            ControlNodeIdentity(
+                name, machine.zone, [f"sim:{seed}" for seed in sorted(self.control_nodes)]
+            ),
             NodeResources(
-                b.clock, b.tasks, b.link, b.disk, random.Random(self.rng.random()), b.log
+                machine.clock,
+                machine.tasks,
+                machine.link,
+                machine.disk,
+                random.Random(self.rng.random()),
+                machine.log,
             ),
             self,
-            SimWire(self, b),
+            SimulatedWire(self, machine),
             1_200_000,
-            wall_clock=self.walls[n],
+            wall_clock=self.wall_clocks[name],
         )
-        b.node = s
-        s.start()
+        machine.node = node
+        node.start()
 
-    def start_edge(self, n):
-        b = self.edges[n].boot()
+    def start_proxy(self, name):
+        machine = self.proxies[name].boot()
         rng = random.Random(self.rng.random())
 
-        def near(zone):
-            return 0 if zone == b.zone else 1
+        def distance(zone):
+            return 0 if zone == machine.zone else 1
 
         core_connection = CoreConnection(
-            b.clock, b.tasks, b.link, rng, n, [f"sim:{x}" for x in sorted(self.cores)], near, b.log
+            machine.clock,
+            machine.tasks,
+            machine.link,
+            rng,
+            name,
+            [f"sim:{seed}" for seed in sorted(self.control_nodes)],
+            distance,
+            machine.log,
         )
-        b.node = ProxyNode(
-            n,
-            b.zone,
-            b.clock,
-            b.tasks,
+        machine.node = ProxyNode(
+            name,
+            machine.zone,
+            machine.clock,
+            machine.tasks,
             rng,
             core_connection,
-            SimWire(self, b),
-            near,
+            SimulatedWire(self, machine),
+            distance,
             3_000_000,
             3_000_000,
-            b.log,
+            machine.log,
         )
-        b.node.start()
+        machine.node.start()
 
-    async def until(self, ok, secs, what=""):
-        end = self.loop.time() + secs
-        while not ok():
-            assert self.loop.time() < end, f"not within {secs} s: {what}"
+    async def wait_until(self, condition, timeout_s, what=""):
+        deadline = self.loop.time() + timeout_s
+        while not condition():
+            assert self.loop.time() < deadline, f"not within {timeout_s} s: {what}"
             await asyncio.sleep(0.02)
 
-    async def heard(self, core, doc):
-        if self.cores[core].node is None:
-            raise Unreachable("off")
-        await self.cores[core].node.announce(doc)
+    async def announce(self, control_node, document):
+        if self.control_nodes[control_node].node is None:
+            raise Unreachable("the control node is down")
+        await self.control_nodes[control_node].node.announce(document)
 
     async def promote(self, group, name, fence, holder):
-        """The platform."""
+        """Promotes a member; the world acts as the platform of the control nodes."""
         await asyncio.sleep(0.3)
         if fence < self.fence or not self.members[name].machine.up:
             raise Unreachable("declined")
         self.fence = fence
         if self.members[name].role != "primary":
             self.term += 1
-            for m in self.members.values():
-                m.role = "primary" if m is self.members[name] else "replica"
-                m.held = 0
+            for member in self.members.values():
+                member.role = "primary" if member is self.members[name] else "replica"
+                member.paused_term = 0
 
-    async def call(self, fn, secs=60):
-        """An operator's call to any core, until there is an outcome."""
-        end, last = self.loop.time() + secs, None
+    async def call(self, operation, timeout_s=60):
+        """Runs an operator's `operation(node)` at any control node until one succeeds."""
+        deadline, last_error = self.loop.time() + timeout_s, None
         while True:
-            for c in sorted(self.cores):
-                s = self.cores[c].node
-                if s is None or self.cores[c].frozen:
+            for name in sorted(self.control_nodes):
+                node = self.control_nodes[name].node
+                if node is None or self.control_nodes[name].frozen:
                     continue
                 try:
-                    return await asyncio.wait_for(fn(s), 25)
-                except Duplicate as e:
-                    return e.doc()
-                except (Fault, asyncio.TimeoutError) as e:
-                    last = e
-                    if isinstance(e, Fault) and e.status in (400, 422):
+                    return await asyncio.wait_for(operation(node), 25)
+                except Duplicate as error:
+                    return error.doc()
+                except (Fault, asyncio.TimeoutError) as error:
+                    last_error = error
+                    if isinstance(error, Fault) and error.status in (400, 422):
                         raise
-            assert self.loop.time() < end, f"no core takes the call: {last!r}"
+            assert self.loop.time() < deadline, f"no control node succeeded: {last_error!r}"
             await asyncio.sleep(0.2)
 
-    async def embargo(self, do, thing, until=None, **kw):
-        """Places, moves or lifts the embargo of one record; `until` in true time."""
-        r = self.records.setdefault(thing, Record(thing))
-        acked = r.said(self.true(), until)
-        d = {"do": do, "name": "x-" + thing, "by": "op", **kw}
-        if do == "add":
-            d |= {"group": "g", **({} if "prefix" in kw else {"thing": thing})}
+    async def embargo(self, action, record_key, until=None, **kw):
+        """Adds, moves or lifts the embargo of one record; `until` is a true time."""
+        record = self.records.setdefault(record_key, EmbargoedRecord(record_key))
+        acknowledge = record.add_release(self.true_time(), until)
+        document = {"do": action, "name": "x-" + record_key, "by": "op", **kw}
+        if action == "add":
+            document |= {"group": "g", **({} if "prefix" in kw else {"thing": record_key})}
         if until is not None:
-            d["until"] = format_instant(until)
-        await self.call(lambda s: s.embargoes.change(d))
-        acked(self.true())
+            document["until"] = format_instant(until)
+        await self.call(lambda node: node.embargoes.change(document))
+        acknowledge(self.true_time())
 
-    async def write(self, thing, data="secret"):
-        """Writes a record through any edge, until that has an outcome."""
+    async def write(self, record_key, data="secret"):
+        """Writes a record through any proxy, and retries until it succeeds."""
         for _ in range(200):
-            for n, b in sorted(self.edges.items()):
-                if b.node is None or b.frozen or b.node.state != "serving":
+            for _name, machine in sorted(self.proxies.items()):
+                if machine.node is None or machine.frozen or machine.node.state != "serving":
                     continue
-                v = b.node.open("db", "writer")
-                r = await b.node.serve_one(
-                    v, Statement("w", "write", f"PUT {thing} {data}", writes=True)
+                session = machine.node.open("db", "writer")
+                reply = await machine.node.serve_one(
+                    session, Statement("w", "write", f"PUT {record_key} {data}", writes=True)
                 )
-                b.node.close(v)
-                if r.ok:
+                machine.node.close(session)
+                if reply.ok:
                     return
             await asyncio.sleep(0.1)
-        raise AssertionError("no edge takes the write")
-
-    def note(self, edge, thing, r, client=""):
-        """Judges one reply."""
-        now, x = self.true(), self.records.get(thing)
-        if r.code == "withheld":
-            self.refused += 1
-            assert (r.rows, r.pos, r.stamp) == ((), None, "-")
-        if r.ok and r.rows:
-            self.seen.append((now, edge, thing))
-            if x is not None and client != "early" and not x.may_be_seen(now):
-                self.bad.append((round(self.loop.time(), 3), edge, thing, x.states))
-
-    async def read(self, n, thing, host="db", client="u", how="single"):
-        """One read at an edge, judged."""
-        b = self.edges[n]
-        g, life = b.node, b.life
-        if g is None or g.state != "serving":
+        raise AssertionError("no proxy accepted the write")
+
+    def check_reply(self, proxy, record_key, reply, client=""):
+        """Checks one reply and records whether the record was read too early."""
+        now, record = self.true_time(), self.records.get(record_key)
+        if reply.code == "withheld":
+            self.withheld_reads += 1
+            assert (reply.rows, reply.pos, reply.stamp) == ((), None, "-")
+        if reply.ok and reply.rows:
+            self.served_reads.append((now, proxy, record_key))
+            if record is not None and client != "early" and not record.may_be_read(now):
+                self.early_reads.append(
+                    (round(self.loop.time(), 3), proxy, record_key, record.releases)
+                )
+
+    async def read(self, proxy, record_key, host="db", client="u", how="single"):
+        """Reads a record once at a proxy and checks the reply."""
+        machine = self.proxies[proxy]
+        node, life = machine.node, machine.life
+        if node is None or node.state != "serving":
             return None
-        v = g.open(host, client)
+        session = node.open(host, client)
         if how == "prepared":
-            await g.serve_one(
-                v, Statement("p", "prepare", "PREPARE q FETCH s1", name="q", shape="FETCH s1")
+            await node.serve_one(
+                session, Statement("p", "prepare", "PREPARE q FETCH s1", name="q", shape="FETCH s1")
             )
-            a = Statement(
-                "r", "execute", f"EXECUTE q {thing}", name="q", data=thing, shape="FETCH s1"
+            statement = Statement(
+                "r",
+                "execute",
+                f"EXECUTE q {record_key}",
+                name="q",
+                data=record_key,
+                shape="FETCH s1",
             )
         else:
-            a = Statement("r", "read", f"FETCH {thing}")
+            statement = Statement("r", "read", f"FETCH {record_key}")
         if how in ("reads", "writes"):
-            await g.serve_one(v, Statement("b", "begin", "BEGIN", writes=how == "writes"))
-        r = await g.serve_one(v, a)
-        if b.life == life:
-            self.note(n, thing, r, client)
+            await node.serve_one(session, Statement("b", "begin", "BEGIN", writes=how == "writes"))
+        reply = await node.serve_one(session, statement)
+        if machine.life == life:
+            self.check_reply(proxy, record_key, reply, client)
         if how in ("reads", "writes"):
-            await g.serve_one(v, Statement("e", "rollback", "ROLLBACK"))
-        g.close(v)
-        return r
-
-    async def reader(self, n, thing, i):
-        """Reads a record at an edge again and again, in every way."""
-        b, r = self.edges[n], random.Random(f"{n}{thing}{i}")
-        while self.reading:
-            await asyncio.sleep(r.uniform(0.01, 0.06))
-            if b.up and not b.frozen:
-                t = b.tasks.spawn(
+            await node.serve_one(session, Statement("e", "rollback", "ROLLBACK"))
+        node.close(session)
+        return reply
+
+    async def run_reader(self, proxy, record_key, number):
+        """Reads a record at a proxy repeatedly, in every way."""
+        machine, rng = self.proxies[proxy], random.Random(f"{proxy}{record_key}{number}")
+        while self.readers_run:
+            await asyncio.sleep(rng.uniform(0.01, 0.06))
+            if machine.up and not machine.frozen:
+                task = machine.tasks.spawn(
                     self.read(
-                        n,
-                        thing,
-                        r.choice(("db", "old")),
+                        proxy,
+                        record_key,
+                        rng.choice(("db", "old")),
                         "u",
-                        r.choice(("single", "prepared", "reads", "writes")),
+                        rng.choice(("single", "prepared", "reads", "writes")),
                     )
                 )
-                if t is not None:
-                    await asyncio.wait([t], timeout=30)
-
-    async def long_reader(self, n, thing, i):
-        """Begins a transaction, waits, then reads in it several times."""
-        b, r = self.edges[n], random.Random(f"long{n}{thing}{i}")
-        while self.reading:
-            await asyncio.sleep(r.uniform(0.05, 0.2))
-            if b.up and not b.frozen:
-                t = b.tasks.spawn(self._long(n, thing, r))
-                if t is not None:
-                    await asyncio.wait([t], timeout=60)
-
-    async def _long(self, n, thing, r):
-        b = self.edges[n]
-        g, life = b.node, b.life
-        if g is None or g.state != "serving":
+                if task is not None:
+                    await asyncio.wait([task], timeout=30)
+
+    async def run_transaction_reader(self, proxy, record_key, number):
+        """Reads a record several times in long transactions, repeatedly."""
+        machine, rng = self.proxies[proxy], random.Random(f"long{proxy}{record_key}{number}")
+        while self.readers_run:
+            await asyncio.sleep(rng.uniform(0.05, 0.2))
+            if machine.up and not machine.frozen:
+                task = machine.tasks.spawn(self._read_in_transaction(proxy, record_key, rng))
+                if task is not None:
+                    await asyncio.wait([task], timeout=60)
+
+    async def _read_in_transaction(self, proxy, record_key, rng):
+        machine = self.proxies[proxy]
+        node, life = machine.node, machine.life
+        if node is None or node.state != "serving":
             return
-        v = g.open("db", "u")
-        await g.serve_one(
-            v, Statement("p", "prepare", "PREPARE q FETCH s1", name="q", shape="FETCH s1")
+        session = node.open("db", "u")
+        await node.serve_one(
+            session, Statement("p", "prepare", "PREPARE q FETCH s1", name="q", shape="FETCH s1")
         )
-        await g.serve_one(v, Statement("b", "begin", "BEGIN", writes=r.random() < 0.5))
-        await g.serve_one(v, Statement("r", "read", "FETCH other"))
+        await node.serve_one(session, Statement("b", "begin", "BEGIN", writes=rng.random() < 0.5))
+        await node.serve_one(session, Statement("r", "read", "FETCH other"))
         for _ in range(4):
-            await b.clock.sleep(r.randrange(200_000, 2_000_000))
-            a = r.choice(
+            await machine.clock.sleep(rng.randrange(200_000, 2_000_000))
+            statement = rng.choice(
                 (
-                    Statement("r", "read", f"FETCH {thing}"),
+                    Statement("r", "read", f"FETCH {record_key}"),
                     Statement(
-                        "r", "execute", f"EXECUTE q {thing}", name="q", data=thing, shape="FETCH s1"
+                        "r",
+                        "execute",
+                        f"EXECUTE q {record_key}",
+                        name="q",
+                        data=record_key,
+                        shape="FETCH s1",
                     ),
                 )
             )
-            x = await g.serve_one(v, a)
-            if b.life == life:
-                self.note(n, thing, x)
-        await g.serve_one(v, Statement("e", "rollback", "ROLLBACK"))
-        g.close(v)
-
-    def crowd(self, things, each=2):
-        """Readers of every record at every edge."""
+            reply = await node.serve_one(session, statement)
+            if machine.life == life:
+                self.check_reply(proxy, record_key, reply)
+        await node.serve_one(session, Statement("e", "rollback", "ROLLBACK"))
+        node.close(session)
+
+    def start_readers(self, record_keys, per_record=2):
+        """Starts readers of every record at every proxy."""
         return [
-            asyncio.ensure_future(f(n, t, i))
-            for n in self.edges
-            for t in things
-            for i, f in enumerate([self.reader] * each + [self.long_reader])
+            asyncio.ensure_future(run(proxy, record_key, number))
+            for proxy in self.proxies
+            for record_key in record_keys
+            for number, run in enumerate(
+                [self.run_reader] * per_record + [self.run_transaction_reader]
+            )
         ]
 
-    async def settle(self, crowd):
-        self.reading = False
-        await asyncio.wait(crowd, timeout=120)
-
-    def late(self, thing, until):
-        """Seconds after the release until each edge first served the record."""
-        out = {}
-        for at, n, t in self.seen:
-            if t == thing and at >= until:
-                out.setdefault(n, (at - until) / 1e6)
-        return out
+    async def stop_readers(self, readers):
+        self.readers_run = False
+        await asyncio.wait(readers, timeout=120)
+
+    def release_delays(self, record_key, until):
+        """Returns how many seconds after the release each proxy first served the record."""
+        delays = {}
+        for at, proxy, served_key in self.served_reads:
+            if served_key == record_key and at >= until:
+                delays.setdefault(proxy, (at - until) / 1e6)
+        return delays
--- a/tests/limits_world.py
+++ b/tests/limits_world.py
@@ -1,9 +1,9 @@
-"""A world in virtual time for the tenants' limits: control nodes that count, and proxies that admit.
+"""Simulates tenants' limits in virtual time, with counting control nodes and admitting proxies.
 
-The counting service, the admission of proxies and the control state are the shipped ones. Stubs
-stand for what is around them: clocks that drift, a network that loses, holds up and doubles
-messages, and a chain whose views are decided here. Only `Admissions` judges, and it sees only the
-moments at which operations were admitted.
+The counting service, the admission of proxies and the control state are the production code. Stubs
+replace their environment: clocks that drift, a network that loses, delays and duplicates messages,
+and a chain whose views the test installs. `Admissions` alone checks the limits, from the times at
+which operations were sent.
 """
 
 import asyncio
@@ -24,66 +24,71 @@
 from petrelhaven.simulator.virtual_time import WarpLoop, end_all
 from petrelhaven.transport.message_kinds import MessageKind
 
-CONFIRM_S = 0.5
-APPLY_S = 4.0
+VIEW_CONFIRMATION_S = 0.5
+MAX_APPLY_S = 4.0
 _AIM_US, _DEADLINE_US = 500_000, 2_000_000
 
 
 class Admissions:
-    """When each tenant's operations were sent, and the limits in force.
+    """Records when each tenant's operations were sent, and which limits applied.
 
-    A lowered limit binds windows that begin once every proxy has had `APPLY_S` for it.
+    A lowered limit applies to windows that begin at least `MAX_APPLY_S` after it was set.
     """
 
     def __init__(self, window_s, excess, slack):
         self.window_s, self.excess, self.slack = window_s, excess, slack
         self.times, self.limits = {}, {}
-        self.asked, self.refused = {}, {}
+        self.submitted, self.refused = {}, {}
 
-    def limit(self, tenant, quota, since):
+    def add_limit(self, tenant, quota, since):
         self.limits.setdefault(tenant, []).append((since, quota))
 
-    def admitted(self, tenant, now):
+    def record_sent(self, tenant, now):
         self.times.setdefault(tenant, []).append(now)
 
-    def most(self, tenant, start):
-        """How many a window that begins at `start` may hold: a lower limit comes into force late."""
+    def max_in_window(self, tenant, start):
+        """Returns how many operations a window that begins at `start` may hold.
+
+        A lower limit counts only once `MAX_APPLY_S` has passed.
+        """
         in_force = None
         highest = 0
         for since, quota in self.limits[tenant]:
             nominal = quota.rate_per_s * self.window_s + quota.burst
             allowed = nominal * (1 + self.excess) + self.slack
-            if in_force is None or since + APPLY_S <= start:
+            if in_force is None or since + MAX_APPLY_S <= start:
                 in_force = highest = allowed
             elif since <= start + self.window_s:
                 highest = max(highest, allowed)
         return max(highest, in_force)
 
     def excesses(self):
-        """The windows that hold too many: tenant, start, how many, how many they may hold."""
+        """Returns the windows above their limit as (tenant, start, count, maximum)."""
         found = []
         for tenant, times in self.times.items():
             end = 0
             for index, start in enumerate(times):
                 while end < len(times) and times[end] <= start + self.window_s:
                     end += 1
-                if end - index > self.most(tenant, start) + 1e-9:
-                    found.append((tenant, round(start, 3), end - index, self.most(tenant, start)))
+                if end - index > self.max_in_window(tenant, start) + 1e-9:
+                    found.append(
+                        (tenant, round(start, 3), end - index, self.max_in_window(tenant, start))
+                    )
         return found
 
 
 class Process:
-    """What runs on one machine; it stands still while it is frozen."""
+    """A process on one machine; while it is frozen, its callbacks are deferred."""
 
     def __init__(self, world, name):
         self.world, self.name = world, name
-        self.is_up, self.frozen, self.life = False, False, 0
-        self._put_off = []
+        self.is_up, self.frozen, self.incarnation = False, False, 0
+        self._deferred = []
 
-    def run_or_put_off(self, call):
-        """Calls `call` now, or on waking."""
+    def run_or_defer(self, call):
+        """Calls `call` now, or when the process is thawed."""
         if self.frozen:
-            self._put_off.append(call)
+            self._deferred.append(call)
         else:
             call()
 
@@ -92,19 +97,19 @@
 
     def thaw(self):
         self.frozen = False
-        put_off, self._put_off = self._put_off, []
-        for call in put_off:
-            self.run_or_put_off(call)
+        deferred, self._deferred = self._deferred, []
+        for call in deferred:
+            self.run_or_defer(call)
 
-    def forget(self):
-        """Its end: nothing of it happens any more."""
+    def end(self):
+        """Ends the process: drops deferred callbacks and invalidates pending ones."""
         self.is_up, self.frozen = False, False
-        self._put_off = []
-        self.life += 1
+        self._deferred = []
+        self.incarnation += 1
 
 
 class ProcessClock(Clock):
-    """Steady microseconds at a rate of its own."""
+    """A monotonic clock in microseconds that runs at its own rate."""
 
     __slots__ = ("process", "rate", "offset")
 
@@ -116,28 +121,28 @@
         return self.offset + int(self.process.world.now() * self.rate * 1e6)
 
     def later(self, us, call):
-        process, life = self.process, self.process.life
+        process, incarnation = self.process, self.process.incarnation
 
-        def ring():
-            if process.life == life:
-                process.run_or_put_off(call)
+        def fire():
+            if process.incarnation == incarnation:
+                process.run_or_defer(call)
 
         seconds = max(us, 0) / 1e6 / self.rate
-        return asyncio.get_running_loop().call_later(seconds, ring)
+        return asyncio.get_running_loop().call_later(seconds, fire)
 
 
 class ConfirmationStub:
-    """What a node knows of the clocks of the others."""
+    """A node's view confirmation, with its readings of the other nodes' clocks."""
 
     def __init__(self, clock):
         self.boot, self.peer_clocks = clock.now(), PeerClocks(clock)
 
 
 class ChainStub:
-    """A node's place in the views, with what the real chain promises of `active`.
+    """A node's chain, with the guarantees that the real chain gives for `active`.
 
-    A node acts under its view while a majority has confirmed it lately, and only once no node acts
-    under a former one.
+    A node is active in its view while a majority has recently confirmed the view, and only once no
+    node is active in an earlier one.
     """
 
     def __init__(self, node):
@@ -168,14 +173,14 @@
 
 
 class View:
-    """A decided view."""
+    """A view that the test has installed."""
 
     def __init__(self, number, chain):
         self.number, self.chain = number, tuple(chain)
 
 
 class ControlProcess(Process):
-    """A control node: the shipped counting service over stubs."""
+    """A control node: the production counting service on top of stubs."""
 
     def __init__(self, world, name, rate):
         super().__init__(world, name)
@@ -198,7 +203,7 @@
 
     def kill(self):
         self.tasks.kill()
-        self.forget()
+        self.end()
 
     async def call(self, name, kind, body, timeout_us):
         return await self.world.call(self, name, kind, body, timeout_us)
@@ -208,34 +213,34 @@
 
 
 class CoreConnectionStub:
-    """A proxy's connection to one control node, another one after a call without an answer."""
+    """A proxy's connection to a control node; picks another one after an unanswered call."""
 
     def __init__(self, proxy):
         self._proxy = proxy
         self.node = None
 
-    async def call(self, kind, body, us):
+    async def call(self, kind, body, timeout_us):
         world = self._proxy.world
         if self.node is None:
-            reached = [n for n in world.nodes if world.reaches(self._proxy.name, n)]
-            if not reached:
+            reachable = [n for n in world.nodes if world.reaches(self._proxy.name, n)]
+            if not reachable:
                 raise NotSent("no control node is connected")
-            self.node = world.rng.choice(reached)
+            self.node = world.rng.choice(reachable)
         try:
-            return await world.call(self._proxy, self.node, kind, body, us)
+            return await world.call(self._proxy, self.node, kind, body, timeout_us)
         except (DeadlineExceeded, Unreachable):
             self.node = None
             raise
 
 
 class RouteStub:
-    """What admission reads of a route."""
+    """The part of a route that admission reads."""
 
     aim_us = _AIM_US
 
 
 class RequestStub:
-    """What admission reads and writes of a request."""
+    """The part of a request that admission reads and writes."""
 
     route = RouteStub()
 
@@ -245,7 +250,7 @@
 
 
 class ProxyProcess(Process):
-    """A proxy: the shipped admission over stubs, and clients that ask."""
+    """A proxy: the production admission on top of stubs, and clients that send operations."""
 
     def __init__(self, world, name, rate):
         super().__init__(world, name)
@@ -263,50 +268,50 @@
         self.directory = TenantDirectory(self.world.control_state.configuration_with_defaults)
 
     def retry_after(self, delay_us=0):
-        return f"come back in {delay_us} us"
+        return f"retry in {delay_us} us"
 
     def kill(self):
         self.tasks.kill()
-        self.forget()
+        self.end()
 
     def configure(self):
-        """The configuration that is in force now reaches this proxy."""
+        """Applies the current configuration at this proxy."""
         after = TenantDirectory(self.world.control_state.configuration_with_defaults)
         before, self.directory = self.directory, after
         self.admission.apply_directory(before, after)
 
-    def ask(self, tenant):
-        self.tasks.spawn(self._operate(self.directory.tenants[tenant]))
+    def submit(self, tenant):
+        self.tasks.spawn(self._run_operation(self.directory.tenants[tenant]))
 
-    async def _operate(self, tenant):
+    async def _run_operation(self, tenant):
         admissions, world = self.world.admissions, self.world
-        admissions.asked[tenant.name] = admissions.asked.get(tenant.name, 0) + 1
+        admissions.submitted[tenant.name] = admissions.submitted.get(tenant.name, 0) + 1
         request = RequestStub(tenant, self.clock.now() + _DEADLINE_US)
-        going_on = self.admission.admit(request)
+        admitting = self.admission.admit(request)
         refusal = None
         try:
             while True:
-                await next(going_on)
+                await next(admitting)
         except StopIteration as end:
             refusal = end.value
         finally:
-            going_on.close()
+            admitting.close()
         if refusal is not None:
             admissions.refused[tenant.name] = admissions.refused.get(tenant.name, 0) + 1
             return
         try:
             if world.rng.random() < world.slow_share:
                 await self.clock.sleep(world.rng.randrange(_DEADLINE_US))
-            if world.rng.random() >= world.put_back_share:
+            if world.rng.random() >= world.unsent_share:
                 self.admission.note_sent(request)
                 request.runs += 1
-                admissions.admitted(tenant.name, world.now())
+                admissions.record_sent(tenant.name, world.now())
         finally:
             self.admission.put_back(request)
 
 
 class ControlStateWithDefaults(ControlState):
-    """The shipped control state, and its configuration as a proxy reads it."""
+    """The production control state, with its configuration as a proxy reads it."""
 
     __slots__ = ()
 
@@ -318,7 +323,7 @@
 
 
 class World:
-    """Everything; `rng` decides what the schedule leaves open."""
+    """The simulated system; `rng` makes all choices that a scene leaves open."""
 
     def __init__(  # noqa: PLR0913
         self,
@@ -332,7 +337,7 @@
         window_us=5_000_000,
     ):
         self.rng = random.Random(seed)
-        self.put_back_share, self.slow_share = 0.01, 0.0
+        self.unsent_share, self.slow_share = 0.01, 0.0
         self.late_share, self.double_share = 0.0, 0.0
         self.failed_entry_share = self.unanswered_entry_share = 0.0
         self.quotas = dict(quotas or {"t": Quota(20, 20)})
@@ -348,7 +353,7 @@
         self.nodes, self.proxies = {}, {}
         self._apply_quotas()
         for tenant, quota in self.quotas.items():
-            self.admissions.limit(tenant, quota, self.now())
+            self.admissions.add_limit(tenant, quota, self.now())
         rates = itertools.cycle((1 + drift, 1 - drift))
         for name in "abcdefg"[:nodes]:
             self.nodes[name] = ControlProcess(self, name, next(rates))
@@ -356,9 +361,9 @@
             name = f"p{number}"
             self.proxies[name] = ProxyProcess(self, name, next(rates))
         self.view = None
-        self.decide(self.nodes)
-        self._confirming = asyncio.ensure_future(self._confirm())
-        self._asking = []
+        self.install_view(self.nodes)
+        self._confirmation_task = asyncio.ensure_future(self._confirm())
+        self._load_tasks = []
 
     @staticmethod
     def now():
@@ -388,19 +393,19 @@
             {"t": "manifest", "text": json.dumps(document), "version": version},
         )
 
-    def limit(self, tenant, quota):
-        """Another limit: control nodes have it at once, proxies within `APPLY_S`."""
+    def change_quota(self, tenant, quota):
+        """Changes a quota; control nodes apply it at once, proxies within `MAX_APPLY_S`."""
         self.quotas[tenant] = quota
         self._apply_quotas()
-        self.admissions.limit(tenant, quota, self.now())
+        self.admissions.add_limit(tenant, quota, self.now())
         for proxy in self.proxies.values():
-            delay = self.rng.uniform(0, APPLY_S * 0.9)
+            delay = self.rng.uniform(0, MAX_APPLY_S * 0.9)
             asyncio.get_running_loop().call_later(delay, self._configure, proxy)
 
     @staticmethod
     def _configure(proxy):
         if proxy.is_up:
-            proxy.run_or_put_off(proxy.configure)
+            proxy.run_or_defer(proxy.configure)
 
     # The network
 
@@ -408,10 +413,10 @@
         return (source, target) not in self.cut and self.process(target).is_up
 
     async def call(self, source, target, kind, body, timeout_us):
-        """One call over the network; a request may come late, twice, or not at all."""
+        """Sends a request, which may arrive late, twice or never, and returns the answer."""
         if not self.process(target).is_up:
             await source.clock.sleep(1_000)
-            raise NotSent("refused")
+            raise NotSent("connection refused")
         answer = asyncio.get_running_loop().create_future()
         self._send(source, target, kind, json.dumps(body), answer)
         if self.rng.random() < self.double_share:
@@ -427,63 +432,63 @@
         return self.rng.uniform(0.0005, 0.015)
 
     def _send(self, source, target, kind, raw, answer):
-        process, life = self.process(target), self.process(target).life
-        sender_life = source.life
+        process, incarnation = self.process(target), self.process(target).incarnation
+        sender_incarnation = source.incarnation
 
-        def arrive():
-            if process.life == life and process.is_up:
-                process.run_or_put_off(handle)
+        def deliver():
+            if process.incarnation == incarnation and process.is_up:
+                process.run_or_defer(handle)
 
         def handle():
-            if process.life == life:
-                process.tasks.spawn(self._handle(process, kind, raw, back))
+            if process.incarnation == incarnation:
+                process.tasks.spawn(self._handle(process, kind, raw, send_answer))
 
-        def back(result):
+        def send_answer(result):
             if (target, source.name) in self.cut:
                 return
-            asyncio.get_running_loop().call_later(self._latency(), arrive_back, result)
+            asyncio.get_running_loop().call_later(self._latency(), deliver_answer, result)
 
-        def arrive_back(result):
-            if source.life == sender_life:
-                source.run_or_put_off(lambda: answer.done() or answer.set_result(result))
+        def deliver_answer(result):
+            if source.incarnation == sender_incarnation:
+                source.run_or_defer(lambda: answer.done() or answer.set_result(result))
 
         if (source.name, target) in self.cut:
             return
-        asyncio.get_running_loop().call_later(self._latency(), arrive)
+        asyncio.get_running_loop().call_later(self._latency(), deliver)
 
     @staticmethod
-    async def _handle(process, kind, raw, back):
+    async def _handle(process, kind, raw, send_answer):
         try:
             result = json.dumps(await process.handlers[kind](None, json.loads(raw)))
         except Fault as fault:
             result = fault
-        back(result)
+        send_answer(result)
 
     async def enter(self, node, record, within_us):
-        """Enters a record; it may be entered although the answer is lost."""
+        """Appends a record to the chain; the record may be appended although the answer is lost."""
         is_failed = self.rng.random() < self.failed_entry_share
         is_unanswered = self.rng.random() < self.unanswered_entry_share
         await node.clock.sleep(self.rng.randrange(2_000, 60_000))
         head = self.nodes[self.view.chain[0]]
         if node.chain.view is not self.view or not head.is_up or head.frozen or is_failed:
             await node.clock.sleep(within_us)
-            raise NotReady("not entered")
+            raise NotReady("the record was not appended")
         self.control_state.check(record)
         self.control_state.apply(self.control_state.seq + 1, record)
-        self.note("record", record)
+        self.log_event("record", record)
         if is_unanswered:
             await node.clock.sleep(within_us)
-            raise DeadlineExceeded("entered, but the answer is lost")
+            raise DeadlineExceeded("the record was appended, but the answer was lost")
         await node.clock.sleep(self.rng.randrange(2_000, 30_000))
         return EnterAnswer(self.control_state.seq, False)
 
     # Views
 
-    def decide(self, chain):
-        """Another view; the nodes of both views learn of it in a while, those that are up."""
+    def install_view(self, chain):
+        """Installs a new view, which the running nodes adopt after a short delay."""
         number = self.view.number + 1 if self.view else 1
         self.view = View(number, chain)
-        self.note("view", number, "".join(self.view.chain))
+        self.log_event("view", number, "".join(self.view.chain))
         for name in self.nodes:
             self._adopt_later(name, self.rng.uniform(0, 0.2) if number > 1 else 0)
 
@@ -492,16 +497,16 @@
 
     def _adopt(self, name):
         node = self.nodes[name]
-        if not node.is_up or self._is_alone(name):
+        if not node.is_up or self._is_isolated(name):
             return
-        node.run_or_put_off(lambda: self._adopt_now(node))
+        node.run_or_defer(lambda: self._adopt_now(node))
 
     def _adopt_now(self, node):
         if node.is_up and (node.chain.view is None or node.chain.view.number < self.view.number):
             node.chain.view, node.chain.confirmed_until = self.view, -1.0
 
-    def _is_alone(self, name):
-        """Whether a node doesn't reach a majority both ways."""
+    def _is_isolated(self, name):
+        """Whether a node cannot exchange messages with a majority."""
         others = [
             other
             for other in self.nodes
@@ -516,56 +521,58 @@
         while True:
             self._read_clocks()
             for name, node in self.nodes.items():
-                if not node.is_up or node.frozen or self._is_alone(name):
+                if not node.is_up or node.frozen or self._is_isolated(name):
                     continue
                 if node.chain.view is self.view:
-                    node.chain.confirmed_until = self.now() + CONFIRM_S
+                    node.chain.confirmed_until = self.now() + VIEW_CONFIRMATION_S
                 else:
                     self._adopt_later(name, self.rng.uniform(0, 0.2))
             await asyncio.sleep(0.1)
 
     def _read_clocks(self):
-        """Each node reads the clocks of some others, a while after they showed it."""
+        """Gives each node delayed readings of two other nodes' clocks."""
         for name, node in self.nodes.items():
             for other in self.rng.sample([n for n in self.nodes if n != name], 2):
-                if self._may_talk(name, other):
+                if self._can_exchange(name, other):
                     peer = self.nodes[other]
                     shown_us = peer.clock.now() - self.rng.randrange(500, 100_000)
                     boot = peer.chain.confirmation.boot
                     node.chain.confirmation.peer_clocks.note(other, boot, shown_us)
 
-    def _may_talk(self, name, other):
+    def _can_exchange(self, name, other):
         running = all(n.is_up and not n.frozen for n in (self.nodes[name], self.nodes[other]))
         return running and not {(name, other), (other, name)} & self.cut
 
-    # What happens
+    # Load and faults
 
-    def note(self, *what):
-        self.log.append((round(self.now(), 3), *what))
+    def log_event(self, *event):
+        self.log.append((round(self.now(), 3), *event))
 
-    def load(self, tenant, per_s, name=None):
-        """Clients of all proxies, or of one, ask `per_s` operations a second of a tenant in all."""
+    def start_load(self, tenant, per_s, name=None):
+        """Starts clients that send `per_s` operations per second at all proxies, or at one."""
         names = [name] if name else list(self.proxies)
         for proxy in names:
-            coroutine = self._ask(proxy, tenant, per_s / len(names))
-            self._asking.append(asyncio.ensure_future(coroutine))
+            coroutine = self._send_operations(proxy, tenant, per_s / len(names))
+            self._load_tasks.append(asyncio.ensure_future(coroutine))
 
-    def unload(self):
-        for task in self._asking:
+    def stop_load(self):
+        for task in self._load_tasks:
             task.cancel()
-        self._asking = []
+        self._load_tasks = []
 
-    async def _ask(self, name, tenant, per_s):
+    async def _send_operations(self, name, tenant, per_s):
         while True:
             await asyncio.sleep(self.rng.expovariate(per_s))
             proxy = self.proxies[name]
             if proxy.is_up:
-                life = proxy.life
-                proxy.run_or_put_off(lambda p=proxy, n=life: p.life == n and p.ask(tenant))
+                incarnation = proxy.incarnation
+                proxy.run_or_defer(
+                    lambda p=proxy, n=incarnation: p.incarnation == n and p.submit(tenant)
+                )
 
     def kill(self, *names, down_s=0.0):
-        """Processes end at this instant, and start again after `down_s`; None: never."""
-        self.note("kill", *names, down_s)
+        """Kills processes; they restart after `down_s`, or never if it is None."""
+        self.log_event("kill", *names, down_s)
         for name in names:
             process = self.process(name)
             if process.is_up:
@@ -580,47 +587,47 @@
                 self._adopt(process.name)
 
     def freeze(self, name, for_s):
-        self.note("freeze", name, for_s)
+        self.log_event("freeze", name, for_s)
         process = self.process(name)
         if process.is_up and not process.frozen:
             process.freeze()
-            asyncio.get_running_loop().call_later(for_s, self._thaw, process, process.life)
+            asyncio.get_running_loop().call_later(for_s, self._thaw, process, process.incarnation)
 
     @staticmethod
-    def _thaw(process, life):
-        if process.life == life:
+    def _thaw(process, incarnation):
+        if process.incarnation == incarnation:
             process.thaw()
 
-    def cut_off(self, sources, targets, for_s):
-        """Nothing passes from `sources` to `targets` for a while."""
-        self.note("cut", "".join(sources), "->", "".join(targets), for_s)
+    def cut_links(self, sources, targets, for_s):
+        """Drops all messages from `sources` to `targets` for `for_s` seconds."""
+        self.log_event("cut", "".join(sources), "->", "".join(targets), for_s)
         links = {(s, t) for s in sources for t in targets if s != t}
         self.cut |= links
-        asyncio.get_running_loop().call_later(for_s, self._join, links)
+        asyncio.get_running_loop().call_later(for_s, self._restore_links, links)
 
-    def _join(self, links):
+    def _restore_links(self, links):
         self.cut -= links
 
     def close(self):
-        self.unload()
-        self._confirming.cancel()
+        self.stop_load()
+        self._confirmation_task.cancel()
         for process in [*self.nodes.values(), *self.proxies.values()]:
             process.tasks.kill()
 
 
 def play(scene, **kw):
-    """The world after `scene(world)` was played in virtual time."""
+    """Runs `scene(world)` in virtual time and returns the world."""
     loop = WarpLoop()
     asyncio.set_event_loop(loop)
 
-    async def go():
+    async def run():
         world = World(**kw)
         await scene(world)
         world.close()
         return world
 
     try:
-        return loop.run_until_complete(go())
+        return loop.run_until_complete(run())
     finally:
         end_all(loop)
         loop.close()
--- a/tests/test_embargo_system.py
+++ b/tests/test_embargo_system.py
@@ -153,7 +153,7 @@
         rc, out = await petrelhavenctl(s, *add)
         assert rc == 0 and "in force" in out, out
         rc, out = await petrelhavenctl(s, *add)
-        assert rc == 1 and "stands already" in out, out
+        assert rc == 1 and "already exists" in out, out
         fronts = [f[2] for f in s.fleet.fronts()]
         for t in ("opening secret", "draft-1 secret"):
             assert not (await ask(s, fronts[0], "w", f"PUT {t}")).code
--- a/tests/test_embargoes.py
+++ b/tests/test_embargoes.py
@@ -18,9 +18,9 @@
 
 from configuration_documents import configuration_text, internal_name  # noqa: E402
 from petrelhaven.control.configuration.parsing import parse_configuration  # noqa: E402
-from petrelhaven.control.embargo.records import Rule, configuration_fields, rules_of  # noqa: E402
+from petrelhaven.control.embargo.records import Rule, configuration_fields, stored_rules  # noqa: E402
 from petrelhaven.control.embargo.requests import parse_change_request  # noqa: E402
-from petrelhaven.control.embargo.rules import report  # noqa: E402
+from petrelhaven.control.embargo.rules import rules_report  # noqa: E402
 from petrelhaven.control.embargo.table import RuleTable  # noqa: E402
 from petrelhaven.control.resumable.node import ResumableControlNode  # noqa: E402
 from petrelhaven.control.state.control_state import ControlState  # noqa: E402
@@ -213,7 +213,7 @@
         self.say("add", **rule(name, **kw), by="me")
 
     def rules(self):
-        return {n: r.until_us for (_, n), r in rules_of(self.led.doc)}
+        return {n: r.until_us for (_, n), r in stored_rules(self.led.doc)}
 
 
 def test_a_record_is_added_moved_earlier_and_later_and_lifted():
@@ -239,7 +239,7 @@
         c.say("lift")
     with pytest.raises(Stale):
         c.say("move", until="2026-05-01T06:00:00Z")
-    t = report(c.led.doc)
+    t = rules_report(c.led.doc)
     assert [(p["do"], p["by"]) for p in t["past"]] == [
         ("add", "me"),
         ("move", "her"),
