--- a/tests/test_limits_model.py
+++ b/tests/test_limits_model.py
@@ -1,7 +1,7 @@
-"""Tenants' limits hold in every sliding window, whatever becomes of those who count.
+"""Checks that tenants' limits hold in every sliding window despite faults of counting nodes.
 
-Three layers: the pure logic of one counter and its proxies against the counter's own allowance, the
-whole service against the limit that the rules state, and mutants of both, each of which is found.
+The tests have three layers: one counter and its proxies against the counter's allowance, the
+complete service against the configured limits, and mutants of both, each of which must be found.
 """
 
 import asyncio
@@ -10,7 +10,7 @@
 import pytest
 from hypothesis import HealthCheck, Phase, given, settings
 from hypothesis import strategies as st
-from limits_world import CONFIRM_S, play
+from limits_world import VIEW_CONFIRMATION_S, play
 
 from petrelhaven.control.counting import service
 from petrelhaven.control.counting.copies import CopyTracker
@@ -32,19 +32,19 @@
     suppress_health_check=list(HealthCheck),
 )
 SMALL, LARGER = Quota(2, 2), Quota(20, 20)
-WARM_S = 16.0
-"""By then the beginnings of the first view are settled."""
+WARM_UP_S = 16.0
+"""The time after which the fresh starts of the first view are settled."""
 
 
 # One counter and its proxies
 
 WINDOW_US = 5_000_000
-ANSWER_US = 700_000
-COPY_US = 400_000
+REPORT_TIMEOUT_US = 700_000
+COPY_TIMEOUT_US = 400_000
 
 
 class PureProxy:
-    """A proxy's permits, on a clock of its own, and its answers under way."""
+    """A proxy's permit pool, on a clock with its own rate."""
 
     def __init__(self, name, rate):
         self.name, self.rate, self.account = name, rate, 0
@@ -55,154 +55,177 @@
 
     def restart(self, now):
         self.account += 1_000
-        self.holding = PermitPool("t", self.account, self.clock(now))
-        self.asked = None
+        self.pool = PermitPool("t", self.account, self.clock(now))
+        self.report_sent_at = None
 
 
 class PureWorld:
-    """Reports to one counter; the network delays, reorders, doubles and loses them."""
+    """One counter and its proxies; the network delays, reorders, duplicates and loses messages."""
 
     def __init__(self, allowance):
         self.now, self.allowance = 0, allowance
         self.counter = TenantCounter(allowance, WINDOW_US)
         self.tracker, self.standby = CopyTracker(), Standby(WINDOW_US)
-        self.copies = []
+        self.sent_copies = []
         self.proxies = [PureProxy(f"p{i}", 1 + drift) for i, drift in enumerate((0.01, -0.01, 0))]
-        self.under_way, self.uses = [], []
-        self.life, self.copy_number = 1, 0
+        self.sent_reports, self.uses = [], []
+        self.incarnation, self.copy_number = 1, 0
 
-    def use(self, proxy, most):
-        for _ in range(most):
-            account = proxy.holding.take(proxy.clock(self.now))
+    def run_operations(self, proxy, max_count):
+        for _ in range(max_count):
+            account = proxy.pool.reserve(proxy.clock(self.now))
             if account is not None:
-                proxy.holding.use(account, proxy.clock(self.now))
+                proxy.pool.use(account, proxy.clock(self.now))
                 self.uses.append(self.now)
 
-    def ask(self, proxy, waiting):
-        report = proxy.holding.report(waiting, proxy.clock(self.now))
-        proxy.asked = self.now
-        self.under_way.append((proxy, report, self.now))
+    def send_report(self, proxy, waiting):
+        report = proxy.pool.make_report(waiting, proxy.clock(self.now))
+        proxy.report_sent_at = self.now
+        self.sent_reports.append((proxy, report, self.now))
 
-    def deliver(self, index, answered, kept):
-        """The counter gets a report; with `kept` the network has it still, and may double it."""
-        if not self.under_way:
+    def deliver_report(self, index, is_answered, is_duplicated):
+        """Delivers a report to the counter; a duplicated one remains in the network."""
+        if not self.sent_reports:
             return
-        index %= len(self.under_way)
-        proxy, report, asked_at = self.under_way[index]
-        if not kept:
-            del self.under_way[index]
-        most = self.tracker.most(self.counter, self.now)
-        grant = self.counter.report(proxy.name, report, self.now, most)
-        in_time = proxy.asked == asked_at and self.now - asked_at < ANSWER_US
-        if answered and in_time:
-            proxy.asked = None
-            proxy.holding.take_grant(grant, proxy.clock(asked_at))
-
-    def copy(self):
-        """A copy leaves; it arrives by one of the steps below."""
+        index %= len(self.sent_reports)
+        proxy, report, sent_at = self.sent_reports[index]
+        if not is_duplicated:
+            del self.sent_reports[index]
+        max_grant = self.tracker.grant_headroom(self.counter, self.now)
+        grant = self.counter.process_report(proxy.name, report, self.now, max_grant)
+        in_time = proxy.report_sent_at == sent_at and self.now - sent_at < REPORT_TIMEOUT_US
+        if is_answered and in_time:
+            proxy.report_sent_at = None
+            proxy.pool.apply_grant(grant, proxy.clock(sent_at))
+
+    def send_copy(self):
+        """Sends a copy if one is due; `deliver_copy` delivers it."""
         if self.tracker.is_due(self.counter, self.now):
-            copy, sent = self.tracker.make("t", self.counter, CounterMode.REGULAR, 0, self.now)
+            copy, sent = self.tracker.make_copy("t", self.counter, CounterMode.REGULAR, 0, self.now)
             self.copy_number += 1
-            numbered = copy, self.life, self.copy_number, self.now + STANDBY_LIFETIME_US
-            self.copies.append((self.tracker, numbered, sent, self.now))
+            numbered = copy, self.incarnation, self.copy_number, self.now + STANDBY_LIFETIME_US
+            self.sent_copies.append((self.tracker, numbered, sent, self.now))
 
-    def deliver_copy(self, index, kept):
-        """The successor takes a copy; the counter learns of it if it still waits."""
-        if not self.copies:
+    def deliver_copy(self, index, is_duplicated):
+        """Delivers a copy to the successor; the counter is notified if it still waits."""
+        if not self.sent_copies:
             return
-        index %= len(self.copies)
-        tracker, numbered, sent, sent_at = self.copies[index]
-        if not kept:
-            del self.copies[index]
+        index %= len(self.sent_copies)
+        tracker, numbered, sent, sent_at = self.sent_copies[index]
+        if not is_duplicated:
+            del self.sent_copies[index]
         in_time = self.now <= numbered[-1]
-        taken = in_time and self.standby.take(*numbered, self.now)
-        if not sent.is_on_its_way:
+        is_applied = in_time and self.standby.apply_copy(*numbered, self.now)
+        if not sent.is_pending:
             return
-        if taken and self.now - sent_at < COPY_US:
+        if is_applied and self.now - sent_at < COPY_TIMEOUT_US:
             tracker.acknowledge(sent)
         else:
-            tracker.lose(sent)
+            tracker.mark_lost(sent)
 
-    def give_up_copies(self):
-        for tracker, _, sent, sent_at in self.copies:
-            if sent.is_on_its_way and self.now - sent_at >= COPY_US:
-                tracker.lose(sent)
+    def time_out_copies(self):
+        for tracker, _, sent, sent_at in self.sent_copies:
+            if sent.is_pending and self.now - sent_at >= COPY_TIMEOUT_US:
+                tracker.mark_lost(sent)
 
-    def promote(self):
-        """The node that counts is lost; its successor goes on if its copy is current."""
+    def take_over(self):
+        """Replaces the lost counting node by its successor if the successor's copy is current."""
         if self.standby.is_current(self.now):
-            self.counter = self.standby.counter(self.now)
+            self.counter = self.standby.make_counter(self.now)
             self.counter.allowance = self.allowance
-            self.life += 1
+            self.incarnation += 1
             self.tracker, self.standby = CopyTracker(), Standby(WINDOW_US)
-            self.copies = []
+            self.sent_copies = []
 
-    def step(self, kind, number, many, gap_us):
+    def step(self, kind, number, operations, gap_us):
         self.now += gap_us
-        self.give_up_copies()
+        self.time_out_copies()
         proxy = self.proxies[number % len(self.proxies)]
-        if kind == "use":
-            self.use(proxy, many)
-        elif kind == "ask":
-            self.ask(proxy, many)
-        elif kind == "round trip":
-            self.ask(proxy, many)
+        if kind == "run operations":
+            self.run_operations(proxy, operations)
+        elif kind == "send report":
+            self.send_report(proxy, operations)
+        elif kind == "report round trip":
+            self.send_report(proxy, operations)
             self.now += 20_000
-            self.deliver(len(self.under_way) - 1, True, False)
-            self.use(proxy, many)
-        elif kind == "renewal":
-            self.ask(proxy, 0)
+            self.deliver_report(len(self.sent_reports) - 1, True, False)
+            self.run_operations(proxy, operations)
+        elif kind == "renewal round trip":
+            self.send_report(proxy, 0)
             self.now += 20_000
-            self.deliver(len(self.under_way) - 1, True, False)
-        elif kind == "copy":
-            self.copy()
-        elif kind == "copied":
-            self.copy()
+            self.deliver_report(len(self.sent_reports) - 1, True, False)
+        elif kind == "send copy":
+            self.send_copy()
+        elif kind == "copy round trip":
+            self.send_copy()
             self.now += 20_000
             self.deliver_copy(-1, False)
-        elif kind == "copy arrives":
+        elif kind == "deliver copy":
             self.deliver_copy(number, False)
-        elif kind == "copy doubled":
+        elif kind == "duplicate copy":
             self.deliver_copy(number, True)
-        elif kind == "promote":
-            self.promote()
-        elif kind == "arrives":
-            self.deliver(number, True, False)
-        elif kind == "unanswered":
-            self.deliver(number, False, False)
-        elif kind == "doubled":
-            self.deliver(number, True, True)
-        elif kind == "lost" and self.under_way:
-            del self.under_way[number % len(self.under_way)]
-        elif kind == "restart":
+        elif kind == "take over":
+            self.take_over()
+        elif kind == "deliver report":
+            self.deliver_report(number, True, False)
+        elif kind == "deliver unanswered report":
+            self.deliver_report(number, False, False)
+        elif kind == "duplicate report":
+            self.deliver_report(number, True, True)
+        elif kind == "lose report" and self.sent_reports:
+            del self.sent_reports[number % len(self.sent_reports)]
+        elif kind == "restart proxy":
             proxy.restart(self.now)
-        elif kind == "lowered":
-            proxy.holding.give_back()
+        elif kind == "lower limit":
+            proxy.pool.return_all()
 
     def most_in_a_window(self):
         return most_in_a_window(self.uses, WINDOW_US)
 
 
 def most_in_a_window(times, window):
-    most, end = 0, 0
+    highest, end = 0, 0
     for index, start in enumerate(times):
         while end < len(times) and times[end] <= start + window:
             end += 1
-        most = max(most, end - index)
-    return most
+        highest = max(highest, end - index)
+    return highest
 
 
 REPORTS = (
-    ["round trip"] * 6
-    + ["use", "use", "renewal", "renewal", "lowered", "lowered", "restart"]
-    + ["ask", "arrives", "arrives", "unanswered", "doubled", "lost"]
+    ["report round trip"] * 6
+    + [
+        "run operations",
+        "run operations",
+        "renewal round trip",
+        "renewal round trip",
+        "lower limit",
+        "lower limit",
+        "restart proxy",
+    ]
+    + [
+        "send report",
+        "deliver report",
+        "deliver report",
+        "deliver unanswered report",
+        "duplicate report",
+        "lose report",
+    ]
 )
-TIMELY_COPIES = ["copied"] * 5 + ["promote"]
-LATE_COPIES = ["copied", "copied", "copy", "copy", "copy arrives", "copy doubled", "promote"]
+TIMELY_COPIES = ["copy round trip"] * 5 + ["take over"]
+LATE_COPIES = [
+    "copy round trip",
+    "copy round trip",
+    "send copy",
+    "send copy",
+    "deliver copy",
+    "duplicate copy",
+    "take over",
+]
 
 
 def pure_search(examples, kinds=REPORTS):
-    """Searches for a window that holds more than the counter's allowance."""
+    """Searches for a window with more uses than the counter's allowance."""
     step = st.tuples(
         st.sampled_from(kinds),
         st.integers(0, 5),
@@ -221,42 +244,43 @@
     search()
 
 
-# Guards against QUOTA of issue 30: proxies and the node that counts disagree on what was used.
+# Guards against QUOTA of issue 30: proxies and the counting node disagree on the number of uses.
 def test_no_window_holds_more_than_a_counter_allows():
     pure_search(600)
 
 
-# Guards against QUOTA: a successor that goes on learns of permits by a report that came late.
+# Guards against QUOTA: after a takeover the successor receives a delayed report on permits that its
+# predecessor granted.
 def test_no_window_holds_more_when_a_successor_goes_on():
     pure_search(600, REPORTS + TIMELY_COPIES)
 
 
-# Guards against QUOTA: a successor goes on from a copy that came late or twice.
+# Guards against QUOTA: a successor takes over from a delayed or duplicated copy.
 def test_no_window_holds_more_when_copies_come_late_or_twice():
     pure_search(600, REPORTS + LATE_COPIES)
 
 
-# The whole service
+# The complete service
 
 OPERATIONS = (
-    "kill owner",
-    "kill owner and successor",
+    "kill counting node",
+    "kill counting node and successor",
     "kill all",
     "kill successor",
-    "lose owner",
-    "lose owner and successor",
-    "freeze owner",
+    "lose counting node",
+    "lose counting node and successor",
+    "freeze counting node",
     "freeze successor",
     "freeze proxy",
     "kill proxies",
-    "cut proxies off owner",
-    "cut owner off",
-    "cut owner to successor",
-    "cut successor to owner",
-    "new view",
-    "whole view",
-    "lower",
-    "raise",
+    "cut proxies from counting node",
+    "isolate counting node",
+    "cut counting node to successor",
+    "cut successor to counting node",
+    "view of running nodes",
+    "full view",
+    "lower limit",
+    "raise limit",
     "wait",
 )
 SINGLE = st.tuples(
@@ -265,85 +289,85 @@
     st.sampled_from([0.05, 0.4, 1.2, 3.5, 6.0, 12.0]),
 ).map(lambda entry: [entry])
 EPISODES = [
-    [("cut owner to successor", 6.5, 12.0), ("lose owner", 1.6, 6.0)],
-    [("freeze successor", 0.3, 1.2), ("cut owner to successor", 6.3, 12.0)],
-    [("cut owner off", 6.5, 12.0)],
-    [("kill owner and successor", 1.45, 0.05)] * 3,
-    [("kill all", 1.55, 0.05), ("kill owner", 1.3, 0.05)],
-    [("lose owner and successor", 1.3, 0.3)] * 2,
-    [("kill all", 1.55, 0.05), ("lose owner", 0.7, 0.3), ("whole view", 1.3, 0.05)],
-    [("new view", 0.3, 0.05), ("whole view", 0.7, 0.05)],
-    [("lower", 4.0, 0.05), ("wait", 7.0, 0.05)],
+    [("cut counting node to successor", 6.5, 12.0), ("lose counting node", 1.6, 6.0)],
+    [("freeze successor", 0.3, 1.2), ("cut counting node to successor", 6.3, 12.0)],
+    [("isolate counting node", 6.5, 12.0)],
+    [("kill counting node and successor", 1.45, 0.05)] * 3,
+    [("kill all", 1.55, 0.05), ("kill counting node", 1.3, 0.05)],
+    [("lose counting node and successor", 1.3, 0.3)] * 2,
+    [("kill all", 1.55, 0.05), ("lose counting node", 0.7, 0.3), ("full view", 1.3, 0.05)],
+    [("view of running nodes", 0.3, 0.05), ("full view", 0.7, 0.05)],
+    [("lower limit", 4.0, 0.05), ("wait", 7.0, 0.05)],
 ]
 SCHEDULE = st.lists(
     st.one_of(SINGLE, SINGLE, st.sampled_from(EPISODES)), min_size=1, max_size=7
 ).map(lambda parts: [entry for part in parts for entry in part])
 
 
-def apply(world, kind, for_s):
-    """One entry of a schedule."""
-    owner, successor = assign_counting_node("t", world.view.chain)
-    rest = [name for name in world.nodes if name not in {owner, successor}]
-    if kind == "kill owner":
-        world.kill(owner, down_s=for_s)
+def apply_operation(world, kind, for_s):
+    """Applies one entry of a schedule to the world."""
+    counting_node, successor = assign_counting_node("t", world.view.chain)
+    rest = [name for name in world.nodes if name not in {counting_node, successor}]
+    if kind == "kill counting node":
+        world.kill(counting_node, down_s=for_s)
     elif kind == "kill successor":
         world.kill(successor, down_s=for_s)
-    elif kind == "kill owner and successor":
-        world.kill(owner, successor, down_s=for_s)
+    elif kind == "kill counting node and successor":
+        world.kill(counting_node, successor, down_s=for_s)
     elif kind == "kill all":
         world.kill(*world.nodes, down_s=min(for_s, 0.9))
-    elif kind == "lose owner":
-        world.kill(owner, down_s=for_s)
-        world.decide([*rest, successor])
-    elif kind == "lose owner and successor":
-        world.kill(owner, successor, down_s=for_s)
-        world.decide(rest)
-    elif kind == "freeze owner":
-        world.freeze(owner, for_s)
+    elif kind == "lose counting node":
+        world.kill(counting_node, down_s=for_s)
+        world.install_view([*rest, successor])
+    elif kind == "lose counting node and successor":
+        world.kill(counting_node, successor, down_s=for_s)
+        world.install_view(rest)
+    elif kind == "freeze counting node":
+        world.freeze(counting_node, for_s)
     elif kind == "freeze successor":
         world.freeze(successor, for_s)
     elif kind == "freeze proxy":
         world.freeze(world.rng.choice(list(world.proxies)), for_s)
     elif kind == "kill proxies":
         world.kill(*world.proxies, down_s=min(for_s, 0.9))
-    elif kind == "cut proxies off owner":
-        some = world.rng.sample(list(world.proxies), 2)
-        world.cut_off(some, [owner], for_s)
-    elif kind == "cut owner off":
+    elif kind == "cut proxies from counting node":
+        proxies = world.rng.sample(list(world.proxies), 2)
+        world.cut_links(proxies, [counting_node], for_s)
+    elif kind == "isolate counting node":
         others = [*rest, successor]
-        world.cut_off([owner], others, for_s)
-        world.cut_off(others, [owner], for_s)
-        world.decide(others)
-    elif kind == "cut owner to successor":
-        world.cut_off([owner], [successor], for_s)
-    elif kind == "cut successor to owner":
-        world.cut_off([successor], [owner], for_s)
-    elif kind == "new view":
+        world.cut_links([counting_node], others, for_s)
+        world.cut_links(others, [counting_node], for_s)
+        world.install_view(others)
+    elif kind == "cut counting node to successor":
+        world.cut_links([counting_node], [successor], for_s)
+    elif kind == "cut successor to counting node":
+        world.cut_links([successor], [counting_node], for_s)
+    elif kind == "view of running nodes":
         up = [name for name, node in world.nodes.items() if node.is_up and not node.frozen]
-        world.decide(up if len(up) > len(world.nodes) // 2 else world.view.chain)
-    elif kind == "whole view":
-        world.decide(world.nodes)
-    elif kind == "lower":
-        lower = Quota(max(1, world.quotas["t"].rate_per_s // 3), 1)
-        world.limit("t", lower)
-    elif kind == "raise":
-        world.limit("t", LARGER)
-
-
-async def scheduled(world, schedule, asked):
-    await asyncio.sleep(WARM_S)
-    world.load("t", asked)
-    world.load("u", 10)
+        world.install_view(up if len(up) > len(world.nodes) // 2 else world.view.chain)
+    elif kind == "full view":
+        world.install_view(world.nodes)
+    elif kind == "lower limit":
+        lowered = Quota(max(1, world.quotas["t"].rate_per_s // 3), 1)
+        world.change_quota("t", lowered)
+    elif kind == "raise limit":
+        world.change_quota("t", LARGER)
+
+
+async def scheduled(world, schedule, rate_per_s):
+    await asyncio.sleep(WARM_UP_S)
+    world.start_load("t", rate_per_s)
+    world.start_load("u", 10)
     await asyncio.sleep(1.2)
     for kind, gap_s, for_s in schedule:
-        apply(world, kind, for_s)
+        apply_operation(world, kind, for_s)
         await asyncio.sleep(gap_s)
     await asyncio.sleep(4)
-    world.unload()
+    world.stop_load()
 
 
 def service_search(examples, late=True):
-    """Searches for a window that holds more than the rules allow."""
+    """Searches for a window with more operations than the configured limits allow."""
 
     @settings(DRAWN, max_examples=examples)
     @given(SCHEDULE, st.integers(0, 2**16), st.sampled_from([(SMALL, 60), (LARGER, 150)]))
@@ -363,22 +387,22 @@
     search()
 
 
-# Guards against QUOTA of issue 30: those who count are lost, cut off, frozen or restarted.
+# Guards against QUOTA of issue 30: counting nodes are lost, isolated, frozen or restarted.
 def test_no_window_holds_more_than_the_limit():
     service_search(30)
 
 
-def scene_of(entries, asked=100):
-    """A scene of a tenant that asks far more than its limit from `WARM_S` on."""
+def scene_of(entries, rate_per_s=100):
+    """Returns a scene with a tenant far above its limit, and actions after the given delays."""
 
     async def scene(world):
-        await asyncio.sleep(WARM_S)
-        world.load("t", asked)
-        for after_s, act in entries:
-            await asyncio.sleep(after_s)
-            act(world)
+        await asyncio.sleep(WARM_UP_S)
+        world.start_load("t", rate_per_s)
+        for delay_s, action in entries:
+            await asyncio.sleep(delay_s)
+            action(world)
         await asyncio.sleep(6)
-        world.unload()
+        world.stop_load()
 
     return scene
 
@@ -394,270 +418,283 @@
 
 
 ALL = "abcde"
-OWNER, SUCCESSOR = assign_counting_node("t", ALL)
-REST = [name for name in ALL if name not in {OWNER, SUCCESSOR}]
-NEXT_OWNER, NEXT_SUCCESSOR = assign_counting_node("t", REST)
+COUNTING_NODE, SUCCESSOR = assign_counting_node("t", ALL)
+REST = [name for name in ALL if name not in {COUNTING_NODE, SUCCESSOR}]
+NEXT_COUNTING_NODE, NEXT_SUCCESSOR = assign_counting_node("t", REST)
 OTHER = next(
-    name for name in "uvwxyz" if assign_counting_node(name, ALL).counting_node == NEXT_OWNER
+    name for name in "uvwxyz" if assign_counting_node(name, ALL).counting_node == NEXT_COUNTING_NODE
 )
 
 
-# Guards against QUOTA: the copy of a node that may grant nothing yet is gone on with as a restart's.
+# Guards against QUOTA: a successor treats the copy of a counting node in quarantine as that of a
+# restarted node, and grants permits too early.
 def test_a_quarantine_outlives_its_counting_node():
-    entries = [(1.2, kill(ALL)), (1.55, kill(ALL)), (1.3, kill([OWNER]))]
+    entries = [(1.2, kill(ALL)), (1.55, kill(ALL)), (1.3, kill([COUNTING_NODE]))]
     assert not excesses(scene_of(entries))
 
 
-# Guards against QUOTA: a node that begins again in its view is settled by its earlier beginning.
+# Guards against QUOTA: a node starts fresh again in its view and is settled together with its earlier
+# fresh start.
 def test_each_beginning_is_settled_by_its_own_time():
-    entries = [(1.2, kill([OWNER, SUCCESSOR]))] + [(1.45, kill([OWNER, SUCCESSOR]))] * 3
+    entries = [(1.2, kill([COUNTING_NODE, SUCCESSOR]))] + [
+        (1.45, kill([COUNTING_NODE, SUCCESSOR]))
+    ] * 3
     assert not excesses(scene_of(entries))
 
 
-# Guards against QUOTA: a beginning that isn't settled is forgotten for a later one of its node.
+# Guards against QUOTA: an unsettled fresh start is replaced by a later one of the same node.
 def test_a_later_beginning_does_not_hide_an_earlier_one():
-    def lose_both(world):
-        world.kill(OWNER, SUCCESSOR, down_s=0.3)
-        world.decide(REST)
+    def lose_counting_node_and_successor(world):
+        world.kill(COUNTING_NODE, SUCCESSOR, down_s=0.3)
+        world.install_view(REST)
 
-    def lose_the_next(world):
-        world.kill(NEXT_OWNER, NEXT_SUCCESSOR, down_s=0.05)
-        world.decide(ALL)
-        world.freeze(OWNER, 0.6)
+    def lose_their_replacements(world):
+        world.kill(NEXT_COUNTING_NODE, NEXT_SUCCESSOR, down_s=0.05)
+        world.install_view(ALL)
+        world.freeze(COUNTING_NODE, 0.6)
 
-    scene = scene_of([(1.2, lose_both), (1.3, lose_the_next)])
+    scene = scene_of([(1.2, lose_counting_node_and_successor), (1.3, lose_their_replacements)])
     assert not excesses(scene, quotas={"t": SMALL, OTHER: Quota(100, 100)})
 
 
-# Guards against QUOTA: a copy that comes again, after later ones, sets the successor back.
+# Guards against QUOTA: a duplicated copy arrives after later ones and resets the successor.
 def test_a_copy_that_comes_again_changes_nothing():
     world = PureWorld(20)
-    world.copy()
+    world.send_copy()
     world.now += 20_000
     world.deliver_copy(0, True)
     for _ in range(6):
-        world.step("round trip", 0, 4, 100_000)
-        world.step("copied", 0, 0, 100_000)
+        world.step("report round trip", 0, 4, 100_000)
+        world.step("copy round trip", 0, 0, 100_000)
     world.deliver_copy(0, False)
-    world.promote()
+    world.take_over()
     for _ in range(6):
-        world.step("round trip", 0, 10, 100_000)
+        world.step("report round trip", 0, 10, 100_000)
     assert world.most_in_a_window() <= world.allowance
 
 
-# Guards against QUOTA: a report from before a grant makes the successor forget the granted permits.
+# Guards against QUOTA: a delayed report from before a grant makes the successor drop the permits of
+# that grant.
 def test_a_late_report_hides_no_permits_from_a_successor():
     world = PureWorld(100)
-    world.ask(world.proxies[0], 0)
-    late = world.under_way.pop()
+    world.send_report(world.proxies[0], 0)
+    delayed_report = world.sent_reports.pop()
     world.proxies[0].asked = None
-    world.step("round trip", 0, 30, 100_000)
+    world.step("report round trip", 0, 30, 100_000)
     for _ in range(3):
-        world.step("renewal", 0, 0, 200_000)
-    world.step("copied", 0, 0, 100_000)
-    world.step("promote", 0, 0, 100_000)
-    world.under_way.append(late)
-    world.step("unanswered", 0, 0, 10_000)
+        world.step("renewal round trip", 0, 0, 200_000)
+    world.step("copy round trip", 0, 0, 100_000)
+    world.step("take over", 0, 0, 100_000)
+    world.sent_reports.append(delayed_report)
+    world.step("deliver unanswered report", 0, 0, 10_000)
     for turn in range(20):
-        world.step("use", 0, 1 if turn % 5 == 4 else 0, 300_000)
-        world.step("renewal", 0, 0, 300_000)
-    world.step("round trip", 1, 100, 100_000)
-    world.step("use", 0, 40, 10_000)
+        world.step("run operations", 0, 1 if turn % 5 == 4 else 0, 300_000)
+        world.step("renewal round trip", 0, 0, 300_000)
+    world.step("report round trip", 1, 100, 100_000)
+    world.step("run operations", 0, 40, 10_000)
     assert world.most_in_a_window() <= world.allowance
 
 
-# What is refused below the limit
+# Refusals below the limit
+
 
+def refused_share(rate, fault=None, for_s=20.0, seed=1):
+    """Returns the share of refused operations of a tenant at 0.6 of its rate.
 
-def refused_share(rate, after=None, for_s=20.0, seed=1):
-    """The share that is refused of a tenant that asks 0.6 of its rate, once it has begun to."""
+    The first 4 s of the load, before `fault` is applied, do not count.
+    """
 
     async def scene(world):
-        await asyncio.sleep(WARM_S)
-        world.load("t", rate * 0.6)
+        await asyncio.sleep(WARM_UP_S)
+        world.start_load("t", rate * 0.6)
         await asyncio.sleep(4)
-        world.admissions.asked.clear()
+        world.admissions.submitted.clear()
         world.admissions.refused.clear()
-        if after:
-            after(world)
+        if fault:
+            fault(world)
         await asyncio.sleep(for_s)
-        world.unload()
+        world.stop_load()
         await asyncio.sleep(2)
 
     admissions = play(scene, seed=seed, quotas={"t": Quota(rate, rate)}).admissions
-    return admissions.refused.get("t", 0) / admissions.asked["t"]
+    return admissions.refused.get("t", 0) / admissions.submitted["t"]
 
 
-# Guards against worth lost: a tenant below its limit is refused while all are in touch.
+# Guards against unnecessary refusals: a tenant below its limit is refused without any fault.
 @pytest.mark.parametrize("rate", [10, 100])
 def test_a_tenant_below_its_limit_is_hardly_refused(rate):
     assert refused_share(rate) < 0.01
 
 
-def out_of_reach(control_node):
-    """Nothing passes from the counting node to its successor; proxies are at `control_node`."""
+def cut_to_successor(control_node):
+    """Returns a fault: the link from counting node to successor is cut, proxies use `control_node`."""
 
     def cut(world):
         for proxy in world.proxies.values():
             proxy.core_connection.node = control_node
-        world.cut_off([OWNER], [SUCCESSOR], 10.0)
+        world.cut_links([COUNTING_NODE], [SUCCESSOR], 10.0)
 
     return cut
 
 
-# Guards against worth lost: copies to a successor that is out of reach hold back the whole tenant.
+# Guards against unnecessary refusals: copies that cannot reach the successor block all grants.
 def test_a_successor_out_of_reach_does_not_hold_its_tenants_back():
-    assert refused_share(100, out_of_reach(REST[0])) < 0.1
+    assert refused_share(100, cut_to_successor(REST[0])) < 0.1
 
 
-# Guards against worth lost: answers to proxies at a node that the counting node does not reach.
+# Guards against unnecessary refusals: answers cannot reach the control node of the proxies.
 def test_a_control_node_out_of_reach_does_not_hold_its_proxies_back():
-    assert refused_share(100, out_of_reach(SUCCESSOR)) < 0.1
+    assert refused_share(100, cut_to_successor(SUCCESSOR)) < 0.1
 
 
-# Guards against worth lost: a tenant's first operations in a row go by the reserve of no allowance.
+# Guards against unnecessary refusals: a tenant's first burst is limited by the reserve of a counter
+# whose allowance is not set yet.
 @pytest.mark.parametrize("rate", [10, 100])
 def test_the_first_operations_of_a_tenant_run(rate):
     async def scene(world):
-        await asyncio.sleep(WARM_S)
+        await asyncio.sleep(WARM_UP_S)
         for _ in range(rate // 2):
-            world.proxies["p0"].ask("t")
+            world.proxies["p0"].submit("t")
         await asyncio.sleep(2)
 
     admissions = play(scene, quotas={"t": Quota(rate, rate)}).admissions
     assert not admissions.refused
 
 
-# Guards against worth lost: after its counting node was lost, a tenant waits for its first permit.
-@pytest.mark.parametrize("lost", [[OWNER], [OWNER, SUCCESSOR]])
+# Guards against unnecessary refusals: a tenant waits long for its first permit after the loss of its
+# counting node.
+@pytest.mark.parametrize("lost", [[COUNTING_NODE], [COUNTING_NODE, SUCCESSOR]])
 @pytest.mark.parametrize("seed", range(3))
 def test_the_first_permit_after_a_loss_comes_within_a_second_of_the_view(lost, seed):
     async def scene(world):
-        await asyncio.sleep(WARM_S)
+        await asyncio.sleep(WARM_UP_S)
         world.kill(*lost, down_s=None)
-        await asyncio.sleep(CONFIRM_S)
-        world.decide([name for name in ALL if name not in lost])
-        world.view_at = world.now()
-        world.load("t", 50)
+        await asyncio.sleep(VIEW_CONFIRMATION_S)
+        world.install_view([name for name in ALL if name not in lost])
+        world.view_installed_at = world.now()
+        world.start_load("t", 50)
         await asyncio.sleep(3)
-        world.unload()
+        world.stop_load()
 
     world = play(scene, seed=seed, quotas={"t": Quota(100, 100)})
-    assert world.admissions.times["t"][0] - world.view_at <= 1.0
+    assert world.admissions.times["t"][0] - world.view_installed_at <= 1.0
 
 
-# Guards against worth lost: a beginning whose answer is lost is taken for another one's.
+# Guards against unnecessary refusals: a node whose record got no answer treats that record as another
+# fresh start.
 def test_an_unanswered_beginning_is_no_reason_to_wait():
     async def scene(world):
-        await asyncio.sleep(WARM_S)
+        await asyncio.sleep(WARM_UP_S)
         world.unanswered_entry_share = 1.0
-        world.kill(OWNER, SUCCESSOR, down_s=None)
-        world.decide(REST)
+        world.kill(COUNTING_NODE, SUCCESSOR, down_s=None)
+        world.install_view(REST)
         await asyncio.sleep(1.5)
         world.unanswered_entry_share = 0.0
-        world.load("t", 50)
+        world.start_load("t", 50)
         await asyncio.sleep(4)
-        world.unload()
+        world.stop_load()
 
     world = play(scene, quotas={"t": Quota(100, 100)})
     assert world.admissions.times.get("t"), world.log
 
 
-# Mutants: each is found by one of the searches above
+# Mutants; each is found by one of the searches above
 
 
-def grant_without_end(mp):
-    mp.setattr(PermitPool, "_expire", lambda self, now: None)
+def permits_do_not_expire(monkeypatch):
+    monkeypatch.setattr(PermitPool, "_expire", lambda self, now: None)
 
 
-def returned_counted_twice(mp):
-    real = TenantCounter._settle
+def returned_permits_subtracted_twice(monkeypatch):
+    original = TenantCounter._update_account
 
-    def settle(self, proxy, report, now):
-        before = self._accounts.get((proxy, report.account))
-        returned = before.returned if before else report.returned
-        account = real(self, proxy, report, now)
-        self._out -= account.returned - returned
+    def update_account(self, proxy, report, now):
+        previous = self._accounts.get((proxy, report.account))
+        returned = previous.returned if previous else report.returned
+        account = original(self, proxy, report, now)
+        self._outstanding -= account.returned - returned
         return account
 
-    mp.setattr(TenantCounter, "_settle", settle)
+    monkeypatch.setattr(TenantCounter, "_update_account", update_account)
 
 
-def expired_not_counted(mp):
-    def expire(self, now):
+def expired_permits_not_counted(monkeypatch):
+    def expire_accounts(self, now):
         for key in [key for key, account in self._accounts.items() if account.expires_at <= now]:
-            self._out -= self._accounts.pop(key).outstanding
+            self._outstanding -= self._accounts.pop(key).outstanding
         if self._inherited_until <= now:
             self._inherited = 0
 
-    mp.setattr(TenantCounter, "_expire", expire)
+    monkeypatch.setattr(TenantCounter, "_expire_accounts", expire_accounts)
 
 
-def uses_counted_early(mp):
-    def count(self, uses, now):
+def uses_counted_early(monkeypatch):
+    def count_uses(self, uses, now):
         if uses > 0:
             self._window.add(uses, now - ACCOUNT_LIFETIME_US // 3)
-            self.uses += uses
+            self.used_total += uses
 
-    mp.setattr(TenantCounter, "_count", count)
+    monkeypatch.setattr(TenantCounter, "_count_uses", count_uses)
 
 
-def copy_too_old(mp):
-    mp.setattr(Standby, "is_current", lambda self, now: self._expires_at > 0)
+def expired_copy_used(monkeypatch):
+    monkeypatch.setattr(Standby, "is_current", lambda self, now: self._expires_at > 0)
 
 
-def refilled_at_takeover(mp):
-    def counter(self, _now):
+def count_reset_at_takeover(monkeypatch):
+    def make_counter(self, _now):
         return TenantCounter(0, self._window.window_us)
 
-    mp.setattr(Standby, "counter", counter)
+    monkeypatch.setattr(Standby, "make_counter", make_counter)
 
 
-def old_owner_not_fenced(mp):
-    def count_all(self, view_number, reports):
+def old_counting_node_not_fenced(monkeypatch):
+    def count_reports(self, view_number, reports):
         self.apply_view()
         if self._view_number != view_number:
             raise NotReady("not counting in this view")
         now = self._clock.now()
-        return [self._count(proxy, report, now) for proxy, report in reports]
+        return [self._count_report(proxy, report, now) for proxy, report in reports]
 
-    mp.setattr(CountingService, "_count_all", count_all)
+    monkeypatch.setattr(CountingService, "_count_reports", count_reports)
 
 
-def lower_limit_not_followed(mp):
-    real = service._Counted.follow
+def lower_limit_not_applied(monkeypatch):
+    original = service._CountedTenant.update_allowance
 
-    def follow(self, table, tenant, now):
-        before = self.counter.allowance
-        real(self, table, tenant, now)
-        self.counter.allowance = max(before, self.counter.allowance)
+    def update_allowance(self, table, tenant, now):
+        previous = self.counter.allowance
+        original(self, table, tenant, now)
+        self.counter.allowance = max(previous, self.counter.allowance)
 
-    mp.setattr(service._Counted, "follow", follow)
+    monkeypatch.setattr(service._CountedTenant, "update_allowance", update_allowance)
 
 
-def unsettled_not_quarantined(mp):
-    mp.setattr(service, "decide", lambda starts, node, view: CounterMode.REGULAR)
+def fresh_start_not_quarantined(monkeypatch):
+    monkeypatch.setattr(
+        service, "choose_counter_mode", lambda starts, node, view: CounterMode.REGULAR
+    )
 
 
-PURE = functools.partial(pure_search, 1_500)
-SUCCESSION = functools.partial(pure_search, 1_500, REPORTS + TIMELY_COPIES)
-SERVICE = functools.partial(service_search, 120)
+COUNTER_SEARCH = functools.partial(pure_search, 1_500)
+TAKEOVER_SEARCH = functools.partial(pure_search, 1_500, REPORTS + TIMELY_COPIES)
+SERVICE_SEARCH = functools.partial(service_search, 120)
 
 
-# Guards against a search that would not see the fault it looks for.
+# Guards against searches that cannot find a fault.
 @pytest.mark.parametrize(
     ("mutant", "search"),
     [
-        (grant_without_end, PURE),
-        (returned_counted_twice, PURE),
-        (expired_not_counted, PURE),
-        (uses_counted_early, PURE),
-        (copy_too_old, SUCCESSION),
-        (refilled_at_takeover, SUCCESSION),
-        (refilled_at_takeover, SERVICE),
-        (old_owner_not_fenced, SERVICE),
-        (lower_limit_not_followed, SERVICE),
-        (unsettled_not_quarantined, SERVICE),
+        (permits_do_not_expire, COUNTER_SEARCH),
+        (returned_permits_subtracted_twice, COUNTER_SEARCH),
+        (expired_permits_not_counted, COUNTER_SEARCH),
+        (uses_counted_early, COUNTER_SEARCH),
+        (expired_copy_used, TAKEOVER_SEARCH),
+        (count_reset_at_takeover, TAKEOVER_SEARCH),
+        (count_reset_at_takeover, SERVICE_SEARCH),
+        (old_counting_node_not_fenced, SERVICE_SEARCH),
+        (lower_limit_not_applied, SERVICE_SEARCH),
+        (fresh_start_not_quarantined, SERVICE_SEARCH),
     ],
     ids=lambda part: getattr(part, "__name__", ""),
 )
@@ -667,17 +704,17 @@
         search()
 
 
-# Guards against refusals below the limit: a node that goes on with a count took all uses of the last
-# window for new ones, so that a tenant at 0.6 of its rate got hardly a permit for a whole window.
+# Guards against unnecessary refusals: after a takeover all uses of the last window counted as new, so
+# a tenant at 0.6 of its rate got hardly any permits for the length of a window.
 def test_a_counter_that_goes_on_forgets_uses_when_they_leave_the_window():
     counter = TenantCounter(60, WINDOW_US)
     for index in range(40):
-        at = index * 100_000
-        counter.report("p", AccountReport("t", 1, index, index, 0, 1, 0), at)
+        reported_at = index * 100_000
+        counter.process_report("p", AccountReport("t", 1, index, index, 0, 1, 0), reported_at)
     now = 40 * 100_000
-    copy, _ = CopyTracker().make("t", counter, CounterMode.REGULAR, 0, now)
+    copy, _ = CopyTracker().make_copy("t", counter, CounterMode.REGULAR, 0, now)
     standby = Standby(WINDOW_US)
-    assert standby.take(copy, 1, 1, now + STANDBY_LIFETIME_US, now)
-    later = standby.counter(now)
-    assert later.used(now) == counter.used(now)
-    assert later.used(now + WINDOW_US // 2) <= counter.used(now + WINDOW_US // 2) + 5
+    assert standby.apply_copy(copy, 1, 1, now + STANDBY_LIFETIME_US, now)
+    resumed = standby.make_counter(now)
+    assert resumed.used(now) == counter.used(now)
+    assert resumed.used(now + WINDOW_US // 2) <= counter.used(now + WINDOW_US // 2) + 5
--- a/tests/test_tenant_quota.py
+++ b/tests/test_tenant_quota.py
@@ -1,4 +1,4 @@
-"""Limits of tenants on the wire: one proxy with one member, in virtual time."""
+"""Tests tenants' limits over the client protocol: one proxy and one member, in virtual time."""
 
 import asyncio
 
@@ -7,7 +7,7 @@
 RATE_PER_S, BURST = 2, 2
 WINDOW_S = 5
 QUOTA_EXCESS, QUOTA_SLACK = 0.1, 20
-MOST = (RATE_PER_S * WINDOW_S + BURST) * (1 + QUOTA_EXCESS) + QUOTA_SLACK
+MAX_IN_WINDOW = (RATE_PER_S * WINDOW_S + BURST) * (1 + QUOTA_EXCESS) + QUOTA_SLACK
 KEY = "key-of-agency"
 LIMITED = {
     **CONFIG,
@@ -19,7 +19,7 @@
 
 
 class CountingNodeStub:
-    """Answers a proxy's reports by the shipped counter, as the counting node of every tenant."""
+    """Answers a proxy's reports with the production counter, as the counting node of all tenants."""
 
     def __init__(self, clock):
         self.clock, self.counters = clock, {}
@@ -29,28 +29,28 @@
         from petrelhaven.limits.quota import Quota, QuotaPolicy
         from petrelhaven.transport.quota_messages import GrantList, ReportList
 
-        terms = QuotaPolicy()
+        policy = QuotaPolicy()
         request = ReportList.from_body(body if isinstance(body, dict) else kind)
         grants = []
         for report in request.reports:
             counter = self.counters.setdefault(
                 report.tenant,
-                TenantCounter(terms.regular(Quota(RATE_PER_S, BURST)), terms.window_us),
+                TenantCounter(policy.regular_allowance(Quota(RATE_PER_S, BURST)), policy.window_us),
             )
-            grants.append(counter.report(request.proxy, report, self.clock.now()))
+            grants.append(counter.process_report(request.proxy, report, self.clock.now()))
         await asyncio.sleep(0.005)
         return GrantList(grants).to_body()
 
 
 def most_in_a_window(times, window_s):
-    """The most of the ascending `times` that lie in any window of `window_s`."""
+    """Returns the largest number of `times`, in ascending order, within any window."""
     return max(
         (sum(start <= time <= start + window_s for time in times) for start in times), default=0
     )
 
 
 class TimedRuns(list):
-    """What a member ran; `times` has the moment of each, in seconds."""
+    """The statements that a member ran; `times` has the time of each, in seconds."""
 
     def __init__(self):
         super().__init__()
@@ -61,9 +61,9 @@
         super().append(run)
 
 
-# Guards against QUOTA of issue 30: nothing counted a tenant's operations, and all that it sent ran.
+# Guards against QUOTA of issue 30: a tenant's operations were not counted, and all of them ran.
 def test_a_tenant_runs_no_more_than_its_limit_in_any_window():
-    async def go(door):
+    async def run(door):
         connection = door.core_connection
         connection.call = CountingNodeStub(door.clock).call
         connection.state_age_us = 0
@@ -78,10 +78,10 @@
         ends = [line for line in lines if line.split(b" ")[0] in {b"COMPLETE", b"ERROR"}]
         return door.member.ran.times, ends
 
-    ran, ends = virtual(go)
+    run_times, ends = virtual(run)
     assert len(ends) == 100
-    assert 0 < most_in_a_window(ran, WINDOW_S) <= MOST
+    assert 0 < most_in_a_window(run_times, WINDOW_S) <= MAX_IN_WINDOW
     refused = [end for end in ends if end.startswith(b"ERROR")]
-    assert len(ends) - len(refused) == len(ran)
+    assert len(ends) - len(refused) == len(run_times)
     for end in refused:
         assert end.startswith(b"ERROR BUSY not run; come back in ") and end.endswith(b" ms"), end
--- a/tests/test_tenant_review.py
+++ b/tests/test_tenant_review.py
@@ -1,4 +1,4 @@
-"""Schedules that a review of tenants' limits found: each test shows one of them."""
+"""Regression tests for schedules found in a review of tenants' limits."""
 
 import asyncio
 import json
@@ -34,7 +34,7 @@
 
 
 def virtual(work):
-    """What the coroutine function `work` returns, run in virtual time."""
+    """Runs the coroutine function `work` in virtual time and returns its result."""
     loop = WarpLoop()
     asyncio.set_event_loop(loop)
     try:
@@ -45,25 +45,25 @@
         asyncio.set_event_loop(None)
 
 
-def granted(holding, permits, now):
-    """`holding` with `permits`, reported and granted at `now`."""
-    report = holding.report(permits, now)
-    holding.take_grant(Grant(report.tenant, report.account, permits, 0), now)
-    return holding
+def with_permits(pool, permits, now):
+    """Grants `permits` to `pool` at `now` and returns it."""
+    report = pool.make_report(permits, now)
+    pool.apply_grant(Grant(report.tenant, report.account, permits, 0), now)
+    return pool
 
 
 class CoreConnectionStub:
-    """Answers each report by `answer(report)`: a grant, or None for no answer at all."""
+    """Answers each report with `answer(report)`; a call fails if one of its answers is None."""
 
     def __init__(self, answer, delay_s=0.005):
-        self.answer, self.delay_s, self.asked = answer, delay_s, 0
+        self.answer, self.delay_s, self.calls = answer, delay_s, 0
 
     async def call(self, _kind, body, _timeout_us):
-        self.asked += 1
+        self.calls += 1
         await asyncio.sleep(self.delay_s)
         grants = [self.answer(report) for report in ReportList.from_body(body).reports]
         if None in grants:
-            raise Unreachable("nobody counts")
+            raise Unreachable("no counting node answered")
         return GrantList(grants).to_body()
 
 
@@ -75,13 +75,13 @@
         rng=random.Random(1),
         core_connection=core_connection,
         count=Counter(),
-        retry_after=lambda us=0: f"not run; come back in {us // 1000} ms",
+        retry_after=lambda delay_us=0: f"not run; retry in {delay_us // 1000} ms",
     )
     return QuotaAdmission(proxy)
 
 
 async def finish(continuation):
-    """The result of a continuation."""
+    """Runs a continuation and returns its result."""
     try:
         awaited = next(continuation)
         while True:
@@ -96,42 +96,42 @@
 
 
 def request_of(tenant, aim_us, end):
-    """What admission needs of an operation's request."""
+    """Returns a request with the attributes that admission uses."""
     route = SimpleNamespace(aim_us=aim_us)
     return SimpleNamespace(tenant=tenant, route=route, end=end, permit=None, runs=0)
 
 
-# Guards against QUOTA: the permit of an operation that never ran, reported as used already, hid the
-# use of another one that ran later, so that this one left the window before its time.
+# Guards against QUOTA: a reserved permit was reported as used although its operation never ran. The
+# next operation was then counted at that earlier time, and left the window too early.
 def test_a_permit_put_back_after_its_report_hides_no_later_use():
     window_us = QuotaPolicy().window_us
     counter = TenantCounter(2, window_us)
-    holding = granted(PermitPool("agency", 1, 0), 2, 0)
-    assert counter.report("e", AccountReport("agency", 1, 0, 0, 0, 2, 0), 0).granted == 2
-    first = holding.take(0)  # waits for a member that it never reaches
-    counter.report("e", holding.report(0, 400_000), 400_000)
+    pool = with_permits(PermitPool("agency", 1, 0), 2, 0)
+    assert counter.process_report("e", AccountReport("agency", 1, 0, 0, 0, 2, 0), 0).granted == 2
+    first = pool.reserve(0)  # the operation never reaches a member
+    counter.process_report("e", pool.make_report(0, 400_000), 400_000)
     ran_at = 2 * SECOND
-    holding.use(holding.take(ran_at), ran_at)
-    holding.put_back(first)  # the first one's time is over
-    counter.report("e", holding.report(0, ran_at), ran_at)
+    pool.use(pool.reserve(ran_at), ran_at)
+    pool.release(first)  # the first operation timed out
+    counter.process_report("e", pool.make_report(0, ran_at), ran_at)
     just_before = ran_at + window_us - 1
     assert counter.used(just_before) >= 1
 
 
-# Guards against QUOTA: an operation that waited for a member for as long as its route allows was
-# counted when it was admitted, and ran in a window that knew nothing of it.
+# Guards against QUOTA: an operation was counted when it was admitted, then waited for a member up to
+# the timeout of its route, and ran in a later window that did not count it.
 def test_an_operation_that_waits_for_a_member_is_counted_no_earlier_than_it_is_sent():
     window_s, rate, burst = 5, 10, 0
-    most = (rate * window_s + burst) * 1.1 + 20
+    max_in_window = (rate * window_s + burst) * 1.1 + 20
     key = b"key-of-agency"
     route = {**CONFIG["Routes"][0], "TimeoutMs": 4_000}
     tenants = [{"Name": "agency", "ApiKeys": [key.decode()], "RatePerS": rate, "Burst": burst}]
     limited = {**CONFIG, "Revision": 2, "Routes": [route], "Tenants": tenants}
 
-    async def go(door):
-        terms, clock = QuotaPolicy(), door.clock
-        counter = TenantCounter(terms.regular(Quota(rate, burst)), terms.window_us)
-        stub = CoreConnectionStub(lambda report: counter.report("e", report, clock.now()))
+    async def run(door):
+        policy, clock = QuotaPolicy(), door.clock
+        counter = TenantCounter(policy.regular_allowance(Quota(rate, burst)), policy.window_us)
+        stub = CoreConnectionStub(lambda report: counter.process_report("e", report, clock.now()))
         door.core_connection.call, door.core_connection.state_age_us = stub.call, 0
         door.member.ran = TimedRuns()
         door.configure(limited)
@@ -148,51 +148,51 @@
         await rest()
         return most_in_a_window(door.member.ran.times, window_s)
 
-    assert 0 < on_a_proxy(go) <= most
+    assert 0 < on_a_proxy(run) <= max_in_window
 
 
-# Guards against QUOTA: what an operation sent once more after its permits had ended ran beyond them
-# came with a new account, whose first report the counting node did not count.
+# Guards against QUOTA: an operation was sent again after its permits had expired. That use belonged to
+# a new account, and the counting node ignored uses in the first report of an account.
 def test_what_was_run_beyond_an_account_that_ended_is_counted_with_the_next():
     counter = TenantCounter(100, 5 * SECOND)
-    holding = granted(PermitPool("agency", 1, 0), 1, 0)
-    counter.report("e", AccountReport("agency", 1, 0, 0, 0, 1, 0), 0)
-    holding.use(holding.take(0), 0)
-    counter.report("e", holding.report(0, 400_000), 400_000)
+    pool = with_permits(PermitPool("agency", 1, 0), 1, 0)
+    counter.process_report("e", AccountReport("agency", 1, 0, 0, 0, 1, 0), 0)
+    pool.use(pool.reserve(0), 0)
+    counter.process_report("e", pool.make_report(0, 400_000), 400_000)
     now = 4 * SECOND
-    holding.charge(now)  # the same operation at another member, or its retry
-    counter.report("e", holding.report(0, now), now)
+    pool.use_without_permit(now)  # the same operation, sent to another member or retried
+    counter.process_report("e", pool.make_report(0, now), now)
     assert counter.used(now) == 2
 
 
-# Guards against refusals below the limit: where judging leaves no slack, tenants with a small limit
-# could never run anything.
+# Guards against unnecessary refusals: with a policy without slack, tenants with a small limit could
+# not run any operation.
 @pytest.mark.parametrize("quota", [Quota(0, 1), Quota(1, 0), Quota(0, 2), Quota(0, 3)], ids=str)
 @pytest.mark.parametrize("excess", [0, 100])
 def test_a_small_limit_without_slack_lets_most_of_it_run(quota, excess):
-    terms = QuotaPolicy(5 * SECOND, excess, 0)
-    nominal = terms.nominal(quota)
-    assert terms.regular(quota) >= max(1, nominal // 2)
+    policy = QuotaPolicy(5 * SECOND, excess, 0)
+    nominal = policy.nominal_limit(quota)
+    assert policy.regular_allowance(quota) >= max(1, nominal // 2)
 
 
-# Guards against refusals below the limit: operations that waited for a permit were refused when
-# their tenant's limit was taken away.
+# Guards against unnecessary refusals: operations waiting for a permit were refused when the limit of
+# their tenant was removed.
 def test_operations_that_wait_run_once_their_tenant_has_no_limit_any_more():
     async def work():
-        limits = admission(CoreConnectionStub(lambda report: None))
+        quota_admission = admission(CoreConnectionStub(lambda report: None))
         before, after = directory({"name": "agency", "rate": 1}), directory({"name": "agency"})
         waiting = asyncio.ensure_future(
-            finish(limits.admit(request_of(before.tenants["agency"], 500_000, 5 * SECOND)))
+            finish(quota_admission.admit(request_of(before.tenants["agency"], 500_000, 5 * SECOND)))
         )
         await asyncio.sleep(0.1)
-        limits.apply_directory(before, after)
+        quota_admission.apply_directory(before, after)
         return await waiting
 
     assert virtual(work) is None
 
 
-# Guards against priced refusals: while a tenant's counting node was lost, its operations were held
-# for 0.9 s and then refused, longer than a quarter of their aim, for other nodes still answered.
+# Guards against late refusals: while a tenant's counting node was lost and other counting nodes still
+# answered, its operations were refused only after 0.9 s instead of a quarter of the latency target.
 def test_an_operation_that_gets_no_permit_is_refused_within_a_quarter_of_its_aim():
     aim_us = 300_000
 
@@ -200,11 +200,13 @@
         def answer(report):
             return Grant(report.tenant, report.account, 0, 0) if report.tenant == "other" else None
 
-        limits, clock = admission(CoreConnectionStub(answer)), LoopClock()
+        quota_admission, clock = admission(CoreConnectionStub(answer)), LoopClock()
         limited = Tenant("agency", Quota(100, 0))
-        began = clock.now()
-        refusal = await finish(limits.admit(request_of(limited, aim_us, began + 5 * SECOND)))
-        return refusal, clock.now() - began
+        started = clock.now()
+        refusal = await finish(
+            quota_admission.admit(request_of(limited, aim_us, started + 5 * SECOND))
+        )
+        return refusal, clock.now() - started
 
     refusal, took_us = virtual(work)
     assert refusal is not None
@@ -212,7 +214,7 @@
 
 
 class CountingNodeStub:
-    """A control node whose calls to `silent` nodes are answered never."""
+    """A control node whose calls to the nodes in `silent` time out."""
 
     def __init__(self, names, silent):
         self.name, self.clock, self.tasks = names[0], LoopClock(), BackgroundTasks()
@@ -228,8 +230,8 @@
         return GrantList([Grant(row[1], row[2], 1, 0) for row in rows]).to_body()
 
 
-# Guards against operations held past their aim: one counting node that was lost held up the
-# permits of all tenants that a proxy had asked for in one message.
+# Guards against late permits: a lost counting node delayed the permits of all tenants that a proxy had
+# requested in the same message.
 def test_a_lost_counting_node_holds_up_no_other_tenants_permits():
     names = ["c1", "c2", "c3"]
     counted_by = {
@@ -242,33 +244,33 @@
         node = CountingNodeStub(names, {"c2"})
         service = CountingService(node, lambda: 1)
         reports = [AccountReport(counted_by[name], 1, 0, 0, 0, 1, 0) for name in ("c2", "c3")]
-        began = node.clock.now()
+        started = node.clock.now()
         body = await service.handle_report(None, ReportList("e", reports).to_body())
         grants = GrantList.from_body(body).grants
-        return {grant.tenant for grant in grants}, node.clock.now() - began
+        return {grant.tenant for grant in grants}, node.clock.now() - started
 
     tenants, took_us = virtual(work)
     assert counted_by["c3"] in tenants
     assert took_us <= 150_000
 
 
-# Guards against refusals below the limit: where only the successor's missing acknowledgement stood
-# in the way, clients were sent away for as long as a whole window.
+# Guards against long refusals: when permits were only missing until the successor acknowledged a copy,
+# clients were told to wait for the length of a window.
 def test_a_grant_that_waits_for_a_copy_alone_sends_nobody_away_for_long():
     counter = TenantCounter(1_000, 5 * SECOND)
-    grant = counter.report("e", AccountReport("agency", 1, 0, 0, 0, 1, 0), 0, most=0)
+    grant = counter.process_report("e", AccountReport("agency", 1, 0, 0, 0, 1, 0), 0, max_grant=0)
     assert grant.granted == 0
     assert grant.retry_us <= 500_000
 
 
-# Guards against refusals for nothing: statements that had given up waiting for a connection still
-# counted as waiting, and their tenant's next ones were refused although nobody waited.
+# Guards against unnecessary refusals: statements that gave up waiting for a connection still counted
+# as waiting, so the next statements of their tenant were refused.
 def test_waiters_that_gave_up_leave_room_for_others():
     async def work():
         member = PoolMember()
         pool = ConnectionPool(LoopClock(), BackgroundTasks(), member.open, 1, lambda: 9)
         client = SimpleNamespace(tenant="a", values={}, prepared={}, statement_numbers={})
-        await pool.acquire(client)  # busy from now on
+        await pool.acquire(client)  # the only connection is busy from now on
         for _ in range(4):
             pool.cancel(pool.acquire(client))
         last = pool.acquire(client)
@@ -279,8 +281,8 @@
     assert not last.done() or not isinstance(last.exception(), Busy)
 
 
-# Guards against tenants that get nothing of what an embargo lets them see early: rules name them as
-# the platform does, sessions as the project does.
+# Guards against exempt tenants whose reads are withheld: rules contained the platform's name of the
+# tenant, while sessions contain the internal name.
 @pytest.mark.parametrize("name", ["agency", "Agency", "Böse-Agentur"])
 def test_an_embargo_names_early_tenants_as_sessions_do(name):
     key = "key-of-agency"
@@ -291,17 +293,17 @@
         "Tenants": [{"Name": name, "ApiKeys": [key]}],
         "Embargo": {"Rules": [rule]},
     }
-    made = json.loads(configuration_text(json.dumps(document).encode(), ["a"]))
-    assert made["embargoes"][0]["early"] == [made["tenants"][0]["name"]]
+    converted = json.loads(configuration_text(json.dumps(document).encode(), ["a"]))
+    assert converted["embargoes"][0]["early"] == [converted["tenants"][0]["name"]]
 
 
-# Guards against counting that takes time with the number of proxies squared: each report summed
-# what all proxies hold, several times.
+# Guards against counting whose cost grows with the square of the number of proxies: each report summed
+# the permits of all proxies several times.
 def test_the_cost_of_a_report_does_not_grow_with_the_number_of_proxies():
-    def steps(proxies):
+    def executed_lines(proxies):
         counter = TenantCounter(1 << 20, 5 * SECOND)
         for number in range(proxies):
-            counter.report(f"e{number}", AccountReport("t", 1, 0, 0, 0, 1, 0), 0)
+            counter.process_report(f"e{number}", AccountReport("t", 1, 0, 0, 0, 1, 0), 0)
         count = 0
 
         def trace(*_):
@@ -311,9 +313,9 @@
 
         sys.settrace(trace)
         try:
-            counter.report("e0", AccountReport("t", 1, 1, 1, 0, 1, 0), 1_000)
+            counter.process_report("e0", AccountReport("t", 1, 1, 1, 0, 1, 0), 1_000)
         finally:
             sys.settrace(None)
         return count
 
-    assert steps(2_000) <= 3 * steps(20)
+    assert executed_lines(2_000) <= 3 * executed_lines(20)
--- a/tests/test_tenant_storm.py
+++ b/tests/test_tenant_storm.py
@@ -1,4 +1,4 @@
-"""Storms against a fleet with tenants; each rule is seen broken once its guard is out."""
+"""Randomized fault runs against a fleet with tenants; disabling a guard must be detected."""
 
 import asyncio
 
@@ -15,85 +15,91 @@
 from petrelhaven.simulator.connection_sessions.storm import inside
 from petrelhaven.simulator.connection_sessions.tenant_storm import run
 
-_SERVED_AT_LEAST = 100
-_SPAN_S = 9.0
-_SPAN_OF_CHANGE_S = 18.0
-"""Long enough for a change to bind: its last third is longer than the bound on a change."""
+_MIN_SERVED = 100
+_RUN_S = 9.0
+_RUN_WITH_CHANGE_S = 18.0
+"""The last third of this time exceeds the time within which a change must be in force."""
 
 
-def rules(bad):
-    """The rules of findings; those of the machines begin with the time."""
-    found = {finding[0] if isinstance(finding[0], str) else finding[1] for finding in bad}
-    assert "code" not in found, bad
+def violated_rules(findings):
+    """Returns the names of the violated rules; findings of machines begin with the time."""
+    found = {finding[0] if isinstance(finding[0], str) else finding[1] for finding in findings}
+    assert "code" not in found, findings
     return found
 
 
-# ROUTE, UNASKED, CONFIG and QUOTA under series of faults and faults that overlap.
+# Checks ROUTE, UNASKED, CONFIG and QUOTA under successive and overlapping faults.
 @pytest.mark.parametrize("seed", [1, 2, 3, 6])
 def test_a_storm_against_tenants_keys_and_limits_breaks_no_rule(seed):
-    bad, fleet = run(seed)
-    assert bad == []
-    assert sum(client.served for client in fleet.clients) > _SERVED_AT_LEAST
+    findings, fleet = run(seed)
+    assert findings == []
+    assert sum(client.served for client in fleet.clients) > _MIN_SERVED
 
 
-# QUOTA when all control nodes are killed at one instant, again and again, under hot tenants.
+# Checks QUOTA when all control nodes are repeatedly killed at the same instant under full load.
 def test_kills_of_all_control_nodes_break_no_rule():
-    assert kills_of_all_control_nodes() == []
+    assert run_with_kills_of_all_control_nodes() == []
 
 
-# The judge and the play: a count that begins anew as if nothing had been granted is found.
+# Checks the checker itself: a counter that starts as if nothing had been granted must be detected.
 def test_a_count_that_forgets_what_was_granted_before_a_kill_is_found(monkeypatch):
-    monkeypatch.setattr(service, "decide", lambda *_: CounterMode.REGULAR)
-    assert "QUOTA" in rules(kills_of_all_control_nodes())
+    monkeypatch.setattr(service, "choose_counter_mode", lambda *_: CounterMode.REGULAR)
+    assert "QUOTA" in violated_rules(run_with_kills_of_all_control_nodes())
 
 
-def kills_of_all_control_nodes(seed=10):
-    """What a play breaks whose windows are the longest and whose slack is the least there is."""
-    bad, fleet = run(seed, is_pressed=True, kinds=["core_instant"], count=6)
+def run_with_kills_of_all_control_nodes(seed=10):
+    """Returns the findings of a run with the longest windows and the smallest slack."""
+    findings, fleet = run(seed, is_pressed=True, kinds=["core_instant"], count=6)
     assert (fleet.tenancy.window_s, fleet.tenancy.slack, fleet.tenancy.excess) == (15, 3, 0.0)
-    return bad
+    return findings
 
 
-def calm_play(span_s, seed=5):
-    """A play without faults in which every limited tenant is hot for a while; (findings, fleet)."""
+def run_without_faults(duration_s, seed=5):
+    """Runs a fleet in which every tenant sends at full speed for a while.
 
-    async def go(fleet):
+    Returns:
+        The findings and the fleet.
+    """
+
+    async def scene(fleet):
         await fleet.start()
         fleet.start_clients(18)
-        await asyncio.sleep(span_s / 3)
+        await asyncio.sleep(duration_s / 3)
         fleet.tenancy.hot.update(fleet.tenancy.names())
-        await asyncio.sleep(span_s / 3)
+        await asyncio.sleep(duration_s / 3)
         fleet.tenancy.hot.clear()
         fleet.tenancy.change(*map(fleet.tenancy.with_another_key, ("t1", "t2")))
         await fleet.apply(2)
-        await asyncio.sleep(span_s / 3)
+        await asyncio.sleep(duration_s / 3)
         await fleet.calm()
         return fleet.verdict()
 
-    return inside(go, seed, tenants=6, cap=60)
+    return inside(scene, seed, tenants=6, cap=60)
 
 
-# The judge itself: a play in which nothing is wrong, with every kind of client, finds nothing.
+# Checks that the checker finds nothing in a run without faults, with every kind of client.
 def test_hot_tenants_without_faults_break_no_rule():
-    bad, fleet = calm_play(_SPAN_OF_CHANGE_S)
-    assert bad == []
+    findings, fleet = run_without_faults(_RUN_WITH_CHANGE_S)
+    assert findings == []
     assert fleet.history.key_refusals, "no client showed a wrong key"
     assert {run.who for run in fleet.history.runs} >= {"", "t1", "t2", "t3"}
 
 
-def everybody_is_let_in(patch):
-    identify = TenantDirectory.identify
-    patch.setattr(TenantDirectory, "identify", lambda self, key, public: identify(self, key, True))
+def any_key_is_accepted(monkeypatch):
+    original = TenantDirectory.identify
+    monkeypatch.setattr(
+        TenantDirectory, "identify", lambda self, key, public: original(self, key, True)
+    )
 
 
-def members_hear_nobody(patch):
-    patch.setattr(
+def members_get_no_tenant_name(monkeypatch):
+    monkeypatch.setattr(
         ProxyNode, "_follow_tenant", lambda self, session, tenant: setattr(session, "tenant", "")
     )
 
 
 class _AnyTenant(str):
-    """Equal to every tenant's name."""
+    """A string that equals the name of every tenant."""
 
     def __eq__(self, other):
         return True
@@ -101,59 +107,59 @@
     __hash__ = None
 
 
-def connections_are_shared(patch):
+def connections_are_shared_between_tenants(monkeypatch):
     shared = property(lambda self: _AnyTenant(), lambda self, _: None)
-    patch.setattr(MemberConnection, "tenant", shared, raising=False)
+    monkeypatch.setattr(MemberConnection, "tenant", shared, raising=False)
 
 
-def keys_stay_as_at_first(patch):
-    configure = ProxyNode._configure
+def first_keys_stay_valid(monkeypatch):
+    original = ProxyNode._configure
 
-    def keep(self, configuration):
-        known = self.tenants
-        configure(self, configuration)
-        if known.requires_keys:
-            self.tenants = known
+    def configure(self, configuration):
+        previous = self.tenants
+        original(self, configuration)
+        if previous.requires_keys:
+            self.tenants = previous
 
-    patch.setattr(ProxyNode, "_configure", keep)
+    monkeypatch.setattr(ProxyNode, "_configure", configure)
 
 
-def nothing_is_counted(patch):
+def operations_are_not_counted(monkeypatch):
     def admit(self, *_request):
         return None
         yield
 
-    patch.setattr(QuotaAdmission, "admit", admit)
+    monkeypatch.setattr(QuotaAdmission, "admit", admit)
 
 
-def nodes_count_without_a_bound(patch):
-    report = TenantCounter.report
+def allowance_is_unlimited(monkeypatch):
+    original = TenantCounter.process_report
 
-    def unbounded(self, *args, **kwargs):
+    def process_report(self, *args, **kwargs):
         self.allowance = 1 << 30
-        return report(self, *args, **kwargs)
+        return original(self, *args, **kwargs)
 
-    patch.setattr(TenantCounter, "report", unbounded)
+    monkeypatch.setattr(TenantCounter, "process_report", process_report)
 
 
-def permits_never_run_out(patch):
-    patch.setattr(PermitPool, "balance", property(lambda self: 1 if self._granted else 0))
+def permits_are_never_used_up(monkeypatch):
+    monkeypatch.setattr(PermitPool, "available", property(lambda self: 1 if self._granted else 0))
 
 
-# The rules of the judge: a guard that is out is found in a play without any fault.
+# Checks the checker: a disabled guard must be detected even in a run without faults.
 @pytest.mark.parametrize(
-    ("mutant", "rule"),
+    ("disable_guard", "rule"),
     [
-        (everybody_is_let_in, "ROUTE"),
-        (members_hear_nobody, "UNASKED"),
-        (connections_are_shared, "UNASKED"),
-        (keys_stay_as_at_first, "CONFIG"),
-        (nothing_is_counted, "QUOTA"),
-        (nodes_count_without_a_bound, "QUOTA"),
-        (permits_never_run_out, "QUOTA"),
+        (any_key_is_accepted, "ROUTE"),
+        (members_get_no_tenant_name, "UNASKED"),
+        (connections_are_shared_between_tenants, "UNASKED"),
+        (first_keys_stay_valid, "CONFIG"),
+        (operations_are_not_counted, "QUOTA"),
+        (allowance_is_unlimited, "QUOTA"),
+        (permits_are_never_used_up, "QUOTA"),
     ],
 )
-def test_a_guard_that_is_out_is_found(monkeypatch, mutant, rule):
-    mutant(monkeypatch)
-    span_s = _SPAN_OF_CHANGE_S if rule == "CONFIG" else _SPAN_S
-    assert rule in rules(calm_play(span_s)[0])
+def test_a_guard_that_is_out_is_found(monkeypatch, disable_guard, rule):
+    disable_guard(monkeypatch)
+    duration_s = _RUN_WITH_CHANGE_S if rule == "CONFIG" else _RUN_S
+    assert rule in violated_rules(run_without_faults(duration_s)[0])
