--- a/tests/test_embargo_system.py
+++ b/tests/test_embargo_system.py
@@ -209,7 +209,7 @@
     scene(go)
 
 
-def test_the_records_are_told_as_cloud_events(scene):
+def test_embargo_records_are_published_as_cloud_events(scene):
     async def go(s):
         assert (await s.configure(Embargo={"Services": ["svc1"]})).acked_at
         soon = format_instant(now() + S)
--- a/tests/test_embargo_world.py
+++ b/tests/test_embargo_world.py
@@ -23,7 +23,7 @@
     return until
 
 
-def test_a_record_is_withheld_to_its_moment_and_served_after_it_by_every_edge():
+def test_every_proxy_withholds_a_record_until_its_release_and_serves_it_afterwards():
     async def scene(world):
         until = await place_record(world)
         readers = world.start_readers(["opening"])
@@ -176,11 +176,11 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 @pytest.mark.parametrize("scene", SCENES)
-def test_nobody_sees_a_record_before_its_moment(scene, seed):
+def test_no_client_reads_a_record_before_its_release(scene, seed):
     assert virtual(scene, seed) == []
 
 
-def test_one_core_a_clock_that_steps_back_changes_nothing():
+def test_one_wall_clock_stepping_back_changes_nothing():
     assert virtual(lambda world: clock_step(world, -5 * SECOND_US)) == []
 
 
@@ -290,12 +290,12 @@
         (rule_changes_not_applied, no_faults),
     ],
 )
-def test_without_its_guard_a_record_is_seen_too_early(monkeypatch, disable_guard, scene):
+def test_without_its_guard_a_record_is_read_too_early(monkeypatch, disable_guard, scene):
     disable_guard(monkeypatch)
     assert any(virtual(scene, seed) for seed in (1, 2, 3))
 
 
-def test_moved_earlier_it_is_served_earlier_and_lifted_at_once():
+def test_a_record_moved_earlier_or_lifted_is_served_at_that_time():
     async def scene(world):
         until = await place_record(world, "a", 60)
         await place_record(world, "b", 60)
@@ -317,7 +317,7 @@
     virtual(scene)
 
 
-def test_a_client_named_in_the_rule_sees_the_record_early_and_no_one_else_does():
+def test_only_an_exempt_client_reads_a_record_early():
     async def scene(world):
         await world.embargo("add", "opening", world.true_time() + 60 * SECOND_US, early=["early"])
         await world.write("opening")
@@ -329,7 +329,7 @@
     virtual(scene)
 
 
-def test_a_prefix_holds_back_all_that_begins_so_whether_it_exists_or_not_in_the_same_words():
+def test_a_prefix_rule_withholds_existing_and_missing_records_with_the_same_reply():
     async def scene(world):
         await world.embargo(
             "add", "opening-1", world.true_time() + 60 * SECOND_US, prefix="opening-"
@@ -351,7 +351,7 @@
     virtual(scene)
 
 
-def test_a_refusal_costs_no_member_a_slot():
+def test_a_refused_read_is_not_sent_to_a_member():
     async def scene(world):
         await world.embargo("add", "opening", world.true_time() + 60 * SECOND_US)
         statements = []
@@ -369,7 +369,7 @@
     virtual(scene)
 
 
-def test_all_who_wait_are_told_different_times_after_the_moment():
+def test_retry_times_are_spread_over_the_time_after_the_release():
     async def scene(world):
         until = world.true_time() + 20 * SECOND_US
         await world.embargo("add", "opening", until)
@@ -389,7 +389,7 @@
     virtual(scene)
 
 
-def test_without_a_majority_of_clocks_nothing_more_is_released_and_what_was_stays_released():
+def test_without_a_majority_of_clocks_no_further_record_is_released():
     async def scene(world):
         first, until = await place_record(world, "a", 3), await place_record(world, "b", 8)
         await asyncio.sleep((first - world.true_time()) / SECOND_US + 1)
@@ -426,7 +426,7 @@
     virtual(scene)
 
 
-def test_a_core_whose_clock_is_off_is_named():
+def test_a_control_node_with_a_wrong_wall_clock_is_logged():
     async def scene(world):
         await asyncio.sleep(2)
         world.wall_clocks["c2"].error_us = 5 * SECOND_US
@@ -439,7 +439,7 @@
     virtual(scene)
 
 
-def test_rules_survive_every_cores_restart_and_an_edges():
+def test_rules_survive_a_restart_of_all_control_nodes_and_of_a_proxy():
     async def scene(world):
         until = await place_record(world, "a", 25)
         readers = world.start_readers(["a"], 1)
@@ -462,7 +462,7 @@
     virtual(scene)
 
 
-def test_an_edge_that_never_heard_of_embargoes_stops_the_first_one_until_it_is_back_or_named():
+def test_a_proxy_unaware_of_embargoes_blocks_new_rules_until_it_is_back_or_declared_gone():
     async def scene(world):
         world.net.cut(["e3"], list(world.control_nodes), 12 * SECOND_US)
         await asyncio.sleep(1)
@@ -510,7 +510,7 @@
     virtual(scene, embargoing=[])
 
 
-def test_why_and_list_tell_what_holds_a_record_back():
+def test_explain_and_list_report_which_rule_withholds_a_record():
     async def scene(world):
         await world.embargo("add", "opening", world.true_time() + 60 * SECOND_US, early=["ed"])
         query = {"group": "g", "thing": "opening"}
@@ -617,11 +617,11 @@
 
 
 @pytest.mark.parametrize("seed", range(24))
-def test_storms(seed):
+def test_randomized_faults(seed):
     assert virtual(lambda world: randomized_faults(world, seed), seed) == []
 
 
-def test_switched_off_again_an_edge_is_as_if_it_had_never_heard_of_it():
+def test_disabling_embargoes_removes_the_filter_from_all_proxies():
     async def scene(world):
         await world.embargo("add", "opening", world.true_time() + 60 * SECOND_US)
         with pytest.raises(Fault) as raised:
--- a/tests/test_embargoes.py
+++ b/tests/test_embargoes.py
@@ -60,7 +60,7 @@
         ("2028-02-29T12:00:00", "Asia/Kathmandu", us(2028, 2, 29, 6, 15)),
     ],
 )
-def test_a_release_time_is_one_moment(text, zone, want):
+def test_a_release_time_is_parsed_to_one_instant(text, zone, want):
     assert parse_instant(text, zone) == want
     assert parse_instant(format_instant(want)) == want
 
@@ -90,7 +90,7 @@
         ("٢٠٢٦-03-01T09:00:00Z", "", "must be|no moment"),
     ],
 )
-def test_what_is_no_moment_or_two_is_declined(text, zone, why):
+def test_invalid_and_ambiguous_release_times_are_declined(text, zone, why):
     with pytest.raises(ValueError, match=why):
         parse_instant(text, zone)
 
@@ -110,7 +110,7 @@
         ]
     ),
 )
-def test_a_local_time_is_the_moment_at_which_clocks_there_show_it_once(at, zone):
+def test_a_local_time_is_accepted_only_if_it_occurs_exactly_once(at, zone):
     z = zoneinfo.ZoneInfo(zone)
     shows = {
         m
@@ -135,7 +135,7 @@
     return {p for p, _ in e.value.details["faults"]}
 
 
-def test_a_configurations_embargoes_are_checked_by_path():
+def test_faults_in_embargoes_of_a_configuration_are_reported_by_path():
     assert faults_of(embargoing=["g1", "nowhere"]) == {"embargoing[1]"}
     assert faults_of(embargoing="g1") == {"embargoing"}
     assert faults_of(embargoes=[3]) == {"embargoes[0]"}
@@ -172,7 +172,7 @@
     assert faults_of(bounds={"spread_us": -1}) == {"bounds.spread_us"}
 
 
-def test_a_configuration_without_embargoes_carries_nothing_and_one_with_them_the_moments():
+def test_only_configurations_with_embargoes_have_embargo_fields_in_their_record():
     assert configuration_fields(parse_configuration(configuration("small"))) == {}
     one = rule(until="2026-03-01T09:00:00", zone="Asia/Tokyo")
     m = parse_configuration(json.dumps({**json.loads(configuration("small")), "embargoes": [one]}))
@@ -216,7 +216,7 @@
         return {n: r.until_us for (_, n), r in stored_rules(self.led.doc)}
 
 
-def test_a_record_is_added_moved_earlier_and_later_and_lifted():
+def test_a_rule_is_added_moved_earlier_and_later_and_lifted():
     c = Chain(embargoing=["g1"])
     c.add()
     assert c.rules() == {"n": us(2026, 3, 1, 9)}
@@ -266,13 +266,13 @@
         ({"do": "add", **rule(prefix="p")}, "thing"),
     ],
 )
-def test_a_call_that_is_wrong_is_declined_by_field(d, at):
+def test_faults_of_a_change_request_are_reported_by_field(d, at):
     with pytest.raises(Invalid) as e:
         parse_change_request(d)
     assert at in {p for p, _ in e.value.details["faults"]}
 
 
-def test_a_group_is_embargoed_before_a_record_is_placed_and_as_long_as_one_stands():
+def test_a_group_must_be_embargoed_before_and_while_it_has_rules():
     c = Chain()
     assert "embargoes" not in c.led.doc and "embargo_since" not in c.led.doc
     with pytest.raises(Invalid):
@@ -290,7 +290,7 @@
     assert c.rules() == {} and c.led.doc["embargo_since"] == {}
 
 
-def test_records_have_a_bound_in_all():
+def test_the_total_size_of_placed_rules_is_limited():
     c = Chain(embargoing=["g1"])
     with pytest.raises(TooLarge):
         for i in range(6000):
@@ -298,7 +298,7 @@
         c.add()
 
 
-def test_a_frame_and_the_records_after_it_leave_the_same_rules():
+def test_a_snapshot_and_later_records_lead_to_the_same_rules():
     c = Chain(embargoing=["g1"])
     c.add("a")
     other = ControlState(json.loads(json.dumps(c.led.snapshot())))
@@ -351,7 +351,7 @@
     st.sampled_from("xyzw"),
     st.integers(0, 9),
 )
-def test_the_table_holds_back_what_a_walk_over_all_rules_holds_back(steps, things, client, now):
+def test_the_rule_table_agrees_with_a_linear_search(steps, things, client, now):
     t, model = RuleTable(), {}
     for k, d in steps:
         if d is None:
@@ -377,7 +377,7 @@
         assert (hit[1].until_us if hit else None) == max(holds, default=None)
 
 
-def test_each_way_that_a_member_may_take_a_readers_words_is_looked_up():
+def test_every_record_key_that_a_member_may_parse_is_checked():
     assert Statement("1", "read", "FETCH a").things == {"a"}
     assert Statement("1", "read", "FETCH a  b ").things == {"a  b ", "a", "b"}
     assert Statement("1", "execute", "EXECUTE q a b", name="q", data="a b").things == {
@@ -393,19 +393,19 @@
     st.lists(st.tuples(st.integers(0, 40), st.integers(0, 40)), min_size=2, max_size=4),
     st.lists(st.tuples(st.integers(-2000, 2000), st.integers(0, 80)), max_size=3),
 )
-def test_what_a_majority_agrees_on_holds_true_time_whatever_the_others_say(true, good, bad):
+def test_the_interval_of_a_majority_contains_true_time_despite_wrong_clocks(true, good, bad):
     bad = bad[: len(good) - 1]
     n = len(good) + len(bad)
     got = agreed([(true - a, true + b) for a, b in good] + [(x, x + w) for x, w in bad], n // 2 + 1)
     assert got is not None and got[0] <= true <= got[1]
 
 
-def test_no_majority_agrees_on_nothing():
+def test_without_a_majority_there_is_no_interval():
     assert agreed([(0, 1), (5, 6), (9, 10)], 2) is None
     assert agreed([(0, 10)], 2) is None and agreed([], 1) is None and agreed([(3, 2)], 1) is None
 
 
-def test_while_off_nothing_of_it_is_loaded():
+def test_no_embargo_module_is_imported_while_embargoes_are_disabled():
     code = (
         "import sys, petrelhaven.control.node, petrelhaven.proxy.node, petrelhaven.proxy.core_connection\n"
         "print([m for m in sys.modules if m.split('.')[0] in ('dateutil', 'sortedcontainers', 'zoneinfo')"
@@ -426,7 +426,7 @@
     assert [p.name for p in SRC.rglob("*.py") if reads.search(p.read_text())] == ["wall_clock.py"]
 
 
-def test_a_core_of_kept_sessions_takes_no_configuration_with_embargoes():
+def test_a_resumable_control_node_declines_configurations_with_embargoes():
     m = {**json.loads(configuration("small")), "embargoing": ["g1"]}
     with pytest.raises(Invalid) as e:
         asyncio.run(ResumableControlNode.apply(None, json.dumps(m)))
@@ -447,7 +447,7 @@
 }
 
 
-def test_a_platforms_configuration_switches_embargoes_on_and_without_the_section_they_are_off():
+def test_a_platform_configuration_enables_embargoes_with_a_nonempty_section():
     assert "embargoes" not in json.loads(configuration_text(json.dumps(CONFIG).encode(), ["a"]))
     section = {
         "Services": ["svc"],
@@ -488,7 +488,7 @@
         ({"SpreadMs": "x"}, "Embargo.SpreadMs"),
     ],
 )
-def test_a_platforms_configuration_is_declined_by_field(section, at):
+def test_faults_of_a_platform_configuration_are_reported_by_field(section, at):
     with pytest.raises(Invalid) as e:
         configuration_text(json.dumps({**CONFIG, "Embargo": section}).encode(), ["a"])
     assert [p for p, _ in e.value.details["faults"]] == [at]
--- a/tests/test_limits_model.py
+++ b/tests/test_limits_model.py
@@ -251,7 +251,7 @@
 
 # Guards against QUOTA: after a takeover the successor receives a delayed report on permits that its
 # predecessor granted.
-def test_no_window_holds_more_when_a_successor_goes_on():
+def test_no_window_holds_more_when_a_successor_takes_over():
     pure_search(600, REPORTS + TIMELY_COPIES)
 
 
@@ -435,7 +435,7 @@
 
 # Guards against QUOTA: a node starts fresh again in its view and is settled together with its earlier
 # fresh start.
-def test_each_beginning_is_settled_by_its_own_time():
+def test_each_fresh_start_is_settled_by_its_own_time():
     entries = [(1.2, kill([COUNTING_NODE, SUCCESSOR]))] + [
         (1.45, kill([COUNTING_NODE, SUCCESSOR]))
     ] * 3
@@ -443,7 +443,7 @@
 
 
 # Guards against QUOTA: an unsettled fresh start is replaced by a later one of the same node.
-def test_a_later_beginning_does_not_hide_an_earlier_one():
+def test_a_later_fresh_start_does_not_hide_an_earlier_one():
     def lose_counting_node_and_successor(world):
         world.kill(COUNTING_NODE, SUCCESSOR, down_s=0.3)
         world.install_view(REST)
@@ -458,7 +458,7 @@
 
 
 # Guards against QUOTA: a duplicated copy arrives after later ones and resets the successor.
-def test_a_copy_that_comes_again_changes_nothing():
+def test_a_duplicated_copy_changes_nothing():
     world = PureWorld(20)
     world.send_copy()
     world.now += 20_000
@@ -582,7 +582,7 @@
 
 # Guards against unnecessary refusals: a node whose record got no answer treats that record as another
 # fresh start.
-def test_an_unanswered_beginning_is_no_reason_to_wait():
+def test_an_unanswered_fresh_start_causes_no_quarantine():
     async def scene(world):
         await asyncio.sleep(WARM_UP_S)
         world.unanswered_entry_share = 1.0
@@ -706,7 +706,7 @@
 
 # Guards against unnecessary refusals: after a takeover all uses of the last window counted as new, so
 # a tenant at 0.6 of its rate got hardly any permits for the length of a window.
-def test_a_counter_that_goes_on_forgets_uses_when_they_leave_the_window():
+def test_a_resumed_counter_drops_uses_that_leave_the_window():
     counter = TenantCounter(60, WINDOW_US)
     for index in range(40):
         reported_at = index * 100_000
--- a/tests/test_tenant_review.py
+++ b/tests/test_tenant_review.py
@@ -103,7 +103,7 @@
 
 # Guards against QUOTA: a reserved permit was reported as used although its operation never ran. The
 # next operation was then counted at that earlier time, and left the window too early.
-def test_a_permit_put_back_after_its_report_hides_no_later_use():
+def test_a_permit_released_after_its_report_hides_no_later_use():
     window_us = QuotaPolicy().window_us
     counter = TenantCounter(2, window_us)
     pool = with_permits(PermitPool("agency", 1, 0), 2, 0)
@@ -153,7 +153,7 @@
 
 # Guards against QUOTA: an operation was sent again after its permits had expired. That use belonged to
 # a new account, and the counting node ignored uses in the first report of an account.
-def test_what_was_run_beyond_an_account_that_ended_is_counted_with_the_next():
+def test_uses_beyond_an_expired_account_are_counted_in_the_next_one():
     counter = TenantCounter(100, 5 * SECOND)
     pool = with_permits(PermitPool("agency", 1, 0), 1, 0)
     counter.process_report("e", AccountReport("agency", 1, 0, 0, 0, 1, 0), 0)
@@ -177,7 +177,7 @@
 
 # Guards against unnecessary refusals: operations waiting for a permit were refused when the limit of
 # their tenant was removed.
-def test_operations_that_wait_run_once_their_tenant_has_no_limit_any_more():
+def test_waiting_operations_run_once_their_tenant_has_no_limit():
     async def work():
         quota_admission = admission(CoreConnectionStub(lambda report: None))
         before, after = directory({"name": "agency", "rate": 1}), directory({"name": "agency"})
@@ -193,7 +193,7 @@
 
 # Guards against late refusals: while a tenant's counting node was lost and other counting nodes still
 # answered, its operations were refused only after 0.9 s instead of a quarter of the latency target.
-def test_an_operation_that_gets_no_permit_is_refused_within_a_quarter_of_its_aim():
+def test_an_operation_without_a_permit_is_refused_within_a_quarter_of_its_latency_target():
     aim_us = 300_000
 
     async def work():
@@ -232,7 +232,7 @@
 
 # Guards against late permits: a lost counting node delayed the permits of all tenants that a proxy had
 # requested in the same message.
-def test_a_lost_counting_node_holds_up_no_other_tenants_permits():
+def test_a_lost_counting_node_delays_no_permits_of_other_tenants():
     names = ["c1", "c2", "c3"]
     counted_by = {
         name: f"t{n}"
@@ -256,7 +256,7 @@
 
 # Guards against long refusals: when permits were only missing until the successor acknowledged a copy,
 # clients were told to wait for the length of a window.
-def test_a_grant_that_waits_for_a_copy_alone_sends_nobody_away_for_long():
+def test_a_grant_that_only_waits_for_a_copy_has_a_short_retry_delay():
     counter = TenantCounter(1_000, 5 * SECOND)
     grant = counter.process_report("e", AccountReport("agency", 1, 0, 0, 0, 1, 0), 0, max_grant=0)
     assert grant.granted == 0
@@ -265,7 +265,7 @@
 
 # Guards against unnecessary refusals: statements that gave up waiting for a connection still counted
 # as waiting, so the next statements of their tenant were refused.
-def test_waiters_that_gave_up_leave_room_for_others():
+def test_cancelled_waiters_do_not_count_as_waiting():
     async def work():
         member = PoolMember()
         pool = ConnectionPool(LoopClock(), BackgroundTasks(), member.open, 1, lambda: 9)
@@ -284,7 +284,7 @@
 # Guards against exempt tenants whose reads are withheld: rules contained the platform's name of the
 # tenant, while sessions contain the internal name.
 @pytest.mark.parametrize("name", ["agency", "Agency", "Böse-Agentur"])
-def test_an_embargo_names_early_tenants_as_sessions_do(name):
+def test_an_embargo_rule_names_exempt_tenants_as_sessions_do(name):
     key = "key-of-agency"
     rule = {"Name": "r", "Service": "svc", "Thing": "k", "Until": "2030-01-01T00:00:00Z"}
     rule = {**rule, "Early": [name]}
--- a/tests/test_tenant_storm.py
+++ b/tests/test_tenant_storm.py
@@ -30,7 +30,7 @@
 
 # Checks ROUTE, UNASKED, CONFIG and QUOTA under successive and overlapping faults.
 @pytest.mark.parametrize("seed", [1, 2, 3, 6])
-def test_a_storm_against_tenants_keys_and_limits_breaks_no_rule(seed):
+def test_randomized_faults_with_tenants_break_no_rule(seed):
     findings, fleet = run(seed)
     assert findings == []
     assert sum(client.served for client in fleet.clients) > _MIN_SERVED
@@ -159,7 +159,7 @@
         (permits_are_never_used_up, "QUOTA"),
     ],
 )
-def test_a_guard_that_is_out_is_found(monkeypatch, disable_guard, rule):
+def test_each_disabled_guard_is_found(monkeypatch, disable_guard, rule):
     disable_guard(monkeypatch)
     duration_s = _RUN_WITH_CHANGE_S if rule == "CONFIG" else _RUN_S
     assert rule in violated_rules(run_without_faults(duration_s)[0])
--- a/tests/test_tenant_system.py
+++ b/tests/test_tenant_system.py
@@ -70,7 +70,7 @@
 
 # guards against a start of the whole system that lets everybody in, or tells members the wrong name, until it
 # knows keys
-def test_after_a_kill_of_everything_members_still_hear_the_tenants_names(built, tmp_path):  # noqa: F811
+def test_after_a_kill_of_all_processes_members_still_get_the_tenants_names(built, tmp_path):  # noqa: F811
     async def go():
         async with Scene(built, tmp_path / "run", bounds=BOUNDS, tenants=3) as s:
             # long enough for the first counts to be settled: a second kill before that costs a rest of about 10 s
