--- a/src/petrelhaven/control/counting/copies.py
+++ b/src/petrelhaven/control/counting/copies.py
@@ -95,7 +95,7 @@
             self._sent = self._sent[self._sent.index(sent) :]
         self._acknowledged = sent
 
-    def mark_lost(self, sent: SentCopy) -> None:
+    def record_loss(self, sent: SentCopy) -> None:
         """Records that a copy may not have arrived; the next one will be a full copy."""
         sent.is_pending = False
         self._acknowledged = self._copied_totals = None
--- a/src/petrelhaven/control/counting/service.py
+++ b/src/petrelhaven/control/counting/service.py
@@ -457,7 +457,7 @@
         finally:
             for tenant, (_, sent) in prepared.items():
                 tracker = tenants[tenant].copies
-                tracker.acknowledge(sent) if arrived else tracker.mark_lost(sent)
+                tracker.acknowledge(sent) if arrived else tracker.record_loss(sent)
 
     def status(self) -> dict[str, Any]:
         """Returns uses, outstanding permits, allowance, refusals and mode per counted tenant."""
--- a/src/petrelhaven/control/embargo/rules.py
+++ b/src/petrelhaven/control/embargo/rules.py
@@ -62,13 +62,13 @@
 ) -> None:
     name = record.name
     if rule.group not in embargoed_groups(state):
-        message = f"group {rule.group} is not listed in the manifest's embargoing"
+        message = f"group {rule.group} is not named in the manifest's embargoing"
         raise declined("embargo declined", [ConfigurationFault("group", message)])
     if before is not None:
         if Rule.to_document(before) == rule.to_document():
-            raise Duplicate(f"embargo {name} already exists", details={"n": before.change})
+            raise Duplicate(f"embargo {name} stands already", details={"n": before.change})
         raise Stale(
-            f"embargo {name} exists with other contents; move or lift it",
+            f"embargo {name} stands with another content; move or lift it",
             details={"n": before.change},
         )
     stored_bytes = sum(
@@ -84,10 +84,10 @@
     name = record.name
     if before is None:
         if record.action == "lift":
-            raise Duplicate(f"embargo {name} does not exist")
-        raise Stale(f"embargo {name} does not exist")
+            raise Duplicate(f"no embargo {name} stands")
+        raise Stale(f"no embargo {name}")
     if record.next_change and record.next_change != before.change + 1:
-        raise Conflict(f"embargo {name} was changed in the meantime", details={"n": before.change})
+        raise Conflict(f"embargo {name} was changed meanwhile", details={"n": before.change})
     if record.release is not None and record.release.until_us == before.until_us:
         raise Duplicate(
             f"embargo {name} already has this release time", details={"n": before.change}
--- a/tests/test_embargo_system.py
+++ b/tests/test_embargo_system.py
@@ -162,7 +162,7 @@
         exit_code, output = await petrelhavenctl(scene, *add)
         assert exit_code == 0 and "in force" in output, output
         exit_code, output = await petrelhavenctl(scene, *add)
-        assert exit_code == 1 and "already exists" in output, output
+        assert exit_code == 1 and "stands already" in output, output
         fronts = [front[2] for front in scene.fleet.fronts()]
         for write in ("opening secret", "draft-1 secret"):
             assert not (await ask(scene, fronts[0], "w", f"PUT {write}")).code
--- a/tests/test_limits_model.py
+++ b/tests/test_limits_model.py
@@ -121,12 +121,12 @@
         if is_applied and self.now - sent_at < COPY_TIMEOUT_US:
             tracker.acknowledge(sent)
         else:
-            tracker.mark_lost(sent)
+            tracker.record_loss(sent)
 
     def time_out_copies(self):
         for tracker, _, sent, sent_at in self.sent_copies:
             if sent.is_pending and self.now - sent_at >= COPY_TIMEOUT_US:
-                tracker.mark_lost(sent)
+                tracker.record_loss(sent)
 
     def take_over(self):
         """Replaces the lost counting node by its successor if the successor's copy is current."""
