--- a/src/petrelhaven/control/base_node.py
+++ b/src/petrelhaven/control/base_node.py
@@ -12,8 +12,8 @@
 from transitions import Machine
 
 from petrelhaven.control.consensus.chain import Chain
-from petrelhaven.control.consensus.core_report import CoreReport
 from petrelhaven.control.consensus.disk_watch import DiskWatch
+from petrelhaven.control.consensus.node_report import NodeReport
 from petrelhaven.control.consensus.reform import Reform
 from petrelhaven.control.consensus.register import Voter
 from petrelhaven.control.consensus.view_maintenance import ViewMaintenance
@@ -176,11 +176,11 @@
         return {
             MessageKind.REGISTER_PREPARE: self.voter.prepare,
             MessageKind.REGISTER_ACCEPT: self.voter.accept,
-            MessageKind.VIEW_READ: self.views.answer,
-            MessageKind.VIEW_LEARN: self.views.learn,
-            MessageKind.VIEW_CONFIRM: self.chain.confirmation.answer,
-            MessageKind.CHAIN_APPEND: self.chain.append,
-            MessageKind.DISK_STATE_CHANGED: self.disk_watch.receive,
+            MessageKind.VIEW_READ: self.views.handle_report_request,
+            MessageKind.VIEW_LEARN: self.views.handle_view,
+            MessageKind.VIEW_CONFIRM: self.chain.confirmation.handle_confirm,
+            MessageKind.CHAIN_APPEND: self.chain.handle_append,
+            MessageKind.DISK_STATE_CHANGED: self.disk_watch.handle_notice,
             MessageKind.CHAIN_ENTER: self._enter,
             MessageKind.CHAIN_READ: self._read,
             MessageKind.CHAIN_IN_FORCE: self.lease_table.report,
@@ -229,7 +229,7 @@
             event = Events.CHAIN_REJOINED if view.number > _FIRST_VIEW else Events.NODE_READY
             emit(self.log, event, view=view.number)
 
-    def report(self) -> CoreReport:
+    def report(self) -> NodeReport:
         """What this node reports of itself to the others.
 
         Raises:
@@ -237,15 +237,15 @@
         """
         store, chain = self.store, self.chain
         store.expect_identity()
-        return CoreReport(
+        return NodeReport(
             name=self.name,
             disk=store.disk,
             fresh=store.fresh,
             view=chain.view,
-            complete_in=store.done,
+            last_complete_view=store.done,
             seq=store.control_state.seq,
-            commit=chain.commit,
-            up_us=self.clock.now() - chain.confirmation.boot,
+            committed_seq=chain.committed_seq,
+            up_us=self.clock.now() - chain.confirmation.started_at_us,
             granted_us=chain.confirmation.granted_ages_us(),
         )
 
@@ -255,13 +255,13 @@
 
     async def enter_as_head(self, request: EnterRequest) -> EnterAnswer:
         """Enters a record as the head; with `force`, returns once it is in force."""
-        seq = await self.chain.enter(request.record)
+        seq = await self.chain.append_record(request.record)
         in_force_us = await self.lease_table.in_force(seq) if request.force else 0
         return EnterAnswer(seq, request.force, in_force_us)
 
     async def _read(self, _channel: Channel | None, _body: Mapping[str, Any]) -> dict[str, Any]:
         """Answers a `chain.read`."""
-        return {"doc": self.chain.read()}
+        return {"doc": self.chain.read_control_state()}
 
     async def reform(self, lost: Sequence[str], by: str = "") -> dict[str, Any]:
         """Forms the chain anew without the disks of `lost`, at the operator's order."""
@@ -284,7 +284,7 @@
             "name": self.name,
             "role": "core",
             "state": self.state,
-            "commit": self.chain.commit,
+            "commit": self.chain.committed_seq,
             "view": None if view is None else view.to_document(),
             "kith": {row[0]: row[5] for row in self.roster.all_rows()},
         }
@@ -296,4 +296,4 @@
     @property
     def ready(self) -> bool:
         """Whether this node is in the chain, holds everything and was confirmed lately."""
-        return self.chain.ruling
+        return self.chain.is_confirmed
--- a/src/petrelhaven/control/counting/service.py
+++ b/src/petrelhaven/control/counting/service.py
@@ -159,8 +159,8 @@
         if request.view_number not in (current_view, current_view - 1):
             raise NotReady("the copies are from another view")
         now = self._clock.now()
-        expiry = Expiry.read(list(request.expiry))
-        if expiry is None or not expiry.stands(self._node.chain.confirmation.boot, now):
+        expiry = Expiry.from_document(list(request.expiry))
+        if expiry is None or not expiry.is_valid(self._node.chain.confirmation.started_at_us, now):
             raise NotReady("the copies have expired")
         expires_at = expiry.moment_us
         applied = [self._apply_copy(copy, request, expires_at, now) for copy in request.copies]
@@ -216,7 +216,7 @@
             NotReady: This node is not counting in that view.
         """
         self.apply_view()
-        if not self._node.chain.active or self._view_number != view_number:
+        if not self._node.chain.is_active or self._view_number != view_number:
             raise NotReady("this node is not counting in that view")
         now = self._clock.now()
         return [self._count_report(proxy, report, now) for proxy, report in rows]
@@ -276,7 +276,7 @@
             await self._clock.sleep(_MAINTENANCE_INTERVAL_US)
             self.apply_view()
             self._settle_finished_starts()
-            if not self._table.quotas or not self._node.chain.active:
+            if not self._table.quotas or not self._node.chain.is_active:
                 continue
             self._take_over_tenants()
             self._copy_to_successors()
@@ -384,7 +384,7 @@
             if start is not None and start.view_number == view_number:
                 mode_ends_at = self._clock.now() + self._table.policy.quarantine_us
                 self._fresh_start = start._replace(mode_ends_at=mode_ends_at)
-                if self._node.chain.active:
+                if self._node.chain.is_active:
                     self._take_over_tenants()
         except Fault:
             pass
@@ -393,7 +393,7 @@
 
     def _settle_finished_starts(self) -> None:
         """Records, if this node is the head, which fresh starts no longer affect any window."""
-        if not self._node.chain.head or not self._node.chain.active:
+        if not self._node.chain.is_head or not self._node.chain.is_active:
             self._starts_first_seen.clear()
             return
         now = self._clock.now()
@@ -435,10 +435,10 @@
         self, name: str, tenants: Mapping[str, _CountedTenant], view_number: int
     ) -> None:
         clocks = self._node.chain.confirmation.peer_clocks
-        if not clocks.knows(name):
+        if not clocks.has_recent_reading(name):
             return
         now = self._clock.now()
-        expiry = clocks.expiry(name, STANDBY_LIFETIME_US)
+        expiry = clocks.expiry_at(name, STANDBY_LIFETIME_US)
         for tenant, counted in tenants.items():
             counted.update_allowance(self._table, tenant, now)
         prepared = {tenant: counted.make_copy(tenant, now) for tenant, counted in tenants.items()}
@@ -446,7 +446,7 @@
         self._incarnation = self._incarnation or self._draw_incarnation()
         self._copy_number += 1
         request = CopyList(
-            view_number, self._incarnation, self._copy_number, expiry.document(), copies
+            view_number, self._incarnation, self._copy_number, expiry.to_document(), copies
         )
         arrived = False
         try:
--- a/src/petrelhaven/control/embargo/agreed_time.py
+++ b/src/petrelhaven/control/embargo/agreed_time.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any, TypeAlias
 
-from petrelhaven.control.consensus.chain import DRIFT
+from petrelhaven.control.consensus.chain import MAX_CLOCK_RATE_RATIO
 from petrelhaven.runtime.errors import Fault
 from petrelhaven.runtime.events import Events, emit
 from petrelhaven.runtime.wall_clock import TimeInterval, agreed
@@ -37,7 +37,8 @@
 def extrapolate_interval(interval: TimeInterval, elapsed_us: int) -> TimeInterval:
     """Returns the interval `elapsed_us` later, widened by the drift of the monotonic clock."""
     return TimeInterval(
-        interval.lowest + int(elapsed_us / DRIFT), interval.highest + int(elapsed_us * DRIFT)
+        interval.lowest + int(elapsed_us / MAX_CLOCK_RATE_RATIO),
+        interval.highest + int(elapsed_us * MAX_CLOCK_RATE_RATIO),
     )
 
 
--- a/src/petrelhaven/control/embargo/service.py
+++ b/src/petrelhaven/control/embargo/service.py
@@ -85,7 +85,7 @@
 
     def _node_names(self) -> list[str]:
         view = self._node.chain.view
-        return sorted(view.ids) if view else []
+        return sorted(view.members) if view else []
 
     def _bounds(self) -> EmbargoBounds | None:
         return embargo_bounds(self._node.chain.control_state.doc)
--- a/src/petrelhaven/control/failover/departures.py
+++ b/src/petrelhaven/control/failover/departures.py
@@ -185,7 +185,7 @@
     async def _is_lost(self, member: Member) -> bool:
         """Whether the port of a member has been closed for a while; drops refuted suspicions."""
         group, name = member.group, member.name
-        observation = await self._observer.inspect(MemberEndpoint.of(member))
+        observation = await self._observer.inspect(MemberEndpoint.from_member(member))
         if observation == REFUSED:
             return self._seen_us(group, _REFUSING + name) > _REFUSING_US
         self._not_seen(group, _REFUSING + name)
@@ -204,7 +204,7 @@
                 ended.append(name)
                 continue
             member = Member.from_row(name, row)
-            observation = await self._observer.inspect(MemberEndpoint.of(member))
+            observation = await self._observer.inspect(MemberEndpoint.from_member(member))
             if observation == REFUSED or (observation == UNREACHABLE and seen_us > _ENDED_US):
                 ended.append(name)
         return ended
@@ -212,7 +212,7 @@
     async def _bound(self, group: str, ended: list[str], position: Position) -> None:
         """Records that the logs of ended members are at or below `position`."""
         record = BoundedRecord(group, tuple(ended), position)
-        await self._node.chain.enter(record.to_document())
+        await self._node.chain.append_record(record.to_document())
         names = ",".join(ended)
         emit(self._node.log, Events.DEPARTED_LOG_BOUNDED, group=group, members=names, pos=position)
 
@@ -222,8 +222,8 @@
             if self._drained_us(member.name) < _SIGN_OFF_AFTER_US:
                 continue
             refusing = _REFUSING + member.name
-            if await self._observer.inspect(MemberEndpoint.of(member)) != REFUSED:
+            if await self._observer.inspect(MemberEndpoint.from_member(member)) != REFUSED:
                 self._not_seen(group, refusing)
             elif self._seen_us(group, refusing) > _REFUSING_US:
                 record = DepartureRecord(member.name, member.address)
-                await self._node.chain.enter(record.to_document())
+                await self._node.chain.append_record(record.to_document())
--- a/src/petrelhaven/control/state/control_state.py
+++ b/src/petrelhaven/control/state/control_state.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING, Any
 
-from petrelhaven.control.configuration.faults import ConfigurationFault, declined
+from petrelhaven.control.configuration.faults import ConfigurationFault, invalid_document
 from petrelhaven.control.failover.evidence import NO_POSITION, ElectionOrder, Evidence
 from petrelhaven.control.state.base import BaseControlState, digest_of
 from petrelhaven.control.state.counting_record import CountingRecord, CountingStart
@@ -134,7 +134,7 @@
             ):
                 self._check_evidence(record)
             case SupersededConfiguration():
-                raise declined(
+                raise invalid_document(
                     "nothing enters a placeholder",
                     [ConfigurationFault("t", "must be another kind")],
                 )
@@ -203,7 +203,7 @@
         dropped = {group["name"] for group in configuration["groups"]} - remaining
         served = sorted(dropped & set(self.doc["offices"]))
         if served:
-            raise declined(
+            raise invalid_document(
                 "manifest declined",
                 [
                     ConfigurationFault("groups", f"group {g} is served; retire it with retire=true")
@@ -287,7 +287,7 @@
                 self._depart(name)
             return
         before = self.evidence(group)
-        after = before.with_successor(name)
+        after = before.with_replacement(name)
         if after != before:
             self._put_evidence(group, after)
 
@@ -297,7 +297,7 @@
         self.doc["sizes"][group] = max(least, self.doc["sizes"].get(group, 0) - 1)
 
     def _put_evidence(self, group: str, evidence: Evidence) -> None:
-        self.doc["evidence"][group] = evidence.document()
+        self.doc["evidence"][group] = evidence.to_document()
 
     def _evidence_of_older_version(self) -> None:
         """A version without evidence knew only how many members a group ever had at once."""
@@ -322,12 +322,14 @@
         group, member = record.group[:_NAME_LENGTH], record.member
         if leadership.phase is not LeadershipPhase.FAILOVER:
             served = f"group {group} is served by {leadership.primary}"
-            raise declined("no election is waited for", [ConfigurationFault("group", served)])
+            raise invalid_document(
+                "no election is waited for", [ConfigurationFault("group", served)]
+            )
         if record.number != leadership.number:
             raise Conflict(f"office {leadership.number} of {group} waits, not {record.number}")
         if member not in self.group(record.group):
             missing = f"no member {member[:_NAME_LENGTH]} in group {group}"
-            raise declined("no such member", [ConfigurationFault("member", missing)])
+            raise invalid_document("no such member", [ConfigurationFault("member", missing)])
         order = self.evidence(record.group).order
         if order is not None and order.member == member:
             raise Duplicate(f"{order.by} ordered {member} already")
@@ -342,12 +344,14 @@
                 self._apply_bound(record, evidence)
                 return
             case ElectionOrderRecord():
-                evidence = evidence.with_order(ElectionOrder(record.member, record.by))
+                evidence = evidence.with_election_order(ElectionOrder(record.member, record.by))
         self._put_evidence(group, evidence)
 
     def _apply_bound(self, record: BoundedRecord, evidence: Evidence) -> None:
         resolved = len(set(record.members) & set(evidence.unproven))
-        self._put_evidence(record.group, evidence.with_bound(record.members, record.position))
+        self._put_evidence(
+            record.group, evidence.with_bounded_logs(record.members, record.position)
+        )
         for _ in range(resolved):
             self._shrink(record.group)
 
--- a/tests/embargo_world.py
+++ b/tests/embargo_world.py
@@ -134,7 +134,7 @@
             connection.open_writes = None
         return self.reply(connection)
 
-    async def own(self, verb, args):
+    async def send_system_verb(self, verb, args):
         if verb == "pause" and args[0] > self.paused_term and self.role == "replica":
             self.paused_term = args[0]
         elif verb == "resume":
@@ -222,8 +222,8 @@
     def plain(self, verb, args=(), number="-"):
         return self._enqueue(lambda: self.target.node.plain(self, verb, args))
 
-    def own(self, verb, *args):
-        return self._enqueue(lambda: self.target.node.own(verb, args))
+    def send_system_verb(self, verb, *args):
+        return self._enqueue(lambda: self.target.node.send_system_verb(verb, args))
 
     def close(self):
         self.lost = True
@@ -372,7 +372,7 @@
         for name in self.proxies:
             self.start_proxy(name)
         await self.wait_until(
-            lambda: any(m.node and m.node.chain.active for m in self.control_nodes.values()), 20
+            lambda: any(m.node and m.node.chain.is_active for m in self.control_nodes.values()), 20
         )
         await self.call(lambda node: node.apply(self.configuration(), by="op"))
         await self.wait_until(
--- a/tests/limits_world.py
+++ b/tests/limits_world.py
@@ -139,7 +139,7 @@
 
 
 class ChainStub:
-    """A node's chain, with the guarantees that the real chain gives for `active`.
+    """A node's chain, with the guarantees that the real chain gives for `is_active`.
 
     A node is active in its view while a majority has recently confirmed the view, and only once no
     node is active in an earlier one.
@@ -155,7 +155,7 @@
         return self._world.control_state
 
     @property
-    def head(self):
+    def is_head(self):
         return self.view is not None and self.view.chain[0] == self._node.name
 
     @property
@@ -163,7 +163,7 @@
         return self.view is not None and self._world.now() < self.confirmed_until
 
     @property
-    def active(self):
+    def is_active(self):
         if not self.confirmed or self._node.name not in self.view.chain:
             return False
         return not any(
@@ -536,8 +536,8 @@
                 if self._can_exchange(name, other):
                     peer = self.nodes[other]
                     shown_us = peer.clock.now() - self.rng.randrange(500, 100_000)
-                    boot = peer.chain.confirmation.boot
-                    node.chain.confirmation.peer_clocks.note(other, boot, shown_us)
+                    boot = peer.chain.confirmation.started_at_us
+                    node.chain.confirmation.peer_clocks.record_reading(other, boot, shown_us)
 
     def _can_exchange(self, name, other):
         running = all(n.is_up and not n.frozen for n in (self.nodes[name], self.nodes[other]))
--- a/tests/test_control_interface.py
+++ b/tests/test_control_interface.py
@@ -90,11 +90,11 @@
         1_200_000,
     )
     http_server = LightHttpServer("127.0.0.1", 0)
-    ControlInterface(node, http_server, lambda: SETTINGS, announced=True)
+    ControlInterface(node, http_server, lambda: SETTINGS, accepts_announcements=True)
     await http_server.start()
     node.start()
     try:
-        await until(lambda: node.chain.active, 10)
+        await until(lambda: node.chain.is_active, 10)
         yield node, http_server
     finally:
         await http_server.close()
@@ -416,7 +416,7 @@
             d = json.loads(b)
             typed = s in (400, 404, 409, 422, 503) and set(d) >= {"fault", "note"}
             assert s == 200 or typed, (q.verb, q.path, q.body, s, b)
-        assert node.chain.control_state.seq == 0 and node.chain.active
+        assert node.chain.control_state.seq == 0 and node.chain.is_active
 
     on_a_node(tmp_path, go)
 
@@ -693,7 +693,7 @@
 
 def test_only_one_reform_gathers_edges_at_a_time(tmp_path):
     async def go(node, http_server):
-        node.proxy_survey.open = True
+        node.proxy_survey.is_open = True
         with pytest.raises(Fault):
             await node.snapshots()
         st_, d, _ = await ask(http_server, "POST", "/reform", {"lost": ["c1"]})
@@ -858,10 +858,15 @@
     async def go():
         row = {"member": "m1", "role": "replica", "log": 7, "term": 2}
         m = await opened(row)
-        assert await m.own("status") == {"role": "replica", "term": 2, "pos": 7, "held": 0}
+        assert await m.send_system_verb("status") == {
+            "role": "replica",
+            "term": 2,
+            "pos": 7,
+            "held": 0,
+        }
         for verb in ("pause", "resume"):
             with pytest.raises(MemberDeclined):
-                await m.own(verb, 3)
+                await m.send_system_verb(verb, 3)
         for answer, tp, note in (
             (NotSent("x"), NotSent, "refused"),
             (DeadlineExceeded("x"), NotSent, "mute"),
