--- a/src/petrelhaven/control/consensus/disk_watch.py
+++ b/src/petrelhaven/control/consensus/disk_watch.py
@@ -33,23 +33,23 @@
         """Watches the store of `node`."""
         self._node = node
         self._refused_at: dict[str, int] = {}
-        node.store.on_turn.append(self._on_disk_state_changed)
+        node.store.on_refusal_change.append(self._on_disk_state_changed)
 
     def start(self) -> None:
         """Starts retrying if the disk refuses writes at startup."""
-        if self._node.store.refuses:
+        if self._node.store.refuses_writes:
             self._node.tasks.spawn(self._retry())
 
     def takes_writes(self, name: str) -> bool:
         """Whether the disk of control node `name` takes writes, according to its last notice."""
         if name == self._node.name:
-            return not self._node.store.refuses
+            return not self._node.store.refuses_writes
         refused_at = self._refused_at.get(name)
         return refused_at is None or self._node.clock.now() - refused_at > _NOTICE_VALIDITY_US
 
     async def _retry(self) -> None:
         delay_us = _FIRST_RETRY_US
-        while self._node.store.refuses:
+        while self._node.store.refuses_writes:
             self._notify_all()
             await self._node.clock.sleep(delay_us)
             delay_us = min(2 * delay_us, _MAX_RETRY_US)
@@ -57,7 +57,7 @@
                 self._node.store.recover()
 
     def _on_disk_state_changed(self) -> None:
-        if self._node.store.refuses:
+        if self._node.store.refuses_writes:
             self.start()
         else:
             self._notify_all()
@@ -68,7 +68,7 @@
                 self._node.tasks.spawn(self._notify(name))
 
     async def _notify(self, name: str) -> None:
-        body = {"name": self._node.name, "refuses": self._node.store.refuses}
+        body = {"name": self._node.name, "refuses": self._node.store.refuses_writes}
         with contextlib.suppress(Fault):
             await self._node.call(name, MessageKind.DISK_STATE_CHANGED, body, _NOTICE_TIMEOUT_US)
 
--- a/src/petrelhaven/control/counting/contracts.py
+++ b/src/petrelhaven/control/counting/contracts.py
@@ -13,7 +13,7 @@
     import logbook
 
     from petrelhaven.control.consensus.chain import Chain
-    from petrelhaven.control.order_messages import EnterAnswer
+    from petrelhaven.control.submit_messages import SubmitAnswer
     from petrelhaven.runtime.clock import Clock
     from petrelhaven.runtime.tasks import BackgroundTasks
 
@@ -42,7 +42,7 @@
     ) -> dict[str, Any]:
         """Sends a request to the control node `name` and returns the answer."""
 
-    async def enter(
+    async def submit_record(
         self, record: dict[str, Any], force: bool = ..., within_us: int = ...
-    ) -> EnterAnswer:
+    ) -> SubmitAnswer:
         """Appends a record to the chain through its head."""
--- a/src/petrelhaven/control/counting/service.py
+++ b/src/petrelhaven/control/counting/service.py
@@ -379,7 +379,7 @@
                 mode = choose_counter_mode(starts, self._node.name, view_number)
                 self._fresh_start = FreshStart(view_number, mode)
             record = CountingRecord(self._node.name, view_number)
-            await self._node.enter(record.to_document(), False, _RECORD_TIMEOUT_US)
+            await self._node.submit_record(record.to_document(), False, _RECORD_TIMEOUT_US)
             start = self._fresh_start
             if start is not None and start.view_number == view_number:
                 mode_ends_at = self._clock.now() + self._table.policy.quarantine_us
@@ -413,7 +413,7 @@
 
     async def _record_settlement(self, record: CountingRecord) -> None:
         try:
-            await self._node.enter(record.to_document(), False, _RECORD_TIMEOUT_US)
+            await self._node.submit_record(record.to_document(), False, _RECORD_TIMEOUT_US)
         except Fault:
             pass
         finally:
--- a/tests/test_connection_sessions_storm.py
+++ b/tests/test_connection_sessions_storm.py
@@ -11,7 +11,7 @@
 from petrelhaven.control.failover.leader_change import LeaderChange
 from petrelhaven.control.failover.member_access import MemberHandle
 from petrelhaven.control.state.control_state import ControlState
-from petrelhaven.control.storage import core_store
+from petrelhaven.control.storage import node_store
 from petrelhaven.control.storage.documents import ChainRecord
 from petrelhaven.proxy import core_connection as core_connection
 from petrelhaven.proxy.pool import member_connection as member_connection
@@ -54,7 +54,7 @@
 def test_a_member_that_signed_off_is_sent_nothing_new_after_its_bound(monkeypatch):
     """Without the proxies' knowledge of departures the same play breaks DRAIN."""
 
-    monkeypatch.setattr(ControlState, "_depart", lambda self, name: None)
+    monkeypatch.setattr(ControlState, "_mark_departed", lambda self, name: None)
     broken = [run(seed, kinds=list(SIGN_OFF_KINDS), cap=40)[0] for seed in range(3)]
     assert any("DRAIN" in str(bad) for bad in broken)
 
@@ -119,10 +119,10 @@
 
 
 def no_barrier(mp):
-    async def in_force(self, seq, grace_us=0, timeout_us=0):
+    async def wait_in_force(self, seq, grace_us=0, timeout_us=0):
         return 0
 
-    mp.setattr(lease_table.ConnectionLeaseTable, "in_force", in_force)
+    mp.setattr(lease_table.ConnectionLeaseTable, "wait_in_force", wait_in_force)
 
 
 def no_lease(mp):
@@ -281,9 +281,9 @@
 
 
 def nothing_synced(mp):
-    real = core_store.CoreStore._keep
+    real = node_store.ControlNodeStore._keep
     mp.setattr(
-        core_store.CoreStore,
+        node_store.ControlNodeStore,
         "_keep",
         lambda self, entry: None if isinstance(entry, ChainRecord) else real(self, entry),
     )
--- a/tests/test_embargo_world.py
+++ b/tests/test_embargo_world.py
@@ -210,10 +210,10 @@
 def no_wait_for_proxies(monkeypatch):
     from petrelhaven.control import leases as lease_table
 
-    async def in_force(self, seq, grace_us=0, timeout_us=0):
+    async def wait_in_force(self, seq, grace_us=0, timeout_us=0):
         return 0
 
-    monkeypatch.setattr(lease_table.LeaseTable, "in_force", in_force)
+    monkeypatch.setattr(lease_table.LeaseTable, "wait_in_force", wait_in_force)
 
 
 def own_clock(monkeypatch):
