--- a/src/petrelhaven/control/consensus/view_maintenance.py
+++ b/src/petrelhaven/control/consensus/view_maintenance.py
@@ -119,7 +119,7 @@
             await self.wait_for_next_check()
             for address in self.addresses():
                 self._node.tasks.spawn(self.request_report(address))
-            if not self._node.store.refuses:
+            if not self._node.store.refuses_writes:
                 await self._check()
 
     async def wait_for_next_check(self) -> None:
--- a/src/petrelhaven/proxy/routing/group.py
+++ b/src/petrelhaven/proxy/routing/group.py
@@ -129,7 +129,7 @@
         `fresh` is True if the state comes from a complete snapshot, so that the age of its changes
         is unknown.
         """
-        rows = control_state.group(self.name)
+        rows = control_state.group_members(self.name)
         self.largest_size = control_state.doc["sizes"].get(self.name, 0)
         self.lower_bound = control_state.evidence(self.name).lower_bound
         for name, row in rows.items():
@@ -154,7 +154,7 @@
         connection_share = (self.connection_cap - _RESERVED_CONNECTIONS) // proxies - 1
         member.pool.max_size = max(1, connection_share)
         draining = member.state == "draining"
-        evacuated = control_state.zone(member.zone) != "open"
+        evacuated = control_state.zone_state(member.zone) != "open"
         if not draining and not evacuated:
             member.closed_to_new_at = None
         elif member.closed_to_new_at is None:
