--- a/src/petrelhaven/control/node.py
+++ b/src/petrelhaven/control/node.py
@@ -117,7 +117,7 @@
         self.chain.confirmation.asks_only_quorum = True
         self.chain.confirmation.count_connected_proxies = lambda: len(self.connected_proxies)
         self.chain.on_commit.append(self._committed)
-        self.chain.on_view.append(self.counting.follow_view)
+        self.chain.on_view.append(self.counting.apply_view)
 
     @property
     def embargoes(self) -> EmbargoService:
@@ -161,10 +161,10 @@
             MessageKind.MEMBER_CHECK: self.duty.handle_inspection_request,
             MessageKind.WALL_CLOCK_READ: self._read_wall_clock,
             MessageKind.AGREED_TIME_READ: self._true_time,
-            MessageKind.QUOTA_REPORT: self.counting.report,
-            MessageKind.QUOTA_COUNT: self.counting.count,
-            MessageKind.QUOTA_COPY: self.counting.copy,
-            MessageKind.QUOTA_FETCH: self.counting.fetch,
+            MessageKind.QUOTA_REPORT: self.counting.handle_report,
+            MessageKind.QUOTA_COUNT: self.counting.handle_count,
+            MessageKind.QUOTA_COPY: self.counting.handle_copy,
+            MessageKind.QUOTA_FETCH: self.counting.handle_fetch,
         }
 
     async def snapshots(self) -> dict[str, dict[str, Any]]:
@@ -245,12 +245,12 @@
     async def _read_wall_clock(
         self, _channel: Channel | None, _body: Mapping[str, Any]
     ) -> dict[str, Any]:
-        return {"wall": self.embargoes.time.wall_clock.now()}
+        return {"wall": self.embargoes.agreed_time.wall_clock.now()}
 
     async def _true_time(
         self, _channel: Channel | None, _body: Mapping[str, Any]
     ) -> dict[str, Any]:
-        answer: dict[str, Any] = self.embargoes.proxy_time()
+        answer: dict[str, Any] = self.embargoes.agreed_time_body()
         return answer
 
     # Orders
@@ -299,7 +299,7 @@
         if not retire:
             record["retire"] = False
         if configuration.embargoing or configuration.embargoes:
-            answer = await self.embargoes.apply(configuration, record)
+            answer = await self.embargoes.apply_configuration(configuration, record)
         else:
             answer = await self.submit_record(record, False, within_us)
         return {"version": configuration.version, "change": answer.seq}
@@ -376,5 +376,5 @@
             "tied": self.connected_proxies.names(),
             "garbage": self.link.garbage,
             "counting": self.counting.status(),
-            **({"time": embargoes.time.status()} if embargoes else {}),
+            **({"time": embargoes.agreed_time.status()} if embargoes else {}),
         }
--- a/src/petrelhaven/proxy/session/immediate_reply.py
+++ b/src/petrelhaven/proxy/session/immediate_reply.py
@@ -1,4 +1,4 @@
-"""Statements that need no member: values, prepared names, BEGIN, ROLLBACK."""
+"""Handles statements that need no member: SET, PREPARE, DEALLOC, BEGIN, ROLLBACK."""
 
 from __future__ import annotations
 
@@ -8,52 +8,52 @@
 from petrelhaven.proxy.session.statement import Reply
 
 if TYPE_CHECKING:
-    from petrelhaven.proxy.routing.base import ProxyServices
+    from petrelhaven.proxy.routing.interfaces import ProxyServices
     from petrelhaven.proxy.routing.transaction_path import TransactionPath
     from petrelhaven.proxy.session.client_session import ClientSession
     from petrelhaven.proxy.session.statement import Statement
 
-__all__ = ["reply_at_once"]
+__all__ = ["reply_without_member"]
 
 
-def reply_at_once(
+def reply_without_member(
     proxy: ProxyServices,
     transactions: TransactionPath,
     session: ClientSession,
     statement: Statement,
 ) -> Reply | None:
-    """The reply to a statement that needs no member, or None if it needs one."""
+    """Returns the reply to a statement that needs no member, or None if it needs one."""
     verb = statement.verb
     if verb == "rollback":
         if session.state != IDLE:
-            transactions.release(session, statement.num)
-            session.settle()
+            transactions.release_transaction(session, statement.number)
+            session.end_transaction()
         return Reply()
     if session.state == FAILED:
-        return _in_failed_transaction(transactions, session, verb)
+        return _reply_in_failed_transaction(transactions, session, verb)
     if verb == "begin":
         return _begin(proxy, session, statement)
     if verb in ("set", "prepare", "forget"):
         _change_session(session, statement)
-        return Reply(state=session.mark)
-    return _out_of_place(session, statement)
+        return Reply(state=session.wire_state)
+    return _reply_if_misplaced(session, statement)
 
 
-def _in_failed_transaction(
+def _reply_in_failed_transaction(
     transactions: TransactionPath, session: ClientSession, verb: str
 ) -> Reply:
     if verb != "commit":
         return Reply(code="malformed", text="the transaction has failed; end it", state="E")
-    transactions.release(session)
-    session.settle()
+    transactions.release_transaction(session)
+    session.end_transaction()
     return Reply(code="aborted", text="the transaction had failed; nothing of it is kept")
 
 
-def _out_of_place(session: ClientSession, statement: Statement) -> Reply | None:
+def _reply_if_misplaced(session: ClientSession, statement: Statement) -> Reply | None:
     if statement.verb == "execute" and statement.name not in session.prepared:
         if session.transaction is not None:
-            session.fail()
-        return Reply(code="unprepared", text="no such prepared name", state=session.mark)
+            session.fail_transaction()
+        return Reply(code="unprepared", text="no such prepared name", state=session.wire_state)
     if statement.verb == "commit" and session.transaction is None:
         return Reply(code="malformed", text="no transaction is open")
     return None
@@ -61,26 +61,26 @@
 
 def _begin(proxy: ProxyServices, session: ClientSession, statement: Statement) -> Reply:
     if session.transaction is not None:
-        return Reply(code="malformed", text="a transaction is open", state=session.mark)
+        return Reply(code="malformed", text="a transaction is open", state=session.wire_state)
     session.begin()
     session.transaction = Transaction(
-        statement.num,
+        statement.number,
         not statement.writes,
-        proxy.order.next(),
+        proxy.logical_clock.next_timestamp(),
         proxy.clock.now(),
         proxy.routes.get(session.host),
     )
-    return Reply(state=session.mark)
+    return Reply(state=session.wire_state)
 
 
 def _change_session(session: ClientSession, statement: Statement) -> None:
     if statement.verb == "set":
         session.values[statement.name] = statement.data
-        session.statement_numbers[statement.name] = statement.num
+        session.statement_numbers[statement.name] = statement.number
         if session.transaction is not None:
-            session.transaction.has_set = True
+            session.transaction.has_set_values = True
     elif statement.verb == "prepare":
-        session.prepared[statement.name] = statement.shape
-        session.statement_numbers["", statement.name] = statement.num
+        session.prepared[statement.name] = statement.prepared_text
+        session.statement_numbers["", statement.name] = statement.number
     else:
         session.prepared.pop(statement.name, None)
--- a/src/petrelhaven/simulator/embargo_cost.py
+++ b/src/petrelhaven/simulator/embargo_cost.py
@@ -32,12 +32,12 @@
         half = i % 2
         rule = Rule(
             group=group,
-            thing="" if half else k,
+            record_key="" if half else k,
             prefix=k if half else "",
             until_us=(1 << 53) - 1,
-            written="",
+            until_text="",
             zone="",
-            early=(),
+            exempt_clients=(),
         )
         yield RuleKey("placed", f"x{i}"), rule
 
@@ -64,8 +64,8 @@
     t = time.process_time()
     if n is not None:
         for a in asks:
-            g.embargo.refusal(v, a, "g1")
-            g.embargo.refusal(v, a, "g1")
+            g.embargo.refuse_if_withheld(v, a, "g1")
+            g.embargo.refuse_if_withheld(v, a, "g1")
     return total_s, time.process_time() - t, size
 
 
