--- a/tests/test_held_up_orders.py
+++ b/tests/test_held_up_orders.py
@@ -4,8 +4,8 @@
 import json
 
 import pytest
-from test_control_interface import ask, on_a_node
 from test_control_interface import configuration as configuration_text
+from test_control_interface import run_on_node, send_request
 
 from petrelhaven.control.request_router import RequestRouter
 
@@ -15,7 +15,7 @@
 
 async def apply_configuration(http_server):
     document = {**json.loads(configuration_text("small", 1)), "halls": ["a", "b"]}
-    assert (await ask(http_server, "POST", "/manifest", document))[0] == 200
+    assert (await send_request(http_server, "POST", "/manifest", document))[0] == 200
 
 
 async def send_request(http_server, *parts, pauses=(), leave_after=None):
@@ -49,7 +49,7 @@
         assert await send_request(http_server, EVACUATE) == 200
         assert zone_of(node) == "emptied"
 
-    on_a_node(tmp_path, scenario)
+    run_on_node(tmp_path, scenario)
 
 
 @pytest.mark.parametrize(
@@ -69,7 +69,7 @@
         assert await send_request(http_server, *parts, pauses=[0, 0]) == 200
         assert zone_of(node) == "emptied"
 
-    on_a_node(tmp_path, scenario)
+    run_on_node(tmp_path, scenario)
 
 
 def test_a_pause_between_two_requests_is_not_treated_as_a_delay(tmp_path):
@@ -87,7 +87,7 @@
         writer.close()
         assert zone_of(node) == "emptied"
 
-    on_a_node(tmp_path, scenario)
+    run_on_node(tmp_path, scenario)
 
 
 def test_without_the_check_an_abandoned_request_evacuates_a_zone(tmp_path, monkeypatch):
@@ -102,4 +102,4 @@
         await asyncio.sleep(2)
         assert zone_of(node) == "emptied"
 
-    on_a_node(tmp_path, scenario)
+    run_on_node(tmp_path, scenario)
