--- a/src/petrelhaven/commands/ctl/command.py
+++ b/src/petrelhaven/commands/ctl/command.py
@@ -18,7 +18,7 @@
     "Handler",
     "PartlyAnswered",
     "add_hidden_alias",
-    "in_force",
+    "format_outcome",
     "read_text",
 ]
 
@@ -151,7 +151,7 @@
 Handler = Callable[[Command], Awaitable[None]]
 
 
-def in_force(answer: Document) -> str:
+def format_outcome(answer: Document) -> str:
     """The number of a change and how long it took until it was in force, for printing."""
     if answer.get(REPEATED):
         return "entered by an earlier attempt of this call"
--- a/src/petrelhaven/commands/ctl/configuration.py
+++ b/src/petrelhaven/commands/ctl/configuration.py
@@ -5,7 +5,7 @@
 import json
 import sys
 
-from petrelhaven.commands.ctl.command import Command, CommandParsers, in_force, read_text
+from petrelhaven.commands.ctl.command import Command, CommandParsers, format_outcome, read_text
 from petrelhaven.control.configuration.parsing import parse_configuration
 from petrelhaven.control.storage.data_folder import salvage
 from petrelhaven.runtime.errors import NoRoute
@@ -58,7 +58,7 @@
         f"/manifest{command.by_query}&retire={retire}", data=text.encode()
     )
     version = json.loads(text)["version"]
-    command.print(f"version {version} is in force ({in_force(answer)})")
+    command.print(f"version {version} is in force ({format_outcome(answer)})")
 
 
 async def _show(command: Command) -> None:
--- a/src/petrelhaven/commands/ctl/embargoes.py
+++ b/src/petrelhaven/commands/ctl/embargoes.py
@@ -9,7 +9,7 @@
     CommandParsers,
     Document,
     add_hidden_alias,
-    in_force,
+    format_outcome,
 )
 
 __all__ = ["add_commands"]
@@ -72,7 +72,7 @@
 async def _change(command: Command) -> None:
     answer = await command.change("/embargoes", doc=_change_document(command))
     name, done = command.arguments.name, _DONE[command.arguments.do]
-    command.print(f"embargo {name} is {done} and in force ({in_force(answer)})")
+    command.print(f"embargo {name} is {done} and in force ({format_outcome(answer)})")
 
 
 def _change_document(command: Command) -> Document:
--- a/src/petrelhaven/commands/ctl/zones.py
+++ b/src/petrelhaven/commands/ctl/zones.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from petrelhaven.commands.ctl.command import Command, CommandParsers, in_force
+from petrelhaven.commands.ctl.command import Command, CommandParsers, format_outcome
 
 __all__ = ["add_commands"]
 
@@ -20,4 +20,4 @@
 async def _set_state(command: Command) -> None:
     zone, verb = command.arguments.zone, command.arguments.verb
     answer = await command.change(f"/halls/{zone}/{verb}{command.by_query}")
-    command.print(f"zone {zone} is {_STATES[verb]} ({in_force(answer)})")
+    command.print(f"zone {zone} is {_STATES[verb]} ({format_outcome(answer)})")
--- a/src/petrelhaven/control/announcements.py
+++ b/src/petrelhaven/control/announcements.py
@@ -162,7 +162,7 @@
         """
         chain = self._chain()
         committed = chain.wait_committed(chain.control_state.seq, chain.store.entered_view)
-        await self._clock.limit(committed, ANSWER_TIMEOUT_US)
+        await self._clock.wait_for(committed, ANSWER_TIMEOUT_US)
         if not chain.is_confirmed:
             raise NotReady("not confirmed by a majority")
 
--- a/src/petrelhaven/control/consensus/chain.py
+++ b/src/petrelhaven/control/consensus/chain.py
@@ -305,7 +305,7 @@
             self.store.append_record(seq, view_number, record)
             self.new_records.set()
             self._commit_as_tail()
-        await self.clock.limit(self.wait_committed(seq, view_number), timeout_us)
+        await self.clock.wait_for(self.wait_committed(seq, view_number), timeout_us)
         await self._wait_until_active(view_number)
         logged = _LOGGED_MEMBER_FIELDS if record["t"] == "member" else ()
         fields = {field: record[field] for field in logged if record.get(field)}
@@ -364,7 +364,7 @@
         self._commit_as_tail()
         if not self.is_tail and request.complete:
             with contextlib.suppress(DeadlineExceeded):
-                await self.clock.limit(self._wait_for_commit(seq), _COMMIT_WAIT_TIMEOUT_US)
+                await self.clock.wait_for(self._wait_for_commit(seq), _COMMIT_WAIT_TIMEOUT_US)
 
     def _store_records(self, request: AppendRequest) -> None:
         """Stores the snapshot, or the records that directly follow the newest stored record.
--- a/src/petrelhaven/control/consensus/member_maintenance.py
+++ b/src/petrelhaven/control/consensus/member_maintenance.py
@@ -71,7 +71,7 @@
         interval_us = self._interval() + self._node.rng.randrange(_CHECK_JITTER_US)
         self._check_requested.clear()
         with contextlib.suppress(DeadlineExceeded):
-            await self._node.clock.limit(self._check_requested.wait(), interval_us)
+            await self._node.clock.wait_for(self._check_requested.wait(), interval_us)
 
     def _interval(self) -> int:
         """The time until the next check, in microseconds."""
--- a/src/petrelhaven/control/counting/relay.py
+++ b/src/petrelhaven/control/counting/relay.py
@@ -46,7 +46,7 @@
         batch = self._batches.get(node)
         if batch is None:
             batch = self._batches[node] = _Batch()
-            self._clock.later(_BATCH_DELAY_US, lambda: self._flush(node))
+            self._clock.call_later(_BATCH_DELAY_US, lambda: self._flush(node))
         answer: asyncio.Future[Grant | None] = asyncio.get_running_loop().create_future()
         batch.rows.append(row)
         batch.answers.append(answer)
--- a/src/petrelhaven/control/embargo/agreed_time.py
+++ b/src/petrelhaven/control/embargo/agreed_time.py
@@ -13,7 +13,7 @@
 from petrelhaven.control.consensus.chain import MAX_CLOCK_RATE_RATIO
 from petrelhaven.runtime.errors import Fault
 from petrelhaven.runtime.events import Events, emit
-from petrelhaven.runtime.wall_clock import TimeInterval, agreed
+from petrelhaven.runtime.wall_clock import TimeInterval, intersect_intervals
 from petrelhaven.transport.message_kinds import MessageKind
 
 if TYPE_CHECKING:
@@ -150,7 +150,7 @@
             if name in self._readings
             and now_us - self._readings[name].requested_us < _MAX_READING_AGE_US
         ]
-        return agreed(usable, len(names) // 2 + 1)
+        return intersect_intervals(usable, len(names) // 2 + 1)
 
     def _compare_with_previous(self, interval: TimeInterval, now_us: int) -> None:
         """Suspects the majority's clocks if the interval jumped further than drift explains."""
--- a/src/petrelhaven/control/failover/group_members.py
+++ b/src/petrelhaven/control/failover/group_members.py
@@ -127,7 +127,9 @@
         if primary.pending_status is None:
             return None
         try:
-            return await self._node.clock.limit(primary.pending_status, limit_us, keep=True)
+            return await self._node.clock.wait_for(
+                primary.pending_status, limit_us, keep_running=True
+            )
         except DeadlineExceeded:
             return None
 
--- a/src/petrelhaven/control/failover/member_access.py
+++ b/src/petrelhaven/control/failover/member_access.py
@@ -69,7 +69,7 @@
         """
         try:
             connection = await self._connect()
-            answer = await self._clock.limit(
+            answer = await self._clock.wait_for(
                 connection.send_command(verb, *args), REQUEST_TIMEOUT_US
             )
         except Fault:
--- a/src/petrelhaven/control/failover/observation.py
+++ b/src/petrelhaven/control/failover/observation.py
@@ -73,7 +73,9 @@
         """Probes a member; returns `up:` with its role, `REFUSED` or `UNREACHABLE`."""
         handle = MemberHandle(self._node.wire, self._node.clock, endpoint)
         try:
-            status = await self._node.clock.limit(handle.request("status"), _INSPECTION_TIMEOUT_US)
+            status = await self._node.clock.wait_for(
+                handle.request("status"), _INSPECTION_TIMEOUT_US
+            )
             return _REACHED_PREFIX + status.role
         except (Busy, MemberDeclined):
             return _REACHED_BUSY
--- a/src/petrelhaven/control/leases.py
+++ b/src/petrelhaven/control/leases.py
@@ -138,7 +138,7 @@
             if waited_us > timeout_us:
                 raise DeadlineExceeded("not in force yet; it stays committed")
             with contextlib.suppress(DeadlineExceeded):
-                await self._clock.limit(event.wait(), _POLL_INTERVAL_US)
+                await self._clock.wait_for(event.wait(), _POLL_INTERVAL_US)
 
     def _is_in_force(self, reports: Reports, seq: int, all_expired_at: int) -> bool:
         """Returns whether the reports prove that record `seq` is in force.
--- a/src/petrelhaven/control/node.py
+++ b/src/petrelhaven/control/node.py
@@ -284,7 +284,7 @@
         except (Duplicate, Stale) as fault:
             seq = self.chain.control_state.seq
             committed = self.chain.wait_committed(seq, self.chain.store.entered_view)
-            await self.clock.limit(committed, _COMMIT_TIMEOUT_US)
+            await self.clock.wait_for(committed, _COMMIT_TIMEOUT_US)
             if not self.chain.is_active:
                 raise NotReady("no longer the active head") from None
             if request.force and isinstance(fault, Duplicate):
--- a/src/petrelhaven/control/request_router.py
+++ b/src/petrelhaven/control/request_router.py
@@ -222,7 +222,7 @@
     async def _wait_for_poll(self, task: asyncio.Future[Any]) -> None:
         """Waits for one poll interval, or until the attempt has ended."""
         ended = asyncio.Event()
-        timer = self._clock.later(_POLL_INTERVAL_US, ended.set)
+        timer = self._clock.call_later(_POLL_INTERVAL_US, ended.set)
         task.add_done_callback(lambda _: ended.set())
         try:
             await ended.wait()
--- a/src/petrelhaven/control/resumable/member_protocol.py
+++ b/src/petrelhaven/control/resumable/member_protocol.py
@@ -66,7 +66,7 @@
         """
         connection = _Member(self._wire, addr, member)
         try:
-            await self.clock.limit(connection.send_command("status"), us)
+            await self.clock.wait_for(connection.send_command("status"), us)
         except DeadlineExceeded:
             raise NotSent(UNREACHABLE) from None
         except NotSent:
--- a/src/petrelhaven/control/resumable/promotion.py
+++ b/src/petrelhaven/control/resumable/promotion.py
@@ -53,7 +53,9 @@
         try:
             while True:
                 try:
-                    document = await self.clock.limit(answer, _PROMOTION_CHECK_US, keep=True)
+                    document = await self.clock.wait_for(
+                        answer, _PROMOTION_CHECK_US, keep_running=True
+                    )
                 except DeadlineExceeded:
                     if self._is_announced(target, epoch):
                         emit(
--- a/src/petrelhaven/emulator/balancer.py
+++ b/src/petrelhaven/emulator/balancer.py
@@ -86,7 +86,7 @@
         warning = self.tasks.spawn(self._warn(name))
         assert warning is not None
         try:
-            await self.clock.limit(warning, notice_us, keep=True)
+            await self.clock.wait_for(warning, notice_us, keep_running=True)
             left = True
         except Fault:
             left = False
--- a/src/petrelhaven/emulator/member.py
+++ b/src/petrelhaven/emulator/member.py
@@ -179,7 +179,7 @@
         if b["pos"] == self.s.log and b["term"] == self.s.last_term() and b["now"] == self.s.term:
             self._news.clear()
             try:
-                await self.clock.limit(self._news.wait(), 500_000)
+                await self.clock.wait_for(self._news.wait(), 500_000)
             except Fault:
                 pass
         try:
--- a/src/petrelhaven/membership/prober.py
+++ b/src/petrelhaven/membership/prober.py
@@ -82,7 +82,7 @@
                 self.tasks.spawn(self._check(peer))
 
     def leave(self, limit: int | None = None) -> None:
-        """Notifies living peers, at most `limit` of them, that this node is leaving."""
+        """Notifies living peers, at most `wait_for` of them, that this node is leaving."""
         self.roster.leaving = True
         body = self._introduction().to_body()
         for name in self.roster.living()[:limit]:
@@ -168,7 +168,7 @@
         answered = self._waiting[nonce] = asyncio.get_running_loop().create_future()
         self._send(address, kind, nonce, target)
         try:
-            await self.clock.limit(answered, self.answer_us * times)
+            await self.clock.wait_for(answered, self.answer_us * times)
         except Fault:
             return False
         else:
--- a/src/petrelhaven/proxy/core_connection.py
+++ b/src/petrelhaven/proxy/core_connection.py
@@ -211,7 +211,7 @@
         """A channel to a control node; None if it could not be reached."""
         limit_us = _OPEN_LIMIT_US if self.joined else _FIRST_OPEN_LIMIT_US
         try:
-            return await self.clock.limit(self.link.open(address), limit_us)
+            return await self.clock.wait_for(self.link.open(address), limit_us)
         except Fault:
             pause_us = _UNREACHABLE_PAUSE_US if self.joined else _FIRST_UNREACHABLE_PAUSE_US
             self._avoid_until[address] = self.clock.now() + pause_us
--- a/src/petrelhaven/proxy/node.py
+++ b/src/petrelhaven/proxy/node.py
@@ -179,7 +179,7 @@
         if self._opened is None:
             self._opened = asyncio.get_running_loop().create_future()
         try:
-            await self.clock.limit(asyncio.shield(self._opened), limit_us)
+            await self.clock.wait_for(asyncio.shield(self._opened), limit_us)
         except DeadlineExceeded:
             raise Busy("this edge knows no manifest yet") from None
 
--- a/src/petrelhaven/proxy/pool/connection_pool.py
+++ b/src/petrelhaven/proxy/pool/connection_pool.py
@@ -170,7 +170,7 @@
         """Fails `waiter`, or queues it again if the member is full and has other connections."""
         if isinstance(fault, Busy):
             if self._full_at_size is None:
-                self.clock.later(_MEMBER_FULL_US, self._clear_full)
+                self.clock.call_later(_MEMBER_FULL_US, self._clear_full)
             self._full_at_size = self.total
             if self.total and not waiter.done():
                 self._waiters.prepend(tenant, waiter)
--- a/src/petrelhaven/proxy/reads/read_clock.py
+++ b/src/petrelhaven/proxy/reads/read_clock.py
@@ -185,7 +185,7 @@
         self.count["reads"] += 1
         position: asyncio.Future[LogPosition | None] = asyncio.get_running_loop().create_future()
         read = _Read(arrival, since, position)
-        timer = self.clock.later(self._bounds().join_us, lambda: self._give_up(position))
+        timer = self.clock.call_later(self._bounds().join_us, lambda: self._give_up(position))
         position.add_done_callback(lambda _: timer.cancel())
         fetched = self.latest
         if not self._shares_fetches:
@@ -290,7 +290,7 @@
             reads,
         )
         self._fetches.append(fetch)
-        fetch.timer = self.clock.later(self._bounds().fetch_us, lambda: self._set_stuck(fetch))
+        fetch.timer = self.clock.call_later(self._bounds().fetch_us, lambda: self._set_stuck(fetch))
         return fetch
 
     def _set_stuck(self, fetch: Fetch) -> None:
@@ -325,7 +325,7 @@
         self._queue += fetch.reads
         if self._retry_timer is None:
             pause_us = _RETRY_PAUSE_US << self._failures
-            self._retry_timer = self.clock.later(pause_us, self._retry)
+            self._retry_timer = self.clock.call_later(pause_us, self._retry)
 
     def _retry(self) -> None:
         self._retry_timer = None
--- a/src/petrelhaven/proxy/resumable/connection_pool.py
+++ b/src/petrelhaven/proxy/resumable/connection_pool.py
@@ -95,7 +95,7 @@
             self._opening -= 1
             full = e.note == "FULL"
             if full and self._full is None:
-                self.clock.later(_FULL_US, self._ease)
+                self.clock.call_later(_FULL_US, self._ease)
             if full:
                 self._full = self.total
             if not f.done():
--- a/src/petrelhaven/proxy/resumable/control_client.py
+++ b/src/petrelhaven/proxy/resumable/control_client.py
@@ -156,7 +156,7 @@
         if until > self.lease:
             self.lease = until
             if self._watch is None:
-                self._watch = self.clock.later(until - self.clock.now() + 1000, self._check)
+                self._watch = self.clock.call_later(until - self.clock.now() + 1000, self._check)
             if not self._had and self.sends:
                 self._had = True
                 emit(self.log, Events.CONTROL_NODE_CONNECTED, core=self._core)
@@ -165,7 +165,7 @@
         left = self.lease - self.clock.now()
         self._watch = None
         if left >= 0:
-            self._watch = self.clock.later(left + 1000, self._check)
+            self._watch = self.clock.call_later(left + 1000, self._check)
             return
         if self._had:
             self._had = False
@@ -180,7 +180,7 @@
                 await self._ask(ch)
             self._nudge.clear()
             try:
-                await self.clock.limit(self._nudge.wait(), _RENEW_US)
+                await self.clock.wait_for(self._nudge.wait(), _RENEW_US)
             except Fault:
                 pass
 
--- a/src/petrelhaven/proxy/resumable/handover.py
+++ b/src/petrelhaven/proxy/resumable/handover.py
@@ -84,7 +84,7 @@
         end = self.e.clock.now() + us
         while self.e.clock.now() < end:
             try:
-                return await self.e.clock.limit(
+                return await self.e.clock.wait_for(
                     self.e.control.announce_state(state), min(3_000_000, end - self.e.clock.now())
                 )
             except Fault:
--- a/src/petrelhaven/proxy/resumable/node.py
+++ b/src/petrelhaven/proxy/resumable/node.py
@@ -147,11 +147,11 @@
             if s.txn is x:
                 left = x.since + self.bounds().idle_txn_us - self.clock.now()
                 if left > 0:
-                    self.clock.later(left, check)
+                    self.clock.call_later(left, check)
                 else:
                     self.end_txn(s)
 
-        self.clock.later(self.bounds().idle_txn_us, check)
+        self.clock.call_later(self.bounds().idle_txn_us, check)
 
     def pick(self, t, pos, bad):
         """A replica for a read, by weight; those known to hold `pos` first."""
@@ -174,7 +174,7 @@
             if not miss and e["open"] and self.control.sends:
                 return True
             try:
-                await self.clock.limit(
+                await self.clock.wait_for(
                     miss[0].log_progress.poll_until_reached(pos)
                     if miss
                     else asyncio.get_running_loop().create_future(),
--- a/src/petrelhaven/proxy/resumable/reads.py
+++ b/src/petrelhaven/proxy/resumable/reads.py
@@ -46,7 +46,7 @@
                 e.waits["tide"] += 1
                 try:
                     yield e.tasks.spawn(
-                        e.clock.limit(post.log_progress.poll_until_reached(pos), b.wait_us // 2)
+                        e.clock.wait_for(post.log_progress.poll_until_reached(pos), b.wait_us // 2)
                     )
                 except DeadlineExceeded:
                     e.waits["stalled"] += 1
@@ -76,7 +76,7 @@
                     left = min(stop, e.clock.now() + b.wait_us // 2) - e.clock.now()
                     try:
                         yield e.tasks.spawn(
-                            e.clock.limit(
+                            e.clock.wait_for(
                                 post.log_progress.poll_until_reached(pos), max(left, 1000)
                             )
                         )
--- a/src/petrelhaven/proxy/resumable/sender.py
+++ b/src/petrelhaven/proxy/resumable/sender.py
@@ -69,7 +69,7 @@
         e = self.e
         f = post.pool.take(self.tag(s))
         try:
-            c = yield e.tasks.spawn(e.clock.limit(f, us, keep=True))
+            c = yield e.tasks.spawn(e.clock.wait_for(f, us, keep_running=True))
             if not f.done():
                 raise Busy("no connection in time")
             return c
--- a/src/petrelhaven/proxy/resumable/session_replicas.py
+++ b/src/petrelhaven/proxy/resumable/session_replicas.py
@@ -137,7 +137,7 @@
     def _later(self, sid, us):
         c = self.stored[sid]
         self._due[sid] = self.clock.now() + us
-        self.clock.later(us, lambda: self._start(sid, c["home"]))
+        self.clock.call_later(us, lambda: self._start(sid, c["home"]))
 
     def _start(self, sid, home):
         if sid not in self._claims:
--- a/src/petrelhaven/proxy/resumable/state_follower.py
+++ b/src/petrelhaven/proxy/resumable/state_follower.py
@@ -67,7 +67,9 @@
             lambda n: self.e.control.control_state.share(g, self.e.name, n),
             self.e.control.control_state.zone_state,
         ):
-            self.e.clock.later(p.stop_at - self.e.clock.now(), lambda p=p, t=t: self._stop(t, p))
+            self.e.clock.call_later(
+                p.stop_at - self.e.clock.now(), lambda p=p, t=t: self._stop(t, p)
+            )
         calm = [
             self.e.tasks.spawn(self._within(p))
             for p in t.posts.values()
@@ -90,7 +92,7 @@
 
     async def _within(self, p):
         try:
-            await self.e.clock.limit(p.pool.calm(), 1_000_000)
+            await self.e.clock.wait_for(p.pool.calm(), 1_000_000)
         except DeadlineExceeded:
             for s in list(self.e.homes.values()):
                 if s.txn is not None and s.txn.pool is p and p.pool.total > p.pool.share:
--- a/src/petrelhaven/proxy/routing/group.py
+++ b/src/petrelhaven/proxy/routing/group.py
@@ -304,7 +304,7 @@
             member.status_connection = await self._open(member)
         member.note_asked(self._clock.now())
         try:
-            row = await self._clock.limit(
+            row = await self._clock.wait_for(
                 member.status_connection.send_command("status"), self._proxy.bounds().join_us // 2
             )
         except (DeadlineExceeded, Unreachable):
@@ -345,7 +345,7 @@
         The connection returns to the pool if that succeeds in time, else it is closed.
         """
         try:
-            reply = await self._clock.limit(
+            reply = await self._clock.wait_for(
                 connection.send_session_statement("rollback", (), number), _ROLLBACK_LIMIT_US
             )
             clean = reply.state == "I"
--- a/src/petrelhaven/proxy/routing/member_calls.py
+++ b/src/petrelhaven/proxy/routing/member_calls.py
@@ -79,7 +79,7 @@
             self._count_run(request)
             member.in_flight += 1
             try:
-                reply = await self._clock.limit(
+                reply = await self._clock.wait_for(
                     connection.send_statement(request.statement, after, alias), limit_us
                 )
             finally:
@@ -122,7 +122,7 @@
             self._count_run(request)
             mode = "reads" if transaction.read_only else "writes"
             begin = SetUpStatement("begin", (mode, after), transaction.number)
-            _, replies = await self._clock.limit(
+            _, replies = await self._clock.wait_for(
                 self._set_up(connection, request.session, None, [begin]), limit_us
             )
             reply = replies[0]
@@ -170,7 +170,7 @@
     ) -> MemberConnection:
         waiter = member.pool.acquire(session)
         try:
-            return await self._clock.limit(waiter, limit_us, keep=True)
+            return await self._clock.wait_for(waiter, limit_us, keep_running=True)
         except BaseException:
             member.pool.cancel(waiter)
             raise
@@ -195,7 +195,7 @@
             for verb, args, number in [*setup, *more]
         ]
         replies = [
-            await self._clock.limit(future, _MAX_CONNECTION_WAIT_US, keep=True)
+            await self._clock.wait_for(future, _MAX_CONNECTION_WAIT_US, keep_running=True)
             for future in futures
         ]
         if any(not reply.ok for reply in replies[: len(setup)]):
--- a/src/petrelhaven/proxy/routing/member_proofs.py
+++ b/src/petrelhaven/proxy/routing/member_proofs.py
@@ -67,7 +67,7 @@
         A log of a later term does not count: it may lack the last writes of the earlier primary.
         """
         deadline = min(deadline, self._clock.now() + _MAX_CONFIRMATION_US)
-        if position is None or self._proxy.tasks.shut:
+        if position is None or self._proxy.tasks.closed:
             return False
         unasked = self._replicas_by_distance(answered)
         pending: set[asyncio.Task[dict[str, Any]]] = set()
--- a/src/petrelhaven/proxy/routing/request_slots.py
+++ b/src/petrelhaven/proxy/routing/request_slots.py
@@ -86,7 +86,7 @@
         outcome: asyncio.Future[_Result] = asyncio.get_running_loop().create_future()
         slot.continuation, slot.outcome = continuation, outcome
         generation = slot.generation
-        slot.timer = self.clock.later(time_limit_us, lambda: self._expire(index, generation))
+        slot.timer = self.clock.call_later(time_limit_us, lambda: self._expire(index, generation))
         self._resume(index, generation, None, None)
         return outcome
 
--- a/src/petrelhaven/proxy/routing/transaction_path.py
+++ b/src/petrelhaven/proxy/routing/transaction_path.py
@@ -122,7 +122,7 @@
                 return
             left_us = session.idle_since + limit_us - self._clock.now()
             if left_us > 0:
-                self._clock.later(left_us, end_if_idle)
+                self._clock.call_later(left_us, end_if_idle)
             elif transaction.connection is not None:
                 connection, transaction.connection = transaction.connection, None
                 transaction.timed_out = True
@@ -130,7 +130,7 @@
                 transaction.member.pool.discard(connection)
 
         if transaction.connection is not None:
-            self._clock.later(limit_us, end_if_idle)
+            self._clock.call_later(limit_us, end_if_idle)
 
     def _time_limit_us(self, request: Request) -> int:
         """Returns the time limit of a statement; a COMMIT may use all the remaining time."""
--- a/src/petrelhaven/proxy/routing/waiting.py
+++ b/src/petrelhaven/proxy/routing/waiting.py
@@ -24,7 +24,7 @@
         if not first.done():
             first.set_result(None)
 
-    timer = clock.later(limit_us, finish)
+    timer = clock.call_later(limit_us, finish)
     for future in futures:
         if future.done():
             finish()
--- a/src/petrelhaven/proxy/tenants/admission.py
+++ b/src/petrelhaven/proxy/tenants/admission.py
@@ -190,7 +190,7 @@
 
     def _request_permits_soon(self, delay_us: int = _REQUEST_DELAY_US) -> None:
         if self._request_timer is None:
-            self._request_timer = self._clock.later(delay_us, self._request_permits_now)
+            self._request_timer = self._clock.call_later(delay_us, self._request_permits_now)
 
     def _request_permits_now(self) -> None:
         self._request_timer = None
--- a/src/petrelhaven/runtime/clock.py
+++ b/src/petrelhaven/runtime/clock.py
@@ -28,33 +28,35 @@
         """Monotonic microseconds."""
         return time.monotonic_ns() // 1000
 
-    def later(self, us: int, call: Callable[[], object]) -> asyncio.TimerHandle:
+    def call_later(self, us: int, call: Callable[[], object]) -> asyncio.TimerHandle:
         """Calls `call` after `us`; the handle returned can be cancelled."""
         return asyncio.get_running_loop().call_later(max(us, 0) / 1e6, call)
 
     async def sleep(self, us: int) -> None:
         """Waits for `us`."""
         over = asyncio.get_running_loop().create_future()
-        timer = self.later(us, lambda: _finish(over))
+        timer = self.call_later(us, lambda: _finish(over))
         try:
             await over
         finally:
             timer.cancel()
 
-    async def limit(self, awaited: Awaitable[_Result], us: int, keep: bool = False) -> _Result:
+    async def wait_for(
+        self, awaited: Awaitable[_Result], us: int, keep_running: bool = False
+    ) -> _Result:
         """Returns the outcome of `awaited`, which has `us` microseconds.
 
         Args:
             awaited: what to wait for.
             us: how long to wait, in microseconds.
-            keep: whether `awaited` goes on after that; otherwise it is cancelled.
+            keep_running: whether `awaited` goes on after that; otherwise it is cancelled.
 
         Raises:
             DeadlineExceeded: the outcome was not there in time.
         """
         outcome = asyncio.ensure_future(awaited)
         over = asyncio.get_running_loop().create_future()
-        timer = self.later(us, lambda: _finish(over))
+        timer = self.call_later(us, lambda: _finish(over))
         try:
             await asyncio.wait([outcome, over], return_when=asyncio.FIRST_COMPLETED)
             if outcome.done():
@@ -64,5 +66,5 @@
             timer.cancel()
             if outcome.done():
                 outcome.cancelled() or outcome.exception()
-            elif not keep:
+            elif not keep_running:
                 outcome.cancel()
--- a/src/petrelhaven/runtime/daemon.py
+++ b/src/petrelhaven/runtime/daemon.py
@@ -12,8 +12,8 @@
 from petrelhaven.runtime.clock import Clock
 from petrelhaven.runtime.errors import WrongNode
 from petrelhaven.runtime.events import Events, emit, logger, set_level
-from petrelhaven.runtime.file_watch import Watch
-from petrelhaven.runtime.settings import SettingsFault, load, seeds_from_stdin
+from petrelhaven.runtime.file_watch import SettingsWatch
+from petrelhaven.runtime.settings import SettingsFault, load_settings, read_seeds_from_stdin
 from petrelhaven.runtime.tasks import BackgroundTasks
 from petrelhaven.transport.http_server import HttpServer
 from petrelhaven.transport.link import Link
@@ -57,7 +57,7 @@
         """Runs the program; returns its exit code."""
         faults: Sequence[Exception] = ()
         try:
-            self.settings = load(self.prog, self.doc, self.is_control_node, argv)
+            self.settings = load_settings(self.prog, self.doc, self.is_control_node, argv)
         except* SettingsFault as group:
             faults = group.exceptions
         if faults:
@@ -116,7 +116,7 @@
         if isinstance(seeds, str):
             print_line(f"listening name={self.settings.name} link={self.link.addr}")
             loop = asyncio.get_running_loop()
-            seeds = await loop.run_in_executor(None, seeds_from_stdin)
+            seeds = await loop.run_in_executor(None, read_seeds_from_stdin)
         self.seeds = seeds
 
     async def _serve(self, stop: asyncio.Event) -> None:
@@ -150,8 +150,10 @@
         """Follows the settings file, if there is one."""
         if not self.settings.file:
             return
-        load_again = functools.partial(load, self.prog, self.doc, self.is_control_node, self._argv)
-        watch = Watch(self.clock, load_again, self.settings, self._apply, self.log)
+        load_again = functools.partial(
+            load_settings, self.prog, self.doc, self.is_control_node, self._argv
+        )
+        watch = SettingsWatch(self.clock, load_again, self.settings, self._apply, self.log)
         node.settings = watch.status
         self.tasks.spawn(watch.run())
 
--- a/src/petrelhaven/runtime/file_watch.py
+++ b/src/petrelhaven/runtime/file_watch.py
@@ -10,20 +10,20 @@
 from typing import TYPE_CHECKING, Any
 
 from petrelhaven.runtime.events import Events, emit
-from petrelhaven.runtime.settings import LIVE, Settings, SettingsFault
+from petrelhaven.runtime.settings import LIVE_FIELDS, Settings, SettingsFault
 
 if TYPE_CHECKING:
     import logbook
 
     from petrelhaven.runtime.clock import Clock
 
-__all__ = ["Watch"]
+__all__ = ["SettingsWatch"]
 
 _PERIOD_US = 300_000
-_FIELDS = ("name", "hall", "link", "http", "data", "path", *LIVE)
+_FIELDS = ("name", "hall", "link", "http", "data", "path", *LIVE_FIELDS)
 
 
-class Watch:
+class SettingsWatch:
     """Reads the settings file periodically and applies what changed.
 
     Attributes:
@@ -87,14 +87,14 @@
         changed = [
             field for field in _FIELDS if getattr(new, field, None) != getattr(running, field, None)
         ]
-        live = [field for field in changed if field in LIVE]
+        live = [field for field in changed if field in LIVE_FIELDS]
         if live:
             emit(self.log, Events.SETTINGS_CHANGED_LIVE, fields=",".join(live))
         for field in live:
             value = getattr(new, field)
             setattr(running, field, value)
             self._apply(field, value)
-        self.waiting = [field for field in changed if field not in LIVE]
+        self.waiting = [field for field in changed if field not in LIVE_FIELDS]
         if self.waiting:
             emit(self.log, Events.SETTINGS_WAIT_FOR_RESTART, fields=",".join(self.waiting))
 
--- a/src/petrelhaven/runtime/settings.py
+++ b/src/petrelhaven/runtime/settings.py
@@ -14,7 +14,7 @@
 
 from petrelhaven.runtime.limits import NAME, TextPattern
 
-__all__ = ["LIVE", "Settings", "SettingsFault", "load"]
+__all__ = ["LIVE_FIELDS", "Settings", "SettingsFault", "load_settings"]
 
 _ADDRESS = re.compile(r"(\d{1,3}\.){3}\d{1,3}:\d{1,5}")
 _HIGHEST_PORT = 65535
@@ -96,7 +96,7 @@
         self._seeds = value
 
 
-LIVE = ("level", "platform", "seeds")
+LIVE_FIELDS = ("level", "platform", "seeds")
 _DEFAULTS = {"link": "127.0.0.1:0", "http": "127.0.0.1:0", "level": "info"}
 _REQUIRED = ("name", "hall", "link", "http", "seeds", "level")
 _REQUIRED_OF_CONTROL_NODE = ("data", "platform", "path")
@@ -151,7 +151,9 @@
     return flags
 
 
-def load(prog: str, doc: str, is_control_node: bool, argv: Sequence[str] | None = None) -> Settings:
+def load_settings(
+    prog: str, doc: str, is_control_node: bool, argv: Sequence[str] | None = None
+) -> Settings:
     """The checked settings of the program `prog`, from its file and its flags.
 
     Raises:
@@ -203,7 +205,7 @@
         raise ValueError(f"{name}: no such address")
 
 
-def seeds_from_stdin() -> list[str]:
+def read_seeds_from_stdin() -> list[str]:
     """Reads seed addresses from one line of standard input.
 
     Raises:
--- a/src/petrelhaven/runtime/tasks.py
+++ b/src/petrelhaven/runtime/tasks.py
@@ -38,18 +38,18 @@
     other exception is logged with the line that raised it.
     """
 
-    __slots__ = ("_tasks", "_log", "shut")
+    __slots__ = ("_tasks", "_log", "closed")
 
     def __init__(self, log: logbook.Logger | None = None) -> None:
         """Starts without tasks; errors that no other code expects are written to `log`."""
         # A dictionary, not a set: tasks are cancelled in the order in which they were started.
         self._tasks: dict[asyncio.Task[Any], None] = {}
         self._log = log
-        self.shut = False
+        self.closed = False
 
     def spawn(self, work: Coroutine[Any, Any, _Result]) -> asyncio.Task[_Result] | None:
         """Runs `work` as a task of this node; returns None, and runs nothing, once it has ended."""
-        if self.shut:
+        if self.closed:
             work.close()
             return None
         task = asyncio.ensure_future(work)
@@ -76,7 +76,7 @@
 
     def kill(self) -> None:
         """Cancels every task but the calling one, without waiting."""
-        self.shut = True
+        self.closed = True
         this = asyncio.current_task() if asyncio.get_event_loop().is_running() else None
         for task in list(self._tasks):
             if task is not this:
--- a/src/petrelhaven/runtime/wall_clock.py
+++ b/src/petrelhaven/runtime/wall_clock.py
@@ -4,7 +4,7 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-__all__ = ["TimeInterval", "WallClock", "agreed"]
+__all__ = ["TimeInterval", "WallClock", "intersect_intervals"]
 
 _OPENS, _CLOSES = -1, 1
 
@@ -29,7 +29,7 @@
         return time.clock_gettime_ns(time.CLOCK_REALTIME) // 1000
 
 
-def agreed(intervals: Sequence[tuple[int, int]], least: int) -> TimeInterval | None:
+def intersect_intervals(intervals: Sequence[tuple[int, int]], least: int) -> TimeInterval | None:
     """The interval of all moments that at least `least` of the (low, high) intervals hold, or None.
 
     This is Marzullo's algorithm: if `least` of them hold true time, the outcome does too.
--- a/src/petrelhaven/simulator/connection_sessions/client.py
+++ b/src/petrelhaven/simulator/connection_sessions/client.py
@@ -148,7 +148,7 @@
         )
         t.statements.append(s)
         try:
-            r = await self._clock.limit(self._front.ask(a), max(10_000, end - self._clock.now()))
+            r = await self._clock.wait_for(self._front.ask(a), max(10_000, end - self._clock.now()))
         except Fault as e:
             s.outcome = "silent" if isinstance(e, DeadlineExceeded) else "cut"
             raise
@@ -197,7 +197,7 @@
         self._values[k] = v
 
     async def _request(self, a, end):
-        r = await self._clock.limit(self._front.ask(a), max(10_000, end - self._clock.now()))
+        r = await self._clock.wait_for(self._front.ask(a), max(10_000, end - self._clock.now()))
         if not r.ok:
             raise Fault(r.code)
 
--- a/src/petrelhaven/simulator/connection_sessions/control_answer.py
+++ b/src/petrelhaven/simulator/connection_sessions/control_answer.py
@@ -41,7 +41,7 @@
 async def answer_order(node: ControlNode, order: ConfigOrder | EvacuationOrder) -> Answer:
     """Has a core carry out an order, as the platform's core daemon does."""
     try:
-        await node.clock.limit(_carry_out(node, order), _ACK_US)
+        await node.clock.wait_for(_carry_out(node, order), _ACK_US)
     except Duplicate as e:
         return Answer(AnswerKind.TAKEN_BEFORE, 200, e.note)
     except VersionTaken as e:
--- a/src/petrelhaven/simulator/connection_sessions/embargo.py
+++ b/src/petrelhaven/simulator/connection_sessions/embargo.py
@@ -165,7 +165,7 @@
         try:
             for a in asks:
                 if a.verb == "prepare":
-                    r = await self.out.clock.limit(c.ask(a), 3_000_000)
+                    r = await self.out.clock.wait_for(c.ask(a), 3_000_000)
                 else:
                     r = await self._told(t, c, a)
                 if not r.ok:
@@ -181,7 +181,7 @@
         s = Statement(a.number, a.verb, text, a.prepared_text or None, {}, self.loop.time())
         t.statements.append(s)
         try:
-            r = await self.out.clock.limit(c.ask(a), 3_000_000)
+            r = await self.out.clock.wait_for(c.ask(a), 3_000_000)
         except Fault as e:
             s.outcome = "silent" if isinstance(e, DeadlineExceeded) else "cut"
             raise
--- a/src/petrelhaven/simulator/connection_sessions/failover.py
+++ b/src/petrelhaven/simulator/connection_sessions/failover.py
@@ -32,7 +32,7 @@
         for f in self.on_call:
             f(m)
         if g.leader is not m:
-            self.machine.clock.later(self.took_us, lambda: g.lead(m))
+            self.machine.clock.call_later(self.took_us, lambda: g.lead(m))
         if self.unanswered > 0:
             self.unanswered -= 1
             await self.machine.clock.sleep(3_600_000_000)
--- a/src/petrelhaven/simulator/connection_sessions/front.py
+++ b/src/petrelhaven/simulator/connection_sessions/front.py
@@ -30,7 +30,7 @@
             raise NotSent(edge.name)
         c = cls(net, client, edge)
         try:
-            r = await client.clock.limit(c.ask((host, key)), us)
+            r = await client.clock.wait_for(c.ask((host, key)), us)
         except Fault:
             c.close()
             raise
@@ -54,7 +54,7 @@
         if not self.lost:
             self._lose()
             self._forget()
-            self._there.send(lambda: self.edge.clock.later(0, self._end))
+            self._there.send(lambda: self.edge.clock.call_later(0, self._end))
 
     def cut(self, silent):
         """One of the machines is gone."""
--- a/src/petrelhaven/simulator/connection_sessions/group.py
+++ b/src/petrelhaven/simulator/connection_sessions/group.py
@@ -54,7 +54,7 @@
         f = asyncio.get_running_loop().create_future()
         self._waits.append((entry.number, f))
         try:
-            return await leader.machine.clock.limit(f, _SYNC_US)
+            return await leader.machine.clock.wait_for(f, _SYNC_US)
         except Fault:
             return False
 
--- a/src/petrelhaven/simulator/connection_sessions/heartbeats.py
+++ b/src/petrelhaven/simulator/connection_sessions/heartbeats.py
@@ -22,7 +22,7 @@
             if not m.unresponsive and not self.signed_off:
                 await self._announce()
             try:
-                await clock.limit(m.heartbeat_now.wait(), self.heartbeat_us)
+                await clock.wait_for(m.heartbeat_now.wait(), self.heartbeat_us)
             except DeadlineExceeded:
                 pass
 
--- a/src/petrelhaven/simulator/connection_sessions/wire.py
+++ b/src/petrelhaven/simulator/connection_sessions/wire.py
@@ -33,7 +33,7 @@
                 raise NotSent("refused")
         c = SimulatedMemberConnection(self.net, self.machine, to)
         try:
-            r = await self.clock.limit(
+            r = await self.clock.wait_for(
                 c.connect(group, member, tenant), max(1000, end - self.clock.now())
             )
         except DeadlineExceeded:
--- a/src/petrelhaven/simulator/net.py
+++ b/src/petrelhaven/simulator/net.py
@@ -41,7 +41,7 @@
     def now(self):
         return self.base + int(self.machine.net.loop.time() * 1e6 * self.rate)
 
-    def later(self, us, fn):
+    def call_later(self, us, fn):
         k = _Handle()
         life = self.machine.life
 
@@ -428,6 +428,6 @@
 
         self.on_kill.append(gone)
         try:
-            return await src.clock.limit(f, us)
+            return await src.clock.wait_for(f, us)
         finally:
             self.on_kill.remove(gone)
--- a/src/petrelhaven/simulator/resumable/partition.py
+++ b/src/petrelhaven/simulator/resumable/partition.py
@@ -65,7 +65,7 @@
                 fn(raw)
                 return
             last = max(last + 1, self.clock.now() + us)
-            self.clock.later(last - self.clock.now(), lambda: fn(raw))
+            self.clock.call_later(last - self.clock.now(), lambda: fn(raw))
 
         return go
 
@@ -82,7 +82,7 @@
     def send_datagram(self, addr, kind, body):
         """One telling, swallowed while the way is cut."""
         if addr not in _CUT:
-            self.clock.later(
+            self.clock.call_later(
                 _FAR.get(addr, 0), lambda: super(_CutLink, self).send_datagram(addr, kind, body)
             )
 
--- a/src/petrelhaven/transport/channel.py
+++ b/src/petrelhaven/transport/channel.py
@@ -126,7 +126,7 @@
         self._last_sent = number
         try:
             self._send(raw)
-            return await self._link.clock.limit(answer, us)
+            return await self._link.clock.wait_for(answer, us)
         finally:
             self._pending.pop(number, None)
             if answer.cancelled() or not answer.done():
--- a/src/petrelhaven/transport/light_client.py
+++ b/src/petrelhaven/transport/light_client.py
@@ -81,14 +81,14 @@
     host, port = addr.rsplit(":", 1)
     try:
         opening = asyncio.open_connection(host, int(port))
-        reader, writer = await clock.limit(opening, min(us, _CONNECT_US))
+        reader, writer = await clock.wait_for(opening, min(us, _CONNECT_US))
     except (OSError, DeadlineExceeded):
         raise NotSent(addr) from None
     tune(writer.transport)
     answered = False
     try:
         exchange = _Exchange(addr, verb, path, doc, heads)
-        answer = await clock.limit(_run(exchange, reader, writer), us)
+        answer = await clock.wait_for(_run(exchange, reader, writer), us)
         answered = True
         return answer
     except (OSError, h11.RemoteProtocolError, ValueError):
--- a/src/petrelhaven/transport/link.py
+++ b/src/petrelhaven/transport/link.py
@@ -253,7 +253,7 @@
         end = self.clock.now() + _OPEN_US
         while True:
             try:
-                reader, writer = await self.clock.limit(
+                reader, writer = await self.clock.wait_for(
                     asyncio.open_connection(host, port), _ATTEMPT_US
                 )
             except OSError:
--- a/tests/limits_world.py
+++ b/tests/limits_world.py
@@ -120,7 +120,7 @@
     def now(self):
         return self.offset + int(self.process.world.now() * self.rate * 1e6)
 
-    def later(self, us, call):
+    def call_later(self, us, call):
         process, incarnation = self.process, self.process.incarnation
 
         def fire():
@@ -421,7 +421,7 @@
         self._send(source, target, kind, json.dumps(body), answer)
         if self.rng.random() < self.double_share:
             self._send(source, target, kind, json.dumps(body), answer)
-        raw = await source.clock.limit(answer, timeout_us)
+        raw = await source.clock.wait_for(answer, timeout_us)
         if isinstance(raw, Fault):
             raise raw
         return json.loads(raw)
--- a/tests/model/operators.py
+++ b/tests/model/operators.py
@@ -61,7 +61,7 @@
         async def begun():
             if not waiting or machine.node is None:
                 raise NotSent(machine.name)
-            return await machine.node.clock.limit(there(machine.node), _SERVER_US)
+            return await machine.node.clock.wait_for(there(machine.node), _SERVER_US)
 
         net, operators = self._cluster.net, self._cluster.operators
         try:
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -266,7 +266,7 @@
 def only_the_answer(mp):
     async def request(self, group, target, epoch):
         promotion = self.platform.promote(group, target, epoch, self.name)
-        return await self.clock.limit(promotion, 4_000_000)
+        return await self.clock.wait_for(promotion, 4_000_000)
 
     mp.setattr(PromotionRequester, "request", request)
 
--- a/tests/test_embargoes.py
+++ b/tests/test_embargoes.py
@@ -27,7 +27,7 @@
 from petrelhaven.proxy.session.statement import Statement  # noqa: E402
 from petrelhaven.runtime.errors import Conflict, Duplicate, Invalid, Stale, TooLarge  # noqa: E402
 from petrelhaven.runtime.instant import format_instant, parse_instant  # noqa: E402
-from petrelhaven.runtime.wall_clock import agreed  # noqa: E402
+from petrelhaven.runtime.wall_clock import intersect_intervals  # noqa: E402
 from petrelhaven.simulator.resumable.world import configuration  # noqa: E402
 
 DRAWN = settings(
@@ -412,7 +412,7 @@
 ):
     wrong = wrong[: len(correct) - 1]
     count = len(correct) + len(wrong)
-    interval = agreed(
+    interval = intersect_intervals(
         [(true_time - below, true_time + above) for below, above in correct]
         + [(lowest, lowest + width) for lowest, width in wrong],
         count // 2 + 1,
@@ -421,8 +421,12 @@
 
 
 def test_without_a_majority_there_is_no_interval():
-    assert agreed([(0, 1), (5, 6), (9, 10)], 2) is None
-    assert agreed([(0, 10)], 2) is None and agreed([], 1) is None and agreed([(3, 2)], 1) is None
+    assert intersect_intervals([(0, 1), (5, 6), (9, 10)], 2) is None
+    assert (
+        intersect_intervals([(0, 10)], 2) is None
+        and intersect_intervals([], 1) is None
+        and intersect_intervals([(3, 2)], 1) is None
+    )
 
 
 def test_no_embargo_module_is_imported_while_embargoes_are_disabled():
--- a/tests/test_tenant_review.py
+++ b/tests/test_tenant_review.py
@@ -225,7 +225,7 @@
 
     async def call(self, name, _kind, body, timeout_us):
         if name in self.silent:
-            await self.clock.limit(asyncio.sleep(60), timeout_us)
+            await self.clock.wait_for(asyncio.sleep(60), timeout_us)
         rows = body["rows"]
         return GrantList([Grant(row[1], row[2], 1, 0) for row in rows]).to_body()
 
