--- a/src/petrelhaven/commands/__init__.py
+++ b/src/petrelhaven/commands/__init__.py
@@ -1,1 +1,1 @@
-"""Programs: the control daemon, the proxy daemon and the operator's tools."""
+"""The programs: the daemons of control nodes and proxies, and the operator tools."""
--- a/src/petrelhaven/commands/control.py
+++ b/src/petrelhaven/commands/control.py
@@ -1,4 +1,4 @@
-"""petrelhaven-control: the control daemon."""
+"""petrelhaven-control: the daemon of a control node."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 _HEARTBEAT_US = 1_200_000
 _CONNECTION_SESSIONS, _RESUMABLE_SESSIONS = "held", "kept"
-"""Values of the setting `path`: which kind of sessions the node is for."""
+"""Values of the setting `path`: the kind of sessions that the node manages."""
 
 
 def _make_node(daemon: Daemon) -> BaseControlNode:
@@ -41,7 +41,7 @@
     return _make_resumable_node(daemon)
 
 
-def _resources(daemon: Daemon) -> NodeResources:
+def _make_resources(daemon: Daemon) -> NodeResources:
     return NodeResources(
         daemon.clock,
         daemon.tasks,
@@ -56,7 +56,7 @@
     settings = daemon.settings
     node = ControlNode(
         ControlNodeIdentity(settings.name, settings.zone, daemon.seeds),
-        _resources(daemon),
+        _make_resources(daemon),
         PlatformClient(settings.platform),
         MemberWire(daemon.clock, Wire(daemon.clock, daemon.tasks)),
         _HEARTBEAT_US,
@@ -69,14 +69,14 @@
     settings = daemon.settings
     node = ResumableControlNode(
         ControlNodeIdentity(settings.name, settings.zone, daemon.seeds),
-        _resources(daemon),
+        _make_resources(daemon),
         PlatformClient(settings.platform),
     )
     ResumableControlInterface(node, daemon.http_server)
     return node
 
 
-async def _leave(node: BaseControlNode) -> None:
+async def _shut_down_node(node: BaseControlNode) -> None:
     await node.drain()
 
 
@@ -85,21 +85,21 @@
     def _serves_connection_sessions(self) -> bool:
         return bool(self.settings.path == _CONNECTION_SESSIONS)
 
-    def make_http_server(  # type: ignore[override]  # both kinds serve the same calls
+    def make_http_server(  # type: ignore[override]  # both servers have the same interface
         self, host: str, port: int
     ) -> HttpServer | LightHttpServer:
-        """The HTTP server for the kind of sessions that this node is for."""
+        """Creates the HTTP server for the kind of sessions that this node manages."""
         if self._serves_connection_sessions:
             return LightHttpServer(host, port, log=self.log)
         return super().make_http_server(host, port)
 
     def prepare(self) -> None:
-        """Opens the data folder once before listening.
+        """Opens and closes the data folder once before the daemon listens.
 
         Raises:
-            WrongNode: it belongs to another node, or to one for the other kind of sessions.
+            WrongNode: The folder belongs to another node, or to one for the other kind of sessions.
         """
-        with contextlib.suppress(Damaged):  # the node comes back as an empty one
+        with contextlib.suppress(Damaged):  # the node rejoins the chain with an empty state
             self.check()
         folder = FolderDisk(self.settings.data)
         state_class = ControlState if self._serves_connection_sessions else None
@@ -109,11 +109,11 @@
         folder.close()
 
     def check(self) -> None:
-        """Reads the data folder, if there is one, without writing.
+        """Reads the data folder, if it exists, without writing to it.
 
         Raises:
-            Damaged: the folder can't be read.
-            WrongNode: as for `prepare`.
+            Damaged: The folder can't be read.
+            WrongNode: As for `prepare`.
         """
         if not os.path.isdir(self.settings.data):
             return
@@ -124,18 +124,18 @@
         path = _CONNECTION_SESSIONS if is_connection_state else _RESUMABLE_SESSIONS
         if folder.name and path != self.settings.path:
             raise WrongNode(
-                f"the data folder holds control state of the path {path}, not {self.settings.path}"
+                f"the data folder has control state of the path {path}, not {self.settings.path}"
             )
 
 
 def main(argv: Sequence[str] | None = None) -> None:
-    """Runs a control node until it is told to stop."""
+    """Runs a control node until a signal stops it."""
     daemon = _ControlDaemon(
         "petrelhaven-control",
-        "Core daemon: keeps the manifest, the epochs and the leases.",
+        "Control node: manages the configuration, the epochs of member groups and the leases.",
         True,
         _make_node,
-        _leave,
+        _shut_down_node,
     )
     sys.exit(daemon.main(argv))
 
--- a/src/petrelhaven/commands/proxy.py
+++ b/src/petrelhaven/commands/proxy.py
@@ -1,4 +1,4 @@
-"""petrelhaven-proxy: the proxy daemon of the kept path."""
+"""petrelhaven-proxy: the daemon of a proxy with resumable sessions."""
 
 import random
 import sys
@@ -12,9 +12,9 @@
 __all__ = ["main"]
 
 
-def _make(daemon: Daemon) -> ResumableProxy:
+def _make_node(daemon: Daemon) -> ResumableProxy:
     settings = daemon.settings
-    edge = ResumableProxy(
+    proxy = ResumableProxy(
         settings.name,
         settings.zone,
         daemon.seeds,
@@ -25,23 +25,23 @@
         Wire(daemon.clock, daemon.tasks),
         log=daemon.log,
     )
-    ResumableProxyInterface(edge, daemon.http_server)
-    return edge
+    ResumableProxyInterface(proxy, daemon.http_server)
+    return proxy
 
 
-async def _leave(edge: ResumableProxy) -> None:
-    await edge.drain()
-    await edge.wire.close()
+async def _shut_down_node(proxy: ResumableProxy) -> None:
+    await proxy.drain()
+    await proxy.wire.close()
 
 
 def main(argv: Sequence[str] | None = None) -> None:
-    """Runs a proxy until it is told to stop; then its sessions are handed over."""
+    """Runs a proxy until a signal stops it; its sessions are handed over before it exits."""
     daemon = Daemon(
         "petrelhaven-proxy",
-        "Edge daemon: holds visitors' sessions and serves their statements.",
+        "Proxy: keeps clients' sessions open and serves their statements.",
         False,
-        _make,
-        _leave,
+        _make_node,
+        _shut_down_node,
     )
     sys.exit(daemon.main(argv))
 
--- a/src/petrelhaven/runtime/__init__.py
+++ b/src/petrelhaven/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""Clock, tasks, errors, events and settings shared by all programs."""
+"""Clocks, tasks, errors, events and settings that all programs share."""
--- a/src/petrelhaven/runtime/clock.py
+++ b/src/petrelhaven/runtime/clock.py
@@ -1,4 +1,4 @@
-"""Monotonic time in whole microseconds: the present, timers, and limits on how long to wait."""
+"""A monotonic clock in integer microseconds, with timers and timeouts."""
 
 from __future__ import annotations
 
@@ -14,57 +14,60 @@
 _Result = TypeVar("_Result")
 
 
-def _finish(future: asyncio.Future[None]) -> None:
+def _resolve(future: asyncio.Future[None]) -> None:
     if not future.done():
         future.set_result(None)
 
 
 class Clock:
-    """Monotonic microseconds of this process. The simulator gives each node its own."""
+    """The monotonic clock of this process.
+
+    The simulator replaces it with a clock of each node's own.
+    """
 
     __slots__ = ()
 
     def now(self) -> int:
-        """Monotonic microseconds."""
+        """Returns the monotonic time in microseconds."""
         return time.monotonic_ns() // 1000
 
-    def call_later(self, us: int, call: Callable[[], object]) -> asyncio.TimerHandle:
-        """Calls `call` after `us`; the handle returned can be cancelled."""
-        return asyncio.get_running_loop().call_later(max(us, 0) / 1e6, call)
+    def call_later(self, us: int, callback: Callable[[], object]) -> asyncio.TimerHandle:
+        """Schedules `callback` to run after `us` microseconds; the returned handle cancels it."""
+        return asyncio.get_running_loop().call_later(max(us, 0) / 1e6, callback)
 
     async def sleep(self, us: int) -> None:
-        """Waits for `us`."""
-        over = asyncio.get_running_loop().create_future()
-        timer = self.call_later(us, lambda: _finish(over))
+        """Sleeps for `us` microseconds."""
+        expired = asyncio.get_running_loop().create_future()
+        timer = self.call_later(us, lambda: _resolve(expired))
         try:
-            await over
+            await expired
         finally:
             timer.cancel()
 
     async def wait_for(
         self, awaited: Awaitable[_Result], us: int, keep_running: bool = False
     ) -> _Result:
-        """Returns the outcome of `awaited`, which has `us` microseconds.
+        """Waits at most `us` microseconds for `awaited` and returns its result.
 
         Args:
-            awaited: what to wait for.
-            us: how long to wait, in microseconds.
-            keep_running: whether `awaited` goes on after that; otherwise it is cancelled.
+            awaited: The awaitable to run.
+            us: The timeout in microseconds.
+            keep_running: Whether `awaited` continues after the timeout; otherwise it is cancelled.
 
         Raises:
-            DeadlineExceeded: the outcome was not there in time.
+            DeadlineExceeded: `awaited` did not finish in time.
         """
-        outcome = asyncio.ensure_future(awaited)
-        over = asyncio.get_running_loop().create_future()
-        timer = self.call_later(us, lambda: _finish(over))
+        task = asyncio.ensure_future(awaited)
+        expired = asyncio.get_running_loop().create_future()
+        timer = self.call_later(us, lambda: _resolve(expired))
         try:
-            await asyncio.wait([outcome, over], return_when=asyncio.FIRST_COMPLETED)
-            if outcome.done():
-                return outcome.result()
-            raise DeadlineExceeded("horizon passed")
+            await asyncio.wait([task, expired], return_when=asyncio.FIRST_COMPLETED)
+            if task.done():
+                return task.result()
+            raise DeadlineExceeded("time limit exceeded")
         finally:
             timer.cancel()
-            if outcome.done():
-                outcome.cancelled() or outcome.exception()
+            if task.done():
+                task.cancelled() or task.exception()
             elif not keep_running:
-                outcome.cancel()
+                task.cancel()
--- a/src/petrelhaven/runtime/daemon.py
+++ b/src/petrelhaven/runtime/daemon.py
@@ -1,4 +1,4 @@
-"""What all daemons share: listening, signals, readiness lines, exit codes."""
+"""The daemon base class: servers, signals, readiness lines and exit codes."""
 
 from __future__ import annotations
 
@@ -20,41 +20,47 @@
 
 __all__ = ["Daemon", "print_line"]
 
-_SETTINGS_DECLINED = 2
-_DATA_OF_ANOTHER_NODE = 3
-_READINESS_PERIOD_US = 50_000
+_EXIT_SETTINGS_DECLINED = 2
+_EXIT_DATA_OF_ANOTHER_NODE = 3
+_READINESS_POLL_US = 50_000
 
 
 def print_line(line: str) -> None:
-    """Writes one line to standard output, for whoever started the program."""
+    """Writes one line to standard output for the process that started the program."""
     print(line, flush=True)
 
 
 class Daemon:
-    """Runs one node from its settings to its end."""
+    """Runs one node, from loading its settings until it has shut down.
+
+    Attributes:
+        prog: The name of the program.
+        doc: The description of the program in `--help`.
+        is_control_node: Whether the program has the settings of a control node.
+    """
 
     def __init__(
         self,
         prog: str,
         doc: str,
         is_control_node: bool,
-        make: Callable[[Daemon], Any],
-        leave: Callable[[Any], Awaitable[None]],
+        make_node: Callable[[Daemon], Any],
+        shut_down_node: Callable[[Any], Awaitable[None]],
     ) -> None:
-        """Describes a program.
+        """Creates the daemon of a program.
 
         Args:
-            prog: its name.
-            doc: what it is, for `--help`.
-            is_control_node: whether it takes the settings of a control node.
-            make: builds the node from this daemon's settings, link and HTTP server.
-            leave: has the node leave the fleet, before the program ends.
+            prog: The name of the program.
+            doc: The description of the program in `--help`.
+            is_control_node: Whether the program has the settings of a control node.
+            make_node: Builds the node from this daemon's settings, link and HTTP server.
+            shut_down_node: Makes the node leave the fleet before the program exits.
         """
         self.prog, self.doc, self.is_control_node = prog, doc, is_control_node
-        self._make, self._leave = make, leave
+        self._make_node, self._shut_down_node = make_node, shut_down_node
 
     def main(self, argv: Sequence[str] | None = None) -> int:
-        """Runs the program; returns its exit code."""
+        """Runs the program and returns its exit code."""
         faults: Sequence[Exception] = ()
         try:
             self.settings = load_settings(self.prog, self.doc, self.is_control_node, argv)
@@ -63,19 +69,19 @@
         if faults:
             for fault in faults:
                 print(f"{self.prog}: settings declined: {fault}", file=sys.stderr)
-            return _SETTINGS_DECLINED
+            return _EXIT_SETTINGS_DECLINED
         self._argv = argv
         self.log = logger(self.settings.name, self.settings.level)
         try:
             return self._check_or_run()
         except SettingsFault as fault:
-            return self._decline(_SETTINGS_DECLINED, str(fault))
+            return self._log_declined(_EXIT_SETTINGS_DECLINED, str(fault))
         except WrongNode as fault:
-            return self._decline(_DATA_OF_ANOTHER_NODE, fault.note)
+            return self._log_declined(_EXIT_DATA_OF_ANOTHER_NODE, fault.note)
         except OSError as fault:
-            return self._decline(_SETTINGS_DECLINED, f"link or http: {fault}")
+            return self._log_declined(_EXIT_SETTINGS_DECLINED, f"link or http: {fault}")
 
-    def _decline(self, exit_code: int, note: str) -> int:
+    def _log_declined(self, exit_code: int, note: str) -> int:
         emit(self.log, Events.SETTINGS_DECLINED, note=note)
         return exit_code
 
@@ -89,8 +95,8 @@
     async def _run(self) -> int:
         stop = asyncio.Event()
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, stop.set)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, stop.set)
         self._create_servers()
         self.prepare()
         await self.link.start()
@@ -111,7 +117,7 @@
         self.http_server = self.make_http_server(host, int(port))
 
     async def _read_seeds(self) -> None:
-        """Takes the seed addresses from the settings or, once listening, from standard input."""
+        """Reads the seed addresses from the settings or, after listening, from standard input."""
         seeds = self.settings.seeds
         if isinstance(seeds, str):
             print_line(f"listening name={self.settings.name} link={self.link.addr}")
@@ -120,13 +126,13 @@
         self.seeds = seeds
 
     async def _serve(self, stop: asyncio.Event) -> None:
-        """Runs the node until `stop` is set, and has it leave."""
-        node = self._make(self)
+        """Runs the node until `stop` is set, then shuts it down."""
+        node = self._make_node(self)
         await self.http_server.start()
         node.http = self.http_server.addr
         self._node = node
         node.start()
-        self._follow_settings(node)
+        self._watch_settings(node)
         print_line(
             f"started name={self.settings.name} link={self.link.addr} http={self.http_server.addr}"
         )
@@ -134,31 +140,33 @@
         await stop.wait()
         if readiness is not None:
             readiness.cancel()
-        await self._leave(node)
+        await self._shut_down_node(node)
 
     def make_http_server(self, host: str, port: int) -> HttpServer:
-        """The server of the node's interface."""
+        """Creates the HTTP server of the node's interface."""
         return HttpServer(host, port, log=self.log)
 
     def prepare(self) -> None:
-        """Checks what must be checked before listening."""
+        """Runs the checks that must succeed before the daemon listens."""
 
     def check(self) -> None:
-        """Checks, for `--check`, what `prepare` would; changes nothing."""
+        """Runs the checks of `prepare` for `--check`, without changing anything."""
 
-    def _follow_settings(self, node: Any) -> None:  # noqa: ANN401 (any kind of node)
-        """Follows the settings file, if there is one."""
+    def _watch_settings(self, node: Any) -> None:  # noqa: ANN401 (any kind of node)
+        """Starts watching the settings file, if there is one."""
         if not self.settings.file:
             return
-        load_again = functools.partial(
+        reload_settings = functools.partial(
             load_settings, self.prog, self.doc, self.is_control_node, self._argv
         )
-        watch = SettingsWatch(self.clock, load_again, self.settings, self._apply, self.log)
+        watch = SettingsWatch(
+            self.clock, reload_settings, self.settings, self._apply_setting, self.log
+        )
         node.settings = watch.status
         self.tasks.spawn(watch.run())
 
-    def _apply(self, field: str, value: Any) -> None:  # noqa: ANN401 (each field has its type)
-        """Applies a setting that changed while the node runs."""
+    def _apply_setting(self, field: str, value: Any) -> None:  # noqa: ANN401 (each field has its type)
+        """Applies a changed setting to the running node."""
         if field == "level":
             set_level(self.log, value)
         elif field == "seeds" and value != "-":
@@ -167,10 +175,10 @@
             self._node.duty.platform.move_to(value)
 
     async def _report_readiness(self, node: Any) -> None:  # noqa: ANN401 (any kind of node)
-        """Writes a line to standard output whenever the node becomes ready or stops to be."""
+        """Writes a line to standard output whenever the node becomes ready or unready."""
         ready = False
         while True:
             if node.ready != ready:
                 ready = node.ready
                 print_line(f"{'ready' if ready else 'unready'} name={self.settings.name}")
-            await self.clock.sleep(_READINESS_PERIOD_US)
+            await self.clock.sleep(_READINESS_POLL_US)
--- a/src/petrelhaven/runtime/errors.py
+++ b/src/petrelhaven/runtime/errors.py
@@ -1,8 +1,8 @@
-"""Typed errors that cross an interface or a link, each with a code, an HTTP status and a wait.
+"""Typed errors that cross an interface or a link, each with a code, HTTP status and retry delay.
 
-A subclass gives them as class arguments and inherits what it does not give. The codes are part of
-the wire: clients, operators' programs and other nodes see them in the documents that
-`Fault.doc` makes and `rebuild` reads.
+A subclass passes them as class arguments and inherits those that it omits. The codes are part of
+the wire protocol: clients, operators' programs and other nodes see them in the documents that
+`Fault.doc` builds and `rebuild` parses.
 """
 
 from collections.abc import Mapping
@@ -13,20 +13,21 @@
 _SECOND_US = 1_000_000
 
 REGISTRY: dict[str, "type[Fault]"] = {}
-"""Every class of error by its code."""
+"""All error classes by code."""
 
 
-class Fault(Exception):  # noqa: N818 (codes on the wire speak of faults)
-    """Base of all typed errors.
+class Fault(Exception):  # noqa: N818 (called faults on the wire)
+    """The base class of all typed errors.
 
     Attributes:
-        code: the name of the error on the wire.
-        status: the HTTP status that it is answered with.
-        retry_after_us: after how many microseconds a retry can help; None where none does.
-        answered: whether the other side of a call answered with this error, so that the call has
-            certainly arrived there.
-        note: what went wrong, for people.
-        details: fields for whoever handles the error.
+        code: The name of the error on the wire.
+        status: The HTTP status of a response that reports it.
+        retry_after_us: After how many microseconds a retry can succeed; None if retrying can't
+            help.
+        answered: Whether the remote side of a call sent this error, so that the call certainly
+            arrived there.
+        note: A description of the error for people.
+        details: Further fields for the code that handles the error.
     """
 
     code = "fault"
@@ -40,7 +41,7 @@
         retry_after_us: int | None = None,
         details: dict[str, Any] | None = None,
     ) -> None:
-        """Describes one error; `retry_after_us`, if given, takes the place of its class's."""
+        """Creates an error; `retry_after_us`, if given, overrides the value of the class."""
         super().__init__(note)
         self.note = note
         self.details = details or {}
@@ -54,7 +55,7 @@
         status: int | None = None,
         retry_after_us: int | None = None,
     ) -> None:
-        """Sets what the class gives and registers it by its code."""
+        """Sets the given class arguments and registers the class by its code."""
         super().__init_subclass__()
         if code is not None:
             cls.code = code
@@ -65,13 +66,13 @@
         REGISTRY[cls.code] = cls
 
     def retry_after_seconds(self) -> int | None:
-        """The value of HTTP's header Retry-After: whole seconds, rounded up; None without one."""
+        """Returns the HTTP header Retry-After: seconds, rounded up, or None to omit it."""
         if self.retry_after_us is None:
             return None
         return -(-self.retry_after_us // _SECOND_US)
 
     def doc(self) -> dict[str, Any]:
-        """The error as a plain document, for an interface or a link."""
+        """Returns the error as a plain document for an interface or a link."""
         document: dict[str, Any] = {"fault": self.code, "note": self.note}
         if self.retry_after_us is not None:
             document["retry_after_us"] = self.retry_after_us
@@ -81,44 +82,44 @@
 
 
 def rebuild(doc: Mapping[str, Any]) -> Fault:
-    """The typed error that `doc` describes; an unknown code becomes a plain Fault."""
-    kind = REGISTRY.get(doc.get("fault", ""), Fault)
-    return kind(doc.get("note", ""), doc.get("retry_after_us"), doc.get("more"))
+    """Returns the typed error that `doc` describes; an unknown code becomes a plain Fault."""
+    error_class = REGISTRY.get(doc.get("fault", ""), Fault)
+    return error_class(doc.get("note", ""), doc.get("retry_after_us"), doc.get("more"))
 
 
 REGISTRY[Fault.code] = Fault
 
 
 class Malformed(Fault, code="malformed", status=400):
-    """A call lacks a field, or has one of another type."""
+    """A field of the request is missing or has the wrong type."""
 
 
 class Invalid(Fault, code="invalid", status=422):
-    """A configuration is wrong; `details` names every fault by path."""
+    """A configuration is invalid; `details` lists every problem by path."""
 
 
 class Stale(Fault, code="stale", status=409):
-    """It rests on something older than what is in force."""
+    """The request is based on an older version than the one in force."""
 
 
 class VersionTaken(Stale, code="taken"):
-    """Another configuration was accepted under this version."""
+    """A different configuration was already accepted with this version number."""
 
 
 class Duplicate(Fault, code="duplicate", status=409):
-    """What was asked for is in force already."""
+    """The requested change is already in force."""
 
 
 class Conflict(Fault, code="racing", status=409, retry_after_us=200_000):
-    """Another record was entered first; the same call may succeed later."""
+    """Another record was appended first; the same request may succeed later."""
 
 
 class NoSession(Fault, code="no-session", status=404):
-    """No proxy knows the session."""
+    """No proxy has this session."""
 
 
 class InvalidSequence(Fault, code="unordered", status=409):
-    """A statement that its session's state does not allow."""
+    """The state of the session doesn't allow the statement."""
 
 
 class Superseded(Fault, code="superseded", status=409):
@@ -126,7 +127,7 @@
 
 
 class TransactionEnded(Fault, code="transaction-ended", status=409):
-    """The transaction has ended; nothing of it was kept."""
+    """The transaction has ended; none of its changes were committed."""
 
 
 class TooLarge(Fault, code="oversize", status=413):
@@ -138,75 +139,75 @@
 
 
 class Denied(Fault, code="denied", status=403):
-    """No tenant has the key that was shown."""
+    """The presented key belongs to no tenant."""
 
 
 class Busy(Fault, code="busy", status=503, retry_after_us=250_000):
-    """As much is under way as may be."""
+    """The limit of concurrent requests is reached."""
 
 
 class NoLease(Fault, code="no-lease", status=503, retry_after_us=500_000):
-    """This proxy holds no lease, so it may not send."""
+    """This proxy has no lease, so it may not send statements to members."""
 
 
 class NoPrimary(Fault, code="halted", status=503, retry_after_us=500_000):
-    """The group has no primary that may be sent to now."""
+    """The group has no primary that currently accepts statements."""
 
 
 class ShuttingDown(Fault, code="leaving", status=503, retry_after_us=200_000):
-    """This node is leaving."""
+    """This node is shutting down."""
 
 
 class SessionMoving(Fault, code="moving", status=503, retry_after_us=500_000):
-    """The session is being handed over."""
+    """The session is being handed over to another proxy."""
 
 
 class DeadlineExceeded(Fault, code="late", status=504, retry_after_us=300_000):
-    """A bound on time has passed; what was asked may still happen."""
+    """A time limit has passed; the requested operation may still take effect."""
 
 
 class Unreachable(Fault, code="unreached", status=503, retry_after_us=300_000):
-    """The other side did not answer; it may have got the message."""
+    """The remote side didn't answer; it may have received the message."""
 
 
 class NotSent(Unreachable, code="unsent"):
-    """Nothing has left this node."""
+    """Nothing was sent from this node."""
 
 
 class NotRelayed(NotSent, code="not-relayed"):
-    """A relay's answer: nothing of the call that it was to send on has left it."""
+    """A relay reports that it sent no part of the call that it should have forwarded."""
 
 
 class NotHead(Fault, code="not-head", status=503, retry_after_us=300_000):
-    """Only the head of the chain takes this call."""
+    """Only the head of the chain serves this call."""
 
 
 class Expired(Fault, code="expired", status=503, retry_after_us=300_000):
-    """An order reached the head after the call that brought it had ended."""
+    """An order reached the head after the call that carried it had ended."""
 
 
 class NotReady(Fault, code="not-ready", status=503, retry_after_us=500_000):
-    """The node can't serve yet, or not any more."""
+    """The node can't serve yet, or no longer serves."""
 
 
 class ViewSuperseded(Fault, code="deposed", status=409):
-    """The call rests on another view than this control node has."""
+    """The call was made in a different view than the one of this control node."""
 
 
 class Fenced(Fault, code="fenced", status=409):
-    """The platform declined a promotion: it has seen a higher fence, or the member does not run."""
+    """The platform declined a promotion: it saw a higher fencing token, or the member is down."""
 
 
 class MemberReplaced(Fault, code="gone", status=410):
-    """The member at this address is another one."""
+    """The address now belongs to a different member."""
 
 
 class VersionMismatch(Fault, code="version", status=400):
-    """The other side speaks another version."""
+    """The remote side uses a different protocol version."""
 
 
 class UnknownKind(Fault, code="unknown-kind", status=400):
-    """The other side does not know this kind of message."""
+    """The remote side doesn't support this kind of message."""
 
 
 class Damaged(Fault, code="damaged"):
@@ -214,7 +215,7 @@
 
 
 class DiskRefused(Fault, code="disk-refused", status=503, retry_after_us=500_000):
-    """The disk did not take a write; nothing was remembered of it."""
+    """The disk rejected a write; none of the written data counts as stored."""
 
 
 class WrongNode(Fault, code="misplaced"):
@@ -222,8 +223,8 @@
 
 
 class MemberDeclined(Fault, code="member-declined", status=503, retry_after_us=200_000):
-    """A member declined and ran nothing."""
+    """A member declined a request without running any of it."""
 
 
 class StatementRejected(Fault, code="statement", status=422):
-    """A member declined a statement for its content."""
+    """A member rejected a statement because of its content."""
--- a/src/petrelhaven/runtime/instant.py
+++ b/src/petrelhaven/runtime/instant.py
@@ -1,4 +1,4 @@
-"""Instants as operators write them, and as microseconds of UTC since 1970."""
+"""Converts instants between the text of operators and microseconds of UTC since 1970."""
 
 from __future__ import annotations
 
@@ -10,55 +10,55 @@
 
 __all__ = ["format_instant", "parse_instant"]
 
-_FORM = re.compile(
+_INSTANT_PATTERN = re.compile(
     r"\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d(\.\d{1,6})?(?P<offset>Z|[+-]\d\d:\d\d)?", re.ASCII
 )
 _EPOCH = datetime(1970, 1, 1, tzinfo=UTC)
 _MICROSECOND = timedelta(microseconds=1)
-_END_US = 1 << 53
+_END_US = 1 << 53  # a time in the year 2255
 _OUT_OF_RANGE = "must be between 1970 and 2255"
-_ZONE_SHOWN = 40
+_MAX_ZONE_CHARS_SHOWN = 40
 
 
 def parse_instant(text: str, zone: str = "") -> int:
-    """The microseconds of UTC since 1970 that an instant stands for.
+    """Parses an instant into microseconds of UTC since 1970.
 
     Args:
-        text: an RFC 3339 instant with its offset, or a local time without one.
-        zone: for a local time, the IANA zone whose clocks show it, such as Europe/Oslo.
+        text: An RFC 3339 instant with its offset, or a local time without one.
+        zone: The IANA time zone of a local time, such as Europe/Oslo.
 
     Raises:
-        ValueError: it is no instant, or not exactly one; the text says what is wrong.
+        ValueError: `text` isn't an instant, or is ambiguous; the message says what is wrong.
     """
-    match = _FORM.fullmatch(text)
+    match = _INSTANT_PATTERN.fullmatch(text)
     if match is None:
         raise ValueError(
             "must be an instant like 2026-03-01T09:00:00+01:00, or a local time with a zone"
         )
     try:
-        moment = parser.isoparse(text)
+        parsed = parser.isoparse(text)
     except ValueError as error:
         raise ValueError(f"is no moment: {error}") from None
     if not match["offset"]:
-        moment = _in_zone(moment, zone)
+        parsed = _localize(parsed, zone)
     elif zone:
         raise ValueError("has an offset already; leave the zone out")
-    return _microseconds(moment)
+    return _to_microseconds(parsed)
 
 
-def format_instant(moment_us: int) -> str:
-    """Microseconds of UTC since 1970 as an RFC 3339 instant."""
-    return (_EPOCH + moment_us * _MICROSECOND).isoformat().replace("+00:00", "Z")
+def format_instant(instant_us: int) -> str:
+    """Formats microseconds of UTC since 1970 as an RFC 3339 instant."""
+    return (_EPOCH + instant_us * _MICROSECOND).isoformat().replace("+00:00", "Z")
 
 
-def _in_zone(local: datetime, name: str) -> datetime:
-    """The one moment at which clocks in the zone show `local`."""
+def _localize(local: datetime, name: str) -> datetime:
+    """Attaches the time zone `name` to `local`, which must occur there exactly once."""
     if not name:
         raise ValueError("needs an offset, or a zone beside it")
     try:
         zone = zoneinfo.ZoneInfo(name)
     except (ValueError, OSError, zoneinfo.ZoneInfoNotFoundError):
-        raise ValueError(f"zone {name[:_ZONE_SHOWN]} is not known") from None
+        raise ValueError(f"zone {name[:_MAX_ZONE_CHARS_SHOWN]} is not known") from None
     if not tz.datetime_exists(local, zone):
         raise ValueError(f"does not exist in {name}: clocks are put forward then")
     if tz.datetime_ambiguous(local, zone):
@@ -66,9 +66,9 @@
     return local.replace(tzinfo=zone)
 
 
-def _microseconds(moment: datetime) -> int:
+def _to_microseconds(instant: datetime) -> int:
     try:
-        result = (moment.astimezone(UTC) - _EPOCH) // _MICROSECOND
+        result = (instant.astimezone(UTC) - _EPOCH) // _MICROSECOND
     except OverflowError:
         raise ValueError(_OUT_OF_RANGE) from None
     if not 0 < result < _END_US:
--- a/src/petrelhaven/runtime/key_digest.py
+++ b/src/petrelhaven/runtime/key_digest.py
@@ -1,4 +1,4 @@
-"""Digests of clients' keys, by which nodes know keys that they don't store."""
+"""Digests of client keys, by which nodes recognize keys without storing them."""
 
 import hashlib
 import re
@@ -7,9 +7,9 @@
 
 _HEX_DIGITS = 32
 KEY_DIGEST = re.compile(rf"[0-9a-f]{{{_HEX_DIGITS}}}")
-"""What a digest looks like."""
+"""The pattern of a digest."""
 
 
 def key_digest(key: str) -> str:
-    """The digest of a key. Keys are drawn at random and long, so it needs no salt."""
+    """Returns the digest of a key; keys are long and random, so no salt is needed."""
     return hashlib.sha256(key.encode("utf-8", "surrogatepass")).hexdigest()[:_HEX_DIGITS]
--- a/src/petrelhaven/runtime/limits.py
+++ b/src/petrelhaven/runtime/limits.py
@@ -1,4 +1,4 @@
-"""Descriptors for fields whose values are checked when they are set."""
+"""Descriptors that validate the values of attributes on assignment."""
 
 from __future__ import annotations
 
@@ -8,12 +8,13 @@
 __all__ = ["NAME", "IntegerRange", "TextPattern"]
 
 NAME = re.compile(r"[a-z][a-z0-9-]{0,31}")
+"""The pattern of names of nodes, zones and groups."""
 
 
-class _Checked:
-    """A field whose values are checked when they are set, and stored under `_` and its name.
+class _ValidatedField:
+    """Validates values on assignment and stores them in the attribute `_` + its name.
 
-    Setting a wrong value raises ValueError.
+    Assigning an invalid value raises ValueError.
     """
 
     __slots__ = ("_name", "_attribute")
@@ -31,21 +32,21 @@
         setattr(instance, self._attribute, value)
 
     def fault(self, value: object) -> str | None:
-        """What is wrong with `value`, or None."""
+        """Returns what is wrong with `value`, or None if it is valid."""
         raise NotImplementedError
 
 
-class IntegerRange(_Checked):
-    """A whole number within bounds."""
+class IntegerRange(_ValidatedField):
+    """An integer within inclusive bounds."""
 
     __slots__ = ("lowest", "highest")
 
     def __init__(self, lowest: int, highest: int) -> None:
-        """Takes numbers from `lowest` to `highest`, both included."""
+        """Accepts integers from `lowest` to `highest`, both included."""
         self.lowest, self.highest = lowest, highest
 
     def fault(self, value: object) -> str | None:
-        """What is wrong with `value`, or None."""
+        """Returns what is wrong with `value`, or None if it is valid."""
         if type(value) is not int:
             return "must be a whole number"
         if not self.lowest <= value <= self.highest:
@@ -53,17 +54,17 @@
         return None
 
 
-class TextPattern(_Checked):
-    """A text that matches a pattern."""
+class TextPattern(_ValidatedField):
+    """A string that matches a pattern."""
 
     __slots__ = ("pattern", "description")
 
     def __init__(self, pattern: re.Pattern[str], description: str) -> None:
-        """Takes texts that `pattern` matches as a whole; faults call them `description`."""
+        """Accepts strings that `pattern` matches fully; faults name `description` as expected."""
         self.pattern, self.description = pattern, description
 
     def fault(self, value: object) -> str | None:
-        """What is wrong with `value`, or None."""
+        """Returns what is wrong with `value`, or None if it is valid."""
         if not isinstance(value, str) or not self.pattern.fullmatch(value):
             return f"must be {self.description}"
         return None
--- a/src/petrelhaven/runtime/settings.py
+++ b/src/petrelhaven/runtime/settings.py
@@ -1,6 +1,6 @@
-"""Checked settings of a daemon, from a file and from flags, which override it.
+"""Validated settings of a daemon, from a file and from flags, which override the file.
 
-Wrong settings stop the program before it listens.
+With invalid settings the program stops before it listens.
 """
 
 from __future__ import annotations
@@ -17,32 +17,33 @@
 __all__ = ["LIVE_FIELDS", "Settings", "SettingsFault", "load_settings"]
 
 _ADDRESS = re.compile(r"(\d{1,3}\.){3}\d{1,3}:\d{1,5}")
-_HIGHEST_PORT = 65535
-_HIGHEST_BYTE = 255
+_MAX_PORT = 65535
+_MAX_OCTET = 255
 _MAX_SEEDS = 7
 _FROM_STDIN = "-"
 _SEEDS_FAULT = "seeds: must be a list of different addresses, three as a rule"
 
 
-class SettingsFault(Exception):  # noqa: N818 (named as all faults here)
-    """A field of the settings is wrong."""
+class SettingsFault(Exception):  # noqa: N818 (errors are called faults here)
+    """A field of the settings is invalid."""
 
 
 class Settings:
-    """The settings of one daemon; each field is checked when it is set.
+    """The settings of one daemon; each field is validated on assignment.
 
     Attributes:
-        name: the node's name.
-        hall: the zone that it stands in, as the setting is called.
-        link: the address for the system's own processes.
-        http: the address for clients, members and operators.
-        seeds: the seed addresses.
-        data: the data folder of a control node.
-        platform: the address of the platform, of a control node.
-        level: the least level of log events.
-        path: the kind of sessions that a control node rules: held or kept.
-        file: the settings file that they came from, if any.
-        check: whether only to check the settings.
+        name: The node's name.
+        hall: The node's zone, under the name of the setting.
+        link: The address for other nodes of the system.
+        http: The address for clients, members and operators.
+        seeds: The seed addresses.
+        data: The data folder (control nodes only).
+        platform: The address of the platform (control nodes only).
+        level: The lowest level of events that are logged.
+        path: The kind of sessions (control nodes only): `held` for connection sessions, `kept`
+            for resumable sessions.
+        file: The settings file, if there is one.
+        check: Whether to only check the settings and exit.
     """
 
     __slots__ = (
@@ -73,12 +74,12 @@
 
     @property
     def zone(self) -> str:
-        """The zone that the node stands in: the setting `hall`."""
+        """The node's zone, from the setting `hall`."""
         return self._hall
 
     @property
     def seeds(self) -> list[str] | str:
-        """The three seed addresses, or `-` to read them from standard input once listening."""
+        """The seed addresses, or `-` to read them from standard input after listening."""
         return self._seeds
 
     @seeds.setter
@@ -97,69 +98,70 @@
 
 
 LIVE_FIELDS = ("level", "platform", "seeds")
+"""The fields whose changes are applied without a restart."""
 _DEFAULTS = {"link": "127.0.0.1:0", "http": "127.0.0.1:0", "level": "info"}
-_REQUIRED = ("name", "hall", "link", "http", "seeds", "level")
-_REQUIRED_OF_CONTROL_NODE = ("data", "platform", "path")
-_ADDRESSES = ("link", "http", "platform")
+_REQUIRED_FIELDS = ("name", "hall", "link", "http", "seeds", "level")
+_REQUIRED_CONTROL_NODE_FIELDS = ("data", "platform", "path")
+_ADDRESS_FIELDS = ("link", "http", "platform")
 
 
-def parser(prog: str, doc: str, is_control_node: bool) -> argparse.ArgumentParser:
-    """The flags of a daemon; `is_control_node` adds those of a control node."""
-    flags = argparse.ArgumentParser(
+def build_parser(prog: str, doc: str, is_control_node: bool) -> argparse.ArgumentParser:
+    """Builds the flag build_parser of a daemon; `is_control_node` adds the control node flags."""
+    parser = argparse.ArgumentParser(
         prog=prog,
         description=doc,
-        epilog="Exit codes: 0 left in order, 2 settings declined, "
+        epilog="Exit codes: 0 clean shutdown, 2 settings declined, "
         "3 the data folder belongs to another node.",
     )
-    flags.add_argument(
+    parser.add_argument(
         "--settings",
         metavar="FILE",
         help="settings file (TOML); flags override it; "
-        "changes of level, platform and seeds are taken live",
+        "changes of level, platform and seeds apply without a restart",
     )
-    flags.add_argument(
+    parser.add_argument(
         "--check",
         action="store_true",
-        help="check the settings and the data folder, change nothing, start nothing",
+        help="check the settings and the data folder, then exit without changing anything",
     )
-    flags.add_argument("--name", help="this node's name")
-    flags.add_argument("--hall", help="the zone (hall) it stands in")
-    flags.add_argument(
+    parser.add_argument("--name", help="this node's name")
+    parser.add_argument("--hall", help="the zone (hall) of this node")
+    parser.add_argument(
         "--link",
         metavar="IP:PORT",
-        help="address for the system's own processes (port 0 picks one)",
+        help="address for the system's other nodes (port 0 picks a free one)",
     )
-    flags.add_argument(
+    parser.add_argument(
         "--http", metavar="IP:PORT", help="address for clients, members and operators"
     )
-    flags.add_argument(
+    parser.add_argument(
         "--seeds",
         metavar="IP:PORT,...",
         help="three seed addresses, the same on every node; "
-        "- reads them from standard input once listening",
+        "- reads them from standard input after listening",
     )
-    flags.add_argument("--level", help="least level of log events (info)")
+    parser.add_argument("--level", help="lowest level of log events (default: info)")
     if is_control_node:
-        flags.add_argument("--data", metavar="DIR", help="data folder")
-        flags.add_argument("--platform", metavar="IP:PORT", help="address of the platform")
-        flags.add_argument(
+        parser.add_argument("--data", metavar="DIR", help="data folder")
+        parser.add_argument("--platform", metavar="IP:PORT", help="address of the platform")
+        parser.add_argument(
             "--path",
             metavar="held|kept",
-            help="held: sessions live with their connection; "
-            "kept: proxies keep them for each other (kept)",
+            help="held: sessions end with their connection; "
+            "kept: resumable sessions, replicated between proxies (default: kept)",
         )
-    return flags
+    return parser
 
 
 def load_settings(
     prog: str, doc: str, is_control_node: bool, argv: Sequence[str] | None = None
 ) -> Settings:
-    """The checked settings of the program `prog`, from its file and its flags.
+    """Loads and validates the settings of the program `prog` from its file and its flags.
 
     Raises:
-        ExceptionGroup: of one SettingsFault for each field that is wrong.
+        ExceptionGroup: A SettingsFault for each invalid field.
     """
-    flags = vars(parser(prog, doc, is_control_node).parse_args(argv))
+    flags = vars(build_parser(prog, doc, is_control_node).parse_args(argv))
     file, check = flags.pop("settings"), flags.pop("check")
     values: dict[str, Any] = dict(_DEFAULTS)
     if file:
@@ -171,14 +173,14 @@
         values.setdefault("path", "kept")
     settings = Settings()
     settings.file, settings.check = file, check
-    required = [*_REQUIRED, *(_REQUIRED_OF_CONTROL_NODE if is_control_node else ())]
+    required = [*_REQUIRED_FIELDS, *(_REQUIRED_CONTROL_NODE_FIELDS if is_control_node else ())]
     faults = [f"{name}: unknown field" for name in values if name not in required]
     for name in required:
         if name not in values:
             faults.append(f"{name}: missing")
             continue
         try:
-            _set(settings, name, values[name])
+            _set_field(settings, name, values[name])
         except ValueError as fault:
             faults.append(str(fault))
     if faults:
@@ -195,13 +197,13 @@
         raise ExceptionGroup("settings declined", faults) from None
 
 
-def _set(settings: Settings, name: str, value: Any) -> None:  # noqa: ANN401 (checked here)
-    """Sets a field; raises ValueError if its value is wrong."""
+def _set_field(settings: Settings, name: str, value: Any) -> None:  # noqa: ANN401 (any type)
+    """Sets a field; raises ValueError if the value is invalid."""
     setattr(settings, name, value)
-    if name not in _ADDRESSES:
+    if name not in _ADDRESS_FIELDS:
         return
     host, port = value.rsplit(":", 1)
-    if int(port) > _HIGHEST_PORT or any(int(part) > _HIGHEST_BYTE for part in host.split(".")):
+    if int(port) > _MAX_PORT or any(int(octet) > _MAX_OCTET for octet in host.split(".")):
         raise ValueError(f"{name}: no such address")
 
 
@@ -209,7 +211,7 @@
     """Reads seed addresses from one line of standard input.
 
     Raises:
-        SettingsFault: the line is not addresses with commas between them.
+        SettingsFault: The line isn't a comma-separated list of addresses.
     """
     seeds = sys.stdin.readline().strip().split(",")
     if not all(_ADDRESS.fullmatch(seed) for seed in seeds):
--- a/src/petrelhaven/runtime/tasks.py
+++ b/src/petrelhaven/runtime/tasks.py
@@ -1,4 +1,4 @@
-"""The background tasks of a node, which end together with it."""
+"""The background tasks of a node, which are cancelled when the node stops."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def _origin(error: BaseException) -> str:
-    """The file and line that raised `error`."""
+    """Returns the file name and line number that raised `error`."""
     traceback = error.__traceback__
     while traceback is not None and traceback.tb_next is not None:
         traceback = traceback.tb_next
@@ -30,34 +30,37 @@
 
 
 class BackgroundTasks:
-    """The background tasks of one node; closing it ends them all.
+    """The background tasks of one node; closing the group cancels them all.
 
-    This is not `asyncio.TaskGroup`, for three reasons. An error of one task must not cancel the
-    others: a node goes on serving. The tasks outlive the block that starts them: they run until the
-    node ends. And a typed `Fault` is an expected end of a task, which is not logged, while any
-    other exception is logged with the line that raised it.
+    This is not `asyncio.TaskGroup`, for three reasons. An error in one task must not cancel the
+    others, since the node continues to serve. The tasks outlive the block that starts them: they
+    run until the node stops. A typed `Fault` is an expected end of a task and isn't logged, while
+    any other exception is logged with the line that raised it.
+
+    Attributes:
+        closed: Whether the group was closed and accepts no more tasks.
     """
 
     __slots__ = ("_tasks", "_log", "closed")
 
     def __init__(self, log: logbook.Logger | None = None) -> None:
-        """Starts without tasks; errors that no other code expects are written to `log`."""
-        # A dictionary, not a set: tasks are cancelled in the order in which they were started.
+        """Creates an empty group; unexpected exceptions of tasks are written to `log`."""
+        # A dictionary instead of a set, so that tasks are cancelled in the order they were started.
         self._tasks: dict[asyncio.Task[Any], None] = {}
         self._log = log
         self.closed = False
 
     def spawn(self, work: Coroutine[Any, Any, _Result]) -> asyncio.Task[_Result] | None:
-        """Runs `work` as a task of this node; returns None, and runs nothing, once it has ended."""
+        """Starts `work` as a task; once the group is closed, returns None and doesn't run it."""
         if self.closed:
             work.close()
             return None
         task = asyncio.ensure_future(work)
         self._tasks[task] = None
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_task_done)
         return task
 
-    def _ended(self, task: asyncio.Task[Any]) -> None:
+    def _on_task_done(self, task: asyncio.Task[Any]) -> None:
         self._tasks.pop(task, None)
         if task.cancelled():
             return
@@ -67,17 +70,17 @@
         emit(self._log, Events.TASK_FAILED, what=repr(error), at=_origin(error))
 
     async def close(self) -> None:
-        """Cancels every task but the calling one and waits until they have ended."""
+        """Cancels every task except the calling one and waits until they have finished."""
         self.kill()
-        this = asyncio.current_task()
-        others = [task for task in self._tasks if task is not this]
+        current = asyncio.current_task()
+        others = [task for task in self._tasks if task is not current]
         if others:
             await asyncio.gather(*others, return_exceptions=True)
 
     def kill(self) -> None:
-        """Cancels every task but the calling one, without waiting."""
+        """Cancels every task except the calling one, without waiting for them."""
         self.closed = True
-        this = asyncio.current_task() if asyncio.get_event_loop().is_running() else None
+        current = asyncio.current_task() if asyncio.get_event_loop().is_running() else None
         for task in list(self._tasks):
-            if task is not this:
+            if task is not current:
                 task.cancel()
--- a/src/petrelhaven/runtime/wall_clock.py
+++ b/src/petrelhaven/runtime/wall_clock.py
@@ -1,4 +1,4 @@
-"""Times of day: a node's own reading, and the interval that most readings agree on."""
+"""A node's wall clock, and the intersection of the clock readings of several nodes."""
 
 import time
 from collections.abc import Sequence
@@ -6,50 +6,56 @@
 
 __all__ = ["TimeInterval", "WallClock", "intersect_intervals"]
 
-_OPENS, _CLOSES = -1, 1
+_START, _END = -1, 1
+"""Kinds of interval ends; starts sort before ends at the same time."""
 
 
 class TimeInterval(NamedTuple):
-    """All moments from `lowest` to `highest`, both in microseconds of UTC since 1970."""
+    """The times from `lowest` to `highest`, both in microseconds of UTC since 1970."""
 
     lowest: int
     highest: int
 
 
 class WallClock:
-    """This node's wall clock, which may be wrong and may step.
+    """This node's wall clock, which may be wrong and may be stepped.
 
-    The simulator gives each node its own.
+    The simulator replaces it with a clock of each node's own.
     """
 
     __slots__ = ()
 
     def now(self) -> int:
-        """Microseconds of UTC since 1970, as this node believes."""
+        """Returns the node's reading of UTC in microseconds since 1970."""
         return time.clock_gettime_ns(time.CLOCK_REALTIME) // 1000
 
 
 def intersect_intervals(intervals: Sequence[tuple[int, int]], least: int) -> TimeInterval | None:
-    """The interval of all moments that at least `least` of the (low, high) intervals hold, or None.
+    """Returns the span of all times that at least `least` of the intervals contain, or None.
 
-    This is Marzullo's algorithm: if `least` of them hold true time, the outcome does too.
+    This is Marzullo's algorithm: if at least `least` of the intervals contain the true time, the
+    result contains it as well.
+
+    Args:
+        intervals: Pairs of (lowest, highest); a pair whose ends are swapped is ignored.
+        least: How many intervals have to contain a time.
     """
     ends = sorted(
-        [(low, _OPENS) for low, high in intervals if low <= high]
-        + [(high, _CLOSES) for low, high in intervals if low <= high]
+        [(lowest, _START) for lowest, highest in intervals if lowest <= highest]
+        + [(highest, _END) for lowest, highest in intervals if lowest <= highest]
     )
-    holding = 0
-    low: int | None = None
-    high: int | None = None
-    for moment, kind in ends:
-        if kind == _OPENS:
-            holding += 1
-            if holding >= least and low is None:
-                low = moment
+    overlap_count = 0
+    lowest_common: int | None = None
+    highest_common: int | None = None
+    for time_us, kind in ends:
+        if kind == _START:
+            overlap_count += 1
+            if overlap_count >= least and lowest_common is None:
+                lowest_common = time_us
         else:
-            if holding >= least:
-                high = moment
-            holding -= 1
-    if low is None or high is None:
+            if overlap_count >= least:
+                highest_common = time_us
+            overlap_count -= 1
+    if lowest_common is None or highest_common is None:
         return None
-    return TimeInterval(low, high)
+    return TimeInterval(lowest_common, highest_common)
