--- a/src/petrelhaven/commands/ctl/__init__.py
+++ b/src/petrelhaven/commands/ctl/__init__.py
@@ -1,4 +1,4 @@
-"""petrelhavenctl, the operator's command line: a module for each theme of its commands."""
+"""petrelhavenctl, the operators' command line, with a module for each group of commands."""
 
 from petrelhaven.commands.ctl.program import main
 
--- a/src/petrelhaven/commands/ctl/__main__.py
+++ b/src/petrelhaven/commands/ctl/__main__.py
@@ -1,4 +1,4 @@
-"""Runs petrelhavenctl by `python -m petrelhaven.commands.ctl`."""
+"""Runs petrelhavenctl as `python -m petrelhaven.commands.ctl`."""
 
 from petrelhaven.commands.ctl.program import main
 
--- a/src/petrelhaven/commands/ctl/command.py
+++ b/src/petrelhaven/commands/ctl/command.py
@@ -1,4 +1,4 @@
-"""What a command of petrelhavenctl is given: its arguments, the nodes to ask, where to print."""
+"""The context of a petrelhavenctl command: its arguments, control nodes and output."""
 
 from __future__ import annotations
 
@@ -23,32 +23,32 @@
 ]
 
 REPEATED = "repeated"
-"""Key of the answer to a change that an earlier attempt of the same call has entered."""
+"""Key of the answer to a change that an earlier attempt of the same call already appended."""
 
-_ANOTHER_NODE_MAY_SERVE = ("not-ready", "not-head")
+_RETRY_OTHER_NODE_CODES = ("not-ready", "not-head")
 _US_PER_S = 1e6
 
 Document = dict[str, Any]
-CommandParsers = Any  # argparse's action of subparsers, whose type has no public name
+CommandParsers = Any  # the subparsers action of argparse, whose type isn't public
 
 
-class PartlyAnswered(Exception):  # noqa: N818 (named after what the operator is told)
-    """Some of the control nodes that were asked for their own state did not answer."""
+class PartlyAnswered(Exception):  # noqa: N818 (named like the exit code)
+    """Some of the control nodes didn't answer the request for their own state."""
 
 
 def add_hidden_alias(
     parser: CommandParsers,
     alias: str,
     name: str,
-    **options: Any,  # noqa: ANN401 (as of argparse)
+    **options: Any,  # noqa: ANN401 (as in argparse)
 ) -> None:
-    """Takes the former name of an option for one version, without showing it.
+    """Accepts the former name of an option for one version, without listing it in the help.
 
     Args:
-        parser: the parser that has the option.
-        alias: the former name, with its dashes.
-        name: the option's attribute.
-        options: as of `add_argument`, such as `type`.
+        parser: The parser of the option.
+        alias: The former name, with its dashes.
+        name: The attribute that the option sets.
+        options: Further arguments of `add_argument`, such as `type`.
     """
     parser.add_argument(
         alias, dest=name, default=argparse.SUPPRESS, help=argparse.SUPPRESS, **options
@@ -57,11 +57,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Command:
-    """One call of petrelhavenctl.
+    """One invocation of petrelhavenctl.
 
     Attributes:
-        arguments: the command line's.
-        print: prints a line for the operator.
+        arguments: The parsed command line.
+        print: Prints a line for the operator.
     """
 
     arguments: argparse.Namespace
@@ -69,30 +69,30 @@
 
     @property
     def control_nodes(self) -> list[str]:
-        """The HTTP addresses of the control nodes, in the order in which they are asked."""
+        """The HTTP addresses of the control nodes, in the order in which they are tried."""
         return str(self.arguments.control).split(",")
 
     @property
     def by_query(self) -> str:
-        """The start of a query that says who asks, if that was given."""
+        """The start of a query string, with the requester if `--by` was given."""
         return f"?by={self.arguments.by}" if self.arguments.by else "?"
 
     async def read(
         self, verb: str, path: str, doc: Document | None = None, raw: bool = False
-    ) -> Any:  # noqa: ANN401 (a JSON document of any form, or bytes)
-        """The answer of the first control node that serves a call which changes nothing.
+    ) -> Any:  # noqa: ANN401 (any JSON document, or bytes)
+        """Sends a read-only request and returns the answer of the first node that serves it.
 
         Args:
-            verb: HTTP's.
-            path: with its query.
-            doc: a JSON document to send.
-            raw: answer with bytes instead of a document.
+            verb: The HTTP method.
+            path: The path with its query string.
+            doc: A JSON document to send.
+            raw: Whether to return the bytes of the answer instead of a parsed document.
 
         Raises:
-            ExceptionGroup: of a Fault for each control node, if none serves.
-            Fault: a control node declined.
+            ExceptionGroup: No control node serves the request; it has a Fault for each of them.
+            Fault: A control node declined the request.
         """
-        return await self._ask(self.control_nodes, False, verb, path, {"doc": doc, "raw": raw})
+        return await self._request(self.control_nodes, False, verb, path, {"doc": doc, "raw": raw})
 
     async def change(
         self,
@@ -101,48 +101,48 @@
         doc: Document | None = None,
         data: bytes | None = None,
     ) -> Document:
-        """The answer of the first control node that serves a POST which changes something.
+        """Sends a POST that changes state and returns the answer of the first node that serves it.
 
         Args:
-            path: with its query.
-            nodes: the addresses to ask in place of all.
-            doc: a JSON document to send, or else
-            data: bytes to send.
+            path: The path with its query string.
+            nodes: The addresses to try instead of those of all control nodes.
+            doc: A JSON document to send.
+            data: Bytes to send if there is no document.
 
         Raises:
-            DeadlineExceeded: the call may have arrived, and its outcome is not known.
-            ExceptionGroup: of a Fault for each control node, if none serves.
-            Fault: a control node declined.
+            DeadlineExceeded: The request may have arrived, and its outcome is unknown.
+            ExceptionGroup: No control node serves the request; it has a Fault for each of them.
+            Fault: A control node declined the request.
         """
-        answer: Document = await self._ask(
+        answer: Document = await self._request(
             nodes or self.control_nodes, True, "POST", path, {"doc": doc, "data": data}
         )
         return answer
 
     @staticmethod
-    async def _ask(
+    async def _request(
         nodes: list[str],
-        changes: bool,
+        is_change: bool,
         verb: str,
         path: str,
         options: Document,
-    ) -> Any:  # noqa: ANN401 (as above)
+    ) -> Any:  # noqa: ANN401 (as for `read`)
         faults: list[Exception] = []
         for node in nodes:
             try:
                 return await fetch(node, verb, path, **options)
             except Duplicate:
-                if not changes or not faults:
+                if not is_change or not faults:
                     raise
-                return {REPEATED: True}  # an earlier attempt of this very call has entered it
+                return {REPEATED: True}  # an earlier attempt of this call appended the record
             except (DeadlineExceeded, Unreachable) as fault:
-                if changes and not isinstance(fault, NotSent):
+                if is_change and not isinstance(fault, NotSent):
                     raise DeadlineExceeded(
                         "the outcome is not known; read back with show or embargo list"
                     ) from None
                 faults.append(fault)
             except Fault as fault:
-                if fault.code not in _ANOTHER_NODE_MAY_SERVE:
+                if fault.code not in _RETRY_OTHER_NODE_CODES:
                     raise
                 faults.append(fault)
         raise ExceptionGroup("no control node serves", faults)
@@ -152,15 +152,15 @@
 
 
 def format_outcome(answer: Document) -> str:
-    """The number of a change and how long it took until it was in force, for printing."""
+    """Formats the number of a change and how long it took until it was in force."""
     if answer.get(REPEATED):
         return "entered by an earlier attempt of this call"
     return f"change {answer['change']}, {answer['in_force_us'] / _US_PER_S:.3f} s"
 
 
 def read_text(file: str) -> str:
-    """The text of a file, or of standard input for `-`."""
+    """Reads a text file, or standard input for `-`."""
     if file == "-":
         return sys.stdin.read()
-    with open(file, encoding="utf-8") as opened:
-        return opened.read()
+    with open(file, encoding="utf-8") as handle:
+        return handle.read()
--- a/src/petrelhaven/commands/ctl/configuration.py
+++ b/src/petrelhaven/commands/ctl/configuration.py
@@ -1,4 +1,4 @@
-"""Commands for configurations: apply, show, check, salvage."""
+"""The commands for configurations: apply, show, check, salvage."""
 
 from __future__ import annotations
 
@@ -19,32 +19,36 @@
 
 
 def add_commands(commands: CommandParsers) -> None:
-    """Adds these commands to petrelhavenctl's parser."""
+    """Adds the commands of this module to the parser of petrelhavenctl."""
     parser = commands.add_parser(
-        "apply", help="apply a whole configuration; returns once it is in force"
+        "apply", help="apply a complete configuration; returns once it is in force"
     )
     parser.add_argument("file", help="the configuration (JSON), - for standard input")
-    parser.add_argument("--retire", action="store_true", help="allow served groups to be left out")
+    parser.add_argument(
+        "--retire",
+        action="store_true",
+        help="allow the configuration to omit groups that are being served",
+    )
     parser.set_defaults(run=_apply)
     parser = commands.add_parser(
-        "show", help="read the newest acknowledged configuration back, byte for byte"
+        "show", help="print the newest acknowledged configuration, byte for byte"
     )
-    parser.add_argument("--version", type=int, help="an older version")
+    parser.add_argument("--version", type=int, help="print this older version")
     parser.add_argument(
         "--unconfirmed",
         action="store_true",
-        help="what one control node alone holds, when no majority is left to confirm it",
+        help="print the configuration of a single control node if no majority can confirm it",
     )
     parser.set_defaults(run=_show)
     parser = commands.add_parser(
         "check",
-        help="check a configuration without a fleet; names every fault by path, changes nothing",
+        help="validate a configuration without a fleet; lists every problem by its path",
     )
     parser.add_argument("file", help="the configuration (JSON), - for standard input")
     parser.set_defaults(run=_check, needs_control=False)
     parser = commands.add_parser(
         "salvage",
-        help="read the configuration out of a control node's data folder without changing it; "
+        help="print the configuration from a control node's data folder, which stays unchanged; "
         "no majority confirms it",
     )
     parser.add_argument("folder")
--- a/src/petrelhaven/commands/ctl/embargoes.py
+++ b/src/petrelhaven/commands/ctl/embargoes.py
@@ -1,4 +1,4 @@
-"""Commands for embargoes: add, move, lift, list, why."""
+"""The commands for embargoes: add, move, lift, list, why."""
 
 from __future__ import annotations
 
@@ -15,21 +15,25 @@
 __all__ = ["add_commands"]
 
 _US_PER_S = 1e6
-_CHANGES_SHOWN = 10
-_DONE = {"add": "placed", "move": "moved", "lift": "lifted"}
+_MAX_CHANGES_SHOWN = 10
+_PAST_PARTICIPLES = {"add": "placed", "move": "moved", "lift": "lifted"}
 _RULE_FIELDS_SHOWN = ("source", "name", "thing", "prefix", "said", "zone", "early")
 
 
 def add_commands(commands: CommandParsers) -> None:
-    """Adds the command and its own commands to petrelhavenctl's parser."""
-    embargo = commands.add_parser("embargo", help="records that must not be seen before a set time")
+    """Adds the command `embargo` with its subcommands to the parser of petrelhavenctl."""
+    embargo = commands.add_parser(
+        "embargo", help="embargoes: records that must not be read before a set time"
+    )
     verbs = embargo.add_subparsers(dest="do", required=True)
-    _add_changes(verbs)
+    _add_change_commands(verbs)
     parser = verbs.add_parser(
-        "list", help="all embargoes, the newest changes, the interval around true time"
+        "list", help="list all embargoes, the newest changes and the accuracy of the agreed time"
     )
     parser.set_defaults(run=_list)
-    parser = verbs.add_parser("why", help="why a record is withheld from a client, or not")
+    parser = verbs.add_parser(
+        "why", help="explain why a record is withheld from a client or served to it"
+    )
     parser.add_argument("--group", required=True)
     parser.add_argument("--thing", required=True)
     parser.add_argument("--client", default="")
@@ -37,33 +41,40 @@
     parser.set_defaults(run=_why)
 
 
-def _add_changes(verbs: CommandParsers) -> None:
-    add = verbs.add_parser("add", help="place one; returns once it is in force at every proxy")
+def _add_change_commands(verbs: CommandParsers) -> None:
+    add = verbs.add_parser(
+        "add", help="place an embargo; returns once it is in force at every proxy"
+    )
     add.add_argument("name")
     add.add_argument("--group", required=True)
     records = add.add_mutually_exclusive_group(required=True)
-    records.add_argument("--thing", default="", help="the record, as it is named on the wire")
-    records.add_argument("--prefix", default="", help="all records whose names begin so")
-    add.add_argument("--early", default="", metavar="NAME,...", help="clients who are exempt")
-    move = verbs.add_parser("move", help="release it earlier or later")
+    records.add_argument("--thing", default="", help="the record, by its name on the wire")
+    records.add_argument(
+        "--prefix", default="", help="all records whose names begin with this prefix"
+    )
+    add.add_argument("--early", default="", metavar="NAME,...", help="clients that are exempt")
+    move = verbs.add_parser("move", help="change the release time of an embargo")
     move.add_argument("name")
-    lift = verbs.add_parser("lift", help="take it out")
+    lift = verbs.add_parser("lift", help="remove an embargo")
     lift.add_argument("name")
     for parser in (add, move):
-        _add_release(parser)
+        _add_release_options(parser)
     for parser in (move, lift):
         parser.add_argument(
-            "--n", type=int, default=0, help="fail unless this is its next change (see list)"
+            "--n",
+            type=int,
+            default=0,
+            help="fail unless this is the number of its next change (see list)",
         )
     for parser in (add, move, lift):
         parser.set_defaults(run=_change)
 
 
-def _add_release(parser: CommandParsers) -> None:
+def _add_release_options(parser: CommandParsers) -> None:
     parser.add_argument(
-        "--until", required=True, help="RFC 3339 with its offset, or a local time with --zone"
+        "--until", required=True, help="RFC 3339 with an offset, or a local time with --zone"
     )
-    parser.add_argument("--zone", default="", help="an IANA zone, as Europe/Oslo")
+    parser.add_argument("--zone", default="", help="an IANA time zone, such as Europe/Oslo")
     parser.add_argument(
         "--gone", default="", metavar="PROXY,...", help="proxies that are gone for good"
     )
@@ -71,8 +82,8 @@
 
 async def _change(command: Command) -> None:
     answer = await command.change("/embargoes", doc=_change_document(command))
-    name, done = command.arguments.name, _DONE[command.arguments.do]
-    command.print(f"embargo {name} is {done} and in force ({format_outcome(answer)})")
+    name, participle = command.arguments.name, _PAST_PARTICIPLES[command.arguments.do]
+    command.print(f"embargo {name} is {participle} and in force ({format_outcome(answer)})")
 
 
 def _change_document(command: Command) -> Document:
@@ -83,7 +94,7 @@
             "group": arguments.group,
             "thing": arguments.thing,
             "prefix": arguments.prefix,
-            "early": _names(arguments.early),
+            "early": _split_names(arguments.early),
         }
     else:
         document["n"] = arguments.n
@@ -91,12 +102,12 @@
         document |= {
             "until": arguments.until,
             "zone": arguments.zone,
-            "gone": _names(arguments.gone),
+            "gone": _split_names(arguments.gone),
         }
     return document
 
 
-def _names(text: str) -> list[str]:
+def _split_names(text: str) -> list[str]:
     return [name for name in text.split(",") if name]
 
 
@@ -104,8 +115,8 @@
     answer = await command.read("GET", "/embargoes", doc=None)
     command.print(f"groups: {', '.join(answer['scope']) or 'none; embargoes are off'}")
     for rule in answer["rules"]:
-        command.print(f"  {_rule_line(rule)}")
-    for change in answer["past"][-_CHANGES_SHOWN:]:
+        command.print(f"  {_format_rule(rule)}")
+    for change in answer["past"][-_MAX_CHANGES_SHOWN:]:
         command.print(
             f"  change {change['seq']}: {change['do']} {change['name']} by {change['by'] or '-'}"
         )
@@ -113,10 +124,12 @@
     offsets = ", ".join(
         f"{node} {offset_us / _US_PER_S:+.3f} s" for node, offset_us in time["off_us"].items()
     )
-    command.print(f"time {_time(time['interval'])}" + (f"; {offsets}" if offsets else ""))
+    command.print(
+        f"time {_format_accuracy(time['interval'])}" + (f"; {offsets}" if offsets else "")
+    )
 
 
-def _rule_line(rule: Document) -> str:
+def _format_rule(rule: Document) -> str:
     early = f", early for {', '.join(rule['early'])}" if rule["early"] else ""
     change = ""
     if rule["source"] == "placed":
@@ -127,8 +140,8 @@
     return f"{rule['name']} ({rule['source']}): {rule['group']} {records} {release}{early}{change}"
 
 
-def _time(interval: list[int] | None) -> str:
-    """How exactly true time is known; `interval` is in microseconds."""
+def _format_accuracy(interval: list[int] | None) -> str:
+    """Formats the accuracy of the agreed time; `interval` is in microseconds."""
     if not interval:
         return "NOT AGREED ON: nothing more is released"
     earliest, latest = interval
@@ -144,7 +157,9 @@
     }
     answer = await command.read("POST", "/embargoes-why", doc=question)
     decision = f"withheld by {answer['by']}" if answer["withheld"] else "served"
-    command.print(f"{decision} at proxies that hold a lease; time {_time(answer['interval'])}")
+    command.print(
+        f"{decision} at proxies that hold a lease; time {_format_accuracy(answer['interval'])}"
+    )
     for rule in answer["rules"]:
         shown = {field: rule[field] for field in _RULE_FIELDS_SHOWN}
         command.print(f"  {json.dumps(shown)}")
--- a/src/petrelhaven/commands/ctl/groups.py
+++ b/src/petrelhaven/commands/ctl/groups.py
@@ -1,4 +1,4 @@
-"""Commands for member groups: why, elect."""
+"""The commands for member groups: why, elect."""
 
 from __future__ import annotations
 
@@ -14,29 +14,30 @@
 
 
 def add_commands(commands: CommandParsers) -> None:
-    """Adds these commands to petrelhavenctl's parser."""
+    """Adds the commands of this module to the parser of petrelhavenctl."""
     parser = commands.add_parser(
         "why",
-        help="explain an epoch: what was seen, by whom, what was decided and what it replaced",
+        help="explain an epoch: the observations, the decision and the epoch it replaced",
     )
     parser.add_argument("group")
     parser.add_argument("--epoch", type=int)
     parser.set_defaults(run=_why)
     parser = commands.add_parser(
         "elect",
-        help="elect a member of a group that waits without proof; acknowledged commits may be lost",
+        help="elect a member of a group in which no member is proved to have every acknowledged "
+        "commit; acknowledged commits may be lost",
     )
     parser.add_argument("--group", required=True)
     parser.add_argument("--member", required=True)
     parser.add_argument(
-        "--epoch", type=int, help="the number of the waiting epoch; asked for if it is not said"
+        "--epoch", type=int, help="the number of the waiting epoch (default: the current one)"
     )
     add_hidden_alias(parser, "--office", "epoch", type=int)
     parser.add_argument(
         "--accept-loss",
         action="store_true",
         required=True,
-        help="say that commits that only members that left have may be lost",
+        help="confirm that commits that only departed members have may be lost",
     )
     parser.set_defaults(run=_elect)
 
@@ -48,7 +49,7 @@
 
 
 async def _elect(command: Command) -> None:
-    """Orders an election for the leadership that waits now, or for the one that was given."""
+    """Orders an election for the given leadership, or else for the current one."""
     group, member = command.arguments.group, command.arguments.member
     leadership = command.arguments.epoch
     if leadership is None:
@@ -60,35 +61,35 @@
 
 
 def print_explanation(answer: Document, out: Print) -> None:
-    """Prints an answer to why, of either kind of sessions."""
+    """Prints an answer to `why`, for either kind of sessions."""
     if "evidence" in answer["epoch"]:
-        _print_resumable(answer, out)
+        _print_resumable_epoch(answer, out)
     else:
-        _print_connection(answer, out)
+        _print_connection_epoch(answer, out)
     if answer["waiting"]:
         out(f"now: {answer['waiting']}")
 
 
-def _print_connection(answer: Document, out: Print) -> None:
-    """Where sessions live with their connection."""
+def _print_connection_epoch(answer: Document, out: Print) -> None:
+    """Prints an answer to `why` for connection sessions."""
     leadership, replaced = answer["epoch"], answer["replaced"]
     out(
-        f"{_leadership(leadership)}, decided by {leadership['by']} "
+        f"{_format_leadership(leadership)}, decided by {leadership['by']} "
         f"as change {leadership.get('seq', '?')}"
     )
     out(f"cause: {leadership['cause']}")
-    out(f"replaced: {_leadership(replaced) if replaced else 'nothing that is kept'}")
+    out(f"replaced: {_format_leadership(replaced) if replaced else 'nothing that is kept'}")
 
 
-def _leadership(leadership: Document) -> str:
+def _format_leadership(leadership: Document) -> str:
     return (
         f"epoch {leadership['n']} ({leadership['phase']}, primary {leadership['primary']} "
         f"in term {leadership['term']})"
     )
 
 
-def _print_resumable(answer: Document, out: Print) -> None:
-    """Where sessions are resumable."""
+def _print_resumable_epoch(answer: Document, out: Print) -> None:
+    """Prints an answer to `why` for resumable sessions."""
     epoch, replaced = answer["epoch"], answer["replaced"]
     out(
         f"epoch {epoch['n']} ({epoch['phase']}, primary {epoch['primary']}), decided by "
@@ -97,16 +98,16 @@
     out(f"cause: {epoch['cause']}")
     out("seen:")
     for member, evidence in epoch["evidence"].items():
-        out(f"  {member}: {_evidence(evidence)}")
+        out(f"  {member}: {_format_evidence(evidence)}")
     out(
         f"decided: in sync {','.join(epoch['safe']) or '-'}; "
         f"to be waited for {','.join(epoch['hold']) or '-'}; "
         f"gates {','.join(epoch['gates']) or '-'}"
     )
-    out(f"replaced: {_replaced_epoch(replaced) if replaced else 'nothing'}")
+    out(f"replaced: {_format_replaced_epoch(replaced) if replaced else 'nothing'}")
 
 
-def _evidence(evidence: Document) -> str:
+def _format_evidence(evidence: Document) -> str:
     witnesses = evidence["seen_by"]
     return (
         f"{evidence['role']} in {evidence['hall']}, log {evidence['log']}, "
@@ -117,7 +118,7 @@
     )
 
 
-def _replaced_epoch(epoch: Document) -> str:
+def _format_replaced_epoch(epoch: Document) -> str:
     return (
         f"epoch {epoch['n']} ({epoch['phase']}, primary {epoch['primary']}, "
         f"in sync {','.join(epoch['safe']) or '-'})"
--- a/src/petrelhaven/commands/ctl/nodes.py
+++ b/src/petrelhaven/commands/ctl/nodes.py
@@ -1,4 +1,4 @@
-"""Commands for the control nodes themselves: status, reform."""
+"""The commands for the control nodes: status, reform."""
 
 from __future__ import annotations
 
@@ -17,21 +17,23 @@
 
 
 def add_commands(commands: CommandParsers) -> None:
-    """Adds these commands to petrelhavenctl's parser."""
+    """Adds the commands of this module to the parser of petrelhavenctl."""
     parser = commands.add_parser(
         "reform",
-        help="form the chain anew after a majority of the control nodes lost their disks; "
-        "asks the first --control",
+        help="form a new chain after a majority of the control nodes lost their disks; "
+        "sent to the first address of --control",
     )
     parser.add_argument(
         "--lost",
         required=True,
         metavar="NAME,...",
-        help="the control nodes whose disks are lost for good; they must run over empty folders",
+        help="the control nodes whose disks are lost for good; they must run with empty folders",
     )
     parser.set_defaults(run=_reform)
-    parser = commands.add_parser("status", help="what the control nodes believe, or one node")
-    parser.add_argument("--node", metavar="IP:PORT", help="ask this node instead")
+    parser = commands.add_parser(
+        "status", help="print the state that the control nodes, or one node, report"
+    )
+    parser.add_argument("--node", metavar="IP:PORT", help="query this node instead")
     parser.set_defaults(run=_status)
 
 
@@ -52,21 +54,21 @@
     if node:
         command.print(json.dumps(await fetch(node, "GET", "/status"), indent=1))
         return
-    silent: list[Exception] = []
+    unreachable: list[Exception] = []
     for address in command.control_nodes:
         try:
             _print_status(await fetch(address, "GET", "/status"), command.print)
         except Unreachable as fault:
             command.print(f"{address}: nobody answers")
-            silent.append(fault)
-    if len(silent) == len(command.control_nodes):
-        raise ExceptionGroup("no control node answers", silent)
-    if silent:
-        raise PartlyAnswered(f"{len(silent)} of {len(command.control_nodes)} did not answer")
+            unreachable.append(fault)
+    if len(unreachable) == len(command.control_nodes):
+        raise ExceptionGroup("no control node answers", unreachable)
+    if unreachable:
+        raise PartlyAnswered(f"{len(unreachable)} of {len(command.control_nodes)} did not answer")
 
 
 def _print_status(status: Document, out: Print) -> None:
-    """Prints a control node's status, of either kind of sessions."""
+    """Prints a control node's status, for either kind of sessions."""
     name, settings = status["name"], status["settings"]
     for kind in ("waiting", "declined"):
         if settings.get(kind):
@@ -79,13 +81,13 @@
         + (f"; view {view['n']}: {' > '.join(view['chain'])}" if view else "")
     )
     if "tied" in status:
-        _print_connection(status, out)
+        _print_connection_status(status, out)
     elif status["head"]:
-        _print_resumable(status, out)
+        _print_resumable_status(status, out)
 
 
-def _print_connection(status: Document, out: Print) -> None:
-    """The rest of the status where sessions live with their connection."""
+def _print_connection_status(status: Document, out: Print) -> None:
+    """Prints the rest of the status for connection sessions."""
     out("  proxies connected here: " + (", ".join(status["tied"]) or "-"))
     if not status["head"]:
         return
@@ -104,8 +106,8 @@
             out(f"  {member}: {role} of {group}, {state}{heard}")
 
 
-def _print_resumable(status: Document, out: Print) -> None:
-    """The rest of the head's status where sessions are resumable."""
+def _print_resumable_status(status: Document, out: Print) -> None:
+    """Prints the rest of the head's status for resumable sessions."""
     for group, epoch in status["epochs"].items():
         out(
             f"  {group}: epoch {epoch['n']} {epoch['phase']}, primary {epoch['primary']}, "
@@ -113,8 +115,8 @@
             + ("" if epoch["open"] else ", WRITES DECLINED: too few in-sync replicas")
             + f" ({status['waiting'].get(group, '')})"
         )
-    edges = [f"{name} {edge[1]}" for name, edge in status["edges"].items()]
-    out("  proxies: " + (", ".join(edges) or "-"))
+    proxies = [f"{name} {proxy[1]}" for name, proxy in status["edges"].items()]
+    out("  proxies: " + (", ".join(proxies) or "-"))
     _print_zones(status, out)
     for name, member in status["members"].items():
         out(
--- a/src/petrelhaven/commands/ctl/zones.py
+++ b/src/petrelhaven/commands/ctl/zones.py
@@ -1,4 +1,4 @@
-"""Commands for zones: evacuate, restore."""
+"""The commands for zones: evacuate, restore."""
 
 from __future__ import annotations
 
@@ -10,8 +10,11 @@
 
 
 def add_commands(commands: CommandParsers) -> None:
-    """Adds these commands to petrelhavenctl's parser."""
-    for verb, description in (("evacuate", "empty a zone"), ("restore", "take a zone back")):
+    """Adds the commands of this module to the parser of petrelhavenctl."""
+    for verb, description in (
+        ("evacuate", "evacuate a zone"),
+        ("restore", "put an evacuated zone back into service"),
+    ):
         parser = commands.add_parser(verb, help=description)
         parser.add_argument("zone")
         parser.set_defaults(run=_set_state)
