--- a/src/petrelhaven/control/consensus/chain.py
+++ b/src/petrelhaven/control/consensus/chain.py
@@ -29,7 +29,7 @@
     from petrelhaven.control.consensus.node_report import NodeReport
     from petrelhaven.control.consensus.register import Call
     from petrelhaven.control.consensus.view import MemberDisks, View
-    from petrelhaven.control.storage.core_store import CoreStore
+    from petrelhaven.control.storage.node_store import ControlNodeStore
     from petrelhaven.runtime.clock import Clock
     from petrelhaven.runtime.tasks import BackgroundTasks
     from petrelhaven.transport.channel import Channel
@@ -68,7 +68,7 @@
         self,
         clock: Clock,
         tasks: BackgroundTasks,
-        store: CoreStore,
+        store: ControlNodeStore,
         call: Call,
         log: logbook.Logger | None = None,
         confirmation_validity_us: int = CONFIRMATION_VALIDITY_US,
@@ -120,7 +120,7 @@
 
     def _position(self) -> int | None:
         """The index of this node in the chain, or None if the node is not in the chain."""
-        return self.view.position(self.node_name, self.store.disk) if self.view else None
+        return self.view.position(self.node_name, self.store.disk_id) if self.view else None
 
     @property
     def is_head(self) -> bool:
@@ -137,9 +137,9 @@
         """Whether this node has all records committed before its view and its disk takes writes."""
         return (
             self.view is not None
-            and self.store.done == self.view.number
+            and self.store.complete_view == self.view.number
             and self._position() is not None
-            and not self.store.refuses
+            and not self.store.refuses_writes
         )
 
     @property
@@ -182,7 +182,7 @@
         accepted = self.store.vote["value"]
         newer = {} if accepted and accepted["n"] >= view.number else {"value": view.to_document()}
         complete_in = view.number if self._has_all_before(view) else None
-        self.store.put_vote(done=complete_in, ids=dict(view.members), **newer)
+        self.store.save_vote(done=complete_in, ids=dict(view.members), **newer)
 
     def _has_all_before(self, view: View) -> bool:
         """Whether this node has all records that were committed before `view` starts.
@@ -191,9 +191,9 @@
         preceding view and remains in the chain, since every node of the preceding chain has all
         records that were committed there.
         """
-        if view.position(self.node_name, self.store.disk) is None:
+        if view.position(self.node_name, self.store.disk_id) is None:
             return False
-        return view.head == self.node_name or self.store.done == view.number - 1
+        return view.head == self.node_name or self.store.complete_view == view.number - 1
 
     def _feed_successor(self, view: View) -> None:
         """Replaces the task that sends records to the successor."""
@@ -261,7 +261,7 @@
             return bool(self.store.entered_view == view_number)
         return any(
             number == seq and appended_view == view_number
-            for number, appended_view, _ in reversed(self.store.recs)
+            for number, appended_view, _ in reversed(self.store.recent_records)
         )
 
     async def wait_committed(self, seq: int, view_number: int) -> None:
@@ -302,7 +302,7 @@
             self.control_state.check(record)
             seq: int = self.control_state.seq + 1
             view_number = self.view.number
-            self.store.put_rec(seq, view_number, record)
+            self.store.append_record(seq, view_number, record)
             self.new_records.set()
             self._commit_as_tail()
         await self.clock.limit(self.wait_committed(seq, view_number), timeout_us)
@@ -316,7 +316,7 @@
         """Waits until this node may acknowledge a record that it appended in view `view_number`."""
         while not self.is_active:
             superseded = self.view is None or self.view.number != view_number
-            if self.store.refuses or superseded and not self.is_head:
+            if self.store.refuses_writes or superseded and not self.is_head:
                 raise NotReady("the view changed; read back to see the outcome")
             await self.clock.sleep(_ACTIVATION_POLL_INTERVAL_US)
 
@@ -353,13 +353,13 @@
         number = self.view.number if self.view else 0
         if number != request.view_number or not self._position():
             raise ViewSuperseded(f"view {number}")
-        if self.store.refuses:
+        if self.store.refuses_writes:
             raise DiskRefused("the disk of this core refuses writes")
 
     async def _append_from_predecessor(self, request: AppendRequest) -> None:
         self._store_records(request)
         if request.complete:
-            self.store.put_done(request.view_number)
+            self.store.mark_view_complete(request.view_number)
         seq = self.control_state.seq
         self._commit_as_tail()
         if not self.is_tail and request.complete:
@@ -382,4 +382,4 @@
                 self._wake_waiters()
         elif follows:
             for seq, view_number, record in request.records:
-                self.store.put_rec(seq, view_number, record)
+                self.store.append_record(seq, view_number, record)
--- a/src/petrelhaven/control/failover/interfaces.py
+++ b/src/petrelhaven/control/failover/interfaces.py
@@ -85,13 +85,13 @@
     def configuration(self) -> Any:  # noqa: ANN401 (a JSON document)
         """The configuration in force, or None."""
 
-    def group(self, name: str, /) -> Mapping[str, Mapping[str, Any]]:
+    def group_members(self, name: str, /) -> Mapping[str, Mapping[str, Any]]:
         """The rows of the members of a group that are not gone, by their names."""
 
     def evidence(self, group: str) -> Evidence:
         """What is recorded about the logs of a group's members."""
 
-    def zone(self, name: str, /) -> str:
+    def zone_state(self, name: str, /) -> str:
         """The state of a zone."""
 
 
@@ -128,7 +128,7 @@
 class LeaseTable(Protocol):
     """The leases of the proxies."""
 
-    async def in_force(self, seq: int) -> object:
+    async def wait_in_force(self, seq: int) -> object:
         """Returns once every proxy has acknowledged record `seq`, or its lease has expired."""
 
 
@@ -149,7 +149,7 @@
     chain: Chain
     reach: Reach
     lease_table: LeaseTable
-    heard: dict[str, tuple[int, int]]
+    last_heartbeats: dict[str, tuple[int, int]]
     heartbeat_us: int
 
     async def suspect(self, group: str, member: str, how: str) -> None:
--- a/src/petrelhaven/control/resumable/control_interface.py
+++ b/src/petrelhaven/control/resumable/control_interface.py
@@ -14,7 +14,7 @@
     readiness_response,
 )
 from petrelhaven.control.interface.event_feed import EventFeed
-from petrelhaven.control.state.base import EVACUATED, OPEN
+from petrelhaven.control.state.base import ZONE_EVACUATED, ZONE_OPEN
 from petrelhaven.runtime.errors import Malformed, NoRoute
 from petrelhaven.transport.http_server import HttpServer, body_of
 
@@ -25,7 +25,7 @@
 
 Document = dict[str, Any]
 
-_ZONE_STATES = {"evacuate": EVACUATED, "restore": OPEN}
+_ZONE_STATES = {"evacuate": ZONE_EVACUATED, "restore": ZONE_OPEN}
 
 
 class ResumableControlInterface:
@@ -63,7 +63,7 @@
 
     async def _show_configuration(self, request: web.Request) -> web.Response:
         confirmed = request.query.get("unconfirmed") != "true"
-        state = await self._node.control_state() if confirmed else self._node.unconfirmed()
+        state = await self._node.control_state() if confirmed else self._node.unconfirmed_state()
         accepted = state["manifest"]
         if "version" in request.query:
             version = request.query["version"]
@@ -118,7 +118,7 @@
         return leadership_response(past, index, reason)
 
     async def _belief(self, _request: web.Request) -> Document:
-        belief: Document = self._node.belief()
+        belief: Document = self._node.reported_state()
         return belief
 
     async def _ready(self, _request: web.Request) -> Document:
--- a/src/petrelhaven/control/state/evidence_records.py
+++ b/src/petrelhaven/control/state/evidence_records.py
@@ -1,6 +1,6 @@
-"""Records about the logs of a group's members: what elections are proved from.
+"""Records of evidence about the logs of a group's members.
 
-What they add up to is in `control/failover/evidence`.
+`control/failover/evidence` combines them into the proof that an election loses no commit.
 """
 
 from __future__ import annotations
@@ -9,10 +9,10 @@
 from dataclasses import dataclass
 from typing import ClassVar
 
-from petrelhaven.control.state.record import KIND, Document, Position, position_of
+from petrelhaven.control.state.record import KIND_KEY, Document, Position, parse_position
 
 __all__ = [
-    "BoundedRecord",
+    "LogBoundRecord",
     "CountedOutRecord",
     "ElectionOrderRecord",
     "EvidenceRecord",
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CountedOutRecord:
-    """Evidence: a leaving member is paused at `position`, or receives again if that is None."""
+    """A leaving member is paused at `position`, or receives again if that is None."""
 
     kind: ClassVar[str] = "evidence"
     what: ClassVar[str] = "counted_out"
@@ -33,13 +33,13 @@
 
     @classmethod
     def from_document(cls, document: Document) -> CountedOutRecord:
-        """Reads what `to_document` made."""
-        return cls(document["group"], document["member"], position_of(document["pos"]))
+        """Reads a document written by `to_document`."""
+        return cls(document["group"], document["member"], parse_position(document["pos"]))
 
     def to_document(self) -> Document:
-        """The record as plain JSON values."""
+        """Returns the record as a JSON document."""
         return {
-            KIND: self.kind,
+            KIND_KEY: self.kind,
             "group": self.group,
             "what": self.what,
             "member": self.member,
@@ -48,8 +48,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BoundedRecord:
-    """Evidence: the logs of `members`, which have ended, are at or below `position`."""
+class LogBoundRecord:
+    """The logs of `members`, which have left, end at or below `position`."""
 
     kind: ClassVar[str] = "evidence"
     what: ClassVar[str] = "bounded"
@@ -58,15 +58,15 @@
     position: Position
 
     @classmethod
-    def from_document(cls, document: Document) -> BoundedRecord:
-        """Reads what `to_document` made."""
-        first, second = document["pos"]
-        return cls(document["group"], tuple(document["members"]), (first, second))
+    def from_document(cls, document: Document) -> LogBoundRecord:
+        """Reads a document written by `to_document`."""
+        term, index = document["pos"]
+        return cls(document["group"], tuple(document["members"]), (term, index))
 
     def to_document(self) -> Document:
-        """The record as plain JSON values."""
+        """Returns the record as a JSON document."""
         return {
-            KIND: self.kind,
+            KIND_KEY: self.kind,
             "group": self.group,
             "what": self.what,
             "members": list(self.members),
@@ -76,9 +76,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ElectionOrderRecord:
-    """Evidence: the operator `by` orders to elect `member` without proof.
+    """The operator `by` orders the election of `member` without proof.
 
-    `number` is that of the waiting leadership which the operator saw.
+    `number` is the number of the waiting leadership that the operator saw.
     """
 
     kind: ClassVar[str] = "evidence"
@@ -90,13 +90,13 @@
 
     @classmethod
     def from_document(cls, document: Document) -> ElectionOrderRecord:
-        """Reads what `to_document` made."""
+        """Reads a document written by `to_document`."""
         return cls(document["group"], document["member"], document["n"], document["by"])
 
     def to_document(self) -> Document:
-        """The record as plain JSON values."""
+        """Returns the record as a JSON document."""
         return {
-            KIND: self.kind,
+            KIND_KEY: self.kind,
             "group": self.group,
             "what": self.what,
             "member": self.member,
@@ -107,7 +107,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnknownEvidenceRecord:
-    """Evidence of a sort that only a newer version knows; it changes nothing here."""
+    """Evidence of a kind that only a newer version supports; it changes nothing."""
 
     kind: ClassVar[str] = "evidence"
     group: str
@@ -115,23 +115,23 @@
 
     @classmethod
     def from_document(cls, document: Document) -> UnknownEvidenceRecord:
-        """Reads what is common to all evidence."""
+        """Reads the fields that all evidence records have."""
         return cls(document["group"], document["what"])
 
     def to_document(self) -> Document:
-        """The record as plain JSON values."""
-        return {KIND: self.kind, "group": self.group, "what": self.what}
+        """Returns the record as a JSON document."""
+        return {KIND_KEY: self.kind, "group": self.group, "what": self.what}
 
 
-EvidenceRecord = CountedOutRecord | BoundedRecord | ElectionOrderRecord | UnknownEvidenceRecord
+EvidenceRecord = CountedOutRecord | LogBoundRecord | ElectionOrderRecord | UnknownEvidenceRecord
 _READERS: Mapping[str, Callable[[Document], EvidenceRecord]] = {
     CountedOutRecord.what: CountedOutRecord.from_document,
-    BoundedRecord.what: BoundedRecord.from_document,
+    LogBoundRecord.what: LogBoundRecord.from_document,
     ElectionOrderRecord.what: ElectionOrderRecord.from_document,
 }
 
 
 def evidence_from_document(document: Document) -> EvidenceRecord:
-    """The record of a JSON document of kind `evidence`."""
+    """Reads a document of kind `evidence`."""
     read = _READERS.get(document["what"], UnknownEvidenceRecord.from_document)
     return read(document)
