--- a/src/petrelhaven/control/failover/interfaces.py
+++ b/src/petrelhaven/control/failover/interfaces.py
@@ -37,7 +37,7 @@
 
     lost: bool
 
-    def send_system_verb(self, verb: str, *args: int) -> Awaitable[dict[str, Any]]:
+    def send_command(self, verb: str, *args: int) -> Awaitable[dict[str, Any]]:
         """The member's status, as its answer to one of the system's own verbs."""
 
     def close(self) -> None:
--- a/src/petrelhaven/control/failover/member_access.py
+++ b/src/petrelhaven/control/failover/member_access.py
@@ -69,7 +69,7 @@
         """
         try:
             connection = await self._connect()
-            answer = await self._clock.limit(connection.send_system_verb(verb, *args), REQUEST_US)
+            answer = await self._clock.limit(connection.send_command(verb, *args), REQUEST_US)
         except Fault:
             self.close()
             raise
--- a/src/petrelhaven/control/resumable/member_protocol.py
+++ b/src/petrelhaven/control/resumable/member_protocol.py
@@ -31,7 +31,7 @@
     def __init__(self, wire: _StatusWire, address: str, name: str) -> None:
         self._wire, self._address, self._name, self.lost = wire, address, name, False
 
-    async def send_system_verb(self, verb: str, *_args: int) -> dict[str, Any]:
+    async def send_command(self, verb: str, *_args: int) -> dict[str, Any]:
         """The member's status.
 
         Raises:
@@ -66,7 +66,7 @@
         """
         connection = _Member(self._wire, addr, member)
         try:
-            await self.clock.limit(connection.send_system_verb("status"), us)
+            await self.clock.limit(connection.send_command("status"), us)
         except DeadlineExceeded:
             raise NotSent(UNREACHABLE) from None
         except NotSent:
--- a/src/petrelhaven/simulator/connection_sessions/member_connection.py
+++ b/src/petrelhaven/simulator/connection_sessions/member_connection.py
@@ -46,7 +46,7 @@
         """A future of the Reply to a statement said again under its client's number, or of the system's own."""
         return self._order(Order(num, verb, args), "plain")
 
-    def send_system_verb(self, verb, *args):
+    def send_command(self, verb, *args):
         """A future of the status row that a statement of the system's own brings."""
         return self._order(Order("-", verb, args), "row")
 
--- a/tests/embargo_world.py
+++ b/tests/embargo_world.py
@@ -134,7 +134,7 @@
             connection.open_writes = None
         return self.reply(connection)
 
-    async def send_system_verb(self, verb, args):
+    async def send_command(self, verb, args):
         if verb == "pause" and args[0] > self.paused_term and self.role == "replica":
             self.paused_term = args[0]
         elif verb == "resume":
@@ -222,8 +222,8 @@
     def send_session_statement(self, verb, args=(), number="-"):
         return self._enqueue(lambda: self.target.node.send_session_statement(self, verb, args))
 
-    def send_system_verb(self, verb, *args):
-        return self._enqueue(lambda: self.target.node.send_system_verb(verb, args))
+    def send_command(self, verb, *args):
+        return self._enqueue(lambda: self.target.node.send_command(verb, args))
 
     def close(self):
         self.lost = True
--- a/tests/test_control_interface.py
+++ b/tests/test_control_interface.py
@@ -858,7 +858,7 @@
     async def go():
         row = {"member": "m1", "role": "replica", "log": 7, "term": 2}
         m = await opened(row)
-        assert await m.send_system_verb("status") == {
+        assert await m.send_command("status") == {
             "role": "replica",
             "term": 2,
             "pos": 7,
@@ -866,7 +866,7 @@
         }
         for verb in ("pause", "resume"):
             with pytest.raises(MemberDeclined):
-                await m.send_system_verb(verb, 3)
+                await m.send_command(verb, 3)
         for answer, tp, note in (
             (NotSent("x"), NotSent, "refused"),
             (DeadlineExceeded("x"), NotSent, "mute"),
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -55,7 +55,7 @@
     def __init__(self, estate, m):
         self.e, self.m, self.lost = estate, m, False
 
-    def send_system_verb(self, verb, *args):
+    def send_command(self, verb, *args):
         e, m = self.e, self.m
         f = asyncio.get_running_loop().create_future()
 
--- a/tests/test_platform_lines.py
+++ b/tests/test_platform_lines.py
@@ -111,7 +111,7 @@
             self.open_ = None
         return self.m.reply(state="I" if self.open_ is None else "T")
 
-    def send_system_verb(self, verb, *args):
+    def send_command(self, verb, *args):
         f = asyncio.get_running_loop().create_future()
         f.set_result({"role": "primary", "term": 1, "pos": (1, self.m.pos), "held": 0})
         return f
@@ -897,7 +897,7 @@
 def test_whatever_a_member_says_ends_as_a_reply_or_a_typed_fault(raw, ends):
     async def go():
         c = member_connection()
-        fs = [c.connect("g", "m", "me"), c.send_system_verb("status"), c.send_statement(ASK)]
+        fs = [c.connect("g", "m", "me"), c.send_command("status"), c.send_statement(ASK)]
         c.data_received(raw + b"\r\n" * ends)
         c.connection_lost(None)
         for f in fs:
@@ -910,7 +910,7 @@
 def test_a_status_is_a_row_or_a_typed_fault():
     async def go():
         c = member_connection()
-        fs = [c.send_system_verb("status") for _ in range(4)]
+        fs = [c.send_command("status") for _ in range(4)]
         c.data_received(
             b"ROW primary 3 3.9 0 0 1 2\r\nCOMPLETE -\r\nREADY I 3.9\r\nERROR BUSY x\r\nREADY I 3.9\r\n"
             b"ROW odd\r\nCOMPLETE -\r\nREADY I 3.9\r\nERROR NOSTMT x\r\nREADY I 3.9\r\n"
--- a/tests/test_tenant_names.py
+++ b/tests/test_tenant_names.py
@@ -375,7 +375,7 @@
     async def go(door):
         member = door.members[0]
         line = await LineWire(LoopClock()).open(member.address, "svc", member.name, 450_000)
-        assert (await line.send_system_verb("status"))["term"] == 1
+        assert (await line.send_command("status"))["term"] == 1
         assert member.connects == [f"svc {OF_NOBODY} m1"]
         line.close()
 
