--- a/src/petrelhaven/control/consensus/chain.py
+++ b/src/petrelhaven/control/consensus/chain.py
@@ -359,7 +359,7 @@
     async def _append_from_predecessor(self, request: AppendRequest) -> None:
         self._store_records(request)
         if request.complete:
-            self.store.mark_view_complete(request.view_number)
+            self.store.save_complete_view(request.view_number)
         seq = self.control_state.seq
         self._commit_as_tail()
         if not self.is_tail and request.complete:
--- a/src/petrelhaven/control/state/control_state.py
+++ b/src/petrelhaven/control/state/control_state.py
@@ -280,9 +280,9 @@
             raise Duplicate(f"member {record.name} is gone")
 
     def _apply_departure(self, record: DepartureRecord) -> None:
-        self._mark_departed(record.name)
+        self._set_member_gone(record.name)
 
-    def _mark_departed(self, name: str) -> None:
+    def _set_member_gone(self, name: str) -> None:
         """Marks member `name` as gone and updates the evidence of its group.
 
         Its copy of the log counts as lost.
@@ -303,7 +303,7 @@
         row["state"] = MEMBER_GONE
         if row["group"] != group:
             if not was_gone:
-                self._mark_departed(name)
+                self._set_member_gone(name)
             return
         evidence = self.evidence(group)
         updated = evidence.with_replacement(name)
--- a/src/petrelhaven/control/storage/node_store.py
+++ b/src/petrelhaven/control/storage/node_store.py
@@ -272,7 +272,7 @@
         if done is not None:
             self.complete_view = done
 
-    def mark_view_complete(self, view: int) -> None:
+    def save_complete_view(self, view: int) -> None:
         """Stores that this node has every record of `view`."""
         if self.complete_view != view:
             self._write_entry(ViewCompleted(view))
--- a/tests/test_connection_sessions_storm.py
+++ b/tests/test_connection_sessions_storm.py
@@ -54,7 +54,7 @@
 def test_a_member_that_signed_off_is_sent_nothing_new_after_its_bound(monkeypatch):
     """Without the proxies' knowledge of departures the same play breaks DRAIN."""
 
-    monkeypatch.setattr(ControlState, "_mark_departed", lambda self, name: None)
+    monkeypatch.setattr(ControlState, "_set_member_gone", lambda self, name: None)
     broken = [run(seed, kinds=list(SIGN_OFF_KINDS), cap=40)[0] for seed in range(3)]
     assert any("DRAIN" in str(bad) for bad in broken)
 
--- a/tests/test_crash_points.py
+++ b/tests/test_crash_points.py
@@ -83,7 +83,7 @@
 
 
 def done(view):
-    return lambda store, identity: store.mark_view_complete(view)
+    return lambda store, identity: store.save_complete_view(view)
 
 
 def reset(seq, pad=0):
@@ -371,10 +371,10 @@
         copied_state = node_store.replay(restarted._damaged_copies.documents(), SumState)
         assert copied_state.seq == 2
         restarted.reset({"seq": 1, "sum": 1}, 1)
-        restarted.mark_view_complete(1)
+        restarted.save_complete_view(1)
         assert restarted._damaged_copies.present
         restarted.reset({"seq": 3, "sum": 1}, 1)
-        restarted.mark_view_complete(2)
+        restarted.save_complete_view(2)
         assert not restarted._damaged_copies.present
         assert not [name for name in disk_after.seen if name.startswith("aside")]
 
--- a/tests/test_stored_data_compatibility.py
+++ b/tests/test_stored_data_compatibility.py
@@ -63,7 +63,7 @@
         self.store.save_vote(done, **changes)
 
     def _done(self, view):
-        self.store.mark_view_complete(view)
+        self.store.save_complete_view(view)
 
     def _record(self, view, record):
         self.store.append_record(
--- a/tests/test_tenant_bounds.py
+++ b/tests/test_tenant_bounds.py
@@ -139,7 +139,7 @@
     control_state.apply(1, record)
     chain = SimpleNamespace(
         store=SimpleNamespace(recent_records=[(1, 1, record)]),
-        commit=1,
+        committed_seq=1,
         control_state=control_state,
     )
     events = EventFeed(chain).events_after(0)
