--- a/src/petrelhaven/control/storage/node_store.py
+++ b/src/petrelhaven/control/storage/node_store.py
@@ -23,8 +23,8 @@
 
 __all__ = ["ControlNodeStore", "replay"]
 
-_MIN_KEPT_RECORDS = 400
-_MAX_KEPT_TEXT_BYTES = 2 << 20
+_MIN_RECENT_RECORDS = 400
+_MAX_RECENT_TEXT_BYTES = 2 << 20
 _FILE_SIZE_STEPS = 8
 _FILE_SIZE_STEP_BYTES = 16 << 10
 
@@ -248,9 +248,9 @@
         self.recent_records.append([seq, view, record])
         self.entered_view = view
         self._text_bytes += len(record.get("text", ""))
-        if len(self.recent_records) > 2 * _MIN_KEPT_RECORDS:
-            self._trim(len(self.recent_records) - _MIN_KEPT_RECORDS)
-        while self._text_bytes > _MAX_KEPT_TEXT_BYTES and len(self.recent_records) > 2:  # noqa: PLR2004
+        if len(self.recent_records) > 2 * _MIN_RECENT_RECORDS:
+            self._trim(len(self.recent_records) - _MIN_RECENT_RECORDS)
+        while self._text_bytes > _MAX_RECENT_TEXT_BYTES and len(self.recent_records) > 2:  # noqa: PLR2004
             self._trim(len(self.recent_records) // 2)
 
     def _trim(self, count: int) -> None:
--- a/tests/model/schedule.py
+++ b/tests/model/schedule.py
@@ -223,7 +223,7 @@
 
 @contextlib.contextmanager
 def _sizes(shape):
-    sizes = {"_log_file_bytes": lambda name: shape.file_bytes, "_MIN_KEPT_RECORDS": shape.tail}
+    sizes = {"_log_file_bytes": lambda name: shape.file_bytes, "_MIN_RECENT_RECORDS": shape.tail}
     with mock.patch.multiple(node_store, **sizes):
         yield
 
--- a/tests/test_control_days.py
+++ b/tests/test_control_days.py
@@ -118,12 +118,12 @@
     losses, wiped, monkeypatch
 ):
     if wiped:
-        monkeypatch.setattr(node_store, "_MIN_KEPT_RECORDS", 100)
+        monkeypatch.setattr(node_store, "_MIN_RECENT_RECORDS", 100)
     assert played(scenes.hundreds_of_changes, losses, wiped=wiped) == []
 
 
 def test_without_the_whole_state_a_core_that_missed_more_than_is_kept_never_catches_up(monkeypatch):
-    monkeypatch.setattr(node_store, "_MIN_KEPT_RECORDS", 100)
+    monkeypatch.setattr(node_store, "_MIN_RECENT_RECORDS", 100)
     monkeypatch.setattr(
         node_store.ControlNodeStore, "reset", lambda self, control_state, mark: None
     )
