--- a/tests/limits_world.py
+++ b/tests/limits_world.py
@@ -135,7 +135,7 @@
     """A node's view confirmation, with its readings of the other nodes' clocks."""
 
     def __init__(self, clock):
-        self.boot, self.peer_clocks = clock.now(), PeerClocks(clock)
+        self.started_at_us, self.peer_clocks = clock.now(), PeerClocks(clock)
 
 
 class ChainStub:
