--- a/src/petrelhaven/control/departure.py
+++ b/src/petrelhaven/control/departure.py
@@ -22,7 +22,7 @@
 _CHECK_INTERVAL_US = 100_000
 _DEPARTURE_TIMEOUT_US = 3_000_000
 _REPLACEMENT_TIMEOUT_US = 5_000_000
-_TURN_TIMEOUT_US = 4_200_000
+_STABILITY_TIMEOUT_US = 4_200_000
 _STABLE_US_PER_POSITION = 500_000
 
 
@@ -41,7 +41,7 @@
         started_at = self._clock.now()
         replaceable = bool(self._admissible_nodes())
         if replaceable:
-            await self._wait_for_turn(started_at + _TURN_TIMEOUT_US)
+            await self._wait_until_stable(started_at + _STABILITY_TIMEOUT_US)
         deadline = started_at + (_REPLACEMENT_TIMEOUT_US if replaceable else _DEPARTURE_TIMEOUT_US)
         while self._clock.now() < deadline:
             node.prober.leave()
@@ -62,7 +62,7 @@
             if not view.is_member(name) and roster.state(name) == ALIVE
         ]
 
-    async def _wait_for_turn(self, deadline: int) -> None:
+    async def _wait_until_stable(self, deadline: int) -> None:
         """Waits until all members have been present long enough, or until `deadline`."""
         present_since = None
         while self._clock.now() < deadline:
--- a/tests/control_mutants.py
+++ b/tests/control_mutants.py
@@ -1,4 +1,4 @@
-"""The guards of the control side, each taken out alone: what the model of test_control_model.py must find."""
+"""Mutants of the control nodes: each one removes one safeguard, which test_control_model.py must detect."""
 
 import petrelhaven.control.consensus.chain as chain
 import petrelhaven.control.consensus.confirmation as confirmation
@@ -9,19 +9,19 @@
 from petrelhaven.runtime.errors import NotReady
 
 
-def vote_not_kept(mp):
+def vote_not_stored(monkeypatch):
     def put_vote(self, done=None, **changes):
         self.vote = {**self.vote, **changes}
         self.done = self.done if done is None else done
 
-    mp.setattr(core_store.CoreStore, "put_vote", put_vote)
+    monkeypatch.setattr(core_store.CoreStore, "put_vote", put_vote)
 
 
-def votes_under_any_identity(mp):
-    mp.setattr(register.Voter, "_fits", lambda self, members: True)
+def votes_under_any_identity(monkeypatch):
+    monkeypatch.setattr(register.Voter, "_fits", lambda self, members: True)
 
 
-def promise_ignored(mp):
+def promise_ignored(monkeypatch):
     real = register.Voter.accept
 
     async def accept(self, channel, body):
@@ -30,65 +30,65 @@
             self._store.vote = {**vote, "num": body["num"], "who": body["who"]}
         return await real(self, channel, body)
 
-    mp.setattr(register.Voter, "accept", accept)
+    monkeypatch.setattr(register.Voter, "accept", accept)
 
 
-def minority_decides(mp):
+def minority_decides(monkeypatch):
     real = register.Proposer._run_phase
 
-    async def one_phase(self, members, kind, body, parse, is_enough):
+    async def run_phase(self, members, kind, body, parse, is_enough):
         answers = await real(self, members, kind, body, parse, is_enough)
-        silent = parse({"ok": True, "num": 0, "who": "", "value": None, "seen": 0})
-        return {**dict.fromkeys(members, silent), **answers}
+        missing = parse({"ok": True, "num": 0, "who": "", "value": None, "seen": 0})
+        return {**dict.fromkeys(members, missing), **answers}
 
-    mp.setattr(register.Proposer, "_run_phase", one_phase)
+    monkeypatch.setattr(register.Proposer, "_run_phase", run_phase)
 
 
-def confirmed_without_majority(mp):
+def confirmed_without_majority(monkeypatch):
     def update_validity(self, view):
         latest = max(self._confirmed_at.get(name, 0) for name in view.members)
         self.valid_until_us = max(self.valid_until_us, latest + self._validity_us)
 
-    mp.setattr(confirmation.Confirmation, "_update_validity", update_validity)
+    monkeypatch.setattr(confirmation.Confirmation, "_update_validity", update_validity)
 
 
-def confirms_an_older_view(mp):
+def confirms_an_older_view(monkeypatch):
     real = confirmation.Confirmation.handle_confirm
 
     async def handle_confirm(self, channel, body):
         return {**await real(self, channel, body), "ok": True, "view": None}
 
-    mp.setattr(confirmation.Confirmation, "handle_confirm", handle_confirm)
+    monkeypatch.setattr(confirmation.Confirmation, "handle_confirm", handle_confirm)
 
 
-def tail_reads_while_not_active(mp):
+def tail_reads_while_not_active(monkeypatch):
     def read_control_state(self):
         if not self.is_tail:
             raise NotReady("not the tail")
         return self.control_state.doc
 
-    mp.setattr(chain.Chain, "read_control_state", read_control_state)
+    monkeypatch.setattr(chain.Chain, "read_control_state", read_control_state)
 
 
-def complete_without_handover(mp):
-    mp.setattr(
+def complete_without_handover(monkeypatch):
+    monkeypatch.setattr(
         chain.Chain,
         "is_complete",
         property(lambda self: self.view is not None and self._position() is not None),
     )
 
 
-def lapse_not_awaited(mp):
+def former_views_not_awaited(monkeypatch):
     real = chain.Chain.adopt
 
     def adopt(self, view):
         real(self, view)
         self.active_at_us = 0
 
-    mp.setattr(chain.Chain, "adopt", adopt)
+    monkeypatch.setattr(chain.Chain, "adopt", adopt)
 
 
-def informed_by_any_core(mp):
+def any_report_ends_the_wait(monkeypatch):
     def on_report(self):
         chain = self._node.chain
         if chain.view is None:
@@ -99,53 +99,55 @@
         if any(report.name != self._node.name for report in reports):
             chain.active_at_us = self._node.clock.now()
 
-    mp.setattr(member_maintenance.MemberMaintenance, "on_report", on_report)
+    monkeypatch.setattr(member_maintenance.MemberMaintenance, "on_report", on_report)
 
 
-def swap_decided_by_any_majority(mp):
-    """The vote of a member that the view replaces counts, though it may be all that knows of it."""
+def swap_decided_by_any_majority(monkeypatch):
+    """Counts the vote of a member that the view replaces, even if no other voter has accepted the view."""
 
     def majority_before(voters, before, after):
         return len(set(voters) & set(before)) > len(before) // 2
 
-    mp.setattr(register, "is_joint_quorum", majority_before)
+    monkeypatch.setattr(register, "is_joint_quorum", majority_before)
 
 
-def acknowledged_before_commit(mp):
+def acknowledged_before_commit(monkeypatch):
     async def wait_committed(self, seq, view_number):
         return
 
-    mp.setattr(chain.Chain, "wait_committed", wait_committed)
+    monkeypatch.setattr(chain.Chain, "wait_committed", wait_committed)
 
 
-def records_not_synced(mp):
+def records_not_synced(monkeypatch):
     real = core_store.CoreStore._keep
-    mp.setattr(
+    monkeypatch.setattr(
         core_store.CoreStore,
         "_keep",
         lambda self, entry: None if isinstance(entry, documents.ChainRecord) else real(self, entry),
     )
 
 
-def reset_without_frame(mp):
+def reset_without_snapshot(monkeypatch):
     def reset(self, control_state, entered_view):
         self.entered_view = entered_view
 
-    mp.setattr(core_store.CoreStore, "reset", reset)
+    monkeypatch.setattr(core_store.CoreStore, "reset", reset)
 
 
-def reset_not_synced(mp):
+def reset_not_synced(monkeypatch):
     def reset(self, control_state, entered_view):
         self._forget_state(self._state(control_state), entered_view)
 
-    mp.setattr(core_store.CoreStore, "reset", reset)
+    monkeypatch.setattr(core_store.CoreStore, "reset", reset)
 
 
-def versions_not_checked(mp):
-    mp.setattr(control_state.ControlState, "_check_configuration", lambda self, record: None)
+def versions_not_checked(monkeypatch):
+    monkeypatch.setattr(
+        control_state.ControlState, "_check_configuration", lambda self, record: None
+    )
 
 
-def fence_before_commit(mp):
+def fence_before_commit(monkeypatch):
     real = chain.Chain.append_record
 
     async def append_record(self, record, *args):
@@ -154,7 +156,7 @@
         self.tasks.spawn(real(self, record, *args))
         return self.control_state.seq + 1
 
-    mp.setattr(chain.Chain, "append_record", append_record)
+    monkeypatch.setattr(chain.Chain, "append_record", append_record)
 
 
 __all__ = [
--- a/tests/model/__init__.py
+++ b/tests/model/__init__.py
@@ -1,1 +1,1 @@
-"""A model of the control side: shipped cores in virtual time, drawn faults and orders, checked invariants."""
+"""Model test of the control nodes: random faults and orders in virtual time, with checked invariants."""
--- a/tests/model/cluster.py
+++ b/tests/model/cluster.py
@@ -1,4 +1,4 @@
-"""Shipped control cores on simulated machines in virtual time, without proxies, members or a platform."""
+"""A cluster of control nodes on simulated machines in virtual time, without proxies, members or a platform."""
 
 import asyncio
 import itertools
@@ -13,13 +13,17 @@
 __all__ = ["Cluster", "Shape"]
 
 _ZONES = ("a", "b", "c")
-_TURN_S = 0.01
+_OBSERVATION_INTERVAL_S = 0.01
 _HEARTBEAT_US = 1_200_000
-_RATES = (1.0, 1.045, 1.0, 1.02, 1.045)
+_CLOCK_RATES = (1.0, 1.045, 1.0, 1.02, 1.045)
 
 
 class Shape:
-    """Size of the cluster and of what its cores keep: a small file turns often, a short tail is trimmed soon."""
+    """The number of control nodes and the sizes of their logs.
+
+    Small files are switched often, and a small `tail` (the least number of stored records) makes nodes
+    drop old records early.
+    """
 
     def __init__(self, cores=3, file_bytes=1 << 20, tail=400):
         self.cores, self.file_bytes, self.tail = cores, file_bytes, tail
@@ -29,20 +33,29 @@
 
 
 class ModelNet(Net):
-    """A network whose ways can be slowed."""
+    """A network in which machines can be slow."""
 
     def __init__(self, loop, rng):
         super().__init__(loop, rng, 8_000)
         self.slowed = {}
 
-    def delay(self, a, b):
-        """One way, in seconds."""
-        extra = max(self.slowed.get(a.name, 0.0), self.slowed.get(b.name, 0.0))
-        return super().delay(a, b) + extra * self.rng.random()
+    def delay(self, source, target):
+        """The delay of one message in seconds."""
+        extra = max(self.slowed.get(source.name, 0.0), self.slowed.get(target.name, 0.0))
+        return super().delay(source, target) + extra * self.rng.random()
 
 
 class Cluster:
-    """Three or five cores; `observer` checks the invariants all along."""
+    """A cluster of three or five control nodes.
+
+    Attributes:
+        observer: Checks the invariants all the time.
+        tolerated: How many disks may be lost at the same time.
+        cores: The machines of the control nodes.
+        away: Names of the machines that were removed permanently.
+        behind: Names of the machines that have not caught up since they started with an empty disk.
+        leaving: Machines that are departing in order.
+    """
 
     def __init__(self, shape, seed):
         self.loop = asyncio.get_running_loop()
@@ -52,25 +65,25 @@
         self.observer = Observer(self.loop)
         self.tolerated = (shape.cores - 1) // 2
         self._names = (f"c{i}" for i in itertools.count(1))
-        self.cores = [self._machine(i) for i in range(shape.cores)]
-        self._seeds = {b.name: self._listed() for b in self.cores}
+        self.cores = [self._new_machine(i) for i in range(shape.cores)]
+        self._seeds = {machine.name: self._seed_addresses() for machine in self.cores}
         self.away = set()
         self.behind = set()
         self.leaving = []
         self.operators = SimulatedMachine(self.net, "operators", "out")
 
-    def _machine(self, place):
-        rate = _RATES[place % len(_RATES)]
-        machine = SimulatedMachine(self.net, next(self._names), _ZONES[place % 3], rate)
+    def _new_machine(self, index):
+        rate = _CLOCK_RATES[index % len(_CLOCK_RATES)]
+        machine = SimulatedMachine(self.net, next(self._names), _ZONES[index % 3], rate)
         machine.disk = ModelDisk(machine)
         return machine
 
-    def _listed(self):
-        """The operator's list as a machine's file names it: three machines of the time when it was written."""
-        return [f"sim:{b.name}" for b in self.cores[:3]]
+    def _seed_addresses(self):
+        """The seeds in a machine's settings file: the first three machines when the file was written."""
+        return [f"sim:{machine.name}" for machine in self.cores[:3]]
 
     async def start(self):
-        """Powers everything on for the first time and waits until the cores are ready."""
+        """Starts all machines for the first time; returns whether the nodes became ready in time."""
         self.operators.boot()
         self.operators.node = True
         for machine in self.cores:
@@ -78,14 +91,16 @@
         self.loop.create_task(self._watch())
         return await self.until(
             lambda: all(
-                b.node and b.node.ready and len(b.node.chain.view.members) == len(self.cores)
-                for b in self.cores
+                machine.node
+                and machine.node.ready
+                and len(machine.node.chain.view.members) == len(self.cores)
+                for machine in self.cores
             ),
             20,
         )
 
     def boot(self, machine, founds=False):
-        """Powers a core on over what its disk holds."""
+        """Starts a control node with the present contents of its disk."""
         if machine.up or machine.name in self.away:
             return
         machine.boot()
@@ -114,15 +129,15 @@
         machine.node.start()
 
     def at(self, index):
-        """A core by its place."""
+        """The machine of the control node at an index, which wraps around."""
         return self.cores[index % len(self.cores)]
 
     def may_lose(self, machine):
-        """Whether one more disk may be lost: those that came back empty count until they caught up."""
+        """Whether the disk of this machine may be lost as well. Machines that have not caught up count as lost."""
         return len(self.behind | {machine.name}) <= self.tolerated
 
     def lose_disk(self, machine):
-        """Powers a core off for good with its disk, if that many losses are tolerated."""
+        """Kills a machine and erases its disk if this loss is tolerated; returns whether it did so."""
         if not self.may_lose(machine):
             return False
         machine.kill()
@@ -131,36 +146,36 @@
         return True
 
     def replace(self, index):
-        """Removes a core; a new one with another name, address and disk comes in its place."""
+        """Removes a machine; a new one with another name, address and disk takes its place."""
         old = self.at(index)
         if not self.lose_disk(old):
             return None
         self.away.add(old.name)
-        new = self.cores[index % len(self.cores)] = self._machine(index)
-        self._seeds[new.name] = self._listed()
+        new = self.cores[index % len(self.cores)] = self._new_machine(index)
+        self._seeds[new.name] = self._seed_addresses()
         self.behind.discard(old.name)
         self.behind.add(new.name)
         return new
 
-    def replace_in_cut(self, index, us, start_us):
-        """A core is cut off and removed for good; its successor starts inside the cut, `start_us` later."""
+    def replace_in_cut(self, index, cut_us, start_us):
+        """Cuts off and removes a machine; its replacement starts after `start_us`, during the cut."""
         old = self.at(index)
         if not self.may_lose(old):
             return None
-        others = [b.name for b in self.cores if b is not old]
-        self.net.cut([old.name], others, us)
+        others = [machine.name for machine in self.cores if machine is not old]
+        self.net.cut([old.name], others, cut_us)
         new = self.replace(index)
-        self.net.cut([new.name], others, us)
+        self.net.cut([new.name], others, cut_us)
         self.loop.call_later(start_us / 1e6, self.boot, new)
         return new
 
     def depart(self, index, after_us):
-        """A planned replacement: the successor starts, and later the old core leaves in order and is removed."""
+        """Planned replacement: a new machine starts; after `after_us`, the old one departs and is removed."""
         old = self.at(index)
         if not self.may_lose(old) or not old.up or old.node is None:
             return None
-        new = self.cores[index % len(self.cores)] = self._machine(index)
-        self._seeds[new.name] = self._listed()
+        new = self.cores[index % len(self.cores)] = self._new_machine(index)
+        self._seeds[new.name] = self._seed_addresses()
         self.behind.add(new.name)
         self.leaving.append(old)
         self.boot(new)
@@ -178,16 +193,16 @@
         old.kill()
         old.disk.lose()
 
-    def isolate(self, machine, us, way):
-        """Cuts a core from the other cores: both ways, outwards only or inwards only."""
-        others = [b.name for b in self.cores if b is not machine]
-        if way % 3 == 2:
-            self.net.cut(others, [machine.name], us, both=False)
+    def isolate(self, machine, cut_us, direction):
+        """Cuts a machine from the others: in both directions (0), outgoing (1) or incoming (2) only."""
+        others = [other.name for other in self.cores if other is not machine]
+        if direction % 3 == 2:
+            self.net.cut(others, [machine.name], cut_us, both=False)
         else:
-            self.net.cut([machine.name], others, us, both=way % 3 == 0)
+            self.net.cut([machine.name], others, cut_us, both=direction % 3 == 0)
 
     def reset_connections(self, machine):
-        """Closes every connection of a core; the other sides see it."""
+        """Closes all connections of a machine; the other ends notice it."""
         for end in list(machine.pipes.values()):
             end.cut(False)
             for machine, channel in ((end.a, end.ca), (end.b, end.cb)):
@@ -195,29 +210,29 @@
                     channel.lose()
 
     async def until(self, condition, seconds):
-        """Waits in virtual time for a condition; false if it did not come true."""
-        end = self.loop.time() + seconds
+        """Waits in virtual time for a condition; returns whether it became true in time."""
+        deadline = self.loop.time() + seconds
         while not condition():
-            if self.loop.time() > end:
+            if self.loop.time() > deadline:
                 return False
             await asyncio.sleep(0.02)
         return True
 
     async def _watch(self):
         while True:
-            self.observer.turn([*self.cores, *self.leaving])
+            self.observer.check_nodes([*self.cores, *self.leaving])
             for name in list(self.behind):
-                machine = next((b for b in self.cores if b.name == name), None)
+                machine = next((core for core in self.cores if core.name == name), None)
                 if machine and machine.up and machine.node and self._caught_up(machine.node):
                     self.behind.discard(name)
-            await asyncio.sleep(_TURN_S)
+            await asyncio.sleep(_OBSERVATION_INTERVAL_S)
 
     def _caught_up(self, node):
         newest = max(self.observer.views, default=0)
         return node.ready and node.chain.view.number == newest
 
     def heal(self):
-        """Ends all trouble: nothing cut, slowed, frozen or off but what was removed."""
+        """Ends all faults and starts all machines, except the ones that were removed permanently."""
         self.net.cuts.clear()
         self.net.slowed.clear()
         self.net.loss = self.net.double = 0.0
--- a/tests/model/disk.py
+++ b/tests/model/disk.py
@@ -1,4 +1,4 @@
-"""A core's disk in the model: a write that a crash interrupts is kept whole, lost, or torn."""
+"""The disk of a simulated control node. A crash can leave the write in progress complete, lost or torn."""
 
 import asyncio
 
@@ -10,14 +10,18 @@
 
 
 class ModelDisk(SimDisk):
-    """Every finished write is synced; `crash_at_next_write` says what is left of the next one."""
+    """A disk that syncs each completed write.
+
+    `crash_at_next_write` is None, or one of `OUTCOMES`: what the disk contains of the next write,
+    during which the machine crashes.
+    """
 
     def __init__(self, machine):
         super().__init__(machine)
         self.crash_at_next_write = None
 
     def write(self, name, off, data):
-        """Writes and syncs, or takes the machine down with what the disk kept of the write."""
+        """Writes and syncs the data, or crashes the machine as `crash_at_next_write` says."""
         outcome = self.crash_at_next_write
         if outcome is None or self.full or not self._machine.up:
             return super().write(name, off, data)
@@ -34,6 +38,6 @@
         raise asyncio.CancelledError
 
     def lose(self):
-        """Another, empty disk."""
+        """Replaces the disk by another one that is empty."""
         super().lose()
         self.crash_at_next_write = None
--- a/tests/test_control_model.py
+++ b/tests/test_control_model.py
@@ -1,6 +1,7 @@
-"""The control side under drawn schedules of faults and orders; each guard taken out alone is found.
+"""Runs the control nodes under random schedules of faults and orders and checks invariants.
 
-`CONTROL_MODEL_SCHEDULES` sets how many schedules each part draws, `CONTROL_MODEL_SEED` draws others.
+The mutant tests remove one safeguard at a time and expect a schedule to violate an invariant.
+`CONTROL_MODEL_SCHEDULES` sets how many schedules each part draws; `CONTROL_MODEL_SEED` draws others.
 """
 
 import os
@@ -9,7 +10,7 @@
 import pytest
 from hypothesis import HealthCheck, Phase, given, seed, settings
 from model.cluster import Shape
-from model.schedule import Step, play, play_to_the_end, schedules, shapes, shrunk
+from model.schedule import Step, play, play_without_healing, schedules, shapes, shrunk
 
 from petrelhaven.control.node import ControlNode
 
@@ -18,7 +19,8 @@
 _PARTS = 5
 
 
-def _drawn(part):
+# Hypothesis derives the draws from the source of `check`: any change to it, even of a name, draws others.
+def _random_schedules_test(part):
     found = settings(
         max_examples=_COUNT,
         derandomize=_SEED is None,
@@ -42,12 +44,12 @@
 
 
 @pytest.mark.parametrize("part", range(_PARTS))
-def test_no_drawn_schedule_breaks_an_invariant(part):
-    _drawn(part)()
+def test_no_random_schedule_violates_an_invariant(part):
+    _random_schedules_test(part)()
 
 
-HEAD_LOST_RIGHT_AFTER_A_VIEW = {
-    "three cores restarted, then the head replaced": (
+HEAD_LOST_AFTER_VIEW_CHANGE = {
+    "three nodes restarted, then the head replaced": (
         Shape(3),
         1024,
         [Step(372, "blackout", 3, 3, 88), Step(1782, "replace", 3, 0, 3706)],
@@ -67,32 +69,36 @@
 }
 
 
-@pytest.mark.parametrize("name", HEAD_LOST_RIGHT_AFTER_A_VIEW)
-def test_a_head_lost_before_it_handed_over_leaves_a_core_that_may_lead(name):
-    shape, number, steps = HEAD_LOST_RIGHT_AFTER_A_VIEW[name]
-    assert play(shape, steps, number).broken == {}
+@pytest.mark.parametrize("name", HEAD_LOST_AFTER_VIEW_CHANGE)
+def test_if_the_head_is_lost_before_the_handover_another_node_can_become_head(name):
+    shape, play_seed, steps = HEAD_LOST_AFTER_VIEW_CHANGE[name]
+    assert play(shape, steps, play_seed).broken == {}
 
 
-def _both_sides(who, times):
-    """Orders, a race and reads through the core that is in trouble and through another, again and again."""
-    other = who + 1
+def _orders_on_both_sides(faulty, pauses_ms):
+    """Repeated orders, races and reads through the faulty node and through another one."""
+    other = faulty + 1
     steps = []
-    for pause in times:
-        steps += [Step(pause, "order", who), Step(0, "read", who), Step(50, "order", other)]
-        steps += [Step(0, "read", other), Step(300, "race", who, 1), Step(0, "read", who)]
+    for pause_ms in pauses_ms:
+        steps += [
+            Step(pause_ms, "order", faulty),
+            Step(0, "read", faulty),
+            Step(50, "order", other),
+        ]
+        steps += [Step(0, "read", other), Step(300, "race", faulty, 1), Step(0, "read", faulty)]
         steps += [Step(0, "fence"), Step(100, "read", other)]
     return steps
 
 
 @pytest.mark.parametrize("cores", [3, 5])
-@pytest.mark.parametrize("who", [0, 2])
-@pytest.mark.parametrize("trouble", ["cut", "cut outwards", "cut inwards", "freeze"])
-def test_a_core_away_for_20_s_hands_out_nothing_old_and_confirms_nothing(cores, who, trouble):
-    kind, _, way = trouble.partition(" ")
+@pytest.mark.parametrize("faulty", [0, 2])
+@pytest.mark.parametrize("fault", ["cut", "cut outwards", "cut inwards", "freeze"])
+def test_a_node_cut_off_or_frozen_for_20_s_serves_no_stale_state(cores, faulty, fault):
+    kind, _, direction = fault.partition(" ")
     steps = [
         Step(1000, "order", 1),
-        Step(300, kind, who, ["", "outwards", "inwards"].index(way), 20_000),
-        *_both_sides(who, [0, 700, 3000, 6000, 7000, 1000, 300, 100, 100, 700, 1500]),
+        Step(300, kind, faulty, ["", "outwards", "inwards"].index(direction), 20_000),
+        *_orders_on_both_sides(faulty, [0, 700, 3000, 6000, 7000, 1000, 300, 100, 100, 700, 1500]),
     ]
     result = play(Shape(cores), steps, 7)
     assert result.broken == {}
@@ -101,10 +107,10 @@
 
 @pytest.mark.parametrize("shape", [Shape(3), Shape(3, 8192, 4), Shape(5, 8192, 4)], ids=repr)
 @pytest.mark.parametrize("lost", [False, True])
-def test_a_core_that_missed_hundreds_of_changes_catches_up_and_leads_with_the_newest_state(
+def test_a_node_that_missed_hundreds_of_changes_catches_up_and_becomes_head_with_the_newest_state(
     shape, lost
 ):
-    """Every core restarts afterwards, the one that was away for the changes too, so that it comes to lead."""
+    """All nodes restart afterwards, so that the node that missed the changes becomes the head."""
     steps = [
         Step(1000, "many", 1, 0, 25_000),
         Step(500, "lose" if lost else "kill", 2, 0, 24_500),
@@ -123,7 +129,7 @@
     assert result.acknowledged > 400
 
 
-def test_a_core_that_asked_itself_counts_once_when_the_lapse_of_a_former_view_is_reckoned():
+def test_a_node_counts_once_in_the_expiry_of_a_former_view_although_it_reports_to_itself():
     steps = [
         Step(66, "kill", 0, 0, 582),
         Step(839, "replace", 3, 6, 20_000),
@@ -139,27 +145,29 @@
 
 @pytest.mark.parametrize("cores", [3, 5])
 @pytest.mark.parametrize("after_ms", [5, 60, 150, 400])
-def test_a_wiped_core_and_all_power_lost_leave_the_newest_configuration(cores, after_ms):
-    """The closing fault: as many disks as may be are lost after an order was sent, and all others lose power."""
-    for who in range(cores):
-        lost = [Step(0, "lose", who + i, 0, 1500) for i in range((cores - 1) // 2)]
+def test_the_newest_configuration_survives_lost_disks_and_a_power_failure_of_all_nodes(
+    cores, after_ms
+):
+    """The highest tolerated number of disks is lost after an order was sent, and all other nodes lose power."""
+    for first_lost in range(cores):
+        lost = [Step(0, "lose", first_lost + i, 0, 1500) for i in range((cores - 1) // 2)]
         steps = [
-            Step(1000, "order", who),
-            Step(1000, "order", who + 1),
-            Step(after_ms, "lose", who, 0, 1500),
+            Step(1000, "order", first_lost),
+            Step(1000, "order", first_lost + 1),
+            Step(after_ms, "lose", first_lost, 0, 1500),
             *lost[1:],
             Step(0, "blackout", 0, 1, 1500),
             *(Step(300 if i else 4000, "read", i) for i in range(cores)),
         ]
-        result = play(Shape(cores), steps, 31 + who)
-        assert result.broken == {}, who
-        assert result.reads >= cores, who
+        result = play(Shape(cores), steps, 31 + first_lost)
+        assert result.broken == {}, first_lost
+        assert result.reads >= cores, first_lost
 
 
-def _lost_after_the_cut_of_a_replacement(cores, seed, lost, gap_ms):
-    """A core is replaced inside a cut; `gap_ms` after its end another core is gone for good.
+def _loss_after_replacement_in_cut(cores, seed, lost, gap_ms):
+    """A node is replaced during a cut; another one is lost permanently `gap_ms` after the cut.
 
-    With five cores one more is gone before.
+    With five nodes, one more was lost before.
     """
     steps = [Step(500, "order", 0)]
     if cores == 5:
@@ -170,22 +178,22 @@
         Step(0, "order", cores - 1),
         Step(3000, "order", 1 - lost),
     ]
-    return play_to_the_end(Shape(cores), steps, seed, 2000)
+    return play_without_healing(Shape(cores), steps, seed, 2000)
 
 
 @pytest.mark.parametrize("cores", [3, 5])
 @pytest.mark.parametrize("lost", [0, 1])
-def test_a_core_lost_right_after_the_cut_of_a_replacement_leaves_a_majority(cores, lost):
-    """The successor takes its place in one view; so few moments are left in which no majority stands."""
-    for draw in range(4):
-        result = _lost_after_the_cut_of_a_replacement(cores, draw, lost, 100)
-        assert result.broken == {}, draw
-        assert result.acknowledged == 3, draw
+def test_a_loss_right_after_a_replacement_in_a_cut_leaves_a_majority(cores, lost):
+    """The replacement is a single view change, which leaves only a short time without a majority."""
+    for play_seed in range(4):
+        result = _loss_after_replacement_in_cut(cores, play_seed, lost, 100)
+        assert result.broken == {}, play_seed
+        assert result.acknowledged == 3, play_seed
 
 
 MUTANTS = {
-    "vote_not_kept": (
-        "every core is ready again after calm",
+    "vote_not_stored": (
+        "every node is ready again after healing",
         Shape(5, 8192, 4),
         1,
         [
@@ -211,7 +219,7 @@
         ],
     ),
     "minority_decides": (
-        "one view a number",
+        "one view per number",
         Shape(3),
         2014,
         [
@@ -219,7 +227,7 @@
         ],
     ),
     "confirmed_without_majority": (
-        "a majority's word within its bound",
+        "nodes act only with a recent confirmation by a majority",
         Shape(3, tail=4),
         0,
         [
@@ -227,13 +235,13 @@
         ],
     ),
     "confirms_an_older_view": (
-        "no core rules an older view beside an active one",
+        "no node is confirmed in an older view while another is active",
         Shape(3),
         0,
         [],
     ),
     "tail_reads_while_not_active": (
-        "a majority's word within its bound",
+        "nodes act only with a recent confirmation by a majority",
         Shape(3, 8192, 4),
         5,
         [
@@ -242,7 +250,7 @@
         ],
     ),
     "complete_without_handover": (
-        "a complete core holds all that was committed before its view",
+        "a complete node has all records committed before its view",
         Shape(3, tail=4),
         0,
         [
@@ -250,20 +258,20 @@
             Step(299, "hall", 0, 4, 20_000),
         ],
     ),
-    "lapse_not_awaited": (
-        "no core rules an older view beside an active one",
+    "former_views_not_awaited": (
+        "no node is confirmed in an older view while another is active",
         Shape(5),
         0,
         [],
     ),
-    "informed_by_any_core": (
-        "no core rules an older view beside an active one",
+    "any_report_ends_the_wait": (
+        "no node is confirmed in an older view while another is active",
         Shape(5),
         0,
         [],
     ),
     "swap_decided_by_any_majority": (
-        "majorities before and after a change meet",
+        "majorities before and after a change intersect",
         Shape(3, tail=4),
         110,
         [
@@ -273,7 +281,7 @@
         ],
     ),
     "acknowledged_before_commit": (
-        "no read is older than what was acknowledged before it",
+        "a read includes all orders acknowledged before it",
         Shape(5, 8192, 4),
         756,
         [
@@ -283,7 +291,7 @@
         ],
     ),
     "records_not_synced": (
-        "one record a number",
+        "one record per number",
         Shape(5, 8192, 4),
         2,
         [
@@ -291,8 +299,8 @@
             Step(1676, "blackout", 1, 2, 20_000),
         ],
     ),
-    "reset_without_frame": (
-        "a complete core holds all that was committed before its view",
+    "reset_without_snapshot": (
+        "a complete node has all records committed before its view",
         Shape(5, 8192, 4),
         1893,
         [
@@ -306,7 +314,7 @@
         ],
     ),
     "reset_not_synced": (
-        "a complete core holds all that was committed before its view",
+        "a complete node has all records committed before its view",
         Shape(3, tail=1),
         12,
         [
@@ -327,7 +335,7 @@
         ],
     ),
     "fence_before_commit": (
-        "one holder a fence",
+        "one holder per fencing token",
         Shape(3),
         0,
         [
@@ -339,58 +347,58 @@
 }
 
 
-_SEEDS_EACH = 4
+_SEEDS_PER_VARIANT = 4
 
 
-def _cut_while_a_view_changes():
-    """A core is lost; another is cut off at about the moment when the others change the view."""
+def _cut_during_view_change():
+    """A node is killed; another one is cut off at about the time when the others change the view."""
     return [
-        [Step(165, "kill", 4, 0, 4000), Step(pause, "cut", who, 0, 3000)]
-        for pause in range(900, 1300, 50)
-        for who in (2, 1, 3)
+        [Step(165, "kill", 4, 0, 4000), Step(pause_ms, "cut", target, 0, 3000)]
+        for pause_ms in range(900, 1300, 50)
+        for target in (2, 1, 3)
     ]
 
 
-def _head_frozen():
-    """The head is frozen for some seconds, and its ways are slow when it thaws."""
+def _frozen_head():
+    """The head is frozen for a few seconds, and its network is slow afterwards."""
     return [
-        [Step(197, "freeze", 0, 0, span), Step(500, "slow", 0, 6, 4000)]
-        for span in range(2500, 4000, 100)
+        [Step(197, "freeze", 0, 0, span_ms), Step(500, "slow", 0, 6, 4000)]
+        for span_ms in range(2500, 4000, 100)
     ]
 
 
 VARIANTS = {
-    "lapse_not_awaited": _cut_while_a_view_changes,
-    "informed_by_any_core": _cut_while_a_view_changes,
-    "confirms_an_older_view": _head_frozen,
+    "former_views_not_awaited": _cut_during_view_change,
+    "any_report_ends_the_wait": _cut_during_view_change,
+    "confirms_an_older_view": _frozen_head,
 }
 
 
-def _found(name):
-    """The first schedule and seed that shows the guard missing, or None."""
-    rule, shape, number, steps = MUTANTS[name]
+def _violating_run(name):
+    """The first schedule and seed that violate the expected invariant under the mutant, or None."""
+    invariant, shape, first_seed, steps = MUTANTS[name]
     for variant in VARIANTS[name]() if name in VARIANTS else [steps]:
-        for draw in range(number, number + _SEEDS_EACH):
-            if rule in play(shape, variant, draw).broken:
-                return shape, variant, draw
+        for play_seed in range(first_seed, first_seed + _SEEDS_PER_VARIANT):
+            if invariant in play(shape, variant, play_seed).broken:
+                return shape, variant, play_seed
     return None
 
 
 @pytest.mark.parametrize("name", MUTANTS)
-def test_without_its_guard_an_invariant_is_seen_broken(name):
-    with pytest.MonkeyPatch.context() as guards:
-        getattr(control_mutants, name)(guards)
-        found = _found(name)
-    assert found is not None
-    assert play(*found).broken == {}
+def test_each_mutant_violates_its_invariant(name):
+    with pytest.MonkeyPatch.context() as monkeypatch:
+        getattr(control_mutants, name)(monkeypatch)
+        run = _violating_run(name)
+    assert run is not None
+    assert play(*run).broken == {}
 
 
-def test_every_guard_is_tried():
+def test_every_mutant_is_tested():
     assert set(MUTANTS) == set(control_mutants.__all__)
 
 
-# Guards against a change of members whose majorities don't meet, seen once control nodes had one more
-# timer (draw 110 of the schedule that shows the guard of joint decisions missing).
+# Guards against a change of members whose majorities before and after don't intersect. It was seen with
+# seed 110 of the schedule of `swap_decided_by_any_majority` after control nodes got another timer.
 def test_members_are_swapped_in_one_decision_whatever_else_a_node_waits_for(monkeypatch):
     async def wake_often(clock):
         while True:
@@ -404,8 +412,8 @@
 
     monkeypatch.setattr(ControlNode, "start", start)
     steps = [
-        Step(pause=2565, kind="depart", who=1, other=4, span=20000),
-        Step(pause=1383, kind="cut", who=0, other=7, span=20000),
-        Step(pause=384, kind="slow", who=4, other=6, span=1323),
+        Step(pause_ms=2565, kind="depart", target=1, option=4, span_ms=20000),
+        Step(pause_ms=1383, kind="cut", target=0, option=7, span_ms=20000),
+        Step(pause_ms=384, kind="slow", target=4, option=6, span_ms=1323),
     ]
     assert play(Shape(3, 1048576, 4), steps, 110).broken == {}
