--- a/tests/test_control_days.py
+++ b/tests/test_control_days.py
@@ -1,4 +1,7 @@
-"""The worst days of control in virtual time, three and five cores; each rule is seen broken once its guard is out."""
+"""Fault scenes for three and five control nodes in virtual time.
+
+For each rule, a test removes its safeguard and expects a violation.
+"""
 
 import functools
 
@@ -20,39 +23,37 @@
 HEAD, MIDDLE, TAIL = 0, 1, -1
 
 
-def played(scene, losses, seed=1, **kw):
-    """What a scene violated; a fleet that does not even come up counts as one."""
+def violations_of(scene, losses, seed=1, **kw):
+    """The violations in a scene. A fleet that does not become ready in time counts as a violation."""
 
     async def go(fleet):
         try:
             return await scene(fleet, **kw)
-        except AssertionError as e:
-            return [("stuck", str(e)), *fleet.verdict()]
+        except AssertionError as error:
+            return [("stuck", str(error)), *fleet.verdict()]
 
     return inside(go, seed, ControlFleet, losses=losses)[0]
 
 
-def rules(bad):
-    return {storm.name_of(b) for b in bad}
+def rules(violations):
+    return {storm.name_of(violation) for violation in violations}
 
 
 @SIZES
 @pytest.mark.parametrize("place", [HEAD, MIDDLE, TAIL], ids=["head", "middle", "tail"])
 @pytest.mark.parametrize("both", [True, False], ids=["silent", "one-way"])
-def test_a_core_cut_off_for_twenty_seconds_serves_nothing_old_and_holds_up_no_order(
-    losses, place, both
-):
-    assert played(scenes.core_cut_off, losses, place=place, both=both) == []
+def test_a_node_cut_off_for_20_s_serves_no_stale_state_and_delays_no_order(losses, place, both):
+    assert violations_of(scenes.core_cut_off, losses, place=place, both=both) == []
 
 
-def test_a_core_cut_off_that_trusts_its_last_confirmation_serves_old_state(monkeypatch):
-    # The order router asks for a majority by itself: either guard alone makes the other's loss good.
+def test_a_node_that_ignores_the_age_of_its_confirmation_serves_stale_state(monkeypatch):
+    # The order router also requires a majority, and each of the two safeguards is sufficient.
     monkeypatch.setattr(Chain, "is_confirmed", property(lambda self: self.is_complete))
     monkeypatch.setattr(OrderRouter, "_require_majority", lambda self: None)
-    assert "OLDER READ" in rules(played(scenes.core_cut_off, 1, place=TAIL))
+    assert "OLDER READ" in rules(violations_of(scenes.core_cut_off, 1, place=TAIL))
 
 
-def test_a_refusal_is_a_violation_unless_another_content_was_answered_under_the_number():
+def test_a_refused_order_is_a_violation_unless_another_content_was_acknowledged_with_its_version():
     def record(text, **kw):
         return OrderRecord(ConfigOrder(5, text), 1.0, ended=2.0, **kw)
 
@@ -69,82 +70,95 @@
 
 
 @SIZES
-def test_raced_orders_sent_again_after_lost_answers_are_never_refused_nor_confirmed_twice(losses):
-    assert played(scenes.orders_raced_and_sent_again, losses) == []
+def test_racing_orders_that_are_retried_are_never_refused_or_acknowledged_twice(losses):
+    assert violations_of(scenes.orders_raced_and_sent_again, losses) == []
 
 
-def test_without_the_check_of_a_number_two_contents_are_confirmed(monkeypatch):
-    monkeypatch.setattr(ControlState, "_check_configuration", lambda self, r: None)
-    assert "TWO CONFIRMED" in rules(played(scenes.orders_raced_and_sent_again, 1))
+def test_without_the_version_check_two_contents_are_acknowledged(monkeypatch):
+    monkeypatch.setattr(ControlState, "_check_configuration", lambda self, record: None)
+    assert "TWO CONFIRMED" in rules(violations_of(scenes.orders_raced_and_sent_again, 1))
 
 
-def test_a_number_that_was_overtaken_is_not_confirmed_for_another_content():
-    assert [played(scenes.number_overtaken, losses) for losses in (1, 2)] == [[], []]
+def test_a_superseded_version_is_not_acknowledged_for_another_content():
+    assert [violations_of(scenes.number_overtaken, losses) for losses in (1, 2)] == [[], []]
 
 
-def test_every_core_is_replaced_in_turn_without_a_word():
-    assert played(scenes.replaced_unplanned_in_turn, 1) == []
+def test_every_node_is_replaced_in_turn_without_notice():
+    assert violations_of(scenes.replaced_unplanned_in_turn, 1) == []
 
 
-def test_two_of_five_cores_are_replaced_as_planned_at_once():
-    assert played(scenes.replaced_planned_twice, 2) == []
+def test_two_of_five_nodes_are_replaced_as_planned_at_the_same_time():
+    assert violations_of(scenes.replaced_planned_twice, 2) == []
 
 
-def test_without_a_change_of_who_counts_replacements_leave_no_majority(monkeypatch):
+def test_without_changes_of_the_members_replacements_leave_no_majority(monkeypatch):
     async def change_members(self, view, reports):
         return
 
     monkeypatch.setattr(MemberMaintenance, "change_members", change_members)
-    bad = inside(scenes.replaced_unplanned_in_turn, 1, ControlFleet, losses=1)
-    assert "NOT CAUGHT UP" in rules(bad[0])
+    result = inside(scenes.replaced_unplanned_in_turn, 1, ControlFleet, losses=1)
+    assert "NOT CAUGHT UP" in rules(result[0])
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_head_lost_as_its_view_is_decided_holds_up_no_order(seed):
-    assert played(scenes.head_lost_in_view_change, 2, seed) == []
+def test_a_head_lost_while_its_view_is_decided_delays_no_order(seed):
+    assert violations_of(scenes.head_lost_in_view_change, 2, seed) == []
 
 
 def test_a_second_loss_right_after_a_change_of_the_chain_leaves_a_majority():
-    plays = {
+    scenes_to_run = {
         "two planned replacements": (scenes.replaced_planned_twice, 1),
         "five replaced, never more than two lost": (scenes.replaced_unplanned_in_turn, 2),
     }
-    assert {what: rules(played(*how)) for what, how in plays.items()} == dict.fromkeys(plays, set())
+    assert {
+        name: rules(violations_of(*arguments)) for name, arguments in scenes_to_run.items()
+    } == dict.fromkeys(scenes_to_run, set())
 
 
 @SIZES
-@pytest.mark.parametrize("wiped", [False, True], ids=["down", "wiped, more missed than is kept"])
-def test_a_core_that_missed_hundreds_of_changes_catches_up_in_bound_and_serves(
+@pytest.mark.parametrize(
+    "wiped", [False, True], ids=["down", "wiped, with fewer stored records than missed"]
+)
+def test_a_node_that_missed_hundreds_of_changes_catches_up_in_time_and_serves(
     losses, wiped, monkeypatch
 ):
     if wiped:
         monkeypatch.setattr(core_store, "_LEAST_RECORDS", 100)
-    assert played(scenes.hundreds_of_changes, losses, wiped=wiped) == []
+    assert violations_of(scenes.hundreds_of_changes, losses, wiped=wiped) == []
 
 
-def test_without_the_whole_state_a_core_that_missed_more_than_is_kept_never_catches_up(monkeypatch):
+def test_without_snapshots_a_node_that_missed_more_records_than_are_stored_never_catches_up(
+    monkeypatch,
+):
     monkeypatch.setattr(core_store, "_LEAST_RECORDS", 100)
-    monkeypatch.setattr(core_store.CoreStore, "reset", lambda self, control_state, mark: None)
-    assert "NOT CAUGHT UP" in rules(played(scenes.hundreds_of_changes, 1, wiped=True))
+    monkeypatch.setattr(
+        core_store.CoreStore, "reset", lambda self, control_state, entered_view: None
+    )
+    assert "NOT CAUGHT UP" in rules(violations_of(scenes.hundreds_of_changes, 1, wiped=True))
 
 
-def test_an_evacuation_delivered_after_its_end_was_acknowledged_is_not_carried_out():
-    assert [played(scenes.evacuation_delivered_late, losses) for losses in (1, 2)] == [[], []]
+def test_an_evacuation_order_that_arrives_after_the_acknowledged_restoration_is_not_applied():
+    assert [violations_of(scenes.evacuation_delivered_late, losses) for losses in (1, 2)] == [
+        [],
+        [],
+    ]
 
 
 @pytest.mark.parametrize("seed", [0, 1, 2, 5, 9, 14, 21, 29])
-def test_a_piled_storm_breaks_no_rule(seed):
-    bad, fleet = storm.run(seed)
-    assert bad == []
+def test_a_randomized_run_with_overlapping_faults_violates_no_rule(seed):
+    violations, fleet = storm.run(seed)
+    assert violations == []
     assert len(fleet.orders) > 10 and len(fleet.reads) > 10
-    assert sum(c.served for c in fleet.clients) > 100
-
-
-def test_a_violation_is_shrunk_to_fewer_faults_that_still_bring_it(monkeypatch):
-    monkeypatch.setattr(ControlState, "_check_configuration", lambda self, r: None)
-    rows = [(1.0, "freeze_short", 3), (2.0, "config_race", 5), (3.0, "kill_one", 7)]
-    find = functools.partial(storm.run, 2, losses=1)
-    broken = [b for b in find(rows)[0] if storm.name_of(b) == "TWO CONFIRMED"]
-    left = storm.shrink(2, rows, broken=broken, losses=1)
-    assert len(left) < len(rows) and "config_race" in [kind for _, kind, _ in left]
-    assert "TWO CONFIRMED" in rules(find(left)[0])
+    assert sum(client.served for client in fleet.clients) > 100
+
+
+def test_a_violating_schedule_is_shrunk_to_fewer_faults_with_the_same_violation(monkeypatch):
+    monkeypatch.setattr(ControlState, "_check_configuration", lambda self, record: None)
+    faults = [(1.0, "freeze_short", 3), (2.0, "config_race", 5), (3.0, "kill_one", 7)]
+    run = functools.partial(storm.run, 2, losses=1)
+    broken = [
+        violation for violation in run(faults)[0] if storm.name_of(violation) == "TWO CONFIRMED"
+    ]
+    remaining = storm.shrink(2, faults, broken=broken, losses=1)
+    assert len(remaining) < len(faults) and "config_race" in [kind for _, kind, _ in remaining]
+    assert "TWO CONFIRMED" in rules(run(remaining)[0])
--- a/tests/test_entered_record.py
+++ b/tests/test_entered_record.py
@@ -1,4 +1,7 @@
-"""An order that a deposed head had taken is not confirmed by another record that took its number."""
+"""A record that a former head could not commit is replaced by another record with the same number.
+
+The former head must not acknowledge its own record when the other one is committed.
+"""
 
 import asyncio
 import random
@@ -16,43 +19,43 @@
 
 
 class LoopClock(Clock):
-    """Follows the loop's virtual time."""
+    """A clock that returns the virtual time of the event loop."""
 
     def now(self):
         return int(asyncio.get_running_loop().time() * 1e6)
 
 
-async def _others_confirm(name, kind, body, us):
+async def _others_confirm(name, kind, body, timeout_us):
     if kind == "view.confirm":
         return {"ok": True, "view": None, "boot": name, "clock": 1}
     raise NotSent(name)
 
 
-def zone(name):
-    return {"t": "hall", "hall": name, "state": "emptied", "by": "operator"}
+def zone_record(zone):
+    return {"t": "hall", "hall": zone, "state": "emptied", "by": "operator"}
 
 
-def test_a_deposed_head_that_rejoins_does_not_confirm_what_was_thrown_away(warp):
+def test_a_former_head_that_rejoins_does_not_acknowledge_a_record_that_was_replaced(warp):
     async def go():
         store = CoreStore(Bytes(), "a", random.Random(1), state=ControlState)
         tasks = BackgroundTasks()
         chain = Chain(LoopClock(), tasks, store, _others_confirm)
-        ids = {"a": store.disk, "b": "other", "c": "third"}
+        members = {"a": store.disk, "b": "other", "c": "third"}
 
-        def view(n, *names):
-            return View(n, names, ids, "", names[0])
+        def view(number, *names):
+            return View(number, names, members, "", names[0])
 
         tasks.spawn(chain.confirmation.run())
         chain.adopt(view(1, "a", "b", "c"))
         await asyncio.sleep(1)
-        order = tasks.spawn(chain.append_record(zone("lost")))
+        order = tasks.spawn(chain.append_record(zone_record("lost")))
         await asyncio.sleep(0.5)
         chain.adopt(view(2, "b", "c"))
         await asyncio.sleep(0.5)
         chain.adopt(view(3, "b", "c", "a"))
         await asyncio.sleep(1)
         control_state = ControlState()
-        control_state.apply(1, zone("kept"))
+        control_state.apply(1, zone_record("kept"))
         body = {
             "view": 3,
             "prev": 1,
--- a/tests/test_safety_scenes.py
+++ b/tests/test_safety_scenes.py
@@ -87,7 +87,7 @@
     pytest.fail(str([str(b)[:200] for b in seen[:5]]))
 
 
-def test_every_mutant_is_tested():
+def test_every_guard_is_tried():
     tried = {g for _, gs, _ in GUARDS for g in gs.split("+")} | {
         "share_at_once",
         "epoch_voids_nothing",
--- a/tests/test_view_register.py
+++ b/tests/test_view_register.py
@@ -1,4 +1,4 @@
-"""The view's register: one outcome a round, and no vote from amnesia."""
+"""The view register decides at most one view per number, and a node that lost its disk does not vote."""
 
 import asyncio
 import random
@@ -14,127 +14,148 @@
 
 
 class Trio:
-    """Three voters whose calls may be lost or arrive long after."""
+    """Three voters. Calls between them may be lost, or arrive long after the caller gave up."""
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
-        self.mems = {n: CoreStore(Bytes(), n, random.Random(f"{seed}{n}")) for n in "abc"}
-        self.late = []
-        self.chosen = []
+        self.stores = {
+            name: CoreStore(Bytes(), name, random.Random(f"{seed}{name}")) for name in "abc"
+        }
+        self.delayed_calls = []
+        self.decided = []
 
     @property
-    def ids(self):
-        return {n: m.disk for n, m in self.mems.items()}
+    def members(self):
+        return {name: store.disk for name, store in self.stores.items()}
 
     def caller(self, lossy=True):
-        async def call(n, kind, body, us):
+        async def call(name, kind, body, timeout_us):
             await asyncio.sleep(self.rng.random() / 100)
             if lossy and self.rng.random() < 0.3:
                 if self.rng.random() < 0.5:
-                    self.late.append((n, kind, body))
-                raise NotSent(n)
-            v = Voter(self.mems[n])
-            r = await (v.prepare(None, body) if kind == "vote.prepare" else v.accept(None, body))
+                    self.delayed_calls.append((name, kind, body))
+                raise NotSent(name)
+            voter = Voter(self.stores[name])
+            answer = await (
+                voter.prepare(None, body) if kind == "vote.prepare" else voter.accept(None, body)
+            )
             if lossy and self.rng.random() < 0.2:
-                raise NotSent(n)
-            return r
+                raise NotSent(name)
+            return answer
 
         return call
 
-    async def propose(self, who, n):
+    async def propose(self, proposer, number):
         try:
-            v = await Proposer(self.mems[who], self.caller()).change(
-                self.ids,
-                lambda x: (
-                    x
-                    if x and x.number >= n
-                    else View(n, ("a", "b", "c"), self.ids, str(self.rng.random()), who)
+            view = await Proposer(self.stores[proposer], self.caller()).change(
+                self.members,
+                lambda accepted: (
+                    accepted
+                    if accepted and accepted.number >= number
+                    else View(
+                        number, ("a", "b", "c"), self.members, str(self.rng.random()), proposer
+                    )
                 ),
             )
-            self.chosen.append(v)
+            self.decided.append(view)
         except (Fault, NoMajorityPromised):
             pass
 
-    async def deliver(self):
-        for n, kind, body in self.late:
-            v = Voter(self.mems[n])
-            await (v.prepare(None, body) if kind == "vote.prepare" else v.accept(None, body))
-        self.late.clear()
+    async def deliver_delayed_calls(self):
+        for name, kind, body in self.delayed_calls:
+            voter = Voter(self.stores[name])
+            await (
+                voter.prepare(None, body) if kind == "vote.prepare" else voter.accept(None, body)
+            )
+        self.delayed_calls.clear()
 
 
-def accepted(store):
+def accepted_view(store):
     return View.from_document(store.vote["value"])
 
 
-def outcome(seed, lose):
-    """Three proposers race for view 1 and lose disks on the way; the chosen values of view 1."""
-    t = Trio(seed)
+def decided_first_views(seed, lose):
+    """Three proposers race for view 1, and one may lose its disk; returns all decided views 1."""
+    trio = Trio(seed)
 
     async def go():
-        for i in range(6):
-            await asyncio.gather(*[t.propose(w, 1) for w in "abc"])
-            if lose and i == 2 and t.chosen:
-                t.mems["c"].wipe()
-            await t.deliver()
+        for round_number in range(6):
+            await asyncio.gather(*[trio.propose(proposer, 1) for proposer in "abc"])
+            if lose and round_number == 2 and trio.decided:
+                trio.stores["c"].wipe()
+            await trio.deliver_delayed_calls()
 
     asyncio.run(go())
-    return {repr(v) for v in t.chosen if v.number == 1}
+    return {repr(view) for view in trio.decided if view.number == 1}
 
 
 def test_racing_proposers_never_decide_two_views_under_one_number():
-    assert all(len(outcome(s, False)) <= 1 for s in range(40))
-    assert any(len(outcome(s, False)) == 1 for s in range(40))
+    assert all(len(decided_first_views(seed, False)) <= 1 for seed in range(40))
+    assert any(len(decided_first_views(seed, False)) == 1 for seed in range(40))
 
 
-def test_a_view_that_one_voter_alone_accepted_is_finished_under_the_identities_that_were_decided():
-    t = Trio(7)
-    ids = t.ids
-    one = View(1, ("a", "b", "c"), ids)
+def test_a_view_that_one_voter_accepted_is_decided_among_the_members_of_the_decided_view():
+    trio = Trio(7)
+    members = trio.members
+    first = View(1, ("a", "b", "c"), members)
 
-    async def deaf(n, kind, body, us):
-        if kind == "vote.accept" and n != "a":
-            raise NotSent(n)
-        return await t.caller(lossy=False)(n, kind, body, us)
+    async def only_a_accepts(name, kind, body, timeout_us):
+        if kind == "vote.accept" and name != "a":
+            raise NotSent(name)
+        return await trio.caller(lossy=False)(name, kind, body, timeout_us)
 
     async def go():
-        assert await Proposer(t.mems["a"], t.caller(lossy=False)).change(ids, lambda x: one) == one
-        for n in "abc":
-            t.mems[n].put_vote(ids=ids)
-        t.mems["c"].wipe()
-        two = View(2, ("a", "b", "c"), t.ids)
+        assert (
+            await Proposer(trio.stores["a"], trio.caller(lossy=False)).change(
+                members, lambda accepted: first
+            )
+            == first
+        )
+        for name in "abc":
+            trio.stores[name].put_vote(ids=members)
+        trio.stores["c"].wipe()
+        second = View(2, ("a", "b", "c"), trio.members)
         with pytest.raises(Conflict):
-            await Proposer(t.mems["a"], deaf).change(ids, lambda x: two)
-        assert accepted(t.mems["a"]) == two and accepted(t.mems["b"]) == one
-        for who in "ab":
-            finished = await Proposer(t.mems[who], t.caller(lossy=False)).change(ids, lambda x: x)
-            assert finished == two
+            await Proposer(trio.stores["a"], only_a_accepts).change(
+                members, lambda accepted: second
+            )
+        assert (
+            accepted_view(trio.stores["a"]) == second and accepted_view(trio.stores["b"]) == first
+        )
+        for proposer in "ab":
+            finished = await Proposer(trio.stores[proposer], trio.caller(lossy=False)).change(
+                members, lambda accepted: accepted
+            )
+            assert finished == second
 
     asyncio.run(go())
 
 
-def test_a_core_that_lost_its_disk_does_not_vote_until_it_is_admitted():
-    t = Trio(5)
-    ids = t.ids
+def test_a_node_that_lost_its_disk_does_not_vote_until_it_is_admitted():
+    trio = Trio(5)
+    members = trio.members
 
-    async def ask(n, kind, body):
-        v = Voter(t.mems[n])
-        return await (v.prepare(None, body) if kind == "p" else v.accept(None, body))
+    async def ask(name, kind, body):
+        voter = Voter(trio.stores[name])
+        return await (voter.prepare(None, body) if kind == "p" else voter.accept(None, body))
 
     async def go():
-        old = View(1, ("a", "b", "c"), ids).to_document()
-        for n in "ac":
-            assert (await ask(n, "p", {"num": 1, "who": "a", "ids": ids}))["ok"]
-            assert (await ask(n, "a", {"num": 1, "who": "a", "ids": ids, "value": old}))["ok"]
-        t.mems["c"].wipe()
-        got = [await ask(n, "p", {"num": 2, "who": "b", "ids": ids}) for n in "bc"]
-        return sum(r["ok"] for r in got)
+        first = View(1, ("a", "b", "c"), members).to_document()
+        for name in "ac":
+            assert (await ask(name, "p", {"num": 1, "who": "a", "ids": members}))["ok"]
+            assert (await ask(name, "a", {"num": 1, "who": "a", "ids": members, "value": first}))[
+                "ok"
+            ]
+        trio.stores["c"].wipe()
+        answers = [await ask(name, "p", {"num": 2, "who": "b", "ids": members}) for name in "bc"]
+        return sum(answer["ok"] for answer in answers)
 
     assert asyncio.run(go()) < 2
-    mp = pytest.MonkeyPatch()
-    mutants.amnesiac_votes(mp)
+    monkeypatch = pytest.MonkeyPatch()
+    mutants.amnesiac_votes(monkeypatch)
     try:
-        t = Trio(5)
-        ids = t.ids
+        trio = Trio(5)
+        members = trio.members
         assert asyncio.run(go()) == 2
     finally:
-        mp.undo()
+        monkeypatch.undo()
