--- a/src/petrelhaven/control/consensus/__init__.py
+++ b/src/petrelhaven/control/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""Agreement between core machines: the register of the view and the replication chain."""
+"""Consensus between control nodes: the view register and the replication chain."""
--- a/src/petrelhaven/control/consensus/chain.py
+++ b/src/petrelhaven/control/consensus/chain.py
@@ -104,7 +104,7 @@
         self.new_records = asyncio.Event()
         self.on_commit: list[Callable[[], object]] = []
         self.on_view: list[Callable[[], object]] = []
-        self._changed = asyncio.Event()
+        self._state_changed = asyncio.Event()
         self._append_lock = asyncio.Lock()
         self._feed_task: asyncio.Task[None] | None = None
 
@@ -234,7 +234,7 @@
 
     def _wake_waiters(self) -> None:
         """Wakes the tasks that wait for a commit, so that they check their condition again."""
-        changed, self._changed = self._changed, asyncio.Event()
+        changed, self._state_changed = self._state_changed, asyncio.Event()
         changed.set()
 
     def _commit_as_tail(self) -> None:
@@ -277,11 +277,11 @@
                 return
             if self._position() is None:
                 raise NotReady("this node left the chain; read back to see the outcome")
-            await self._changed.wait()
+            await self._state_changed.wait()
 
     async def _wait_for_commit(self, seq: int) -> None:
         while self.committed_seq < seq:
-            await self._changed.wait()
+            await self._state_changed.wait()
 
     # Records
 
@@ -354,7 +354,7 @@
         if number != request.view_number or not self._position():
             raise ViewSuperseded(f"view {number}")
         if self.store.refuses:
-            raise DiskRefused("the disk of this core refuses writes")
+            raise DiskRefused("the disk of this control node refuses writes")
 
     async def _append_from_predecessor(self, request: AppendRequest) -> None:
         self._store_records(request)
--- a/src/petrelhaven/control/consensus/node_report.py
+++ b/src/petrelhaven/control/consensus/node_report.py
@@ -23,7 +23,7 @@
         last_complete_view: Number of the last view in which the node was complete, that is, had all
             records committed before that view.
         seq: Number of the newest record that it has stored.
-        commit: Number of the newest record that it knows to be committed.
+        committed_seq: Number of the newest record that it knows to be committed.
         up_us: Uptime of its process in microseconds.
         granted_us: For each node, microseconds since the reporting node last confirmed a view to
             it.
@@ -40,7 +40,7 @@
     granted_us: Mapping[str, int]
 
     def is_member_at_view(self, number: int, members: MemberDisks) -> bool:
-        """Whether this is one of `members`, with its disk, and has adopted `number` or newer."""
+        """Whether the node is one of `members` and has adopted view `number` or a newer one."""
         is_member = members.get(self.name) == self.disk
         return is_member and self.view is not None and self.view.number >= number
 
--- a/src/petrelhaven/control/consensus/reform.py
+++ b/src/petrelhaven/control/consensus/reform.py
@@ -67,7 +67,7 @@
         node = self._node
         view = node.chain.view or View.from_optional(node.store.vote["value"])
         if view is None:
-            raise NotReady("this core has no view to reform")
+            raise NotReady("this control node has no view to reform")
         self._check_order(lost, view.members)
         reports = await self._reports_of_others(view.members)
         _check_disks_lost(lost, view.members, reports)
@@ -87,7 +87,7 @@
         unknown = [name for name in lost if name not in members]
         if unknown or not lost or self._node.name in lost or len(set(lost)) != len(lost):
             raise Malformed(
-                "lost: must name other cores of the view, each once",
+                "lost: must name other control nodes of the view, each once",
                 details={"faults": [["lost", f"no core {name}"] for name in unknown]},
             )
         if len(members) - len(lost) > len(members) // 2:
--- a/src/petrelhaven/control/consensus/register.py
+++ b/src/petrelhaven/control/consensus/register.py
@@ -68,7 +68,7 @@
         return VoteState.from_document(self._store.vote)
 
     def _fits(self, members: MemberDisks) -> bool:
-        """Whether `members` include this node's disk and match the members that this node knows."""
+        """Whether `members` include this node's disk and match the members known here."""
         known = self._state().members
         return members.get(self._store.name) == self._store.disk and known in (None, members)
 
@@ -124,7 +124,9 @@
         self._store, self._call = store, call
         self._highest_number = 0
 
-    async def change(self, members: MemberDisks, next_view: Callable[[View | None], View]) -> View:
+    async def decide_view(
+        self, members: MemberDisks, next_view: Callable[[View | None], View]
+    ) -> View:
         """Runs one ballot among `members` and returns the decided view.
 
         Args:
--- a/src/petrelhaven/control/consensus/register_messages.py
+++ b/src/petrelhaven/control/consensus/register_messages.py
@@ -54,7 +54,7 @@
 
     @property
     def members(self) -> MemberDisks | None:
-        """The members that vote in ballots, or None if the voter knows no view."""
+        """The members that vote in ballots, or None if the voter has no view."""
         return self.decided_members or (self.value.members if self.value else None)
 
     @property
--- a/src/petrelhaven/control/consensus/view_maintenance.py
+++ b/src/petrelhaven/control/consensus/view_maintenance.py
@@ -153,7 +153,9 @@
         """Completes the decision on a view that possibly only some voters have accepted."""
         members = self._node.store.vote["ids"] or view.members
         with contextlib.suppress(Fault, NoMajorityPromised):
-            self.distribute(await self._proposer.change(members, lambda newest: newest or view))
+            self.distribute(
+                await self._proposer.decide_view(members, lambda newest: newest or view)
+            )
 
     async def _decide_first_view(self) -> None:
         """Decides the first view once every seed has reported that it never had a view.
@@ -171,7 +173,7 @@
         members = {name: report.disk for name, report in sorted(reports.items())}
         first = View(1, tuple(sorted(members)), members, "first view", node.name, former_members=())
         emit(node.log, Events.VIEW_PROPOSED, n=first.number, cause=first.cause)
-        self.distribute(await self._proposer.change(members, lambda newest: newest or first))
+        self.distribute(await self._proposer.decide_view(members, lambda newest: newest or first))
 
     async def _repair(self, view: View, reports: Reports) -> None:
         """Removes lost nodes from the chain and adds members that can be in the chain again."""
@@ -222,7 +224,7 @@
         def next_view(newest: View | None) -> View:
             return proposed if newest is None or newest.number == view.number else newest
 
-        self.distribute(await self._proposer.change(view.members, next_view))
+        self.distribute(await self._proposer.decide_view(view.members, next_view))
 
     def distribute(self, view: View) -> None:
         """Adopts a decided view and sends it to the other members."""
--- a/tests/test_connection_sessions_storm.py
+++ b/tests/test_connection_sessions_storm.py
@@ -376,7 +376,7 @@
     assert play(0, how, kw) == []
 
 
-def test_a_violating_schedule_is_shrunk_to_fewer_faults_with_the_same_violation(monkeypatch):
+def test_a_violation_is_shrunk_to_fewer_faults_that_still_bring_it(monkeypatch):
     stops_ignored(monkeypatch)
     never_counted_out(monkeypatch)
     rows = schedule(1, 4, ["replica_lag", "edge_kill"]) + [(30.0, "release_replica", 1)]
--- a/tests/test_crash_points.py
+++ b/tests/test_crash_points.py
@@ -398,7 +398,7 @@
                 return newest
             return View(number, tuple(sorted(self.stores)), self.ids)
 
-        return await Proposer(self.stores[who], self.call).change(self.ids, next_view)
+        return await Proposer(self.stores[who], self.call).decide_view(self.ids, next_view)
 
 
 async def live(trio, acked):
--- a/tests/test_view_register.py
+++ b/tests/test_view_register.py
@@ -47,7 +47,7 @@
 
     async def propose(self, proposer, number):
         try:
-            view = await Proposer(self.stores[proposer], self.caller()).change(
+            view = await Proposer(self.stores[proposer], self.caller()).decide_view(
                 self.members,
                 lambda accepted: (
                     accepted
@@ -106,7 +106,7 @@
 
     async def go():
         assert (
-            await Proposer(trio.stores["a"], trio.caller(lossy=False)).change(
+            await Proposer(trio.stores["a"], trio.caller(lossy=False)).decide_view(
                 members, lambda accepted: first
             )
             == first
@@ -116,14 +116,14 @@
         trio.stores["c"].wipe()
         second = View(2, ("a", "b", "c"), trio.members)
         with pytest.raises(Conflict):
-            await Proposer(trio.stores["a"], only_a_accepts).change(
+            await Proposer(trio.stores["a"], only_a_accepts).decide_view(
                 members, lambda accepted: second
             )
         assert (
             accepted_view(trio.stores["a"]) == second and accepted_view(trio.stores["b"]) == first
         )
         for proposer in "ab":
-            finished = await Proposer(trio.stores[proposer], trio.caller(lossy=False)).change(
+            finished = await Proposer(trio.stores[proposer], trio.caller(lossy=False)).decide_view(
                 members, lambda accepted: accepted
             )
             assert finished == second
