--- a/src/petrelhaven/control/consensus/node_report.py
+++ b/src/petrelhaven/control/consensus/node_report.py
@@ -40,7 +40,7 @@
     granted_us: Mapping[str, int]
 
     def is_member_at_view(self, number: int, members: MemberDisks) -> bool:
-        """Whether this node and its disk are in `members` and it adopted `number` or a newer view."""
+        """Whether the node and its disk are in `members` and it adopted view `number` or later."""
         is_member = members.get(self.name) == self.disk
         return is_member and self.view is not None and self.view.number >= number
 
