--- a/tests/limits_world.py
+++ b/tests/limits_world.py
@@ -130,7 +130,7 @@
     """What a node knows of the clocks of the others."""
 
     def __init__(self, clock):
-        self.boot, self.peer_clocks = clock.now(), PeerClocks(clock)
+        self.started_at_us, self.peer_clocks = clock.now(), PeerClocks(clock)
 
 
 class ChainStub:
