--- a/src/petrelhaven/control/consensus/register.py
+++ b/src/petrelhaven/control/consensus/register.py
@@ -26,7 +26,7 @@
 
 if TYPE_CHECKING:
     from petrelhaven.control.consensus.view import MemberDisks, View
-    from petrelhaven.control.storage.core_store import CoreStore
+    from petrelhaven.control.storage.node_store import ControlNodeStore
     from petrelhaven.transport.channel import Channel
 
 __all__ = ["Call", "NoMajorityPromised", "Proposer", "Voter", "is_joint_quorum"]
@@ -60,7 +60,7 @@
     that accepted different views could block each other forever.
     """
 
-    def __init__(self, store: CoreStore) -> None:
+    def __init__(self, store: ControlNodeStore) -> None:
         """Keeps the votes in `store`."""
         self._store = store
 
@@ -70,7 +70,7 @@
     def _fits(self, members: MemberDisks) -> bool:
         """Whether `members` include this node's disk and match the members known here."""
         known = self._state().members
-        return members.get(self._store.name) == self._store.disk and known in (None, members)
+        return members.get(self._store.name) == self._store.disk_id and known in (None, members)
 
     async def prepare(self, _channel: Channel | None, body: Mapping[str, Any]) -> dict[str, Any]:
         """Handles a `vote.prepare`."""
@@ -80,7 +80,7 @@
         state = self._state()
         ok = self._fits(request.members) and request.ballot > state.promised
         if ok:
-            self._store.put_vote(num=request.ballot.number, who=request.ballot.proposer)
+            self._store.save_vote(num=request.ballot.number, who=request.ballot.proposer)
         return PrepareAnswer(ok, state.accepted, state.value, state.highest_number)
 
     async def accept(self, _channel: Channel | None, body: Mapping[str, Any]) -> dict[str, Any]:
@@ -91,7 +91,7 @@
         state, ballot = self._state(), request.ballot
         ok = self._fits(request.members) and ballot >= state.promised
         if ok:
-            self._store.put_vote(
+            self._store.save_vote(
                 num=ballot.number,
                 who=ballot.proposer,
                 anum=ballot.number,
@@ -119,7 +119,7 @@
 class Proposer:
     """Proposes views to the members, a majority of which decides."""
 
-    def __init__(self, store: CoreStore, call: Call) -> None:
+    def __init__(self, store: ControlNodeStore, call: Call) -> None:
         """Proposes in the name of the node that owns `store`; `call` calls the members."""
         self._store, self._call = store, call
         self._highest_number = 0
--- a/src/petrelhaven/control/resumable/control_state.py
+++ b/src/petrelhaven/control/resumable/control_state.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from petrelhaven.control.configuration.document import Configuration
-from petrelhaven.control.configuration.faults import ConfigurationFault, declined
+from petrelhaven.control.configuration.faults import ConfigurationFault, invalid_document
 from petrelhaven.control.configuration.parsing import parse_configuration
 from petrelhaven.control.resumable.records import (
     EpochInForceRecord,
@@ -13,7 +13,12 @@
     ResumableRecord,
     from_document,
 )
-from petrelhaven.control.state.base import EVACUATED, OPEN, BaseControlState, digest_of
+from petrelhaven.control.state.base import (
+    ZONE_EVACUATED,
+    ZONE_OPEN,
+    BaseControlState,
+    configuration_digest,
+)
 from petrelhaven.control.state.record import Document
 from petrelhaven.control.state.records import ConfigurationRecord, ZoneRecord
 from petrelhaven.control.state.rows import AcceptedConfiguration
@@ -117,7 +122,7 @@
             return
         version, in_force = configuration.version, accepted["version"]
         if version == in_force:
-            if digest_of(record.text) == accepted["digest"]:
+            if configuration_digest(record.text) == accepted["digest"]:
                 raise Duplicate(
                     f"version {version} is in force already", details={"version": version}
                 )
@@ -134,7 +139,7 @@
         dropped = now - {group.name for group in configuration.groups}
         served = sorted(group for group in dropped if group in self.doc["epochs"])
         if served:
-            raise declined(
+            raise invalid_document(
                 "manifest declined",
                 [
                     ConfigurationFault("groups", f"group {g} is served; retire it with retire=true")
@@ -147,7 +152,7 @@
         if self.doc["manifest"]:
             self.doc["old"] = (self.doc["old"] + [self.doc["manifest"]])[-_MOST_OLD:]
         accepted = AcceptedConfiguration(
-            configuration.version, record.text, record.by, digest_of(record.text)
+            configuration.version, record.text, record.by, configuration_digest(record.text)
         )
         self.doc["manifest"] = accepted.to_row()
         self._configuration = configuration
@@ -159,13 +164,15 @@
     def _check_zone(self, record: ZoneRecord) -> None:
         zones = self.configuration.zones if self.configuration else ()
         if record.zone not in zones:
-            raise declined(
+            raise invalid_document(
                 f"no hall {record.zone}", [ConfigurationFault("hall", f"no hall {record.zone}")]
             )
         super()._check_zone(record)
-        others = [zone for zone in zones if zone != record.zone and self.zone(zone) == OPEN]
-        if record.state == EVACUATED and not others:
-            raise declined(
+        others = [
+            zone for zone in zones if zone != record.zone and self.zone_state(zone) == ZONE_OPEN
+        ]
+        if record.state == ZONE_EVACUATED and not others:
+            raise invalid_document(
                 "last open hall",
                 [ConfigurationFault("hall", "the last open hall can't be emptied")],
             )
@@ -237,7 +244,7 @@
         if not epoch or epoch["n"] != record.number or epoch["settled"]:
             raise Conflict("epoch moved on")
 
-    def _belief_of_groups(self) -> Document:
+    def _reported_groups(self) -> Document:
         """What differs between the kinds of sessions in what `petrelhaven-diff` compares."""
         epochs = sorted(self.doc["epochs"].items())
         proxies = sorted(self.doc["edges"].items())
--- a/tests/model/observer.py
+++ b/tests/model/observer.py
@@ -94,7 +94,7 @@
         if not answer["ok"]:
             return
         self._check_identity(node, body)
-        disk, ballot = node.store.disk, (body["num"], body["who"])
+        disk, ballot = node.store.disk_id, (body["num"], body["who"])
         if ballot <= self._promised.get(disk, (0, "")):
             self.report("a vote is never forgotten", f"{node.name} promised {ballot} again")
         self._promised[disk] = ballot
@@ -106,7 +106,7 @@
         if not answer["ok"]:
             return
         self._check_identity(node, body)
-        disk, ballot = node.store.disk, (body["num"], body["who"])
+        disk, ballot = node.store.disk_id, (body["num"], body["who"])
         if ballot < self._promised.get(disk, (0, "")):
             self.report("a vote is never forgotten", f"{node.name} accepted {ballot} below promise")
         self._promised[disk] = self._accepted[disk] = ballot
@@ -114,7 +114,7 @@
         voters.add(disk)
 
     def _check_identity(self, node, body):
-        if body["ids"].get(node.name) != node.store.disk:
+        if body["ids"].get(node.name) != node.store.disk_id:
             self.report("no vote under an unknown identity", f"{node.name} in {body['ids']}")
 
     def _is_decided(self, text):
@@ -193,7 +193,7 @@
         return None
 
     def _check_commit(self, node):
-        chain, recent = node.chain, node.store.recs
+        chain, recent = node.chain, node.store.recent_records
         for seq, _, record in recent:
             if self._checked[node.name] < seq <= chain.committed_seq:
                 self._check_same(
--- a/tests/model/schedule.py
+++ b/tests/model/schedule.py
@@ -10,7 +10,7 @@
 from model.cluster import Cluster, Shape
 from model.disk import OUTCOMES
 from model.operators import Operators
-from petrelhaven.control.storage import core_store
+from petrelhaven.control.storage import node_store
 from petrelhaven.simulator.virtual_time import WarpLoop, end_all
 
 __all__ = [
@@ -270,8 +270,8 @@
 @contextlib.contextmanager
 def _patched_sizes(shape):
     """Patches the sizes of the stores to those of the shape."""
-    sizes = {"_file_size": lambda name: shape.file_bytes, "_LEAST_RECORDS": shape.tail}
-    with mock.patch.multiple(core_store, **sizes):
+    sizes = {"_log_file_bytes": lambda name: shape.file_bytes, "_MIN_KEPT_RECORDS": shape.tail}
+    with mock.patch.multiple(node_store, **sizes):
         yield
 
 
--- a/tests/test_control_days.py
+++ b/tests/test_control_days.py
@@ -9,9 +9,9 @@
 
 from petrelhaven.control.consensus.chain import Chain
 from petrelhaven.control.consensus.member_maintenance import MemberMaintenance
-from petrelhaven.control.orders import OrderRouter
+from petrelhaven.control.request_router import RequestRouter
 from petrelhaven.control.state.control_state import ControlState
-from petrelhaven.control.storage import core_store
+from petrelhaven.control.storage import node_store
 from petrelhaven.simulator.connection_sessions import control_scenes as scenes
 from petrelhaven.simulator.connection_sessions import control_storm as storm
 from petrelhaven.simulator.connection_sessions.control_fleet import ControlFleet
@@ -49,7 +49,7 @@
 def test_a_node_that_ignores_the_age_of_its_confirmation_serves_stale_state(monkeypatch):
     # The order router also requires a majority, and each of the two safeguards is sufficient.
     monkeypatch.setattr(Chain, "is_confirmed", property(lambda self: self.is_complete))
-    monkeypatch.setattr(OrderRouter, "_require_majority", lambda self: None)
+    monkeypatch.setattr(RequestRouter, "_require_majority", lambda self: None)
     assert "OLDER READ" in rules(violations_of(scenes.core_cut_off, 1, place=TAIL))
 
 
@@ -123,16 +123,16 @@
     losses, wiped, monkeypatch
 ):
     if wiped:
-        monkeypatch.setattr(core_store, "_LEAST_RECORDS", 100)
+        monkeypatch.setattr(node_store, "_MIN_KEPT_RECORDS", 100)
     assert violations_of(scenes.hundreds_of_changes, losses, wiped=wiped) == []
 
 
 def test_without_snapshots_a_node_that_missed_more_records_than_are_stored_never_catches_up(
     monkeypatch,
 ):
-    monkeypatch.setattr(core_store, "_LEAST_RECORDS", 100)
+    monkeypatch.setattr(node_store, "_MIN_KEPT_RECORDS", 100)
     monkeypatch.setattr(
-        core_store.CoreStore, "reset", lambda self, control_state, entered_view: None
+        node_store.ControlNodeStore, "reset", lambda self, control_state, entered_view: None
     )
     assert "NOT CAUGHT UP" in rules(violations_of(scenes.hundreds_of_changes, 1, wiped=True))
 
--- a/tests/test_disk_refusal.py
+++ b/tests/test_disk_refusal.py
@@ -13,7 +13,7 @@
 
 
 def disk_identities(fleet):
-    return {core.name: core.node.store.disk for core in fleet.cores if core.node}
+    return {core.name: core.node.store.disk_id for core in fleet.cores if core.node}
 
 
 def chain_is_full(fleet):
@@ -51,7 +51,7 @@
         fleet.history.trouble(fleet.loop.time(), fleet.loop.time() + 6, "core")
         durations = [await apply_change(fleet, version, version) for version in range(2, 7)]
         assert max(durations) < 2.5, durations
-        assert faulty.node.store.refuses and not faulty.node.chain.is_confirmed
+        assert faulty.node.store.refuses_writes and not faulty.node.chain.is_confirmed
         faulty.disk.full = False
         await fleet.until(lambda: chain_is_full(fleet), 10, "the chain is full again")
         assert disk_identities(fleet) == identities_before
@@ -134,7 +134,7 @@
         fleet.history.trouble(fleet.loop.time(), fleet.loop.time() + 10, "core")
         fleet.boot_core(faulty)
         await apply_change(fleet, 2)
-        assert faulty.node.store.refuses
+        assert faulty.node.store.refuses_writes
         faulty.disk.full = False
         await fleet.until(lambda: chain_is_full(fleet), 10, "the chain is full again")
         assert disk_identities(fleet) == identities_before
--- a/tests/test_entered_record.py
+++ b/tests/test_entered_record.py
@@ -7,12 +7,12 @@
 import random
 
 import pytest
-from test_record_log import Bytes
+from test_record_log import MemoryDisk
 
 from petrelhaven.control.consensus.chain import Chain
 from petrelhaven.control.consensus.view import View
 from petrelhaven.control.state.control_state import ControlState
-from petrelhaven.control.storage.core_store import CoreStore
+from petrelhaven.control.storage.node_store import ControlNodeStore
 from petrelhaven.runtime.clock import Clock
 from petrelhaven.runtime.errors import NotReady, NotSent
 from petrelhaven.runtime.tasks import BackgroundTasks
@@ -37,10 +37,10 @@
 
 def test_a_former_head_that_rejoins_does_not_acknowledge_a_record_that_was_replaced(warp):
     async def go():
-        store = CoreStore(Bytes(), "a", random.Random(1), state=ControlState)
+        store = ControlNodeStore(MemoryDisk(), "a", random.Random(1), state=ControlState)
         tasks = BackgroundTasks()
         chain = Chain(LoopClock(), tasks, store, _others_confirm)
-        members = {"a": store.disk, "b": "other", "c": "third"}
+        members = {"a": store.disk_id, "b": "other", "c": "third"}
 
         def view(number, *names):
             return View(number, names, members, "", names[0])
--- a/tests/test_view_register.py
+++ b/tests/test_view_register.py
@@ -5,11 +5,11 @@
 
 import mutants
 import pytest
-from test_record_log import Bytes
+from test_record_log import MemoryDisk
 
 from petrelhaven.control.consensus.register import NoMajorityPromised, Proposer, Voter
 from petrelhaven.control.consensus.view import View
-from petrelhaven.control.storage.core_store import CoreStore
+from petrelhaven.control.storage.node_store import ControlNodeStore
 from petrelhaven.runtime.errors import Conflict, Fault, NotSent
 
 
@@ -19,7 +19,8 @@
     def __init__(self, seed):
         self.rng = random.Random(seed)
         self.stores = {
-            name: CoreStore(Bytes(), name, random.Random(f"{seed}{name}")) for name in "abc"
+            name: ControlNodeStore(MemoryDisk(), name, random.Random(f"{seed}{name}"))
+            for name in "abc"
         }
         self.delayed_calls = []
         self.decided = []
@@ -112,7 +113,7 @@
             == first
         )
         for name in "abc":
-            trio.stores[name].put_vote(ids=members)
+            trio.stores[name].save_vote(ids=members)
         trio.stores["c"].wipe()
         second = View(2, ("a", "b", "c"), trio.members)
         with pytest.raises(Conflict):
