--- a/src/petrelhaven/control/consensus/confirmation.py
+++ b/src/petrelhaven/control/consensus/confirmation.py
@@ -18,7 +18,7 @@
 
 if TYPE_CHECKING:
     from petrelhaven.control.consensus.register import Call
-    from petrelhaven.control.storage.core_store import CoreStore
+    from petrelhaven.control.storage.node_store import ControlNodeStore
     from petrelhaven.runtime.clock import Clock
     from petrelhaven.runtime.tasks import BackgroundTasks
     from petrelhaven.transport.channel import Channel
@@ -49,7 +49,7 @@
         self,
         clock: Clock,
         tasks: BackgroundTasks,
-        store: CoreStore,
+        store: ControlNodeStore,
         call: Call,
         get_view: Callable[[], View | None],
         adopt: Callable[[View], None],
@@ -185,8 +185,8 @@
         ok = (
             accepted is not None
             and accepted.number == request.view_number
-            and accepted.is_member_disk(self._name, self._store.disk)
-            and not self._store.refuses
+            and accepted.is_member_disk(self._name, self._store.disk_id)
+            and not self._store.refuses_writes
         )
         if ok:
             self._granted_at[request.name] = now
--- a/src/petrelhaven/control/embargo/service.py
+++ b/src/petrelhaven/control/embargo/service.py
@@ -29,8 +29,8 @@
     from petrelhaven.control.configuration.document import Configuration
     from petrelhaven.control.consensus.chain import Chain
     from petrelhaven.control.embargo.records import EmbargoBounds
-    from petrelhaven.control.order_messages import EnterAnswer
     from petrelhaven.control.state.record import Document
+    from petrelhaven.control.submit_messages import SubmitAnswer
     from petrelhaven.runtime.clock import Clock
     from petrelhaven.runtime.tasks import BackgroundTasks
 
@@ -55,7 +55,7 @@
     ) -> dict[str, Any]:
         """Sends a request to the control node `name` and returns the answer."""
 
-    async def enter(self, record: Document, force: bool) -> EnterAnswer:
+    async def submit_record(self, record: Document, force: bool) -> SubmitAnswer:
         """Appends a record to the chain through its head."""
 
     async def control_state(self) -> Document:
@@ -158,7 +158,7 @@
 
     async def apply_configuration(
         self, configuration: Configuration, record: Document
-    ) -> EnterAnswer:
+    ) -> SubmitAnswer:
         """Appends the record of a configuration with embargoes.
 
         Args:
@@ -169,7 +169,9 @@
             The head's answer, once the record is in force and every proxy has applied it.
         """
         try:
-            answer = await self._node.enter({**record, **configuration_fields(configuration)}, True)
+            answer = await self._node.submit_record(
+                {**record, **configuration_fields(configuration)}, True
+            )
         except Duplicate:
             await self.require_aware_proxies()
             raise
@@ -183,7 +185,7 @@
         if record.action != "lift":
             await self.require_aware_proxies(request.gone_proxies)
         try:
-            answer = await self._node.enter(record.to_document(), True)
+            answer = await self._node.submit_record(record.to_document(), True)
         except Duplicate as fault:
             self._log_change(record, again=True)
             fault.details["in_force"] = True
--- a/src/petrelhaven/proxy/embargo.py
+++ b/src/petrelhaven/proxy/embargo.py
@@ -25,7 +25,7 @@
     from collections.abc import Collection, Sequence
 
     from petrelhaven.control.state.control_state import ControlState
-    from petrelhaven.proxy.routing.base import ProxyServices
+    from petrelhaven.proxy.routing.interfaces import ProxyServices
     from petrelhaven.proxy.session.client_session import ClientSession
     from petrelhaven.proxy.session.statement import Statement
     from petrelhaven.runtime.clock import Clock
@@ -183,7 +183,7 @@
         """Returns the reply that refuses a withheld read; None if the statement may run."""
         if statement.writes or statement.verb not in _FILTERED_VERBS:
             return None
-        withheld = self.find_withholding(group, statement.things, session.client)
+        withheld = self.find_withholding(group, statement.record_keys, session.client)
         self._log_lease(group)
         if withheld is None:
             return None
@@ -191,7 +191,7 @@
         self._log_withheld(group, session.client, withheld)
         retry_ms = self._retry_ms(withheld.remaining_us)
         return Reply(
-            code="withheld", text=f"withheld; come back in {retry_ms} ms", state=session.mark
+            code="withheld", text=f"withheld; come back in {retry_ms} ms", state=session.wire_state
         )
 
     def _retry_ms(self, remaining_us: int) -> int:
--- a/src/petrelhaven/proxy/resumable/node.py
+++ b/src/petrelhaven/proxy/resumable/node.py
@@ -8,7 +8,7 @@
 from petrelhaven.control.configuration.document import Bounds
 from petrelhaven.membership.prober import Prober
 from petrelhaven.membership.roster import NodeIdentity, Roster
-from petrelhaven.proxy.reads.read_clock import Order
+from petrelhaven.proxy.reads.read_clock import LogicalClock
 from petrelhaven.proxy.resumable.control_client import Control
 from petrelhaven.proxy.resumable.delivery import Delivery
 from petrelhaven.proxy.resumable.handover import SessionHandover
@@ -67,7 +67,7 @@
             lambda: {"hall": zone, "addr": link.addr, "http": self.http},
             log,
         )
-        self.order = Order()
+        self.logical_clock = LogicalClock()
         self.request_slots = RequestSlots(clock)
         self.homes = {}
         self.keeper = SessionKeeper(
@@ -159,7 +159,7 @@
         ps = [p for p in ps if self.sends(p) and p.pool.limit > 0 and not p.pool.closed]
         if not ps:
             return None
-        ahead = [p for p in ps if p.log_progress.log >= pos] or ps
+        ahead = [p for p in ps if p.log_progress.position >= pos] or ps
         ws = [p.pool.limit * (2 if p.zone == self.zone else 1) for p in ahead]
         return self.rng.choices(ahead, ws)[0]
 
@@ -170,12 +170,12 @@
             e = t.epoch
             if e["term"] != term or e["primary"] != primary:
                 return False
-            miss = [t.posts[n] for n in e["hold"] if t.posts[n].log_progress.log < pos]
+            miss = [t.posts[n] for n in e["hold"] if t.posts[n].log_progress.position < pos]
             if not miss and e["open"] and self.control.sends:
                 return True
             try:
                 await self.clock.limit(
-                    miss[0].log_progress.reach(pos)
+                    miss[0].log_progress.poll_until_reached(pos)
                     if miss
                     else asyncio.get_running_loop().create_future(),
                     40_000,
@@ -218,7 +218,7 @@
         """Serves one statement of session `sid`, wherever it is at home."""
         if not isinstance(d, dict) or not isinstance(d.get("verb"), str):
             raise Malformed("a statement is an object with a verb")
-        arr = self.order.next()
+        arr = self.logical_clock.next_timestamp()
         s = self.homes.get(sid)
         if s is None:
             return await self.deliver.out(sid, d)
@@ -226,9 +226,7 @@
             return await self.close_session(sid)
         us = self.bounds().statement_us
         try:
-            return await self.request_slots.enter(
-                self.flow.run(s, d, arr, self.clock.now() + us), us
-            )
+            return await self.request_slots.run(self.flow.run(s, d, arr, self.clock.now() + us), us)
         except Fault as f:
             if isinstance(f, Busy):
                 emit(self.log, Events.LOAD_SHED, used=self.request_slots.used)
@@ -244,11 +242,11 @@
             else SessionMoving("the session lives elsewhere now")
         )
 
-    def belief(self):
+    def reported_state(self):
         """What this node believes."""
         r = self.control.control_state
         return {
-            **r.belief(),
+            **r.reported_state(),
             "name": self.name,
             "role": "edge",
             "state": self.state,
@@ -258,7 +256,7 @@
         }
 
     async def _belief(self, ch, b):
-        return {"doc": self.belief()}
+        return {"doc": self.reported_state()}
 
     async def drain(self, us=9_000_000):
         """Leaves: hands every session over and ends."""
@@ -268,7 +266,7 @@
         """The belief, the lease, the sessions and the clocks' counts."""
         now = self.clock.now()
         return {
-            **self.belief(),
+            **self.reported_state(),
             "settings": self.settings(),
             "ready": self.ready,
             "lease_us": max(0, self.control.lease - now),
@@ -280,13 +278,13 @@
                 for s in self.homes.values()
             ),
             "slots_used": self.request_slots.used,
-            "shed": self.request_slots.shed,
+            "shed": self.request_slots.shed_count,
             "sent": self.sent,
             "waits": dict(self.waits),
             "clocks": {g: dict(t.reads.count) for g, t in sorted(self.member_groups.items())},
             "tides": {
                 g: {
-                    n: [p.log_progress.log, p.log_progress.asked]
+                    n: [p.log_progress.position, p.log_progress.status_requests]
                     for n, p in sorted(t.posts.items())
                 }
                 for g, t in sorted(self.member_groups.items())
--- a/src/petrelhaven/proxy/tenants/admission.py
+++ b/src/petrelhaven/proxy/tenants/admission.py
@@ -8,7 +8,7 @@
 
 from petrelhaven.limits.permit_pool import PermitPool
 from petrelhaven.limits.reports import AccountReport, Grant
-from petrelhaven.proxy.routing.waiting import first_done
+from petrelhaven.proxy.routing.waiting import wait_for_first
 from petrelhaven.runtime.errors import Fault
 from petrelhaven.transport.message_kinds import MessageKind
 from petrelhaven.transport.quota_messages import GrantList, ReportList
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from petrelhaven.proxy.routing.base import AdmittedRequest, Continuation, ProxyServices
+    from petrelhaven.proxy.routing.interfaces import AdmittedRequest, Continuation, ProxyServices
     from petrelhaven.proxy.tenants.directory import Tenant, TenantDirectory
 
 __all__ = ["QuotaAdmission"]
@@ -119,10 +119,14 @@
         self._request_permits_soon()
         try:
             unanswered_wait_us = request.route.aim_us // _UNANSWERED_WAIT_DIVISOR
-            yield first_done(self._clock, [waiter], min(unanswered_wait_us, request.end - now))
+            yield wait_for_first(
+                self._clock, [waiter], min(unanswered_wait_us, request.deadline - now)
+            )
             if not waiter.done() and not queue.is_unanswered:
-                wait_end = min(request.end, now + max(request.route.aim_us, _MIN_PERMIT_WAIT_US))
-                yield first_done(self._clock, [waiter], wait_end - self._clock.now())
+                wait_end = min(
+                    request.deadline, now + max(request.route.aim_us, _MIN_PERMIT_WAIT_US)
+                )
+                yield wait_for_first(self._clock, [waiter], wait_end - self._clock.now())
         finally:
             if not waiter.done():
                 waiter.cancel()
@@ -144,7 +148,7 @@
         permit, request.permit = request.permit, None
         if permit is not None:
             queue.pool.use(permit, self._clock.now())
-        elif request.runs:
+        elif request.possible_runs:
             queue.pool.use_without_permit(self._clock.now())
 
     def put_back(self, request: AdmittedRequest) -> None:
--- a/src/petrelhaven/simulator/connection_sessions/faults.py
+++ b/src/petrelhaven/simulator/connection_sessions/faults.py
@@ -128,7 +128,7 @@
         vs = [c.node.chain.view for c in self.f.cores if c.node and c.node.chain.view]
         v = max(vs, key=lambda v: v.number, default=None)
         return v is not None and all(
-            c.node and v.is_member_disk(c.name, c.node.store.disk)
+            c.node and v.is_member_disk(c.name, c.node.store.disk_id)
             for c in self.f.cores
             if c is not b
         )
@@ -333,7 +333,11 @@
         await asyncio.sleep(r.uniform(5.3, 7))
         if m.running and not m.unresponsive:
             await asyncio.wait(
-                [m.machine.tasks.spawn(m.heartbeats.call_any(lambda n: n.depart(m.name)))],
+                [
+                    m.machine.tasks.spawn(
+                        m.heartbeats.call_any(lambda n: n.deregister_member(m.name))
+                    )
+                ],
                 timeout=5,
             )
         if m.running:
@@ -354,7 +358,7 @@
             return
         m.state = "draining"
         m.heartbeats.signed_off = True
-        said = m.machine.tasks.spawn(m.heartbeats.call_any(lambda n: n.depart(m.name)))
+        said = m.machine.tasks.spawn(m.heartbeats.call_any(lambda n: n.deregister_member(m.name)))
         await asyncio.wait([said], timeout=5)
         now = self.f.loop.time()
         acknowledged = said.done() and not said.cancelled() and said.result()
--- a/tests/embargo_world.py
+++ b/tests/embargo_world.py
@@ -77,7 +77,7 @@
 
     def reply(self, connection, rows=(), code=None):
         state = "I" if connection.open_writes is None else "T"
-        return Reply(rows, "s" if code is None else "-", code, state=state, pos=self.position)
+        return Reply(rows, "s" if code is None else "-", code, state=state, position=self.position)
 
     async def run(self, connection, text, after):
         """Runs a client's statement."""
@@ -118,7 +118,7 @@
             await self.machine.clock.sleep(10_000)
         raise Unreachable("no replica has the writes")
 
-    async def plain(self, connection, verb, args):
+    async def send_session_statement(self, connection, verb, args):
         """Runs a statement that the proxy sends itself or sends again."""
         if verb == "begin":
             if args[1] is not None and self.position < args[1]:
@@ -134,7 +134,7 @@
             connection.open_writes = None
         return self.reply(connection)
 
-    async def send_system_verb(self, verb, args):
+    async def send_command(self, verb, args):
         if verb == "pause" and args[0] > self.paused_term and self.role == "replica":
             self.paused_term = args[0]
         elif verb == "resume":
@@ -215,15 +215,15 @@
                 reply.set_exception(Unreachable("connection lost"))
                 reply.exception()
 
-    def ask(self, statement, after=None, alias=None):
+    def send_statement(self, statement, after=None, alias=None):
         text = statement.text if alias is None else f"EXECUTE {alias} {statement.data}"
         return self._enqueue(lambda: self.target.node.run(self, text, after))
 
-    def plain(self, verb, args=(), number="-"):
-        return self._enqueue(lambda: self.target.node.plain(self, verb, args))
+    def send_session_statement(self, verb, args=(), number="-"):
+        return self._enqueue(lambda: self.target.node.send_session_statement(self, verb, args))
 
-    def send_system_verb(self, verb, *args):
-        return self._enqueue(lambda: self.target.node.send_system_verb(verb, args))
+    def send_command(self, verb, *args):
+        return self._enqueue(lambda: self.target.node.send_command(verb, args))
 
     def close(self):
         self.lost = True
@@ -514,7 +514,7 @@
         now, record = self.true_time(), self.records.get(record_key)
         if reply.code == "withheld":
             self.withheld_reads += 1
-            assert (reply.rows, reply.pos, reply.stamp) == ((), None, "-")
+            assert (reply.rows, reply.position, reply.stamp) == ((), None, "-")
         if reply.ok and reply.rows:
             self.served_reads.append((now, proxy, record_key))
             if record is not None and client != "early" and not record.may_be_read(now):
@@ -531,7 +531,8 @@
         session = node.open(host, client)
         if how == "prepared":
             await node.serve_one(
-                session, Statement("p", "prepare", "PREPARE q FETCH s1", name="q", shape="FETCH s1")
+                session,
+                Statement("p", "prepare", "PREPARE q FETCH s1", name="q", prepared_text="FETCH s1"),
             )
             statement = Statement(
                 "r",
@@ -539,7 +540,7 @@
                 f"EXECUTE q {record_key}",
                 name="q",
                 data=record_key,
-                shape="FETCH s1",
+                prepared_text="FETCH s1",
             )
         else:
             statement = Statement("r", "read", f"FETCH {record_key}")
@@ -588,7 +589,8 @@
             return
         session = node.open("db", "u")
         await node.serve_one(
-            session, Statement("p", "prepare", "PREPARE q FETCH s1", name="q", shape="FETCH s1")
+            session,
+            Statement("p", "prepare", "PREPARE q FETCH s1", name="q", prepared_text="FETCH s1"),
         )
         await node.serve_one(session, Statement("b", "begin", "BEGIN", writes=rng.random() < 0.5))
         await node.serve_one(session, Statement("r", "read", "FETCH other"))
@@ -603,7 +605,7 @@
                         f"EXECUTE q {record_key}",
                         name="q",
                         data=record_key,
-                        shape="FETCH s1",
+                        prepared_text="FETCH s1",
                     ),
                 )
             )
--- a/tests/limits_world.py
+++ b/tests/limits_world.py
@@ -13,8 +13,8 @@
 
 from petrelhaven.control.consensus.peer_clocks import PeerClocks
 from petrelhaven.control.counting.service import CountingService
-from petrelhaven.control.order_messages import EnterAnswer
 from petrelhaven.control.state.control_state import ControlState
+from petrelhaven.control.submit_messages import SubmitAnswer
 from petrelhaven.limits.quota import Quota
 from petrelhaven.proxy.tenants.admission import QuotaAdmission
 from petrelhaven.proxy.tenants.directory import TenantDirectory
@@ -101,7 +101,7 @@
         for call in deferred:
             self.run_or_defer(call)
 
-    def end(self):
+    def deadline(self):
         """Ends the process: drops deferred callbacks and invalidates pending ones."""
         self.is_up, self.frozen = False, False
         self._deferred = []
@@ -203,13 +203,13 @@
 
     def kill(self):
         self.tasks.kill()
-        self.end()
+        self.deadline()
 
     async def call(self, name, kind, body, timeout_us):
         return await self.world.call(self, name, kind, body, timeout_us)
 
-    async def enter(self, record, force=True, within_us=2_000_000):
-        return await self.world.enter(self, record, within_us)
+    async def submit_record(self, record, force=True, within_us=2_000_000):
+        return await self.world.submit_record(self, record, within_us)
 
 
 class CoreConnectionStub:
@@ -245,8 +245,8 @@
     route = RouteStub()
 
     def __init__(self, tenant, end):
-        self.tenant, self.end = tenant, end
-        self.permit, self.runs = None, 0
+        self.tenant, self.deadline = tenant, end
+        self.permit, self.possible_runs = None, 0
 
 
 class ProxyProcess(Process):
@@ -272,7 +272,7 @@
 
     def kill(self):
         self.tasks.kill()
-        self.end()
+        self.deadline()
 
     def configure(self):
         """Applies the current configuration at this proxy."""
@@ -304,7 +304,7 @@
                 await self.clock.sleep(world.rng.randrange(_DEADLINE_US))
             if world.rng.random() >= world.unsent_share:
                 self.admission.note_sent(request)
-                request.runs += 1
+                request.possible_runs += 1
                 admissions.record_sent(tenant.name, world.now())
         finally:
             self.admission.put_back(request)
@@ -464,7 +464,7 @@
             result = fault
         send_answer(result)
 
-    async def enter(self, node, record, within_us):
+    async def submit_record(self, node, record, within_us):
         """Appends a record to the chain; the record may be appended although the answer is lost."""
         is_failed = self.rng.random() < self.failed_entry_share
         is_unanswered = self.rng.random() < self.unanswered_entry_share
@@ -480,7 +480,7 @@
             await node.clock.sleep(within_us)
             raise DeadlineExceeded("the record was appended, but the answer was lost")
         await node.clock.sleep(self.rng.randrange(2_000, 30_000))
-        return EnterAnswer(self.control_state.seq, False)
+        return SubmitAnswer(self.control_state.seq, False)
 
     # Views
 
--- a/tests/test_connection_sessions_storm.py
+++ b/tests/test_connection_sessions_storm.py
@@ -11,7 +11,7 @@
 from petrelhaven.control.failover.leader_change import LeaderChange
 from petrelhaven.control.failover.member_access import MemberHandle
 from petrelhaven.control.state.control_state import ControlState
-from petrelhaven.control.storage import core_store
+from petrelhaven.control.storage import node_store
 from petrelhaven.control.storage.documents import ChainRecord
 from petrelhaven.proxy import core_connection as core_connection
 from petrelhaven.proxy.pool import member_connection as member_connection
@@ -54,7 +54,7 @@
 def test_a_member_that_signed_off_is_sent_nothing_new_after_its_bound(monkeypatch):
     """Without the proxies' knowledge of departures the same play breaks DRAIN."""
 
-    monkeypatch.setattr(ControlState, "_depart", lambda self, name: None)
+    monkeypatch.setattr(ControlState, "_mark_departed", lambda self, name: None)
     broken = [run(seed, kinds=list(SIGN_OFF_KINDS), cap=40)[0] for seed in range(3)]
     assert any("DRAIN" in str(bad) for bad in broken)
 
@@ -119,10 +119,10 @@
 
 
 def no_barrier(mp):
-    async def in_force(self, seq, grace_us=0, timeout_us=0):
+    async def wait_in_force(self, seq, grace_us=0, timeout_us=0):
         return 0
 
-    mp.setattr(lease_table.ConnectionLeaseTable, "in_force", in_force)
+    mp.setattr(lease_table.ConnectionLeaseTable, "wait_in_force", wait_in_force)
 
 
 def no_lease(mp):
@@ -130,16 +130,19 @@
 
 
 def no_after(mp):
-    ask, plain = SimulatedMemberConnection.ask, SimulatedMemberConnection.plain
+    send_statement, send_session_statement = (
+        SimulatedMemberConnection.send_statement,
+        SimulatedMemberConnection.send_session_statement,
+    )
     mp.setattr(
         SimulatedMemberConnection,
-        "ask",
-        lambda self, a, after=None, alias=None: ask(self, a, None, alias),
+        "send_statement",
+        lambda self, a, after=None, alias=None: send_statement(self, a, None, alias),
     )
     mp.setattr(
         SimulatedMemberConnection,
-        "plain",
-        lambda self, verb, args=(), num="-": plain(
+        "send_session_statement",
+        lambda self, verb, args=(), num="-": send_session_statement(
             self, verb, (args[0], None) if verb == "begin" else args, num
         ),
     )
@@ -167,7 +170,7 @@
                 pass
         raise Unreachable("none")
 
-    mp.setattr(member_proofs.MemberProofs, "position_of_others", fetch_others)
+    mp.setattr(member_proofs.MemberProofs, "position_from_others", fetch_others)
 
 
 def sent_again(mp):
@@ -224,21 +227,21 @@
 
 
 def another_connection(mp):
-    real = member_calls.MemberCalls.send_pinned
+    real = member_calls.MemberCalls.send_in_transaction
 
     async def pinned(self, c, v, a):
         idle = v.transaction.member.pool.idle
         return await real(self, idle[0] if idle and a.verb != "commit" else c, v, a)
 
-    mp.setattr(member_calls.MemberCalls, "send_pinned", pinned)
+    mp.setattr(member_calls.MemberCalls, "send_in_transaction", pinned)
 
 
 def rolled_forward(mp):
-    async def settle(self, conn, b, num):
-        await conn.plain("commit", (), num)
+    async def roll_back_connection(self, conn, b, num):
+        await conn.send_session_statement("commit", (), num)
         b.pool.discard(conn)
 
-    mp.setattr(group.MemberGroup, "settle", settle)
+    mp.setattr(group.MemberGroup, "roll_back_connection", roll_back_connection)
 
 
 def rows_of_another(mp):
@@ -263,14 +266,14 @@
 
 
 def stops_ignored(mp):
-    real = group.MemberGroup.apply
+    real = group.MemberGroup.apply_control_state
 
-    def apply(self, control_state, fresh):
+    def apply_control_state(self, control_state, fresh):
         real(self, control_state, fresh)
         for b in self.members.values():
-            b.stop_at = None
+            b.closed_to_new_at = None
 
-    mp.setattr(group.MemberGroup, "apply", apply)
+    mp.setattr(group.MemberGroup, "apply_control_state", apply_control_state)
 
 
 def acked_by_the_head(mp):
@@ -281,9 +284,9 @@
 
 
 def nothing_synced(mp):
-    real = core_store.CoreStore._keep
+    real = node_store.ControlNodeStore._keep
     mp.setattr(
-        core_store.CoreStore,
+        node_store.ControlNodeStore,
         "_keep",
         lambda self, entry: None if isinstance(entry, ChainRecord) else real(self, entry),
     )
--- a/tests/test_embargo_world.py
+++ b/tests/test_embargo_world.py
@@ -118,7 +118,8 @@
     plain_session, transaction_session = node.open("db", "u"), node.open("db", "u")
     for session in (plain_session, transaction_session):
         await node.serve_one(
-            session, Statement("1", "prepare", "PREPARE q FETCH s1", name="q", shape="FETCH s1")
+            session,
+            Statement("1", "prepare", "PREPARE q FETCH s1", name="q", prepared_text="FETCH s1"),
         )
     await node.serve_one(transaction_session, Statement("2", "begin", "BEGIN", writes=True))
     assert (await node.serve_one(transaction_session, Statement("3", "read", "FETCH opening"))).ok
@@ -126,7 +127,12 @@
     for session in (plain_session, transaction_session):
         for statement in (
             Statement(
-                "4", "execute", "EXECUTE q opening", name="q", data="opening", shape="FETCH s1"
+                "4",
+                "execute",
+                "EXECUTE q opening",
+                name="q",
+                data="opening",
+                prepared_text="FETCH s1",
             ),
             Statement("5", "read", "FETCH opening"),
         ):
@@ -210,10 +216,10 @@
 def no_wait_for_proxies(monkeypatch):
     from petrelhaven.control import leases as lease_table
 
-    async def in_force(self, seq, grace_us=0, timeout_us=0):
+    async def wait_in_force(self, seq, grace_us=0, timeout_us=0):
         return 0
 
-    monkeypatch.setattr(lease_table.LeaseTable, "in_force", in_force)
+    monkeypatch.setattr(lease_table.LeaseTable, "wait_in_force", wait_in_force)
 
 
 def own_clock(monkeypatch):
--- a/tests/test_embargoes.py
+++ b/tests/test_embargoes.py
@@ -392,9 +392,9 @@
 
 
 def test_every_record_key_that_a_member_may_parse_is_checked():
-    assert Statement("1", "read", "FETCH a").things == {"a"}
-    assert Statement("1", "read", "FETCH a  b ").things == {"a  b ", "a", "b"}
-    assert Statement("1", "execute", "EXECUTE q a b", name="q", data="a b").things == {
+    assert Statement("1", "read", "FETCH a").record_keys == {"a"}
+    assert Statement("1", "read", "FETCH a  b ").record_keys == {"a  b ", "a", "b"}
+    assert Statement("1", "execute", "EXECUTE q a b", name="q", data="a b").record_keys == {
         "a b",
         "a",
         "b",
