--- a/src/petrelhaven/proxy/node.py
+++ b/src/petrelhaven/proxy/node.py
@@ -12,18 +12,18 @@
 
 from petrelhaven.control.configuration.defaults import with_defaults
 from petrelhaven.proxy.bounds import ProxyBounds
-from petrelhaven.proxy.reads.read_clock import Order
+from petrelhaven.proxy.reads.read_clock import LogicalClock
 from petrelhaven.proxy.routing.group import MemberGroup
-from petrelhaven.proxy.routing.outside_contact import OutsideContact
+from petrelhaven.proxy.routing.remote_contact import RemoteContact
 from petrelhaven.proxy.routing.request import Request
 from petrelhaven.proxy.routing.request_slots import RequestSlots
 from petrelhaven.proxy.routing.route import Route
 from petrelhaven.proxy.routing.statement_path import StatementPath
 from petrelhaven.proxy.session.client_session import ENDED, ClientSession
-from petrelhaven.proxy.session.immediate_reply import reply_at_once
+from petrelhaven.proxy.session.immediate_reply import reply_without_member
 from petrelhaven.proxy.session.statement import Reply, Statement
 from petrelhaven.proxy.tenants.admission import QuotaAdmission
-from petrelhaven.proxy.tenants.directory import NOBODY, Tenant, TenantDirectory
+from petrelhaven.proxy.tenants.directory import ANONYMOUS_TENANT, Tenant, TenantDirectory
 from petrelhaven.runtime.clock import Clock
 from petrelhaven.runtime.errors import Busy, DeadlineExceeded, Denied, NoRoute
 from petrelhaven.runtime.events import Events, emit
@@ -126,10 +126,10 @@
         self.name, self.zone, self.log = name, zone, log
         self.clock, self.tasks, self.rng = clock, tasks, rng
         self.core_connection, self.wire, self.zone_distance = core_connection, wire, zone_distance
-        self.drain_us, self.empty_us = drain_us, empty_us
+        self.drain_us, self.evacuation_us = drain_us, empty_us
         self._revoke_us = revoke_us
-        self.order = Order()
-        self.outside_contact = OutsideContact(clock)
+        self.logical_clock = LogicalClock()
+        self.remote_contact = RemoteContact(clock)
         self.request_slots = RequestSlots(clock, _SLOTS)
         self.tenants = TenantDirectory()
         self.admission = QuotaAdmission(self)
@@ -194,7 +194,7 @@
         if fresh or any(record["t"] == "manifest" for record in records):
             self._configure(configuration)
         for group in self.groups.values():
-            group.apply(control_state, fresh)
+            group.apply_control_state(control_state, fresh)
         if self.state == STARTING:
             self.serve()
             if self._opened is not None:
@@ -209,15 +209,15 @@
 
             self.embargo, fresh = EmbargoFilter(self), True
         self.embargo.apply_records(control_state, records, fresh)
-        if not self.embargo.on:
+        if not self.embargo.is_active:
             self.embargo = None
-        time = self.embargo.time if self.embargo is not None else None
+        time = self.embargo.true_time if self.embargo is not None else None
         self.core_connection.true_time = time
 
     def _configure(self, configuration: dict[str, Any]) -> None:
         configuration = with_defaults(configuration)
         tenants = TenantDirectory(configuration)
-        self.admission.apply(self.tenants, tenants)
+        self.admission.apply_directory(self.tenants, tenants)
         self.tenants = tenants
         self.routes = {
             row["host"]: Route.from_configuration(row) for row in reversed(configuration["routes"])
@@ -237,7 +237,7 @@
             seq=self.core_connection.control_state.seq,
             version=configuration["version"],
             routes=len(self.routes),
-            tenants=len(tenants.tenants) if tenants.is_required else "-",
+            tenants=len(tenants.tenants) if tenants.requires_keys else "-",
         )
 
     def route(self, host: str) -> tuple[Route, MemberGroup]:
@@ -267,11 +267,11 @@
         if tenant is None:
             self.count["denied"] += 1
             raise Denied("no tenant has this key")
-        name = tenant.name if self.tenants.is_required else client.partition(" ")[0]
+        name = tenant.name if self.tenants.requires_keys else client.partition(" ")[0]
         session = ClientSession(host, name, digest, tenant.name)
         self.sessions.add(session)
         if route.reads == "strong":
-            session.counted_in = group
+            session.strong_read_group = group
             group.strong_sessions += 1
         self.count["visits"] += 1
         return session
@@ -281,10 +281,10 @@
         if session not in self.sessions:
             return
         self.sessions.discard(session)
-        if session.counted_in is not None:
-            session.counted_in.strong_sessions -= 1
+        if session.strong_read_group is not None:
+            session.strong_read_group.strong_sessions -= 1
         if not session.busy:
-            self._path.transactions.release(session)
+            self._path.transactions.release_transaction(session)
         session.close()
 
     async def serve_one(self, session: ClientSession, statement: Statement) -> Reply:
@@ -293,16 +293,16 @@
             return Reply(code="aborted", text="the session has ended")
         session.busy = True
         try:
-            reply = reply_at_once(self, self._path.transactions, session, statement)
+            reply = reply_without_member(self, self._path.transactions, session, statement)
             if reply is None:
                 reply = await self._run_routed(session, statement)
         finally:
             session.busy = False
             session.idle_since = self.clock.now()
             if session.state == ENDED:
-                self._path.transactions.release(session)
+                self._path.transactions.release_transaction(session)
         if session.transaction is not None:
-            self._path.transactions.watch_idle(session, session.transaction)
+            self._path.transactions.watch_idle_transaction(session, session.transaction)
         return reply
 
     async def _run_routed(self, session: ClientSession, statement: Statement) -> Reply:
@@ -311,25 +311,27 @@
         route = transaction.route if transaction is not None else self.routes.get(session.host)
         group = self.groups.get(route.group) if route is not None else None
         if route is None or group is None:
-            return Reply(code="unknown", text="no such database any more", state=session.mark)
+            return Reply(code="unknown", text="no such database any more", state=session.wire_state)
         tenant = self.tenants.identify(session.key_digest, route.public)
         limit_us = route.timeout_us - _SLACK_US
         started = self.clock.now()
-        request = Request(session, statement, route, group, started + limit_us, tenant or NOBODY)
+        request = Request(
+            session, statement, route, group, started + limit_us, tenant or ANONYMOUS_TENANT
+        )
         if tenant is None:
             return self._deny(request)
         if self._has_moved(session, tenant):
             text = "another tenant has this key now"
-            return self._path.transactions.abort(request, text)
-        if tenant is not NOBODY and not self._keys_are_certain():
-            return self._path.transactions.refuse(request, self.retry_after())
+            return self._path.transactions.abort_transaction(request, text)
+        if tenant is not ANONYMOUS_TENANT and not self._keys_are_certain():
+            return self._path.transactions.refuse_statement(request, self.retry_after())
         self._follow_tenant(session, tenant)
         if self.embargo is not None:
-            refusal = self.embargo.refusal(session, statement, group.name)
+            refusal = self.embargo.refuse_if_withheld(session, statement, group.name)
             if refusal is not None:
                 return refusal
         self.count["asked"] += 1
-        group.earn_retry()
+        group.add_retry_credit()
         reply = await self._run_slotted(request, limit_us + _HORIZON_US)
         if self.embargo is not None:
             reply = self.embargo.check_reply(session, statement, group.name, reply)
@@ -348,8 +350,8 @@
         self.count["denied"] += 1
         text = "no tenant has this key any more"
         if request.session.transaction is not None:
-            return self._path.transactions.abort(request, text, "withheld")
-        return Reply(code="withheld", text=text, state=request.session.mark)
+            return self._path.transactions.abort_transaction(request, text, "withheld")
+        return Reply(code="withheld", text=text, state=request.session.wire_state)
 
     @staticmethod
     def _has_moved(session: ClientSession, tenant: Tenant) -> bool:
@@ -361,22 +363,22 @@
     def _follow_tenant(self, session: ClientSession, tenant: Tenant) -> None:
         """The session's key belongs to `tenant` by now."""
         session.tenant = tenant.name
-        if self.tenants.is_required:
+        if self.tenants.requires_keys:
             session.client = tenant.name
 
-    async def _run_slotted(self, request: Request, horizon_us: int) -> Reply:
+    async def _run_slotted(self, request: Request, time_limit_us: int) -> Reply:
         session = request.session
         inside = session.transaction is not None
         try:
-            return await self.request_slots.enter(self._path.run(request), horizon_us)
+            return await self.request_slots.run(self._path.run(request), time_limit_us)
         except Busy as fault:
             delay_us: int = fault.retry_after_us  # type: ignore[assignment]  # Busy has one
             code, text = "busy", self.retry_after(delay_us)
         except DeadlineExceeded:
             code, text = "timeout", "the statement ran out of time"
         if inside:
-            session.fail()
-        return Reply(code=code, text=text, state=session.mark)
+            session.fail_transaction()
+        return Reply(code=code, text=text, state=session.wire_state)
 
     def _log_not_served(self, request: Request, reply: Reply, took_us: int) -> None:
         group = request.group
@@ -389,7 +391,7 @@
             us=took_us,
             note=reply.text,
             session=id(request.session) & _SESSION_ID_BITS,
-            pools=",".join(f"{n[-4:]}:{m.pool.saturation()}" for n, m in group.members.items()),
+            pools=",".join(f"{n[-4:]}:{m.pool.usage_summary()}" for n, m in group.members.items()),
             sessions=group.strong_sessions,
         )
 
--- a/src/petrelhaven/proxy/routing/request.py
+++ b/src/petrelhaven/proxy/routing/request.py
@@ -1,11 +1,11 @@
-"""One statement on its way through the proxy."""
+"""A statement that runs through the proxy."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from petrelhaven.proxy.tenants.directory import NOBODY, Tenant
+from petrelhaven.proxy.tenants.directory import ANONYMOUS_TENANT, Tenant
 
 if TYPE_CHECKING:
     from petrelhaven.proxy.routing.group import MemberGroup
@@ -15,35 +15,35 @@
 
 __all__ = ["Request"]
 
-_BROWSING_SHARE = 0.8
+_STALENESS_SHARE_FOR_FETCH = 0.8
 
 
 @dataclass(slots=True)
 class Request:
-    """A statement on its way.
+    """A statement with everything that is needed to run it.
 
     Attributes:
         session: Its session.
         statement: The statement.
-        route: The route by which it goes.
+        route: Its route.
         group: The group that serves it.
-        end: When its time is over, in microseconds of the proxy's clock.
+        deadline: When it times out, in microseconds of the proxy's clock.
         tenant: The tenant that it runs for.
-        permit: The account of the permit that is reserved for it; None without one.
-        runs: How many members run it or may have run it.
+        permit: The account of the permit that is reserved for it, or None.
+        possible_runs: How many members run it or may have run it.
     """
 
     session: ClientSession
     statement: Statement
     route: Route
     group: MemberGroup
-    end: int
-    tenant: Tenant = NOBODY
+    deadline: int
+    tenant: Tenant = ANONYMOUS_TENANT
     permit: int | None = None
-    runs: int = 0
+    possible_runs: int = 0
 
-    def oldest_fetch(self, now: int) -> int | None:
-        """The earliest start of a fetch that a browsing read may use; None for a strong read."""
+    def oldest_usable_fetch(self, now: int) -> int | None:
+        """Returns the earliest start of a fetch that a browsing read may use; None if strong."""
         if not self.route.browsing:
             return None
-        return now - int(self.route.stale_us * _BROWSING_SHARE)
+        return now - int(self.route.stale_us * _STALENESS_SHARE_FOR_FETCH)
--- a/tests/test_connection_sessions_storm.py
+++ b/tests/test_connection_sessions_storm.py
@@ -130,16 +130,19 @@
 
 
 def no_after(mp):
-    ask, plain = SimulatedMemberConnection.ask, SimulatedMemberConnection.plain
+    send_statement, send_session_statement = (
+        SimulatedMemberConnection.send_statement,
+        SimulatedMemberConnection.send_session_statement,
+    )
     mp.setattr(
         SimulatedMemberConnection,
-        "ask",
-        lambda self, a, after=None, alias=None: ask(self, a, None, alias),
+        "send_statement",
+        lambda self, a, after=None, alias=None: send_statement(self, a, None, alias),
     )
     mp.setattr(
         SimulatedMemberConnection,
-        "plain",
-        lambda self, verb, args=(), num="-": plain(
+        "send_session_statement",
+        lambda self, verb, args=(), num="-": send_session_statement(
             self, verb, (args[0], None) if verb == "begin" else args, num
         ),
     )
@@ -167,7 +170,7 @@
                 pass
         raise Unreachable("none")
 
-    mp.setattr(member_proofs.MemberProofs, "position_of_others", fetch_others)
+    mp.setattr(member_proofs.MemberProofs, "position_from_others", fetch_others)
 
 
 def sent_again(mp):
@@ -224,21 +227,21 @@
 
 
 def another_connection(mp):
-    real = member_calls.MemberCalls.send_pinned
+    real = member_calls.MemberCalls.send_in_transaction
 
     async def pinned(self, c, v, a):
         idle = v.transaction.member.pool.idle
         return await real(self, idle[0] if idle and a.verb != "commit" else c, v, a)
 
-    mp.setattr(member_calls.MemberCalls, "send_pinned", pinned)
+    mp.setattr(member_calls.MemberCalls, "send_in_transaction", pinned)
 
 
 def rolled_forward(mp):
-    async def settle(self, conn, b, num):
-        await conn.plain("commit", (), num)
+    async def roll_back_connection(self, conn, b, num):
+        await conn.send_session_statement("commit", (), num)
         b.pool.discard(conn)
 
-    mp.setattr(group.MemberGroup, "settle", settle)
+    mp.setattr(group.MemberGroup, "roll_back_connection", roll_back_connection)
 
 
 def rows_of_another(mp):
@@ -263,14 +266,14 @@
 
 
 def stops_ignored(mp):
-    real = group.MemberGroup.apply
+    real = group.MemberGroup.apply_control_state
 
-    def apply(self, control_state, fresh):
+    def apply_control_state(self, control_state, fresh):
         real(self, control_state, fresh)
         for b in self.members.values():
-            b.stop_at = None
+            b.closed_to_new_at = None
 
-    mp.setattr(group.MemberGroup, "apply", apply)
+    mp.setattr(group.MemberGroup, "apply_control_state", apply_control_state)
 
 
 def acked_by_the_head(mp):
--- a/tests/test_crash_points.py
+++ b/tests/test_crash_points.py
@@ -442,7 +442,7 @@
                 return newest
             return View(number, tuple(sorted(self.stores)), self.ids)
 
-        return await Proposer(self.stores[proposer], self.call).change(self.ids, next_view)
+        return await Proposer(self.stores[proposer], self.call).decide_view(self.ids, next_view)
 
 
 async def run_three_nodes(nodes, acknowledged):
--- a/tests/test_platform_lines.py
+++ b/tests/test_platform_lines.py
@@ -61,7 +61,7 @@
             f"stamp{len(self.ran)}" if code is None else "-",
             code,
             state=state,
-            pos=(1, self.pos),
+            position=(1, self.pos),
         )
         f = asyncio.get_running_loop().create_future()
         if not self.mute:
@@ -94,12 +94,12 @@
         self.open_ = None
         return self.m.reply()
 
-    def ask(self, a, after=None, alias=None):
+    def send_statement(self, a, after=None, alias=None):
         text = a.text if alias is None else f"EXECUTE {alias} {a.data}"
-        self.m.ran.append((a.num, a.text))
+        self.m.ran.append((a.number, a.text))
         return self._run(text)
 
-    def plain(self, verb, args=(), num="-"):
+    def send_session_statement(self, verb, args=(), num="-"):
         if verb == "begin":
             self.open_ = {}
             return self.m.reply(state="T")
@@ -111,7 +111,7 @@
             self.open_ = None
         return self.m.reply(state="I" if self.open_ is None else "T")
 
-    def send_system_verb(self, verb, *args):
+    def send_command(self, verb, *args):
         f = asyncio.get_running_loop().create_future()
         f.set_result({"role": "primary", "term": 1, "pos": (1, self.m.pos), "held": 0})
         return f
@@ -837,7 +837,7 @@
 def test_replies_of_a_member_are_those_asked_for_in_whatever_pieces(all_rows, rng):
     async def go():
         c = member_connection()
-        fs = [c.ask(ASK) for _ in all_rows]
+        fs = [c.send_statement(ASK) for _ in all_rows]
         raw = b"".join(
             b"".join(b"ROW %s\r\n" % r for r in rows) + b"COMPLETE s%d\r\nREADY I 3.%d\r\n" % (i, i)
             for i, rows in enumerate(all_rows)
@@ -849,7 +849,7 @@
         for i, (f, rows) in enumerate(zip(fs, all_rows)):
             r = f.result()
             assert [x.encode("utf-8", "surrogateescape") for x in r.rows] == rows
-            assert (r.stamp, r.state, r.pos, r.ok) == (f"s{i}", "I", (3, i), True)
+            assert (r.stamp, r.state, r.position, r.ok) == (f"s{i}", "I", (3, i), True)
         assert not c.lost
 
     run(go)
@@ -870,11 +870,11 @@
 def test_a_reply_out_of_order_is_no_reply(raw):
     async def go():
         c = member_connection()
-        f = c.ask(ASK)
+        f = c.send_statement(ASK)
         c.data_received(raw)
         assert c.lost and c.drops == [c] and c._transport.closed
         assert isinstance(f.exception(), Unreachable)
-        assert isinstance(c.ask(ASK).exception(), Unreachable)
+        assert isinstance(c.send_statement(ASK).exception(), Unreachable)
 
     run(go)
 
@@ -885,7 +885,7 @@
 def test_a_member_that_answers_nothing_asked_is_left(raw):
     async def go():
         c = member_connection()
-        f = c.ask(ASK)
+        f = c.send_statement(ASK)
         c.data_received(b"COMPLETE s\r\nREADY I 3.1\r\n" + raw)
         assert f.result().ok and f.result().rows == [] and c.lost
 
@@ -897,7 +897,7 @@
 def test_whatever_a_member_says_ends_as_a_reply_or_a_typed_fault(raw, ends):
     async def go():
         c = member_connection()
-        fs = [c.connect("g", "m", "me"), c.send_system_verb("status"), c.ask(ASK)]
+        fs = [c.connect("g", "m", "me"), c.send_command("status"), c.send_statement(ASK)]
         c.data_received(raw + b"\r\n" * ends)
         c.connection_lost(None)
         for f in fs:
@@ -910,7 +910,7 @@
 def test_a_status_is_a_row_or_a_typed_fault():
     async def go():
         c = member_connection()
-        fs = [c.send_system_verb("status") for _ in range(4)]
+        fs = [c.send_command("status") for _ in range(4)]
         c.data_received(
             b"ROW primary 3 3.9 0 0 1 2\r\nCOMPLETE -\r\nREADY I 3.9\r\nERROR BUSY x\r\nREADY I 3.9\r\n"
             b"ROW odd\r\nCOMPLETE -\r\nREADY I 3.9\r\nERROR NOSTMT x\r\nREADY I 3.9\r\n"
@@ -925,7 +925,7 @@
 def test_an_answer_that_nobody_waits_for_any_more_is_not_given_to_the_next():
     async def go():
         c = member_connection()
-        a, b = c.ask(ASK), c.ask(ASK)
+        a, b = c.send_statement(ASK), c.send_statement(ASK)
         a.cancel()
         c.data_received(
             b"ROW old\r\nCOMPLETE s\r\nREADY I 3.1\r\nROW new\r\nCOMPLETE t\r\nREADY I 3.2\r\n"
