--- a/src/petrelhaven/control/resumable/leases.py
+++ b/src/petrelhaven/control/resumable/leases.py
@@ -26,7 +26,7 @@
 __all__ = ["EXPIRY_US", "LEASE_US", "ResumableLeaseTable"]
 
 LEASE_US = 1_500_000
-EXPIRY_US = lease_expiry_us(LEASE_US, CONFIRMATION_VALIDITY_US)
+LEASE_EXPIRY_US = lease_expiry_us(LEASE_US, CONFIRMATION_VALIDITY_US)
 
 
 class ResumableLeaseTable(LeaseTable):
@@ -41,7 +41,7 @@
         log: logbook.Logger | None = None,
     ) -> None:
         """Takes the parts of a control node."""
-        super().__init__(clock, tasks, chain, call, log, EXPIRY_US)
+        super().__init__(clock, tasks, chain, call, log, LEASE_EXPIRY_US)
 
     async def renew(self, channel: Channel, body: Mapping[str, Any]) -> dict[str, Any]:
         """Answers `edge.lease`: renews a proxy's lease if the state records this very process."""
--- a/src/petrelhaven/control/resumable/proxy_watch.py
+++ b/src/petrelhaven/control/resumable/proxy_watch.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from petrelhaven.control.resumable.leases import EXPIRY_US, LEASE_US
+from petrelhaven.control.resumable.leases import LEASE_EXPIRY_US, LEASE_US
 from petrelhaven.control.resumable.records import LeaseExpiryRecord, ProxyRecord
 from petrelhaven.runtime.events import Events, emit
 
@@ -20,7 +20,7 @@
 __all__ = ["ProxyWatch"]
 
 _NEVER = -(1 << 60)
-_REPLICATE_US = EXPIRY_US + 2_500_000
+_REPLICATE_US = LEASE_EXPIRY_US + 2_500_000
 _SETTLING_US = 300_000
 _SILENT_US = 2_500_000
 _LEASE_REMAINDER_US = 600_000
@@ -98,7 +98,7 @@
         return left
 
     def _record_expiry(self, proxy: _Proxy, acting_us: int) -> None:
-        if not proxy.has_lapsed and acting_us > EXPIRY_US:
+        if not proxy.has_lapsed and acting_us > LEASE_EXPIRY_US:
             seq = self._chain.control_state.seq
             self._tasks.start(
                 ("edge", proxy.name), self._expire, proxy.name, proxy.incarnation, seq
--- a/src/petrelhaven/proxy/resumable/session_replicas.py
+++ b/src/petrelhaven/proxy/resumable/session_replicas.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from petrelhaven.control.resumable.leases import EXPIRY_US
+from petrelhaven.control.resumable.leases import LEASE_EXPIRY_US
 from petrelhaven.proxy.resumable.session import Session
 from petrelhaven.runtime.errors import Fault, Unreachable
 from petrelhaven.runtime.events import Events, emit
@@ -74,7 +74,7 @@
             }
             self.granted.pop(sid, None)
             if not self.control.lives(b["home"]):
-                self._later(sid, EXPIRY_US)
+                self._later(sid, LEASE_EXPIRY_US)
         return {"ok": True, "epoch": b["epoch"]}
 
     async def take(self, ch, b):
@@ -232,7 +232,7 @@
             if not self.control.lives(c["home"]) and (
                 n in quick or self._due.get(sid, 0) < self.clock.now()
             ):
-                self._later(sid, 0 if n in quick else EXPIRY_US)
+                self._later(sid, 0 if n in quick else LEASE_EXPIRY_US)
         self.keeper.check()
 
     def clear(self):
@@ -265,7 +265,7 @@
                 if self.control.lives(c["home"]):
                     by.setdefault(c["home"].split("/")[0], []).append(sid)
                 elif self._due.get(sid, 0) < self.clock.now():
-                    self._later(sid, EXPIRY_US)
+                    self._later(sid, LEASE_EXPIRY_US)
             odd = []
             for n, sids in sorted(by.items()):
                 rows = await self.ask(n, sids[:500])
