--- a/src/petrelhaven/control/resumable/platform_client.py
+++ b/src/petrelhaven/control/resumable/platform_client.py
@@ -21,7 +21,7 @@
         self._address = address
         self._http: aiohttp.ClientSession | None = None
 
-    def move_to(self, address: str) -> None:
+    def set_address(self, address: str) -> None:
         """The platform is at another address from now on."""
         self._address = address
 
--- a/src/petrelhaven/runtime/daemon.py
+++ b/src/petrelhaven/runtime/daemon.py
@@ -162,7 +162,7 @@
         elif field == "seeds" and value != "-":
             self.seeds[:] = value
         elif field == "platform":
-            self._node.duty.platform.move_to(value)
+            self._node.duty.platform.set_address(value)
 
     async def _report_readiness(self, node: Any) -> None:  # noqa: ANN401 (any kind of node)
         """Writes a line to standard output whenever the node becomes ready or stops to be."""
