--- a/src/petrelhaven/control/resumable/leases.py
+++ b/src/petrelhaven/control/resumable/leases.py
@@ -23,7 +23,7 @@
     from petrelhaven.runtime.tasks import BackgroundTasks
     from petrelhaven.transport.channel import Channel
 
-__all__ = ["EXPIRY_US", "LEASE_US", "ResumableLeaseTable"]
+__all__ = ["LEASE_EXPIRY_US", "LEASE_US", "ResumableLeaseTable"]
 
 LEASE_US = 1_500_000
 LEASE_EXPIRY_US = lease_expiry_us(LEASE_US, CONFIRMATION_VALIDITY_US)
