--- a/src/petrelhaven/control/resumable/__init__.py
+++ b/src/petrelhaven/control/resumable/__init__.py
@@ -1,4 +1,6 @@
-"""Control of resumable sessions, which outlive a connection: epochs, proxies and their shares.
+"""Control nodes for resumable sessions, which outlive a connection.
 
-Start with `planning_duty.PlanningDuty.run`; what it decides is in `plan.next_step`.
+The control state records the epochs of member groups, the proxies, and each proxy's share of the
+connections to a member. `planning_duty.PlanningDuty.run` is the main loop; `plan.next_step` has the
+decisions.
 """
--- a/src/petrelhaven/control/resumable/announcements.py
+++ b/src/petrelhaven/control/resumable/announcements.py
@@ -1,4 +1,4 @@
-"""What members announce: heard here, reported by the other control nodes, and both merged."""
+"""Members' announcements that this node or the other control nodes received."""
 
 from __future__ import annotations
 
@@ -9,50 +9,50 @@
 if TYPE_CHECKING:
     from petrelhaven.runtime.clock import Clock
 
-__all__ = ["AnnouncementTable", "HeardAnnouncement", "MemberObservation", "NodeReport"]
+__all__ = ["AnnouncementTable", "ReceivedAnnouncement", "MemberObservation", "NodeReport"]
 
-_FORGET_US = 600_000_000
-_SEEN_LATELY_US = 1_000_000
+_RETENTION_US = 600_000_000
+_SEEN_RECENTLY_US = 1_000_000
 
 Document = dict[str, Any]
 
 
 @dataclass(frozen=True, slots=True)
-class HeardAnnouncement:
+class ReceivedAnnouncement:
     """A member's last announcement to this node.
 
     Attributes:
-        document: The announcement as it came.
-        at: When (clock microseconds).
+        document: The announcement as it was received.
+        received_at: When it was received (clock microseconds).
     """
 
     document: Document
-    at: int
+    received_at: int
 
 
 @dataclass(slots=True)
 class MemberObservation:
-    """What the control nodes know of a member.
+    """The newest state of a member that any control node has received.
 
     Attributes:
-        name: The member.
-        group: Its group.
-        zone: Where it runs.
-        address: Where proxies reach it.
-        role: `primary` or `replica`, as it sees itself.
-        log: Where its log ends.
+        name: The member's name.
+        group: The name of its group.
+        zone: The zone in which it runs.
+        address: The address at which proxies connect to it.
+        role: `primary` or `replica`, as announced.
+        log: The position at which its log ends.
         term: The term of its log.
-        capacity: How many connections it takes.
+        capacity: How many connections it accepts.
         draining: Whether it is about to leave.
-        boot: Which process it is.
-        store: Which store it has; another one means that its data is lost.
+        boot: The identifier of its process.
+        store: The identifier of its store; if that changes, the member has lost its data.
         warm: Whether its caches are warm enough for reads.
-        heartbeat: Counts the announcements of one process.
-        age_us: How old its newest announcement is.
-        seen_by: The control nodes that heard it lately.
-        is_stalled: Whether its log is behind where the primary's was for too long.
-        is_near: Whether its log is close to the primary's.
-        not_primary_us: For how long the planned primary has not announced itself as one.
+        heartbeat: The number of the announcement, counted from the start of the process.
+        age_us: The age of its newest announcement, in microseconds.
+        seen_by: The control nodes that received an announcement within the last second.
+        is_stalled: Whether its log lags the primary's by more than the permitted time.
+        is_near: Whether its log is close to the end of the primary's.
+        not_primary_us: For how long the planned primary has announced itself as a replica.
     """
 
     name: str
@@ -76,7 +76,7 @@
 
     @classmethod
     def from_announcement(cls, document: Mapping[str, Any], age_us: int) -> MemberObservation:
-        """Reads an announcement, as members send it."""
+        """Creates the observation from the document of an announcement."""
         return cls(
             name=document["member"],
             group=document["group"],
@@ -96,22 +96,25 @@
 
     @property
     def is_primary(self) -> bool:
-        """Whether it announced itself as a primary."""
+        """Whether the member announced itself as a primary."""
         return self.role == "primary"
 
     @property
     def is_replica(self) -> bool:
-        """Whether it announced itself as a replica."""
+        """Whether the member announced itself as a replica."""
         return self.role == "replica"
 
     def is_superseded_by(self, other: MemberObservation) -> bool:
-        """Whether `other` is newer: by its count, or by its age where the process is another."""
+        """Returns whether `other` is newer.
+
+        Announcements of one process are compared by number, those of different processes by age.
+        """
         if other.boot == self.boot:
             return other.heartbeat > self.heartbeat
         return other.age_us < self.age_us
 
     def to_evidence(self) -> Document:
-        """What an epoch's record keeps of it, for operators."""
+        """Returns the part that is stored in an epoch's record, for operators."""
         return {
             "role": self.role,
             "log": self.log,
@@ -126,81 +129,84 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeReport:
-    """What one control node has heard; the answer to the message `duty.heard`.
+    """The announcements and leases of one control node; the response to the message `duty.heard`.
 
     Attributes:
-        at: When the report was requested (clock microseconds): its ages are those of then or later.
+        requested_at: When the report was requested (clock microseconds); it was made at this time or
+            later.
         members: The announcement of each member, with its age in microseconds.
-        leases: For how many microseconds each proxy's lease still runs; negative once it is over.
+        leases: The remaining time of each proxy's lease in microseconds, negative after its end.
     """
 
-    at: int
+    requested_at: int
     members: Mapping[str, tuple[Document, int]]
     leases: Mapping[str, int]
 
     @classmethod
-    def from_document(cls, document: Mapping[str, Any], at: int) -> NodeReport:
-        """Reads what `to_document` wrote."""
+    def from_document(cls, document: Mapping[str, Any], requested_at: int) -> NodeReport:
+        """Parses a document that `to_document` returned."""
         members = {
             name: (entry["doc"], entry["age"]) for name, entry in document["members"].items()
         }
-        return cls(at, members, document["edges"])
+        return cls(requested_at, members, document["edges"])
 
     def to_document(self) -> Document:
-        """The report as it is sent."""
+        """Returns the report as plain JSON values."""
         members = {name: {"doc": doc, "age": age} for name, (doc, age) in self.members.items()}
         return {"members": members, "edges": dict(self.leases)}
 
 
 class AnnouncementTable:
-    """The announcements that this node heard, and the reports of the others.
+    """The announcements that this node received, and the reports of the other control nodes.
 
     Attributes:
-        heard: The last announcement of each member.
+        received: The last announcement of each member to this node.
         reports: The last report of each other control node.
     """
 
     def __init__(self, clock: Clock, name: str) -> None:
-        """Has heard nobody yet; `name` is this node's."""
+        """Starts with an empty table; `name` is the name of this node."""
         self._clock, self._name = clock, name
-        self.heard: dict[str, HeardAnnouncement] = {}
+        self.received: dict[str, ReceivedAnnouncement] = {}
         self.reports: dict[str, NodeReport] = {}
 
-    def take(self, document: Document) -> None:
-        """Takes an announcement, unless a newer one of the same process came before."""
-        last = self.heard.get(document["member"])
+    def add_announcement(self, document: Document) -> None:
+        """Stores an announcement unless a newer one of the same process is stored already."""
+        last = self.received.get(document["member"])
         if last is not None and _is_older(document, last.document):
             return
-        self.heard[document["member"]] = HeardAnnouncement(document, self._clock.now())
-
-    def forget_old(self, needed: Iterable[str]) -> None:
-        """Forgets members that have not announced themselves for long, but for `needed`."""
-        oldest = self._clock.now() - _FORGET_US
-        spared = set(needed)
-        for name in [n for n, heard in self.heard.items() if heard.at < oldest]:
-            if name not in spared:
-                del self.heard[name]
-
-    def report(self, leases: Mapping[str, int]) -> NodeReport:
-        """What this node has heard; `leases` tells when each proxy's lease ends, by this clock."""
+        self.received[document["member"]] = ReceivedAnnouncement(document, self._clock.now())
+
+    def remove_old(self, retained: Iterable[str]) -> None:
+        """Removes members without a recent announcement, except those in `retained`."""
+        oldest = self._clock.now() - _RETENTION_US
+        retained_names = set(retained)
+        for name in [n for n, last in self.received.items() if last.received_at < oldest]:
+            if name not in retained_names:
+                del self.received[name]
+
+    def make_report(self, leases: Mapping[str, int]) -> NodeReport:
+        """Creates this node's report; `leases` has the end of each proxy's lease by this clock."""
         now = self._clock.now()
-        members = {name: (heard.document, now - heard.at) for name, heard in self.heard.items()}
+        members = {
+            name: (last.document, now - last.received_at) for name, last in self.received.items()
+        }
         return NodeReport(now, members, {proxy: end - now for proxy, end in leases.items()})
 
-    def observations(self) -> dict[str, MemberObservation]:
-        """The newest that any control node knows of each member."""
+    def merge_observations(self) -> dict[str, MemberObservation]:
+        """Returns the newest observation of each member by any control node."""
         merged: dict[str, MemberObservation] = {}
-        for node, report in [(self._name, self.report({})), *sorted(self.reports.items())]:
-            elapsed_us = self._clock.now() - report.at
+        for node, report in [(self._name, self.make_report({})), *sorted(self.reports.items())]:
+            elapsed_us = self._clock.now() - report.requested_at
             for name, (document, age_us) in report.members.items():
                 _merge(merged, name, document, age_us + elapsed_us)
-                if age_us + elapsed_us < _SEEN_LATELY_US:
+                if age_us + elapsed_us < _SEEN_RECENTLY_US:
                     merged[name].seen_by = sorted({*merged[name].seen_by, node})
         return merged
 
 
 def _is_older(document: Document, last: Document) -> bool:
-    """Whether an announcement was sent before another one of the same process."""
+    """Returns whether both are of the same process and `document` was sent before `last`."""
     same_process: bool = last["boot"] == document["boot"]
     return same_process and last.get("beat", 0) > document.get("beat", 0)
 
@@ -208,16 +214,16 @@
 def _merge(
     merged: dict[str, MemberObservation], name: str, document: Document, age_us: int
 ) -> None:
-    """Takes one node's announcement of a member into what is known of it."""
+    """Merges an announcement that one control node received into `merged`."""
     new = MemberObservation.from_announcement(document, age_us)
-    known = merged.get(name)
-    if known is None:
+    previous = merged.get(name)
+    if previous is None:
         merged[name] = new
         return
-    same_process = known.boot == new.boot
-    if known.is_superseded_by(new):
-        new.seen_by = known.seen_by
-        new.age_us = min(age_us, known.age_us) if same_process else age_us
+    same_process = previous.boot == new.boot
+    if previous.is_superseded_by(new):
+        new.seen_by = previous.seen_by
+        new.age_us = min(age_us, previous.age_us) if same_process else age_us
         merged[name] = new
     elif same_process:
-        known.age_us = min(known.age_us, age_us)
+        previous.age_us = min(previous.age_us, age_us)
--- a/src/petrelhaven/control/resumable/control_interface.py
+++ b/src/petrelhaven/control/resumable/control_interface.py
@@ -1,4 +1,4 @@
-"""The HTTP interface of a control node for operators and members, with resumable sessions."""
+"""The HTTP interface of a control node for resumable sessions, for operators and members."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
 
 
 class ResumableControlInterface:
-    """The routes; what they mean is in docs/http.md."""
+    """The HTTP routes of a control node; docs/http.md describes them."""
 
     def __init__(self, node: ResumableControlNode, http_server: HttpServer) -> None:
-        """Puts the routes of `node` on `http_server`."""
+        """Adds the routes of `node` to `http_server`."""
         self._node = node
         self._event_feed = EventFeed(node.chain)
         for verb, path, handler in (
@@ -43,7 +43,7 @@
             ("POST", "/reform", self._reform),
             ("GET", "/status", self._status),
             ("GET", "/why", self._why),
-            ("GET", "/belief", self._belief),
+            ("GET", "/belief", self._reported_state),
             ("GET", "/ready", self._ready),
             ("GET", "/realm", self._control_state),
             ("GET", "/events", self._events),
@@ -56,10 +56,10 @@
 
     async def _apply_configuration(self, request: web.Request) -> Document:
         retire = request.query.get("retire") == "true"
-        answer: Document = await self._node.apply(
+        response: Document = await self._node.apply(
             await request.text(), by=request.query.get("by", ""), retire=retire
         )
-        return answer
+        return response
 
     async def _show_configuration(self, request: web.Request) -> web.Response:
         confirmed = request.query.get("unconfirmed") != "true"
@@ -67,8 +67,8 @@
         accepted = state["manifest"]
         if "version" in request.query:
             version = request.query["version"]
-            known = [row for row in [*state["old"], accepted] if row]
-            accepted = next((row for row in known if str(row["version"]) == version), None)
+            stored = [row for row in [*state["old"], accepted] if row]
+            accepted = next((row for row in stored if str(row["version"]) == version), None)
         if accepted is None:
             raise NoRoute("no such manifest")
         return web.Response(
@@ -79,16 +79,16 @@
 
     async def _reform(self, request: web.Request) -> Document:
         lost = parse_lost_nodes(await body_of(request))
-        answer: Document = await self._node.reform(lost, request.query.get("by", ""))
-        return answer
+        response: Document = await self._node.reform(lost, request.query.get("by", ""))
+        return response
 
     async def _set_zone_state(self, request: web.Request) -> Document:
         verb = request.match_info["verb"]
         if verb not in _ZONE_STATES:
-            raise Malformed("evacuate or restore")
+            raise Malformed("the verb must be evacuate or restore")
         zone, by = request.match_info["hall"], request.query.get("by", "")
-        answer: Document = await self._node.set_zone_state(zone, _ZONE_STATES[verb], by)
-        return answer
+        response: Document = await self._node.set_zone_state(zone, _ZONE_STATES[verb], by)
+        return response
 
     async def _status(self, _request: web.Request) -> Document:
         status: Document = self._node.status()
@@ -107,26 +107,26 @@
         )
 
     async def _why(self, request: web.Request) -> Document:
-        """An epoch of a group, the one it replaced, and the numbers of those still stored."""
+        """Returns an epoch of a group, its predecessor, and the numbers of the stored epochs."""
         state = await self._node.control_state()
         group = request.query.get("group", "")
         if group not in state["past"]:
             raise NoRoute(f"no group {group}")
         past = state["past"][group]
-        index = _index_of(past, request.query.get("n"), group)
+        index = _epoch_index(past, request.query.get("n"), group)
         reason = self._node.duty.wait_reasons.get(group) if self._node.chain.is_head else None
         return leadership_response(past, index, reason)
 
-    async def _belief(self, _request: web.Request) -> Document:
-        belief: Document = self._node.reported_state()
-        return belief
+    async def _reported_state(self, _request: web.Request) -> Document:
+        reported_state: Document = self._node.reported_state()
+        return reported_state
 
     async def _ready(self, _request: web.Request) -> Document:
         return readiness_response(self._node.ready)
 
 
-def _index_of(past: list[Document], number: str | None, group: str) -> int:
-    """Which of the past epochs has the number, or the last one if none is asked for."""
+def _epoch_index(past: list[Document], number: str | None, group: str) -> int:
+    """Returns the index of the epoch with a number, or the last index without a number."""
     if number is not None and not number.isdigit():
         raise Malformed("n must be a whole number")
     if not number:
@@ -134,4 +134,4 @@
     for index, epoch in enumerate(past):
         if str(epoch["n"]) == number:
             return index
-    raise NoRoute(f"epoch {number} of {group} is not kept")
+    raise NoRoute(f"epoch {number} of group {group} is not stored")
--- a/src/petrelhaven/control/resumable/control_state.py
+++ b/src/petrelhaven/control/resumable/control_state.py
@@ -1,4 +1,4 @@
-"""Control state of resumable sessions: configuration, zones, proxies and the groups' epochs."""
+"""The control state for resumable sessions: configuration, zones, proxies and groups' epochs."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
 
 _UP = "up"
 _GONE = "gone"
-_MOST_OLD = 64
-_PAST_KEYS = (
+_MAX_PREVIOUS_VERSIONS = 64
+_PAST_EPOCH_KEYS = (
     "n",
     "phase",
     "primary",
@@ -42,18 +42,28 @@
     "view",
     "seq",
 )
-_COMPARED_KEYS = ("n", "phase", "primary", "hold", "safe", "gates", "open", "settled", "shares")
+_COMPARED_EPOCH_KEYS = (
+    "n",
+    "phase",
+    "primary",
+    "hold",
+    "safe",
+    "gates",
+    "open",
+    "settled",
+    "shares",
+)
 
 Shares = dict[str, dict[str, int]]
 
 
 class ResumableControlState(BaseControlState[Configuration, ResumableRecord]):
-    """What all nodes agree on where sessions outlive their client's connection."""
+    """The replicated control state for sessions that outlive their client's connection."""
 
     __slots__ = ()
 
     def __init__(self, document: Document | None = None) -> None:
-        """Takes over a stored document."""
+        """Uses a stored document, or starts with an empty state."""
         empty: Document = {
             "seq": 0,
             "manifest": None,
@@ -66,9 +76,10 @@
         super().__init__(document or empty)
 
     def share(self, group: str, proxy: str, member: str) -> int:
-        """How many connections `proxy` may have open to `member` now.
+        """Returns how many connections `proxy` may have open to `member` now.
 
-        Until every proxy follows an epoch, a share is the smaller one of this and the last epoch.
+        Until every proxy has applied the new epoch, a proxy gets the smaller of its shares in the
+        new and in the previous epoch, so that the sum never exceeds the member's limit.
         """
         epoch = self.doc["epochs"].get(group)
         if not epoch:
@@ -79,7 +90,7 @@
         return min(share, _share(epoch["before"], proxy, member))
 
     def read_configuration(self, text: str) -> Configuration:
-        """The configuration, checked."""
+        """Parses and validates a configuration."""
         return parse_configuration(text)
 
     def _read_record(self, document: Document) -> ResumableRecord:
@@ -135,22 +146,26 @@
             self._check_no_served_group_is_dropped(configuration)
 
     def _check_no_served_group_is_dropped(self, configuration: Configuration) -> None:
-        now = {group.name for group in self.configuration.groups} if self.configuration else set()
-        dropped = now - {group.name for group in configuration.groups}
+        current = (
+            {group.name for group in self.configuration.groups} if self.configuration else set()
+        )
+        dropped = current - {group.name for group in configuration.groups}
         served = sorted(group for group in dropped if group in self.doc["epochs"])
         if served:
             raise invalid_document(
                 "manifest declined",
                 [
-                    ConfigurationFault("groups", f"group {g} is served; retire it with retire=true")
-                    for g in served
+                    ConfigurationFault(
+                        "groups", f"group {group} is served; retire it with retire=true"
+                    )
+                    for group in served
                 ],
             )
 
     def _apply_configuration(self, record: ConfigurationRecord) -> None:
         configuration = self.read_configuration(record.text)
         if self.doc["manifest"]:
-            self.doc["old"] = (self.doc["old"] + [self.doc["manifest"]])[-_MOST_OLD:]
+            self.doc["old"] = (self.doc["old"] + [self.doc["manifest"]])[-_MAX_PREVIOUS_VERSIONS:]
         accepted = AcceptedConfiguration(
             configuration.version, record.text, record.by, configuration_digest(record.text)
         )
@@ -183,13 +198,13 @@
             if record.state != _UP:
                 raise Stale(f"no edge {record.name}")
             return
-        same = record.incarnation == row["inc"]
-        if record.incarnation < row["inc"] or (same and row["state"] == _GONE):
+        same_incarnation = record.incarnation == row["inc"]
+        if record.incarnation < row["inc"] or (same_incarnation and row["state"] == _GONE):
             raise Stale(f"edge {record.name} incarnation {row['inc']} is {row['state']}")
         boot = row.get("boot")
-        if same and boot and record.boot and boot != record.boot:
+        if same_incarnation and boot and record.boot and boot != record.boot:
             raise Stale(f"edge {record.name} incarnation {row['inc']} is another process")
-        if same and row["state"] == record.state:
+        if same_incarnation and row["state"] == record.state:
             raise Duplicate(f"edge {record.name} is {record.state}")
 
     def _apply_proxy(self, record: ProxyRecord) -> None:
@@ -221,7 +236,7 @@
             raise Conflict(f"epoch {record.number} does not follow {last}")
 
     def _last_epoch_number(self, group: str) -> int:
-        """The number of the group's last epoch, also if the group was dropped meanwhile."""
+        """Returns the number of the group's last epoch, even if the group was dropped since."""
         epoch = self.doc["epochs"].get(group)
         if epoch is None:
             past = self.doc["past"].get(group)
@@ -233,11 +248,13 @@
         old = self.doc["epochs"].get(record.group)
         row = dict(record.row)
         row["settled"] = False
-        row["before"] = _certain_shares(old)
+        row["before"] = _guaranteed_shares(old)
         self.doc["epochs"][record.group] = row
         past = self.doc["past"].setdefault(record.group, [])
-        past.append({key: row[key] for key in _PAST_KEYS if key in row} | {"seq": self.seq + 1})
-        del past[:-_MOST_OLD]
+        past.append(
+            {key: row[key] for key in _PAST_EPOCH_KEYS if key in row} | {"seq": self.seq + 1}
+        )
+        del past[:-_MAX_PREVIOUS_VERSIONS]
 
     def _check_epoch_in_force(self, record: EpochInForceRecord) -> None:
         epoch = self.doc["epochs"].get(record.group)
@@ -245,11 +262,13 @@
             raise Conflict("epoch moved on")
 
     def _reported_groups(self) -> Document:
-        """What differs between the kinds of sessions in what `petrelhaven-diff` compares."""
+        """Returns the entries for epochs and proxies that `petrelhaven-diff` compares."""
         epochs = sorted(self.doc["epochs"].items())
         proxies = sorted(self.doc["edges"].items())
         return {
-            "epochs": {g: {key: row[key] for key in _COMPARED_KEYS} for g, row in epochs},
+            "epochs": {
+                group: {key: row[key] for key in _COMPARED_EPOCH_KEYS} for group, row in epochs
+            },
             "edges": {name: [row["inc"], row["state"]] for name, row in proxies},
         }
 
@@ -258,14 +277,17 @@
     return shares.get(proxy, {}).get(member, 0)
 
 
-def _certain_shares(epoch: Document | None) -> Shares:
-    """What each proxy may certainly use of an epoch's shares while the next is not in force."""
+def _guaranteed_shares(epoch: Document | None) -> Shares:
+    """Returns the shares that each proxy may use under `epoch`, whether or not it is in force."""
     if not epoch:
         return {}
     shares: Shares = epoch["shares"]
     if epoch["settled"]:
         return shares
     return {
-        proxy: {member: min(n, _share(epoch["before"], proxy, member)) for member, n in row.items()}
+        proxy: {
+            member: min(share, _share(epoch["before"], proxy, member))
+            for member, share in row.items()
+        }
         for proxy, row in shares.items()
     }
--- a/src/petrelhaven/control/resumable/duty_tasks.py
+++ b/src/petrelhaven/control/resumable/duty_tasks.py
@@ -1,4 +1,4 @@
-"""The tasks of the planning duty: at most one for each subject."""
+"""The tasks of the planning duty: at most one at a time for each group or proxy."""
 
 from __future__ import annotations
 
@@ -15,25 +15,25 @@
 
 __all__ = ["DutyTasks"]
 
-_FAULT_PAUSE_US = 100_000
+_PAUSE_AFTER_FAULT_US = 100_000
 
 
 class DutyTasks:
-    """Runs work on groups and proxies; a fault is logged, and the subject is free again."""
+    """Runs at most one task for each subject, which is a group or a proxy; logs faults."""
 
     def __init__(self, clock: Clock, tasks: Tasks, log: Any) -> None:  # noqa: ANN401 (a logger)
-        """Has no tasks yet."""
+        """Starts without tasks."""
         self._clock, self._tasks, self._log = clock, tasks, log
         self._running: dict[Hashable, asyncio.Task[None]] = {}
 
     def is_busy(self, subject: Hashable) -> bool:
-        """Whether a task works on the subject."""
+        """Returns whether a task for the subject is running."""
         return subject in self._running
 
     def start(
         self, subject: Hashable, work: Callable[..., Awaitable[object]], *arguments: object
     ) -> None:
-        """Starts the one task that works on the subject."""
+        """Starts the task for the subject, which must not be busy."""
 
         async def run() -> None:
             try:
@@ -43,7 +43,7 @@
                 emit(
                     self._log, Events.RECORD_DECLINED, what=what, fault=fault.code, note=fault.note
                 )
-                await self._clock.sleep(_FAULT_PAUSE_US)
+                await self._clock.sleep(_PAUSE_AFTER_FAULT_US)
             finally:
                 self._running.pop(subject, None)
 
--- a/src/petrelhaven/control/resumable/epoch_progress.py
+++ b/src/petrelhaven/control/resumable/epoch_progress.py
@@ -1,4 +1,4 @@
-"""How far each group's epoch has come: in force, its promotion requested, replicas caught up."""
+"""The progress of each group's epoch: in force, promotion requested, replicas caught up."""
 
 from __future__ import annotations
 
@@ -18,56 +18,63 @@
 _IN_FORCE_TIMEOUT_US = 60_000_000
 
 EpochKey = tuple[str, int]
-"""A group and the number of its epoch; 0 before the first."""
+"""A group and the number of its epoch; the number is 0 before the first epoch."""
 
 
 class EpochProgress:
-    """What this node knows of the newest epochs.
+    """The progress of the newest epochs, as far as this node has observed it.
 
     Attributes:
-        targets: The member whose promotion was requested under an epoch.
-        caught_up_at: Where the primary's log ended once the epoch was in force.
+        targets: The member whose promotion was requested under each epoch.
+        catch_up_positions: The end of the primary's log after each epoch came into force. A replica
+            that has reached this position holds every commit acknowledged before.
     """
 
     def __init__(self, clock: Clock, tasks: Tasks, lease_table: LeaseTable) -> None:
-        """Knows of no epoch yet."""
+        """Starts without epochs."""
         self._clock, self._tasks, self._lease_table = clock, tasks, lease_table
         self._in_force_since: dict[EpochKey, int] = {}
         self._waits: dict[EpochKey, asyncio.Task[None]] = {}
         self.targets: dict[EpochKey, str] = {}
-        self.caught_up_at: dict[EpochKey, int] = {}
+        self.catch_up_positions: dict[EpochKey, int] = {}
 
-    def stand_down(self) -> None:
-        """This node is no longer the active head."""
+    def reset(self) -> None:
+        """Drops the progress that is valid only while this node is the active head."""
         self._in_force_since.clear()
         self.targets.clear()
 
     def is_in_force(self, key: EpochKey) -> bool:
-        """Whether every proxy follows the epoch or has lost its lease."""
+        """Returns whether every proxy has applied the epoch or lost its lease."""
         return key in self._in_force_since
 
-    def watch(self, key: EpochKey, epoch: EpochRecord, seq: int) -> None:
-        """Starts the wait for an epoch to be in force, once; `seq` is a record after it."""
+    def watch_epoch(self, key: EpochKey, epoch: EpochRecord, seq: int) -> None:
+        """Starts to wait, once, until an epoch is in force.
+
+        Args:
+            key: The group and number of the epoch.
+            epoch: The record of the epoch.
+            seq: The number of the epoch's record or of a later one.
+        """
         if key in self._in_force_since or key in self._waits:
             return
-        self._forget_before(key)
-        self._waits[key] = self._tasks.spawn(self._wait(key, epoch, seq))
+        self._remove_older_epochs(key)
+        self._waits[key] = self._tasks.spawn(self._wait_in_force(key, epoch, seq))
 
-    def note_primary_log(self, key: EpochKey, announced_at: int, log: int) -> None:
-        """The primary announced its log; the first time since the epoch is in force counts."""
-        if key not in self._in_force_since or key in self.caught_up_at:
+    def note_primary_log(self, key: EpochKey, announced_at: int, log_position: int) -> None:
+        """Stores the position that the primary announces first after the epoch is in force."""
+        if key not in self._in_force_since or key in self.catch_up_positions:
             return
         if announced_at > self._in_force_since[key]:
-            self.caught_up_at[key] = log
+            self.catch_up_positions[key] = log_position
 
-    def _forget_before(self, key: EpochKey) -> None:
-        """Forgets the group's older epochs."""
+    def _remove_older_epochs(self, key: EpochKey) -> None:
+        """Removes the group's older epochs."""
         group, number = key
-        for known in (self._in_force_since, self.caught_up_at, self.targets):
-            for old in [k for k in known if k[0] == group and k[1] < number]:
-                del known[old]
+        for entries in (self._in_force_since, self.catch_up_positions, self.targets):
+            for old_key in [k for k in entries if k[0] == group and k[1] < number]:
+                del entries[old_key]
 
-    async def _wait(self, key: EpochKey, epoch: EpochRecord, seq: int) -> None:
+    async def _wait_in_force(self, key: EpochKey, epoch: EpochRecord, seq: int) -> None:
         try:
             await self._lease_table.wait_in_force(
                 seq, epoch.grace_us, timeout_us=_IN_FORCE_TIMEOUT_US
--- a/src/petrelhaven/control/resumable/group_observation.py
+++ b/src/petrelhaven/control/resumable/group_observation.py
@@ -1,4 +1,4 @@
-"""The observation of one group, from which its plan is made, and the next step that it needs."""
+"""The observed state of one group, which is the input of its plan, and the steps of a plan."""
 
 from __future__ import annotations
 
@@ -11,54 +11,55 @@
     from petrelhaven.control.resumable.announcements import MemberObservation
     from petrelhaven.control.resumable.records import EpochRecord
 
-__all__ = ["HALTED", "SERVING", "EnterEpoch", "GroupObservation", "Promote", "Step", "Wait"]
+__all__ = ["HALTED", "SERVING", "AppendEpoch", "GroupObservation", "Promote", "Step", "Wait"]
 
 SERVING, HALTED = "serve", "halt"
-"""The phases of an epoch, as stored."""
+"""The phases of an epoch, as stored: writes are permitted, or they are stopped."""
 
 _OPEN = "open"
 
 
 @dataclass(frozen=True, slots=True)
-class EnterEpoch:
-    """The next epoch is to be entered."""
+class AppendEpoch:
+    """Append the record of the next epoch."""
 
     epoch: EpochRecord
 
 
 @dataclass(frozen=True, slots=True)
 class Promote:
-    """The platform is to promote `member`."""
+    """Have the platform promote `member`."""
 
     member: str
 
 
 @dataclass(frozen=True, slots=True)
 class Wait:
-    """Nothing can be done now, for the reason that operators read."""
+    """Do nothing now, for a reason that is shown to operators."""
 
     reason: str
 
 
-Step = EnterEpoch | Promote | Wait
+Step = AppendEpoch | Promote | Wait
 
 
 @dataclass(frozen=True, slots=True)
 class GroupObservation:
-    """All that a plan may use for one group.
+    """The input of a plan for one group.
 
     Attributes:
-        group: Its part of the configuration.
+        group: The group's part of the configuration.
         bounds: The time limits of the configuration.
-        epoch: The epoch in force, or None before the first.
-        is_settled: Whether every proxy is recorded to follow that epoch.
-        last_number: The number of the group's last epoch, also if the group was dropped meanwhile.
-        members: What is known of each member of the group.
-        proxies: The proxies that are not gone.
-        zones: The state of each zone that was ever changed.
-        is_in_force: Whether every proxy follows the epoch or has lost its lease.
-        caught_up_at: The position that the primary's log had once the epoch was in force, if known.
-        waited_us: For how long the group has needed what it needs now.
+        epoch: The newest recorded epoch, or None before the first.
+        is_settled: Whether the control state records that the epoch is in force.
+        last_number: The number of the group's last epoch, even if the group has been dropped since.
+        members: The observation of each member of the group.
+        proxies: The proxies that are not recorded as gone.
+        zones: The recorded zone states; a zone without an entry is open.
+        is_in_force: Whether every proxy has applied the epoch or lost its lease.
+        catch_up_position: The end of the primary's log after the epoch came into force, or None if
+            the primary has not announced it.
+        waited_us: For how long the group's phase and the primary's departure are unchanged.
         target: The member whose promotion was requested under this epoch, if any.
     """
 
@@ -71,26 +72,29 @@
     proxies: Sequence[str]
     zones: Mapping[str, str]
     is_in_force: bool
-    caught_up_at: int | None
+    catch_up_position: int | None
     waited_us: int
     target: str | None = None
 
     def is_live(self, name: str) -> bool:
-        """Whether the member announced itself lately."""
+        """Returns whether the member's newest announcement is recent enough."""
         member = self.members.get(name)
         return member is not None and member.age_us < self.bounds.lost_us
 
     def is_leaving(self, name: str) -> bool:
-        """Whether the member drains, or is in an evacuated zone."""
+        """Returns whether the member is draining or in an evacuated zone."""
         member = self.members[name]
         return member.draining or self.zones.get(member.zone, _OPEN) != _OPEN
 
-    def is_sound(self, name: str) -> bool:
-        """Whether commits may wait for it: a live replica that stays, its log moving."""
+    def is_healthy_replica(self, name: str) -> bool:
+        """Returns whether the member is a live replica that is neither leaving nor stalled.
+
+        Commits may wait for such a replica, and it may answer reads.
+        """
         if not self.is_live(name) or self.is_leaving(name):
             return False
         return not self.members[name].is_stalled and self.members[name].is_replica
 
     def has_planned_store(self, name: str, epoch: EpochRecord) -> bool:
-        """Whether the member has the store that it was planned with."""
+        """Returns whether the member still has the store that `epoch` recorded for it."""
         return self.members[name].store == epoch.stores.get(name)
--- a/src/petrelhaven/control/resumable/interfaces.py
+++ b/src/petrelhaven/control/resumable/interfaces.py
@@ -1,4 +1,4 @@
-"""The contracts of the planning duty: what it needs of its control node and of the platform."""
+"""Interfaces of the control node and the platform that the planning duty uses."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ControlState(Protocol):
-    """The control state as far as the duty reads it."""
+    """The part of the control state that the planning duty reads."""
 
     seq: int
     doc: dict[str, Any]
@@ -36,26 +36,27 @@
 
     @property
     def is_active(self) -> bool:
-        """Whether a majority has confirmed this node's view, and no older one can be in force."""
+        """Whether a majority has confirmed this node's view and no older view can be active."""
 
     @property
     def view(self) -> View | None:
-        """The view that this node follows, or None."""
+        """The view of this node, or None."""
 
     @property
     def control_state(self) -> ControlState:
-        """The control state, with all records that this node holds."""
+        """The control state after all records that this node has stored."""
 
     async def append_record(self, record: dict[str, Any], /) -> int:
-        """Commits a record; its number."""
+        """Appends a record through the chain; returns its number once it is committed."""
 
 
 class LeaseTable(Protocol):
     """The leases of the proxies.
 
     Attributes:
-        lease_ends: When each lease granted here has expired (clock microseconds).
-        unknown_leases_end: When leases that this node doesn't know of have expired.
+        lease_ends: For each proxy, when its lease from this node has expired (clock microseconds).
+        unknown_leases_end: When leases that removed nodes may have granted have expired (clock
+            microseconds).
     """
 
     lease_ends: dict[str, int]
@@ -64,20 +65,20 @@
     async def wait_in_force(
         self, seq: int, grace_us: int = 0, timeout_us: int = 15_000_000
     ) -> object:
-        """Returns once every proxy has acknowledged record `seq`, or its lease has expired."""
+        """Waits until every proxy has acknowledged record `seq` or its lease has expired."""
 
 
 class EpochPlatform(Protocol):
-    """The platform that promotes members, fenced by epoch."""
+    """The platform, which promotes members; the epoch is the fencing token."""
 
     async def promote(self, group: str, member: str, epoch: int, by: str, /) -> Mapping[str, Any]:
-        """Makes a member the primary of its group; the answer names both."""
+        """Makes a member the primary of its group; the response has `primary` and `epoch`."""
 
 
 class CallNode(Protocol):
-    """Calls another control node."""
+    """Calls another control node by name."""
 
     def __call__(
         self, name: str, kind: str, body: dict[str, Any], us: int, /
     ) -> Awaitable[dict[str, Any]]:
-        """Its answer within `us` microseconds."""
+        """Returns the response, which must arrive within `us` microseconds."""
--- a/src/petrelhaven/control/resumable/leases.py
+++ b/src/petrelhaven/control/resumable/leases.py
@@ -1,4 +1,4 @@
-"""Leases of proxies with resumable sessions; records tell which proxies there are."""
+"""Leases of proxies with resumable sessions; the control state records these proxies."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class ResumableLeaseTable(LeaseTable):
-    """Leases of proxies whose incarnations the control state records."""
+    """The leases of proxies with resumable sessions, which register in the control state."""
 
     def __init__(
         self,
@@ -40,22 +40,22 @@
         call: Call,
         log: logbook.Logger | None = None,
     ) -> None:
-        """Takes the parts of a control node."""
+        """Uses the parts of a control node."""
         super().__init__(clock, tasks, chain, call, log, LEASE_EXPIRY_US)
 
     async def renew(self, channel: Channel, body: Mapping[str, Any]) -> dict[str, Any]:
-        """Answers `edge.lease`: renews a proxy's lease if the state records this very process."""
+        """Handles `edge.lease`: renews the lease if this proxy process is registered."""
         request = LeaseRequest.from_body(body)
         row = self._chain.control_state.doc["edges"].get(request.proxy)
-        known = (
+        is_registered = (
             bool(row)
             and row["inc"] == request.incarnation
             and row.get("boot", request.boot) == request.boot
         )
-        if known:
+        if is_registered:
             self.acknowledge(request.proxy, request.acknowledged_seq)
             self._changed.wake()
-        granted = bool(self._chain.is_confirmed and known and row["state"] != "gone")
+        granted = bool(self._chain.is_confirmed and is_registered and row["state"] != "gone")
         required_seq = self._chain.control_state.seq
         if granted:
             self.grant(request.proxy, LEASE_US)
@@ -73,10 +73,10 @@
             return now >= all_expired_at + self._certain_expiry_us and not behind & leased
         if not behind:
             return True
-        all_known = all(report.unknown_leases_us == 0 for report in answered)
-        return not behind & leased and (all_known or now >= all_expired_at)
+        no_unknown_leases = all(report.unknown_leases_us == 0 for report in answered)
+        return not behind & leased and (no_unknown_leases or now >= all_expired_at)
 
     def _recorded_proxies(self) -> set[str]:
-        """Those whose leases are not recorded as expired."""
+        """Returns the proxies whose leases are not recorded as expired."""
         rows = self._chain.control_state.doc["edges"].items()
         return {name for name, row in rows if row["state"] != "gone" or not row.get("lapsed")}
--- a/src/petrelhaven/control/resumable/member_protocol.py
+++ b/src/petrelhaven/control/resumable/member_protocol.py
@@ -1,4 +1,7 @@
-"""Requests to members of the product's own interface, which has no PAUSE: no failover there."""
+"""Status requests to members that speak the product's own protocol.
+
+That protocol has no PAUSE, so control nodes don't fail over groups of such members.
+"""
 
 from __future__ import annotations
 
@@ -12,19 +15,19 @@
 
 __all__ = ["MemberWire"]
 
-_STATUS_US = 600_000
+_STATUS_TIMEOUT_US = 600_000
 _REFUSED = "refused"
 
 
 class _StatusWire(Protocol):
-    """Asks members for their status, each over a connection of its own."""
+    """Requests members' status, over a new connection each time."""
 
     async def status(self, address: str, us: int, /) -> dict[str, Any]:
-        """The status of the member at an address, within `us` microseconds."""
+        """Returns the status of the member at an address, within `us` microseconds."""
 
 
 class _Member:
-    """A member under its address; no connection stays open."""
+    """A member at an address; no connection stays open between requests."""
 
     __slots__ = ("lost", "_wire", "_address", "_name")
 
@@ -32,37 +35,37 @@
         self._wire, self._address, self._name, self.lost = wire, address, name, False
 
     async def send_command(self, verb: str, *_args: int) -> dict[str, Any]:
-        """The member's status.
+        """Returns the member's status.
 
         Raises:
             MemberDeclined: The verb is not `status`.
-            MemberReplaced: Another member answers at the address.
+            MemberReplaced: A different member answers at the address.
         """
         if verb != "status":
-            raise MemberDeclined(f"members of this interface have no {verb}")
-        answer = await self._wire.status(self._address, _STATUS_US)
+            raise MemberDeclined(f"the members' protocol has no {verb}")
+        answer = await self._wire.status(self._address, _STATUS_TIMEOUT_US)
         if answer.get("member", self._name) != self._name:
             raise MemberReplaced(f"{answer['member']} answers there")
         return {"role": answer["role"], "term": answer["term"], "pos": answer["log"], "held": 0}
 
     def close(self) -> None:
-        """Forgets the member."""
+        """Marks the member as disconnected."""
         self.lost = True
 
 
 class MemberWire:
-    """Opens what the failover coordinator asks members over."""
+    """Opens connections to members for the failover coordinator."""
 
     def __init__(self, clock: Clock, wire: _StatusWire) -> None:
-        """Asks members for their status over `wire`."""
+        """Uses `wire` for status requests."""
         self.clock, self._wire = clock, wire
 
     async def open(self, addr: str, group: str, member: str, us: int) -> _Member:
-        """A member that answers within `us` microseconds.
+        """Returns the member if it answers within `us` microseconds.
 
         Raises:
-            NotSent: With the note `UNREACHABLE` if nothing came back, else its port is closed.
-            MemberReplaced: Another member answers at the address.
+            NotSent: The port is closed, or with the note `UNREACHABLE`, there was no response.
+            MemberReplaced: A different member answers at the address.
         """
         connection = _Member(self._wire, addr, member)
         try:
--- a/src/petrelhaven/control/resumable/node.py
+++ b/src/petrelhaven/control/resumable/node.py
@@ -1,4 +1,4 @@
-"""A control node of resumable sessions: proxies are part of its control state."""
+"""A control node for resumable sessions, which records proxies in the control state."""
 
 from __future__ import annotations
 
@@ -22,23 +22,23 @@
 
 __all__ = ["ResumableControlNode"]
 
-_ENTER_TIMEOUT_US = 20_000_000
+_SUBMIT_TIMEOUT_US = 20_000_000
 _READ_TIMEOUT_US = 2_000_000
 _SNAPSHOT_TIMEOUT_US = 1_500_000
-_GROUP_FIXED_US = 5_000_000
+_MIN_GROUP_CHANGE_US = 5_000_000
 
 
 class ResumableControlNode(BaseControlNode):
-    """One control node of resumable sessions."""
+    """One control node for resumable sessions."""
 
     lease_table: ResumableLeaseTable
 
     def make_lease_table(self) -> ResumableLeaseTable:
-        """The table of the proxies' leases."""
+        """Creates the table of the proxies' leases."""
         return ResumableLeaseTable(self.clock, self.tasks, self.chain, self.call, self.log)
 
     def make_duty(self, platform: Any) -> PlanningDuty:  # noqa: ANN401
-        """The duty that plans leaderships and shares."""
+        """Creates the duty that plans the groups' primaries and the proxies' connection shares."""
         return PlanningDuty(
             self.clock,
             cast("Tasks", self.tasks),
@@ -51,15 +51,15 @@
         )
 
     def handlers(self) -> dict[str, Any]:
-        """What proxies ask, and the head of the other control nodes."""
+        """Returns the handlers of messages from proxies and from the head of the chain."""
         return {
-            MessageKind.PLANNER_OBSERVATIONS: self.duty.answer_report,
+            MessageKind.PLANNER_OBSERVATIONS: self.duty.handle_report_request,
             MessageKind.PROXY_LEASE: self.lease_table.renew,
-            MessageKind.PROXY_ENTER: self._enter_proxy,
+            MessageKind.PROXY_ENTER: self._register_proxy,
         }
 
-    async def _enter_proxy(self, _channel: Channel, body: Mapping[str, Any]) -> dict[str, Any]:
-        """A proxy registers: its state is entered as a record."""
+    async def _register_proxy(self, _channel: Channel, body: Mapping[str, Any]) -> dict[str, Any]:
+        """Handles a proxy's registration by appending a record of its state."""
         proxy = body["edge"]
         record = {
             "t": "edge",
@@ -78,7 +78,12 @@
             return {"seq": 0}
 
     async def submit_record(self, record: dict[str, Any], force: bool = True) -> SubmitAnswer:
-        """Enters a record at the head; with `force`, returns once it is in force."""
+        """Appends a record through the chain's head.
+
+        Args:
+            record: The record's document.
+            force: Whether to wait until the record is in force.
+        """
         view = self.chain.view
         if view is None:
             raise NotReady("no view yet")
@@ -86,12 +91,12 @@
         if view.head == self.name:
             return await self.append_as_head(request)
         answer = await self.reach.call(
-            view.head, MessageKind.CHAIN_ENTER, request.to_body(), _ENTER_TIMEOUT_US
+            view.head, MessageKind.CHAIN_ENTER, request.to_body(), _SUBMIT_TIMEOUT_US
         )
         return SubmitAnswer.from_body(answer)
 
     async def control_state(self) -> dict[str, Any]:
-        """The document of the control state as the tail answers it."""
+        """Reads the document of the control state from the tail of the chain."""
         view = self.chain.view
         if view is None:
             raise NotReady("no view yet")
@@ -104,28 +109,30 @@
         return document
 
     async def apply(self, text: str, by: str = "", retire: bool = False) -> dict[str, Any]:
-        """Checks and applies a configuration."""
+        """Validates a configuration and appends its record."""
         configuration = parse_configuration(text)
         if configuration.keyed or configuration.tenants:
-            note = "tenants need sessions that live with their connection"
+            note = "tenants are available only with connection sessions"
             raise Invalid("manifest declined", details={"faults": [["tenants", note]]})
         if configuration.embargoing or configuration.embargoes:
-            note = "embargoes are kept only where sessions live with their connection"
+            note = "embargoes are available only with connection sessions"
             raise Invalid("manifest declined", details={"faults": [["embargoing", note]]})
         record = {"t": "manifest", "text": text, "by": by, "retire": retire}
         answer = await self.submit_record(record)
-        return {"version": configuration.version, **_change(answer)}
+        return {"version": configuration.version, **_submission_response(answer)}
 
     async def set_zone_state(self, zone: str, state: str, by: str = "") -> dict[str, Any]:
         """Evacuates or restores a zone."""
         answer = await self.submit_record({"t": "hall", "hall": zone, "state": state, "by": by})
-        return {"hall": zone, "state": state, **_change(answer)}
+        return {"hall": zone, "state": state, **_submission_response(answer)}
 
     async def snapshots(self) -> dict[str, dict[str, Any]]:
-        """The control states that living proxies hold, by their names."""
+        """Collects the control states of the proxies that are alive, by proxy name."""
         proxies = self.roster.living("edge")
-        found = await asyncio.gather(*[self._snapshot(proxy) for proxy in proxies])
-        return {proxy: snapshot for proxy, snapshot in zip(proxies, found, strict=True) if snapshot}
+        collected = await asyncio.gather(*[self._snapshot(proxy) for proxy in proxies])
+        return {
+            proxy: snapshot for proxy, snapshot in zip(proxies, collected, strict=True) if snapshot
+        }
 
     async def _snapshot(self, proxy: str) -> dict[str, Any] | None:
         try:
@@ -140,11 +147,15 @@
         return snapshot
 
     def announce(self, document: Any) -> None:  # noqa: ANN401 (unchecked, from outside)
-        """Takes a member's announcement after checking it."""
+        """Validates and stores a member's announcement.
+
+        Raises:
+            Malformed: A field is invalid, or the member changed its group too soon.
+        """
         check_announcement(document)
-        former = self.duty.heard.get(document["member"])
-        if former and self.clock.now() - former.at < _GROUP_FIXED_US:
-            group = former.document["group"]
+        previous = self.duty.last_announcements.get(document["member"])
+        if previous and self.clock.now() - previous.received_at < _MIN_GROUP_CHANGE_US:
+            group = previous.document["group"]
             if document["group"] != group:
                 raise Malformed(
                     f"announcement field group must stay {group} for {document['member']}"
@@ -152,7 +163,7 @@
         self.duty.announce(document)
 
     def status(self) -> dict[str, Any]:
-        """The belief, what this node may do now, and what its duty is waiting for."""
+        """Returns the status document: reported state, permissions and what the duty waits for."""
         now = self.clock.now()
         return {
             **self.reported_state(),
@@ -163,12 +174,12 @@
             "waiting": dict(self.duty.wait_reasons) if self.chain.is_head else {},
             "garbage": getattr(self.link, "garbage", 0),
             "members": {
-                name: {**heard.document, "age_us": now - heard.at}
-                for name, heard in sorted(self.duty.heard.items())
+                name: {**last.document, "age_us": now - last.received_at}
+                for name, last in sorted(self.duty.last_announcements.items())
             },
         }
 
 
-def _change(answer: SubmitAnswer) -> dict[str, Any]:
-    """What an operator is answered about a record that is in force."""
+def _submission_response(answer: SubmitAnswer) -> dict[str, Any]:
+    """Returns the response to an operator about a record that is in force."""
     return {"change": answer.seq, "in_force_us": answer.in_force_us}
--- a/src/petrelhaven/control/resumable/plan.py
+++ b/src/petrelhaven/control/resumable/plan.py
@@ -1,7 +1,7 @@
-"""From the configuration and the members' announcements to the next epoch of a group.
+"""Plans the next epoch of a group from the configuration and the members' announcements.
 
-Pure functions: no clock, no links. `next_step` decides what the group needs now; `epoch_after`
-plans the epoch that follows a promotion.
+These are pure functions without access to a clock or the network. `next_step` returns the step that
+the group needs now; `epoch_after` plans the epoch that follows a promotion.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from petrelhaven.control.resumable.group_observation import (
     HALTED,
     SERVING,
-    EnterEpoch,
+    AppendEpoch,
     Promote,
     Step,
     Wait,
@@ -25,39 +25,39 @@
 
 __all__ = ["epoch_after", "next_step"]
 
-_ANNOUNCING_US = 1_500_000
-_NO_LONGER_PRIMARY_US = 1_000_000
-_NO_CANDIDATE_WAIT_US = 3_000_000
-_CATCH_UP_WAIT_US = 2_500_000
+_MAX_ANNOUNCEMENT_WAIT_US = 1_500_000
+_MAX_NOT_PRIMARY_US = 1_000_000
+_MAX_CANDIDATE_WAIT_US = 3_000_000
+_MAX_CATCH_UP_WAIT_US = 2_500_000
 
 
 def next_step(observed: GroupObservation) -> Step:
-    """What the group needs now."""
+    """Returns the step that the group needs now."""
     epoch = observed.epoch
     if epoch is None:
-        return _begin(observed)
+        return _first_step(observed)
     if epoch.phase == SERVING:
-        return _while_serving(observed, epoch)
-    return _while_halted(observed, epoch)
+        return _step_while_serving(observed, epoch)
+    return _step_while_halted(observed, epoch)
 
 
 def epoch_after(observed: GroupObservation, epoch: EpochRecord, promoted: str) -> EpochRecord:
-    """The epoch that follows the promotion of a member under `epoch`."""
-    awaited = [
+    """Plans the epoch that follows the promotion of a member under `epoch`."""
+    sync_replicas = [
         name
         for name in sorted(observed.members)
         if name != promoted
-        and observed.is_sound(name)
-        and (name in epoch.awaited or name in epoch.electable)
+        and observed.is_healthy_replica(name)
+        and (name in epoch.sync_replicas or name in epoch.electable)
     ]
     electable = [name for name in epoch.electable if name != promoted]
     cause = f"elected after: {epoch.cause}"
-    planned = _serving_epoch(observed, promoted, awaited, electable, cause)
+    planned = _plan_serving_epoch(observed, promoted, sync_replicas, electable, cause)
     return replace(planned, term=epoch.number)
 
 
-def _begin(observed: GroupObservation) -> Step:
-    """The first epoch of a group, or the first after it was dropped."""
+def _first_step(observed: GroupObservation) -> Step:
+    """Plans the first epoch of a group, or the first since it was dropped and added again."""
     primaries = [
         name
         for name, member in sorted(observed.members.items())
@@ -66,120 +66,125 @@
     if not primaries:
         return Wait("no primary has announced itself")
     if not observed.proxies:
-        return Wait("no edge has joined")
+        return Wait("no proxy has joined")
     live = [name for name in observed.members if observed.is_live(name)]
-    if len(live) < observed.group.members and observed.waited_us < _ANNOUNCING_US:
-        return Wait("members are still announcing themselves")
+    if len(live) < observed.group.members and observed.waited_us < _MAX_ANNOUNCEMENT_WAIT_US:
+        return Wait("not all members have announced themselves yet")
     members = observed.members
     primary = max(primaries, key=lambda name: (members[name].term, members[name].log))
-    awaited = _replicas_to_await(observed, primary)
-    return EnterEpoch(_serving_epoch(observed, primary, awaited, [], "first plan"))
+    sync_replicas = _eligible_sync_replicas(observed, primary)
+    return AppendEpoch(_plan_serving_epoch(observed, primary, sync_replicas, [], "first plan"))
 
 
-def _while_serving(observed: GroupObservation, epoch: EpochRecord) -> Step:
-    halt = _reason_to_halt(observed, epoch)
-    if halt is not None:
-        return EnterEpoch(halt)
+def _step_while_serving(observed: GroupObservation, epoch: EpochRecord) -> Step:
+    """Returns the step for a group whose epoch permits writes."""
+    halting_epoch = _plan_halt(observed, epoch)
+    if halting_epoch is not None:
+        return AppendEpoch(halting_epoch)
     primary = _primary_of(epoch)
-    replicas = _replicas_to_await(observed, primary)
+    replicas = _eligible_sync_replicas(observed, primary)
     lost = [
         name
-        for name in epoch.awaited
+        for name in epoch.sync_replicas
         if name not in replicas or not observed.has_planned_store(name, epoch)
     ]
-    awaited = [name for name in replicas if name not in lost]
+    sync_replicas = [name for name in replicas if name not in lost]
 
-    def serving(electable: Iterable[str], cause: str) -> EnterEpoch:
-        return EnterEpoch(_serving_epoch(observed, primary, awaited, electable, cause))
+    def serving(electable: Iterable[str], cause: str) -> AppendEpoch:
+        return AppendEpoch(_plan_serving_epoch(observed, primary, sync_replicas, electable, cause))
 
     if lost:
         return serving(epoch.electable, "replica out: " + ",".join(lost))
     if not (observed.is_in_force and observed.is_settled):
-        return Wait("the epoch is not in force everywhere yet")
-    added = sorted(set(awaited) - set(epoch.awaited))
+        return Wait("the epoch is not in force at all proxies yet")
+    added = sorted(set(sync_replicas) - set(epoch.sync_replicas))
     if added:
         return serving(epoch.electable, "replica in: " + ",".join(added))
-    caught_up = _caught_up(observed, epoch)
+    caught_up = _caught_up_replicas(observed, epoch)
     if caught_up:
         electable = [*epoch.electable, *caught_up]
         return serving(electable, "replica caught up: " + ",".join(caught_up))
-    planned = _serving_epoch(observed, primary, awaited, epoch.electable, "")
-    cause = _cause_of_change(planned, epoch)
-    return EnterEpoch(replace(planned, cause=cause)) if cause else Wait("serving")
+    planned = _plan_serving_epoch(observed, primary, sync_replicas, epoch.electable, "")
+    cause = _change_cause(planned, epoch)
+    return AppendEpoch(replace(planned, cause=cause)) if cause else Wait("serving")
 
 
-def _reason_to_halt(observed: GroupObservation, epoch: EpochRecord) -> EpochRecord | None:
-    """The epoch that stops writes, if the primary is lost or about to leave."""
+def _plan_halt(observed: GroupObservation, epoch: EpochRecord) -> EpochRecord | None:
+    """Plans the epoch that stops writes if the primary is lost or leaving; otherwise None."""
     primary = _primary_of(epoch)
     if not observed.is_live(primary):
-        return _halted_epoch(observed, epoch, "primary lost")
+        return _plan_halted_epoch(observed, epoch, "primary lost")
     member = observed.members[primary]
     if not observed.has_planned_store(primary, epoch):
-        return _halted_epoch(observed, epoch, "primary came back with another store")
-    if not member.is_primary and member.not_primary_us > _NO_LONGER_PRIMARY_US:
-        return _halted_epoch(observed, epoch, "primary is no longer one")
-    may_leave = _candidates(observed) or observed.waited_us > _NO_CANDIDATE_WAIT_US
-    if observed.is_leaving(primary) and may_leave:
+        return _plan_halted_epoch(observed, epoch, "primary came back with another store")
+    if not member.is_primary and member.not_primary_us > _MAX_NOT_PRIMARY_US:
+        return _plan_halted_epoch(observed, epoch, "primary is no longer one")
+    may_halt = _candidates(observed) or observed.waited_us > _MAX_CANDIDATE_WAIT_US
+    if observed.is_leaving(primary) and may_halt:
         cause = "primary draining" if member.draining else "hall emptied"
-        return _halted_epoch(observed, epoch, cause, observed.bounds.grace_us)
+        return _plan_halted_epoch(observed, epoch, cause, observed.bounds.grace_us)
     return None
 
 
-def _caught_up(observed: GroupObservation, epoch: EpochRecord) -> list[str]:
-    """Replicas that hold every acknowledged commit by now, and may be elected from now on."""
-    if observed.caught_up_at is None:
+def _caught_up_replicas(observed: GroupObservation, epoch: EpochRecord) -> list[str]:
+    """Returns the replicas that have caught up, so that they hold every acknowledged commit."""
+    if observed.catch_up_position is None:
         return []
     return [
         name
-        for name in epoch.awaited
+        for name in epoch.sync_replicas
         if name not in epoch.electable
         and observed.members[name].term == epoch.term
-        and observed.members[name].log >= observed.caught_up_at
+        and observed.members[name].log >= observed.catch_up_position
     ]
 
 
-def _cause_of_change(planned: EpochRecord, epoch: EpochRecord) -> str:
-    """What differs between the epoch in force and the one planned now, or ""."""
+def _change_cause(planned: EpochRecord, epoch: EpochRecord) -> str:
+    """Returns what differs between the current epoch and the one planned now, or ""."""
     if planned.readers != epoch.readers:
         return "read gates changed"
-    if planned.open != epoch.open:
+    if planned.acknowledges_writes != epoch.acknowledges_writes:
         return "in-sync least changed"
     if planned.shares != epoch.shares:
         return "edges or caps changed"
-    if any(place != epoch.places.get(name) for name, place in planned.places.items()):
+    if any(location != epoch.locations.get(name) for name, location in planned.locations.items()):
         return "a member restarted or moved"
     return ""
 
 
-def _while_halted(observed: GroupObservation, epoch: EpochRecord) -> Step:
+def _step_while_halted(observed: GroupObservation, epoch: EpochRecord) -> Step:
+    """Returns the step for a group whose writes are stopped until a primary is promoted."""
     if not observed.is_in_force:
         return Wait("writes to the old primary are being stopped")
-    old = _primary_of(epoch)
+    old_primary = _primary_of(epoch)
     candidates = _candidates(observed)
-    is_back = observed.is_live(old) and observed.has_planned_store(old, epoch)
+    is_back = observed.is_live(old_primary) and observed.has_planned_store(old_primary, epoch)
     target = observed.target
-    if target and target != old and target not in candidates:
-        return EnterEpoch(_halted_epoch(observed, epoch, f"candidate {target} lost"))
+    if target and target != old_primary and target not in candidates:
+        return AppendEpoch(_plan_halted_epoch(observed, epoch, f"candidate {target} lost"))
     if candidates:
-        candidate = target or _highest(observed, candidates)
-        if is_back and _must_catch_up(observed, candidate, old):
-            return Wait(f"{candidate} catches up with {old}")
+        candidate = target or _most_advanced(observed, candidates)
+        if is_back and _must_catch_up(observed, candidate, old_primary):
+            return Wait(f"candidate {candidate} is catching up with {old_primary}")
         return Promote(candidate)
-    if is_back and not observed.is_leaving(old):
-        return Promote(old)
+    if is_back and not observed.is_leaving(old_primary):
+        return Promote(old_primary)
     electable = ",".join(epoch.electable or ["(no in-sync replica)"])
-    return Wait(f"no safe candidate: none of {electable} is alive and staying")
+    return Wait(f"no safe candidate: none of {electable} is alive without leaving")
 
 
-def _must_catch_up(observed: GroupObservation, candidate: str, old: str) -> bool:
-    """Whether the candidate lacks a part of the log of an old primary that still is one."""
-    primary = observed.members[old]
+def _must_catch_up(observed: GroupObservation, candidate: str, old_primary: str) -> bool:
+    """Returns whether to wait until the candidate has the log of the old primary.
+
+    The wait ends after a time limit, or once the old primary no longer announces itself as one.
+    """
+    primary = observed.members[old_primary]
     is_behind = observed.members[candidate].log < primary.log
-    return primary.is_primary and is_behind and observed.waited_us < _CATCH_UP_WAIT_US
+    return primary.is_primary and is_behind and observed.waited_us < _MAX_CATCH_UP_WAIT_US
 
 
-def _highest(observed: GroupObservation, names: Iterable[str]) -> str:
-    """The member with the newest log, among equals one that isn't stalled."""
+def _most_advanced(observed: GroupObservation, names: Iterable[str]) -> str:
+    """Returns the member with the newest log; of equal ones, one that is not stalled."""
 
     def rank(name: str) -> tuple[int, int, bool, str]:
         member = observed.members[name]
@@ -189,7 +194,7 @@
 
 
 def _candidates(observed: GroupObservation) -> list[str]:
-    """Replicas that hold every acknowledged commit, live and staying."""
+    """Returns the live replicas that hold every acknowledged commit and are not leaving."""
     epoch = observed.epoch
     if epoch is None:
         return []
@@ -203,15 +208,19 @@
     ]
 
 
-def _replicas_to_await(observed: GroupObservation, primary: str) -> list[str]:
-    """Replicas whose acknowledgement commits may wait for; a new one must be near first."""
+def _eligible_sync_replicas(observed: GroupObservation, primary: str) -> list[str]:
+    """Returns the replicas that commits may wait for.
+
+    A replica is added only once its log is close to the primary's, so that commits don't wait for
+    it to catch up.
+    """
     epoch = observed.epoch
     return [
         name
         for name, member in sorted(observed.members.items())
         if name != primary
-        and observed.is_sound(name)
-        and (epoch is None or name in epoch.awaited or member.is_near)
+        and observed.is_healthy_replica(name)
+        and (epoch is None or name in epoch.sync_replicas or member.is_near)
     ]
 
 
@@ -221,53 +230,55 @@
     return epoch.primary
 
 
-def _serving_epoch(
+def _plan_serving_epoch(
     observed: GroupObservation,
     primary: str,
-    awaited: Iterable[str],
+    sync_replicas: Iterable[str],
     electable: Iterable[str],
     cause: str,
 ) -> EpochRecord:
-    """The next epoch, under which `primary` serves."""
-    waited_for = tuple(sorted(awaited))
-    stores = _planned_stores(observed, primary, waited_for)
-    before = observed.epoch.stores if observed.epoch else {}
-    same_store = [name for name in electable if stores.get(name) == before.get(name)]
-    in_sync, is_open = _in_sync(observed, waited_for, same_store)
+    """Plans the next epoch, under which `primary` accepts writes."""
+    sync_replicas = tuple(sorted(sync_replicas))
+    stores = _planned_stores(observed, primary, sync_replicas)
+    previous_stores = observed.epoch.stores if observed.epoch else {}
+    same_store = [name for name in electable if stores.get(name) == previous_stores.get(name)]
+    still_electable, acknowledges_writes = _electable_replicas(observed, sync_replicas, same_store)
     return replace(
-        _epoch(observed, SERVING, primary, cause),
-        awaited=waited_for,
-        electable=tuple(sorted(in_sync)),
-        open=is_open,
-        shares=_shares(observed),
+        _plan_next_epoch(observed, SERVING, primary, cause),
+        sync_replicas=sync_replicas,
+        electable=tuple(sorted(still_electable)),
+        acknowledges_writes=acknowledges_writes,
+        shares=_split_connections(observed),
         stores=stores,
     )
 
 
-def _halted_epoch(
+def _plan_halted_epoch(
     observed: GroupObservation, epoch: EpochRecord, cause: str, grace_us: int = 0
 ) -> EpochRecord:
-    """The next epoch, under which nobody takes writes; all else stays as it is."""
+    """Plans the next epoch, under which no member accepts writes; the rest is unchanged."""
     return replace(
-        _epoch(observed, HALTED, _primary_of(epoch), cause),
-        awaited=tuple(sorted(epoch.awaited)),
+        _plan_next_epoch(observed, HALTED, _primary_of(epoch), cause),
+        sync_replicas=tuple(sorted(epoch.sync_replicas)),
         electable=tuple(sorted(epoch.electable)),
-        open=epoch.open,
+        acknowledges_writes=epoch.acknowledges_writes,
         shares=epoch.shares,
         stores=epoch.stores,
         grace_us=grace_us,
     )
 
 
-def _epoch(observed: GroupObservation, phase: str, primary: str, cause: str) -> EpochRecord:
-    """What the epochs of both phases have in common."""
-    old, members = observed.epoch, observed.members
+def _plan_next_epoch(
+    observed: GroupObservation, phase: str, primary: str, cause: str
+) -> EpochRecord:
+    """Plans the part of the next epoch that doesn't depend on its phase."""
+    previous_epoch, members = observed.epoch, observed.members
     readers = [
         name
         for name, member in sorted(members.items())
-        if name != primary and observed.is_sound(name) and member.warm
+        if name != primary and observed.is_healthy_replica(name) and member.warm
     ]
-    places = {
+    locations = {
         name: {"addr": member.address, "hall": member.zone, "boot": member.boot}
         for name, member in sorted(members.items())
     }
@@ -277,47 +288,47 @@
         phase=phase,
         primary=primary,
         readers=tuple(readers),
-        term=members[primary].term if old is None else old.term,
-        places=places,
+        term=members[primary].term if previous_epoch is None else previous_epoch.term,
+        locations=locations,
         cause=cause,
         evidence={name: member.to_evidence() for name, member in sorted(members.items())},
-        previous=old.primary if old else None,
+        previous_primary=previous_epoch.primary if previous_epoch else None,
     )
 
 
 def _planned_stores(
-    observed: GroupObservation, primary: str, awaited: Iterable[str]
+    observed: GroupObservation, primary: str, sync_replicas: Iterable[str]
 ) -> dict[str, str]:
-    """The store that each member is planned with: those waited for count with what they have."""
+    """Returns the store to record for each member; sync replicas get their present store."""
     members = observed.members
-    present = {name: members[name].store for name in awaited}
+    present = {name: members[name].store for name in sync_replicas}
     if observed.epoch is None:
         return {**present, primary: members[primary].store}
     return {**observed.epoch.stores, **present}
 
 
-def _in_sync(
-    observed: GroupObservation, awaited: Sequence[str], electable: Sequence[str]
+def _electable_replicas(
+    observed: GroupObservation, sync_replicas: Sequence[str], electable: Sequence[str]
 ) -> tuple[list[str], bool]:
-    """Who may be elected, and whether writes are acknowledged.
+    """Returns the electable replicas, and whether writes are acknowledged.
 
-    They are only while enough of the replicas waited for may be elected. While they are not,
-    nothing new is acknowledged, so whoever could be elected still can.
+    Writes are acknowledged only while enough sync replicas are electable. Without acknowledgements,
+    no replica falls behind the acknowledged commits, so the electable ones stay electable.
     """
     stores = observed.epoch.stores if observed.epoch else {}
     members = observed.members
     remaining = [
         name
         for name in electable
-        if name in awaited and members[name].store == stores.get(name, members[name].store)
+        if name in sync_replicas and members[name].store == stores.get(name, members[name].store)
     ]
     if len(remaining) >= observed.group.least:
         return remaining, True
     return list(electable), False
 
 
-def _shares(observed: GroupObservation) -> dict[str, dict[str, int]]:
-    """Splits each member's connections among the proxies; the first ones get what is left over."""
+def _split_connections(observed: GroupObservation) -> dict[str, dict[str, int]]:
+    """Splits each member's connections among the proxies; the first ones get the remainder."""
     proxies = sorted(observed.proxies)
     shares: dict[str, dict[str, int]] = {proxy: {} for proxy in observed.proxies}
     if not proxies:
--- a/src/petrelhaven/control/resumable/planning_duty.py
+++ b/src/petrelhaven/control/resumable/planning_duty.py
@@ -1,4 +1,7 @@
-"""The planning duty: done by the head alone, fenced by the epoch's number and the view."""
+"""The planning duty: the chain's head plans epochs and has members promoted.
+
+The number of the epoch and the view fence the actions of an earlier head.
+"""
 
 from __future__ import annotations
 
@@ -8,16 +11,16 @@
 
 from petrelhaven.control.resumable.announcements import (
     AnnouncementTable,
-    HeardAnnouncement,
     MemberObservation,
     NodeReport,
+    ReceivedAnnouncement,
 )
 from petrelhaven.control.resumable.duty_tasks import DutyTasks
 from petrelhaven.control.resumable.epoch_progress import EpochKey, EpochProgress
 from petrelhaven.control.resumable.group_observation import (
     HALTED,
     SERVING,
-    EnterEpoch,
+    AppendEpoch,
     GroupObservation,
     Promote,
     Step,
@@ -48,17 +51,17 @@
 
 _CHECK_INTERVAL_US = 80_000
 _REPORT_INTERVAL_US = 200_000
-_REPORT_US = 400_000
-_PROMOTION_RETRY_US = 250_000
-_MOST_SESSION_REPLICAS = 2
+_REPORT_TIMEOUT_US = 400_000
+_PROMOTION_RETRY_PAUSE_US = 250_000
+_MAX_SESSION_REPLICAS = 2
 
 
 class PlanningDuty:
-    """Watches members and proxies, decides epochs, asks the platform to promote.
+    """Watches members and proxies, plans epochs, and requests promotions from the platform.
 
     Attributes:
-        platform: What promotes members.
-        wait_reasons: For each group, why nothing more is done now.
+        platform: The platform, which promotes members.
+        wait_reasons: For each group, why it was last found to be waiting.
     """
 
     def __init__(  # noqa: PLR0913, PLR0917 (the parts of a control node)
@@ -72,75 +75,79 @@
         platform: EpochPlatform,
         log: Any = None,  # noqa: ANN401 (a logger or None)
     ) -> None:
-        """Does nothing before `run`."""
+        """Uses the parts of a control node; `run` starts the work."""
         self.clock, self.tasks, self.chain, self.lease_table = clock, tasks, chain, lease_table
         self.platform, self.log = platform, log
         self.wait_reasons: dict[str, str] = {}
         self._call = call
         self._announcements = AnnouncementTable(clock, chain.node_name)
-        self._running = DutyTasks(clock, tasks, log)
-        self._proxy_watch = ProxyWatch(clock, chain, lease_table, roster, self._running, log)
+        self._duty_tasks = DutyTasks(clock, tasks, log)
+        self._proxy_watch = ProxyWatch(clock, chain, lease_table, roster, self._duty_tasks, log)
         self._log_trackers: dict[str, LogTracker] = {}
-        self._progress = EpochProgress(clock, tasks, lease_table)
-        self._requester = PromotionRequester(
+        self._epoch_progress = EpochProgress(clock, tasks, lease_table)
+        self._promotion_requester = PromotionRequester(
             clock, platform, self._announcements, chain.node_name, log
         )
-        self._need_since: dict[str, tuple[object, int]] = {}
-        self._acting_since: int | None = None
+        # For each group, its present situation and since when (clock microseconds).
+        self._situation_since: dict[str, tuple[object, int]] = {}
+        self._active_since: int | None = None
 
     @property
-    def heard(self) -> Mapping[str, HeardAnnouncement]:
+    def last_announcements(self) -> Mapping[str, ReceivedAnnouncement]:
         """The last announcement of each member to this node."""
-        return self._announcements.heard
+        return self._announcements.received
 
     def announce(self, document: dict[str, Any]) -> None:
-        """Takes a member's announcement."""
-        self._announcements.take(document)
+        """Stores a member's announcement."""
+        self._announcements.add_announcement(document)
 
-    async def answer_report(self, _channel: object, _body: dict[str, Any]) -> dict[str, Any]:
-        """Answers `duty.heard`: what this node has heard of members and proxies."""
-        return {"doc": self._announcements.report(self.lease_table.lease_ends).to_document()}
+    async def handle_report_request(
+        self, _channel: object, _body: dict[str, Any]
+    ) -> dict[str, Any]:
+        """Handles `duty.heard`: returns the announcements and leases of this node."""
+        return {"doc": self._announcements.make_report(self.lease_table.lease_ends).to_document()}
 
     async def run(self) -> None:
-        """Plans for good while this node is the active head."""
+        """Runs until it is cancelled; plans while this node is the active head."""
         self.tasks.spawn(self._request_reports())
         while True:
             await self.clock.sleep(_CHECK_INTERVAL_US)
-            self._announcements.forget_old(self._planned_members())
+            self._announcements.remove_old(self._planned_members())
             if self.chain.is_head and self.chain.is_active:
-                self._act()
+                self._check_all()
             else:
-                self._stand_down()
+                self._reset()
 
     def _planned_members(self) -> set[str]:
-        """The members that have a part in an epoch."""
+        """Returns the members that are primary, sync replica or electable in an epoch."""
         planned: set[str] = set()
         for row in self.chain.control_state.doc["epochs"].values():
             planned.update((row["primary"], *row["hold"], *row["safe"]))
         return planned
 
-    def _stand_down(self) -> None:
-        self._acting_since = None
-        self._progress.stand_down()
+    def _reset(self) -> None:
+        self._active_since = None
+        self._epoch_progress.reset()
 
-    def _act(self) -> None:
+    def _check_all(self) -> None:
+        """Checks the proxies and every group once."""
         now = self.clock.now()
-        if self._acting_since is None:
-            self._acting_since = now
-            self._need_since.clear()
+        if self._active_since is None:
+            self._active_since = now
+            self._situation_since.clear()
         configuration = self.chain.control_state.configuration
         if configuration is None:
             return
-        replicas = min(configuration.bounds.keepers, _MOST_SESSION_REPLICAS)
-        acting_us = now - self._acting_since
-        self._proxy_watch.check(self._announcements.reports, acting_us, replicas)
-        members = self._announcements.observations()
+        replicas = min(configuration.bounds.keepers, _MAX_SESSION_REPLICAS)
+        active_us = now - self._active_since
+        self._proxy_watch.check(self._announcements.reports, active_us, replicas)
+        members = self._announcements.merge_observations()
         for group in configuration.groups:
-            if not self._running.is_busy(group.name):
-                self._attend(group, configuration, members, acting_us)
+            if not self._duty_tasks.is_busy(group.name):
+                self._plan_group(group, configuration, members, active_us)
 
     async def _request_reports(self) -> None:
-        """While this node is the head, asks the other control nodes what they have heard."""
+        """Requests the other control nodes' reports regularly while this node is the head."""
         while True:
             view = self.chain.view
             if view and self.chain.is_head:
@@ -153,63 +160,74 @@
         requested_at = self.clock.now()
         try:
             answer = await self._call(
-                node, MessageKind.PLANNER_OBSERVATIONS, {"name": self.chain.node_name}, _REPORT_US
+                node,
+                MessageKind.PLANNER_OBSERVATIONS,
+                {"name": self.chain.node_name},
+                _REPORT_TIMEOUT_US,
             )
             report = NodeReport.from_document(answer["doc"], requested_at)
         except Fault:
             return
         self._announcements.reports[node] = report
 
-    def _attend(
+    def _plan_group(
         self,
         group: Group,
         configuration: Configuration,
         all_members: Mapping[str, MemberObservation],
-        acting_us: int,
+        active_us: int,
     ) -> None:
-        """Starts what a group needs now, if anything."""
+        """Starts the next step of a group, if it needs one."""
         row = self.chain.control_state.doc["epochs"].get(group.name)
         epoch = EpochRecord.from_document(row) if row else None
-        members = _members_of(group, all_members)
-        self._track(group, configuration, members, epoch)
+        members = _group_members(group, all_members)
+        self._update_log_tracker(group, configuration, members, epoch)
         if epoch is not None:
             key = (group.name, epoch.number)
-            self._progress.watch(key, epoch, self.chain.control_state.seq)
-            if self._settles(key, epoch, row["settled"]):
+            self._epoch_progress.watch_epoch(key, epoch, self.chain.control_state.seq)
+            if self._start_in_force_record(key, epoch, row["settled"]):
                 return
-            is_new_head = acting_us < configuration.bounds.lost_us
-            if is_new_head and any(name not in members for name in epoch.places):
-                self.wait_reasons[group.name] = "members are being heard again"
+            is_new_head = active_us < configuration.bounds.lost_us
+            if is_new_head and any(name not in members for name in epoch.locations):
+                self.wait_reasons[group.name] = (
+                    "not all members have announced themselves to this head yet"
+                )
                 return
         observed = self._observe(group, configuration, epoch, members)
-        self._take(group, configuration, observed, next_step(observed))
+        self._execute_step(group, configuration, observed, next_step(observed))
+
+    def _start_in_force_record(self, key: EpochKey, epoch: EpochRecord, is_settled: bool) -> bool:
+        """Starts to record that a serving epoch is in force, unless that is recorded.
 
-    def _settles(self, key: EpochKey, epoch: EpochRecord, is_settled: bool) -> bool:
-        """Records that an epoch that serves is in force everywhere, unless it is recorded."""
-        if not self._progress.is_in_force(key) or is_settled or epoch.phase != SERVING:
+        Returns:
+            Whether it has started to.
+        """
+        if not self._epoch_progress.is_in_force(key) or is_settled or epoch.phase != SERVING:
             return False
         record = EpochInForceRecord(epoch.group, epoch.number)
-        self._running.start(epoch.group, self.chain.append_record, record.to_document())
+        self._duty_tasks.start(epoch.group, self.chain.append_record, record.to_document())
         return True
 
-    def _take(
+    def _execute_step(
         self,
         group: Group,
         configuration: Configuration,
         observed: GroupObservation,
         step: Step,
     ) -> None:
-        """Starts what the plan says is to be done."""
-        if isinstance(step, EnterEpoch):
-            self._running.start(group.name, self._enter_epoch, step.epoch)
+        """Starts the step that the plan returned."""
+        if isinstance(step, AppendEpoch):
+            self._duty_tasks.start(group.name, self._append_epoch, step.epoch)
         elif isinstance(step, Promote):
             key = (group.name, observed.epoch.number if observed.epoch else 0)
-            self._progress.targets[key] = step.member
-            self._running.start(group.name, self._promote, group, configuration, key, step.member)
+            self._epoch_progress.targets[key] = step.member
+            self._duty_tasks.start(
+                group.name, self._promote, group, configuration, key, step.member
+            )
         else:
-            self._note_wait(group.name, step)
+            self._set_wait_reason(group.name, step)
 
-    def _note_wait(self, group: str, step: Wait) -> None:
+    def _set_wait_reason(self, group: str, step: Wait) -> None:
         if self.wait_reasons.get(group) == step.reason:
             return
         if step.reason.startswith("no safe"):
@@ -233,45 +251,45 @@
             is_settled=bool(epoch and document["epochs"][group.name]["settled"]),
             last_number=epoch.number if epoch else (past[-1]["n"] if past else 0),
             members=members,
-            proxies=[n for n, row in document["edges"].items() if row["state"] != "gone"],
+            proxies=[name for name, row in document["edges"].items() if row["state"] != "gone"],
             zones=document["halls"],
-            is_in_force=self._progress.is_in_force(key),
-            caught_up_at=self._progress.caught_up_at.get(key),
+            is_in_force=self._epoch_progress.is_in_force(key),
+            catch_up_position=self._epoch_progress.catch_up_positions.get(key),
             waited_us=self._waited_us(key, epoch, members),
-            target=self._progress.targets.get(key),
+            target=self._epoch_progress.targets.get(key),
         )
 
     def _waited_us(
         self, key: EpochKey, epoch: EpochRecord | None, members: Mapping[str, MemberObservation]
     ) -> int:
-        """For how long the group has needed the same."""
+        """Returns for how long the group's situation has been the same, in microseconds."""
         group = key[0]
         primary = members.get(epoch.primary or "") if epoch else None
         is_leaving = primary is not None and (
             primary.draining
             or self.chain.control_state.doc["halls"].get(primary.zone, "open") != "open"
         )
-        need: object = (
+        situation: object = (
             key,
             epoch.phase if epoch else "",
             is_leaving,
-            self._progress.is_in_force(key),
+            self._epoch_progress.is_in_force(key),
         )
         if epoch and epoch.phase == SERVING:
-            need = (group, is_leaving)
+            situation = (group, is_leaving)
         now = self.clock.now()
-        if self._need_since.get(group, (None, 0))[0] != need:
-            self._need_since[group] = (need, now)
-        return now - self._need_since[group][1]
+        if self._situation_since.get(group, (None, 0))[0] != situation:
+            self._situation_since[group] = (situation, now)
+        return now - self._situation_since[group][1]
 
-    def _track(
+    def _update_log_tracker(
         self,
         group: Group,
         configuration: Configuration,
         members: Mapping[str, MemberObservation],
         epoch: EpochRecord | None,
     ) -> None:
-        """Compares the members' logs with that of the primary."""
+        """Updates the comparison of the members' logs with the primary's."""
         if epoch is not None:
             primary = members.get(epoch.primary or "")
         else:
@@ -281,9 +299,9 @@
         tracker.update(members, primary, number, configuration.bounds.stall_us)
         if epoch is not None and primary is not None:
             announced_at = self.clock.now() - primary.age_us
-            self._progress.note_primary_log((group.name, number), announced_at, primary.log)
+            self._epoch_progress.note_primary_log((group.name, number), announced_at, primary.log)
 
-    async def _enter_epoch(self, planned: EpochRecord) -> None:
+    async def _append_epoch(self, planned: EpochRecord) -> None:
         view = self.chain.view
         if view is None:
             raise NotHead("no view yet")
@@ -295,7 +313,7 @@
             group=epoch.group,
             n=epoch.number,
             primary=epoch.primary,
-            hold=",".join(epoch.awaited),
+            hold=",".join(epoch.sync_replicas),
             safe=",".join(epoch.electable),
             cause=epoch.cause,
         )
@@ -303,11 +321,11 @@
     async def _promote(
         self, group: Group, configuration: Configuration, key: EpochKey, target: str
     ) -> None:
-        """Has the platform promote a member, and enters the epoch that follows."""
+        """Has the platform promote a member, then appends the epoch that follows."""
         if not self.chain.is_active:
             return
         try:
-            await self._requester.request(group.name, target, key[1])
+            await self._promotion_requester.request(group.name, target, key[1])
         except Fault as fault:
             await self._after_failed_request(key, target, fault)
             return
@@ -315,13 +333,17 @@
         epoch = self._epoch_if_current(key)
         if epoch is None:
             return
-        members = _members_of(group, self._announcements.observations())
-        self._track(group, configuration, members, epoch)
+        members = _group_members(group, self._announcements.merge_observations())
+        self._update_log_tracker(group, configuration, members, epoch)
         observed = self._observe(group, configuration, epoch, members)
-        await self._enter_epoch(epoch_after(observed, epoch, target))
+        await self._append_epoch(epoch_after(observed, epoch, target))
 
     async def _after_failed_request(self, key: EpochKey, target: str, fault: Fault) -> None:
-        """A fenced request needs an epoch with a higher number; others are repeated."""
+        """Handles a failed promotion request.
+
+        A fenced request needs an epoch with a higher number. Any other request is repeated after a
+        pause.
+        """
         group, number = key
         emit(
             self.log,
@@ -334,22 +356,22 @@
         )
         self.wait_reasons[group] = f"platform: {fault.code} {fault.note}"
         if fault.code != Fenced.code:
-            await self.clock.sleep(_PROMOTION_RETRY_US)
+            await self.clock.sleep(_PROMOTION_RETRY_PAUSE_US)
             return
         epoch = self._epoch_if_current(key)
         if epoch is not None:
             cause = "promotion fenced: " + fault.note
-            await self._enter_epoch(replace(epoch, number=number + 1, cause=cause))
+            await self._append_epoch(replace(epoch, number=number + 1, cause=cause))
 
     def _epoch_if_current(self, key: EpochKey) -> EpochRecord | None:
-        """The epoch of `key`, unless the group has another one by now."""
+        """Returns the epoch of `key`, or None if the group has a different epoch now."""
         row = self.chain.control_state.doc["epochs"].get(key[0])
         if not row or row["n"] != key[1]:
             return None
         return EpochRecord.from_document(row)
 
 
-def _members_of(
+def _group_members(
     group: Group, members: Mapping[str, MemberObservation]
 ) -> dict[str, MemberObservation]:
     return {name: member for name, member in members.items() if member.group == group.name}
--- a/src/petrelhaven/control/resumable/platform_client.py
+++ b/src/petrelhaven/control/resumable/platform_client.py
@@ -1,4 +1,4 @@
-"""Calls the platform over HTTP to promote members."""
+"""An HTTP client of the platform, which promotes members."""
 
 from __future__ import annotations
 
@@ -10,28 +10,28 @@
 
 __all__ = ["PlatformClient"]
 
-_OK = 200
+_HTTP_OK = 200
 
 
 class PlatformClient:
-    """The platform under its address; the HTTP session is opened with the first call."""
+    """Calls the platform at an address; opens the HTTP session with the first call."""
 
     def __init__(self, address: str) -> None:
-        """Has called nobody yet; `address` is host and port."""
+        """Uses the platform at `address` (host and port)."""
         self._address = address
         self._http: aiohttp.ClientSession | None = None
 
     def set_address(self, address: str) -> None:
-        """The platform is at another address from now on."""
+        """Changes the platform's address for later calls."""
         self._address = address
 
     async def promote(self, group: str, member: str, epoch: int, by: str) -> dict[str, Any]:
         """Asks the platform to make `member` the primary of `group`, fenced by `epoch`.
 
         Raises:
-            Unreachable: No answer came; the request may still take effect.
-            Malformed: The answer is not a JSON object.
-            Fault: The platform declined; the fault is the one that it answered.
+            Unreachable: No valid response arrived; the request may still take effect.
+            Malformed: The response is not a JSON object.
+            Fault: The platform declined the request; this is the fault that it returned.
         """
         if self._http is None:
             self._http = aiohttp.ClientSession()
@@ -42,8 +42,8 @@
         except (aiohttp.ClientError, OSError, ValueError, TimeoutError):
             raise Unreachable("platform") from None
         if not isinstance(document, dict):
-            raise Malformed("platform answer must be an object")
-        if response.status != _OK:
+            raise Malformed("platform response must be an object")
+        if response.status != _HTTP_OK:
             raise rebuild(document)
         return document
 
--- a/src/petrelhaven/control/resumable/promotion.py
+++ b/src/petrelhaven/control/resumable/promotion.py
@@ -1,4 +1,8 @@
-"""Requests of promotions to the platform; a member that announces itself is an answer, too."""
+"""Promotion requests to the platform.
+
+A request has also succeeded if the member announces itself as the primary, since the platform's
+response can be lost.
+"""
 
 from __future__ import annotations
 
@@ -16,16 +20,16 @@
 
 __all__ = ["PromotionRequester"]
 
-_PROMOTION_US = 4_000_000
-_PROMOTION_CHECK_US = 200_000
+_PROMOTION_TIMEOUT_US = 4_000_000
+_ANNOUNCEMENT_CHECK_INTERVAL_US = 200_000
 
 
 class PromotionRequester:
-    """Asks the platform to promote members.
+    """Requests promotions from the platform.
 
     Attributes:
         clock: The clock of this node.
-        platform: What promotes members.
+        platform: The platform, which promotes members.
         name: The name of this node.
     """
 
@@ -37,23 +41,25 @@
         name: str,
         log: Any,  # noqa: ANN401 (a logger or None)
     ) -> None:
-        """Has requested nothing yet."""
+        """Uses the parts of a control node; `name` is the name of this node."""
         self.clock, self.platform, self.name = clock, platform, name
         self._announcements, self._log = announcements, log
 
     async def request(self, group: str, target: str, epoch: int) -> None:
-        """Returns once `target` is promoted under `epoch`.
+        """Requests a promotion; returns once `target` is promoted under `epoch`.
 
         Raises:
-            Malformed: The answer names another member or epoch.
-            Fault: The platform declined, or nothing was heard in time.
+            Malformed: The response names a different member or epoch.
+            Fault: The platform declined the request, or there was no response in time.
         """
-        answer = asyncio.ensure_future(self.platform.promote(group, target, epoch, self.name))
-        end = self.clock.now() + _PROMOTION_US
+        response = asyncio.ensure_future(self.platform.promote(group, target, epoch, self.name))
+        deadline = self.clock.now() + _PROMOTION_TIMEOUT_US
         try:
             while True:
                 try:
-                    document = await self.clock.limit(answer, _PROMOTION_CHECK_US, keep=True)
+                    document = await self.clock.limit(
+                        response, _ANNOUNCEMENT_CHECK_INTERVAL_US, keep=True
+                    )
                 except DeadlineExceeded:
                     if self._is_announced(target, epoch):
                         emit(
@@ -64,23 +70,23 @@
                             epoch=epoch,
                         )
                         return
-                    if answer.done() or self.clock.now() >= end:
+                    if response.done() or self.clock.now() >= deadline:
                         raise
                 else:
-                    _check_answer(document, target, epoch)
+                    _check_response(document, target, epoch)
                     return
         finally:
-            answer.cancel()
+            response.cancel()
 
     def _is_announced(self, target: str, epoch: int) -> bool:
-        """Whether the member announces itself as the primary under this epoch."""
-        member = self._announcements.observations().get(target)
+        """Returns whether the member announces itself as the primary under this epoch."""
+        member = self._announcements.merge_observations().get(target)
         return member is not None and member.is_primary and member.term == epoch
 
 
-def _check_answer(document: Mapping[str, Any], target: str, epoch: int) -> None:
-    """Raises Malformed unless the platform's answer names what was requested."""
+def _check_response(document: Mapping[str, Any], target: str, epoch: int) -> None:
+    """Raises Malformed unless the platform's response names the requested member and epoch."""
     for key, expected in (("primary", target), ("epoch", epoch)):
         if document.get(key) != expected:
-            got = str(document.get(key))[:40]
-            raise Malformed(f"platform answer: {key} must be {expected}, is {got}")
+            actual = str(document.get(key))[:40]
+            raise Malformed(f"platform response: {key} must be {expected}, is {actual}")
--- a/src/petrelhaven/control/resumable/records.py
+++ b/src/petrelhaven/control/resumable/records.py
@@ -1,6 +1,7 @@
-"""The numbered records that only the control state of resumable sessions has.
+"""The numbered records that only the control state for resumable sessions has.
 
-Configurations and zones are shared with `control/state/records`, whose contract holds here too.
+`control/state/records` has the records of configurations and zones, and the rules for stored keys,
+which apply here too.
 """
 
 from __future__ import annotations
@@ -33,16 +34,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyRecord:
-    """A proxy came (`up`), drains, or is gone.
+    """A proxy has registered (`up`), is draining or is gone.
 
     Attributes:
-        incarnation: Rises with each start of the proxy.
-        boot: Which process of that incarnation it is.
-        zone: Where it runs.
-        address: Where other proxies and control nodes reach it.
-        http: Where clients reach it.
-        cause: Why it counts as gone, for operators.
-        by: The proxy itself, or the control node that entered the record.
+        name: The name of the proxy.
+        incarnation: The proxy's incarnation, which increases with each start.
+        state: The state of the proxy.
+        boot: The identifier of the proxy's process.
+        zone: The zone in which it runs.
+        address: The address for other proxies and control nodes.
+        http: The address for clients.
+        cause: Why it was recorded as gone, for operators.
+        by: The proxy itself, or the control node that appended the record.
     """
 
     kind: ClassVar[str] = "edge"
@@ -58,7 +61,7 @@
 
     @classmethod
     def from_document(cls, document: Document) -> ProxyRecord:
-        """Reads what `to_document` made."""
+        """Parses a document that `to_document` returned."""
         return cls(
             name=document["name"],
             incarnation=document["inc"],
@@ -72,7 +75,7 @@
         )
 
     def to_document(self) -> Document:
-        """The record as plain JSON values."""
+        """Returns the record as plain JSON values."""
         optional = {
             "boot": self.boot,
             "hall": self.zone,
@@ -92,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseExpiryRecord:
-    """The lease of a proxy that is gone has certainly expired."""
+    """The lease of a proxy that is recorded as gone has expired."""
 
     kind: ClassVar[str] = "lapse"
     name: str
@@ -100,37 +103,39 @@
 
     @classmethod
     def from_document(cls, document: Document) -> LeaseExpiryRecord:
-        """Reads what `to_document` made."""
+        """Parses a document that `to_document` returned."""
         return cls(document["name"], document["inc"])
 
     def to_document(self) -> Document:
-        """The record as plain JSON values."""
+        """Returns the record as plain JSON values."""
         return {KIND_KEY: self.kind, "name": self.name, "inc": self.incarnation}
 
 
 @dataclass(frozen=True, slots=True)
 class EpochRecord:
-    """The plan for a group from now on: its primary, its replicas and the proxies' connections.
+    """A new epoch of a group: its primary, its replicas and the proxies' connection shares.
 
     Attributes:
-        number: One above that of the group's epoch before.
-        phase: `serve`, or `halt` while a primary is looked for.
-        primary: The member that takes writes.
-        awaited: Replicas whose acknowledgement each commit waits for.
+        group: The name of the group.
+        number: The number of the epoch, one higher than that of the group's previous epoch.
+        phase: `serve`, or `halt` while writes are stopped until a primary is promoted.
+        primary: The member that accepts writes; in phase `halt`, the one that did before.
+        sync_replicas: Replicas whose acknowledgement each commit waits for.
         electable: Replicas that hold every acknowledged commit.
         readers: Replicas that may answer reads.
-        open: Whether writes are acknowledged.
+        acknowledges_writes: Whether commits are acknowledged to clients.
         shares: How many connections each proxy may open to each member.
-        stores: Which store each member held when it was planned.
-        grace_us: How long sessions may go on after the epoch is known, in microseconds.
+        stores: The identifier of each member's store when the epoch was planned.
+        grace_us: How long proxies may use the old primary after they receive the epoch, in
+            microseconds.
         term: The term under which the primary was promoted.
-        places: Address, zone and process of each member.
-        cause: Why, for operators.
-        evidence: The observations that led to it, for operators.
-        previous: The primary before.
+        locations: Address, zone and process of each member.
+        cause: Why the epoch was planned, for operators.
+        evidence: The observations from which it was planned, for operators.
+        previous_primary: The primary of the previous epoch, or None.
         by: The control node that planned it.
         view: The number of the view in which it was planned.
-        row: What is stored of the record; set by `from_document` only.
+        row: The stored document of the record; set by `from_document` only.
     """
 
     kind: ClassVar[str] = "epoch"
@@ -138,74 +143,74 @@
     number: int
     phase: str | None = None
     primary: str | None = None
-    awaited: tuple[str, ...] = ()
+    sync_replicas: tuple[str, ...] = ()
     electable: tuple[str, ...] = ()
     readers: tuple[str, ...] = ()
-    open: bool = False
+    acknowledges_writes: bool = False
     shares: Mapping[str, Mapping[str, int]] = field(default_factory=dict)
     stores: Mapping[str, str] = field(default_factory=dict)
     grace_us: int = 0
     term: int = 0
-    places: Mapping[str, Any] = field(default_factory=dict)
+    locations: Mapping[str, Any] = field(default_factory=dict)
     cause: str = ""
     evidence: Mapping[str, Any] = field(default_factory=dict)
-    previous: str | None = None
+    previous_primary: str | None = None
     by: str | None = None
     view: int | None = None
     row: Mapping[str, Any] = field(default_factory=dict, compare=False, repr=False)
 
     @classmethod
     def from_document(cls, document: Document) -> EpochRecord:
-        """Reads what `to_document` made."""
+        """Parses a document that `to_document` returned."""
         return cls(
             group=document["group"],
             number=document["n"],
             phase=document.get("phase"),
             primary=document.get("primary"),
-            awaited=tuple(document.get("hold", ())),
+            sync_replicas=tuple(document.get("hold", ())),
             electable=tuple(document.get("safe", ())),
             readers=tuple(document.get("gates", ())),
-            open=document.get("open", False),
+            acknowledges_writes=document.get("open", False),
             shares=document.get("shares", {}),
             stores=document.get("stores", {}),
             grace_us=document.get("grace", 0),
             term=document.get("term", 0),
-            places=document.get("where", {}),
+            locations=document.get("where", {}),
             cause=document.get("cause", ""),
             evidence=document.get("evidence", {}),
-            previous=document.get("was"),
+            previous_primary=document.get("was"),
             by=document.get("by"),
             view=document.get("view"),
             row=stored_row(document),
         )
 
     def to_document(self) -> Document:
-        """The record as plain JSON values; `was` is null for the first epoch of a group."""
+        """Returns the record as plain JSON values; `was` is null for a group's first epoch."""
         return {
             KIND_KEY: self.kind,
             "group": self.group,
             "n": self.number,
             "phase": self.phase,
             "primary": self.primary,
-            "hold": list(self.awaited),
+            "hold": list(self.sync_replicas),
             "safe": list(self.electable),
             "gates": list(self.readers),
-            "open": self.open,
+            "open": self.acknowledges_writes,
             "shares": self.shares,
             "stores": self.stores,
             "grace": self.grace_us,
             "term": self.term,
-            "where": self.places,
+            "where": self.locations,
             "cause": self.cause,
             "evidence": self.evidence,
-            "was": self.previous,
+            "was": self.previous_primary,
             **without_none({"by": self.by, "view": self.view}),
         }
 
 
 @dataclass(frozen=True, slots=True)
 class EpochInForceRecord:
-    """Every proxy follows epoch `number` of a group or has lost its lease."""
+    """Every proxy has applied epoch `number` of a group or has lost its lease."""
 
     kind: ClassVar[str] = "settle"
     group: str
@@ -213,11 +218,11 @@
 
     @classmethod
     def from_document(cls, document: Document) -> EpochInForceRecord:
-        """Reads what `to_document` made."""
+        """Parses a document that `to_document` returned."""
         return cls(document["group"], document["n"])
 
     def to_document(self) -> Document:
-        """The record as plain JSON values."""
+        """Returns the record as plain JSON values."""
         return {KIND_KEY: self.kind, "group": self.group, "n": self.number}
 
 
@@ -229,7 +234,7 @@
     | EpochRecord
     | EpochInForceRecord
 )
-_READERS: Mapping[str, Callable[[Document], ResumableRecord]] = {
+_PARSERS: Mapping[str, Callable[[Document], ResumableRecord]] = {
     ConfigurationRecord.kind: ConfigurationRecord.from_document,
     ZoneRecord.kind: ZoneRecord.from_document,
     ProxyRecord.kind: ProxyRecord.from_document,
@@ -240,9 +245,9 @@
 
 
 def from_document(document: Document) -> ResumableRecord:
-    """The record of a JSON document.
+    """Parses the JSON document of a record.
 
     Raises:
-        KeyError: The kind of the record is not known, or one of its fields is missing.
+        KeyError: The kind of the record is unknown, or one of its fields is missing.
     """
-    return _READERS[record_kind(document)](document)
+    return _PARSERS[record_kind(document)](document)
