--- a/src/petrelhaven/control/resumable/announcements.py
+++ b/src/petrelhaven/control/resumable/announcements.py
@@ -132,8 +132,8 @@
     """The announcements and leases of one control node; the response to the message `duty.heard`.
 
     Attributes:
-        requested_at: When the report was requested (clock microseconds); it was made at this time or
-            later.
+        requested_at: When the report was requested (clock microseconds); it was made at this
+            time or later.
         members: The announcement of each member, with its age in microseconds.
         leases: The remaining time of each proxy's lease in microseconds, negative after its end.
     """
--- a/src/petrelhaven/control/resumable/log_tracker.py
+++ b/src/petrelhaven/control/resumable/log_tracker.py
@@ -24,8 +24,8 @@
         self._clock = clock
         # Clock microseconds and log position, the oldest sample first.
         self._samples: list[tuple[int, int]] = []
-        # The number of the epoch, and when its primary last announced itself as one, or the epoch was
-        # first seen (clock microseconds).
+        # The number of the epoch, and when its primary last announced itself as one, or when the
+        # epoch was first seen (clock microseconds).
         self._last_primary_announcement: tuple[int, int] | None = None
 
     def update(
