--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,3 +1,5 @@
+"""Clients of resumable sessions run every kind of operation through proxies, control nodes and members."""
+
 import asyncio
 
 import pytest
@@ -7,29 +9,29 @@
 
 
 @pytest.mark.parametrize("size", ["small", "nordvik", "archivo"])
-def test_the_whole_path_serves_in_virtual_time(warp, size):
-    async def go():
-        w = World(1, size)
-        await w.start()
-        w.start_clients(20)
+def test_every_operation_succeeds_in_virtual_time(warp, size):
+    async def run_clients():
+        world = World(1, size)
+        await world.start()
+        world.start_clients(20)
         await asyncio.sleep(10)
-        await w.calm()
-        assert w.verdict() == []
-        kinds = {h["t"] for h in w.hist}
+        await world.calm()
+        assert world.verdict() == []
+        kinds = {entry["t"] for entry in world.hist}
         assert kinds == {"write", "once", "both", "read", "show"}
-        assert all(v.count["declined"] == 0 for v in w.clients)
+        assert all(client.count["declined"] == 0 for client in world.clients)
 
-    warp(go())
+    warp(run_clients())
 
 
-def test_the_whole_path_serves_in_real_processes(fleet):
-    async def go(f):
-        f.start_clients(12, pause=0.1)
-        await passes_within(f, 30, lambda: _many(f, 150))
-        await f.calm()
-        assert await f.verdict() == []
+def test_operations_succeed_in_real_processes(fleet):
+    async def run_clients(processes):
+        processes.start_clients(12, pause=0.1)
+        await passes_within(processes, 30, lambda: _has_successes(processes, 150))
+        await processes.calm()
+        assert await processes.verdict() == []
 
-    async def _many(f, n):
-        return sum(v.count["ok"] for v in f.clients) >= n
+    async def _has_successes(processes, expected):
+        return sum(client.count["ok"] for client in processes.clients) >= expected
 
-    fleet(go)
+    fleet(run_clients)
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -1,4 +1,8 @@
-"""Connection shares across epoch changes: whatever each edge has applied, a member's cap is never passed."""
+"""Connection shares across epoch changes: the proxies never open more connections to a member than its limit.
+
+The proxies apply the records at different times, so some use the shares of the previous epoch while others use
+those of the new one.
+"""
 
 import mutants
 import pytest
@@ -9,11 +13,14 @@
 from petrelhaven.simulator.resumable.world import configuration
 
 CAP = 10
+# Up to six epochs; each has the shares of four proxies, whose sum is at most CAP.
 PLANS = st.lists(
     st.lists(st.integers(0, 5), min_size=4, max_size=4).map(
-        lambda xs: [
-            min(x, CAP - sum(min(y, CAP) for y in xs[:i])) if sum(xs[:i]) < CAP else 0
-            for i, x in enumerate(xs)
+        lambda drawn: [
+            min(share, CAP - sum(min(earlier, CAP) for earlier in drawn[:i]))
+            if sum(drawn[:i]) < CAP
+            else 0
+            for i, share in enumerate(drawn)
         ]
     ),
     min_size=1,
@@ -21,48 +28,58 @@
 )
 
 
-def _epoch(n, shares):
+def _epoch(number, shares):
     return {
         "t": "epoch",
         "group": "g1",
-        "n": n,
+        "n": number,
         "phase": "serve",
         "primary": "m",
-        "shares": {f"e{i}": {"m": s} for i, s in enumerate(shares)},
+        "shares": {f"e{i}": {"m": share} for i, share in enumerate(shares)},
     }
 
 
 def _walk(plans, picks):
-    """Edges apply the changes at their own pace; an epoch is settled only once every edge has applied it."""
-    recs = [{"t": "manifest", "text": configuration("small")}]
-    worst = 0
-    edges = [ResumableControlState() for _ in range(4)]
-    n = 0
+    """Returns the largest sum of the proxies' shares while they apply the epochs of `plans` one record at a time.
+
+    `picks` selects which proxy applies its next record, and which epochs are recorded as in force. Such a record is
+    appended only once every proxy has applied the epoch.
+    """
+    records = [{"t": "manifest", "text": configuration("small")}]
+    largest_sum = 0
+    proxy_states = [ResumableControlState() for _ in range(4)]
+    number = 0
     picks = iter(picks)
 
-    def go(to):
-        for e in edges:
-            while e.seq < to:
-                e.apply(e.seq + 1, recs[e.seq])
+    def apply_everywhere(seq):
+        for state in proxy_states:
+            while state.seq < seq:
+                state.apply(state.seq + 1, records[state.seq])
 
-    go(1)
-    for p in plans:
-        n += 1
-        recs.append(_epoch(n, p))
+    apply_everywhere(1)
+    for shares in plans:
+        number += 1
+        records.append(_epoch(number, shares))
         for _ in range(6):
-            e = edges[next(picks, 0) % 4]
-            if e.seq < len(recs):
-                e.apply(e.seq + 1, recs[e.seq])
-            worst = max(worst, sum(r.share("g1", f"e{i}", "m") for i, r in enumerate(edges)))
+            state = proxy_states[next(picks, 0) % 4]
+            if state.seq < len(records):
+                state.apply(state.seq + 1, records[state.seq])
+            largest_sum = max(
+                largest_sum,
+                sum(state.share("g1", f"e{i}", "m") for i, state in enumerate(proxy_states)),
+            )
         if next(picks, 0) % 2:
-            go(len(recs))
-            recs.append({"t": "settle", "group": "g1", "n": n})
+            apply_everywhere(len(records))
+            records.append({"t": "settle", "group": "g1", "n": number})
             for _ in range(3):
-                e = edges[next(picks, 0) % 4]
-                if e.seq < len(recs):
-                    e.apply(e.seq + 1, recs[e.seq])
-                worst = max(worst, sum(r.share("g1", f"e{i}", "m") for i, r in enumerate(edges)))
-    return worst
+                state = proxy_states[next(picks, 0) % 4]
+                if state.seq < len(records):
+                    state.apply(state.seq + 1, records[state.seq])
+                largest_sum = max(
+                    largest_sum,
+                    sum(state.share("g1", f"e{i}", "m") for i, state in enumerate(proxy_states)),
+                )
+    return largest_sum
 
 
 @settings(max_examples=200, deadline=None, derandomize=True, database=None)
@@ -71,10 +88,10 @@
     assert _walk(plans, picks) <= CAP
 
 
-def test_without_settling_the_cap_is_passed():
-    mp = pytest.MonkeyPatch()
-    mutants.share_at_once(mp)
+def test_shares_used_before_an_epoch_is_in_force_exceed_the_cap():
+    monkeypatch = pytest.MonkeyPatch()
+    mutants.share_at_once(monkeypatch)
     try:
         assert _walk([[5, 5, 0, 0], [0, 0, 5, 5]], [0, 1, 0, 1, 0, 1, 1, 2, 2, 2, 3, 3, 3]) > CAP
     finally:
-        mp.undo()
+        monkeypatch.undo()
