--- a/src/petrelhaven/control/failover/interfaces.py
+++ b/src/petrelhaven/control/failover/interfaces.py
@@ -144,7 +144,7 @@
     """The part of a control node that failover uses.
 
     Attributes:
-        heard: By member, when its last heartbeat arrived (clock microseconds) and its count.
+        last_heartbeats: By member, the arrival (clock microseconds) and count of the last heartbeat.
         heartbeat_us: The interval of a member's heartbeats.
     """
 
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -557,7 +557,7 @@
 def test_missing_heartbeats_raise_a_suspicion():
     async def go(group):
         group.set_reachability("p", running=False)
-        group.heard["p"] = (group.clock.now(), 1)
+        group.last_heartbeats["p"] = (group.clock.now(), 1)
         await asyncio.sleep(2.3)
         assert group.leadership["phase"] == "serve"
         await group.wait_until(lambda: group.promoted_names and group.settled, 3)
