--- a/src/petrelhaven/control/failover/interfaces.py
+++ b/src/petrelhaven/control/failover/interfaces.py
@@ -144,7 +144,7 @@
     """The part of a control node that failover uses.
 
     Attributes:
-        last_heartbeats: By member, the arrival (clock microseconds) and count of the last heartbeat.
+        last_heartbeats: By member, the arrival time (clock microseconds) and count of the last.
         heartbeat_us: The interval of a member's heartbeats.
     """
 
