--- a/src/petrelhaven/control/state/control_state.py
+++ b/src/petrelhaven/control/state/control_state.py
@@ -280,9 +280,9 @@
             raise Duplicate(f"member {record.name} is gone")
 
     def _apply_departure(self, record: DepartureRecord) -> None:
-        self._mark_departed(record.name)
+        self._set_member_gone(record.name)
 
-    def _mark_departed(self, name: str) -> None:
+    def _set_member_gone(self, name: str) -> None:
         """Marks member `name` as gone and updates the evidence of its group.
 
         Its copy of the log counts as lost.
@@ -303,7 +303,7 @@
         row["state"] = MEMBER_GONE
         if row["group"] != group:
             if not was_gone:
-                self._mark_departed(name)
+                self._set_member_gone(name)
             return
         evidence = self.evidence(group)
         updated = evidence.with_replacement(name)
@@ -413,14 +413,14 @@
         self.doc.setdefault("counting", {})[record.node] = list(start)
 
     def _check_embargo(self, record: EmbargoRecord) -> None:
-        from petrelhaven.control.embargo.rules import check
+        from petrelhaven.control.embargo.rules import check_embargo_record
 
-        check(self.doc, record)
+        check_embargo_record(self.doc, record)
 
     def _apply_embargo(self, record: EmbargoRecord) -> None:
-        from petrelhaven.control.embargo.rules import apply
+        from petrelhaven.control.embargo.rules import apply_embargo_record
 
-        apply(self.doc, record, self.seq + 1)
+        apply_embargo_record(self.doc, record, self.seq + 1)
 
     def _reported_groups(self) -> Document:
         """Returns the entries of `reported_state` that depend on the kind of sessions."""
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -286,7 +286,7 @@
         (relay_calls_silence_unsent, "ran, though nothing had left"),
     ],
 )
-def test_without_its_guard_the_same_draws_find_it(guard, what):
+def test_without_its_guard_the_same_draws_find_the_violation(guard, what):
     class Found(Exception):
         pass
 
@@ -422,7 +422,7 @@
             is_complete=True,
             committed_seq=3,
             control_state=control_state,
-            store=SimpleNamespace(since=lambda at: []),
+            store=SimpleNamespace(records_since=lambda at: []),
             on_view=[],
             on_commit=[],
         )
@@ -444,7 +444,7 @@
         await asyncio.sleep(0.1)
         chain.committed_seq = control_state.seq = 4
         control_state.snapshot = lambda: {"seq": 4}
-        chain.store.since = lambda at: None
+        chain.store.records_since = lambda at: None
         chain.on_commit[0]()
         await asyncio.sleep(0.1)
         assert (True, 4) in pushed
@@ -524,7 +524,7 @@
         _, member_connection = await asyncio.get_running_loop().create_connection(
             LineMemberConnection, host, int(port)
         )
-        member_connection.plain("set", ("a", BIG))
+        member_connection.send_session_statement("set", ("a", BIG))
         member_connection.close()
         assert await server.hears() < len(BIG)
 
