--- a/tests/test_held_up_orders.py
+++ b/tests/test_held_up_orders.py
@@ -18,7 +18,7 @@
     assert (await send_request(http_server, "POST", "/manifest", document))[0] == 200
 
 
-async def send_request(http_server, *parts, pauses=(), leave_after=None):
+async def send_request_parts(http_server, *parts, pauses=(), leave_after=None):
     """Sends a request in parts; returns the status, or None if the caller leaves before an answer."""
     host, port = http_server.addr.split(":")
     reader, writer = await asyncio.open_connection(host, int(port))
@@ -43,10 +43,10 @@
 def test_a_request_whose_caller_has_left_is_not_executed(tmp_path, leave_after):
     async def scenario(node, http_server):
         await apply_configuration(http_server)
-        assert await send_request(http_server, EVACUATE, leave_after=leave_after) is None
+        assert await send_request_parts(http_server, EVACUATE, leave_after=leave_after) is None
         await asyncio.sleep(2)
         assert zone_of(node) == "open"
-        assert await send_request(http_server, EVACUATE) == 200
+        assert await send_request_parts(http_server, EVACUATE) == 200
         assert zone_of(node) == "emptied"
 
     run_on_node(tmp_path, scenario)
@@ -64,9 +64,9 @@
 ):
     async def scenario(node, http_server):
         await apply_configuration(http_server)
-        assert await send_request(http_server, *parts, pauses=pauses) == 503
+        assert await send_request_parts(http_server, *parts, pauses=pauses) == 503
         assert zone_of(node) == "open"
-        assert await send_request(http_server, *parts, pauses=[0, 0]) == 200
+        assert await send_request_parts(http_server, *parts, pauses=[0, 0]) == 200
         assert zone_of(node) == "emptied"
 
     run_on_node(tmp_path, scenario)
@@ -98,7 +98,7 @@
 
     async def scenario(node, http_server):
         await apply_configuration(http_server)
-        await send_request(http_server, EVACUATE, leave_after=0)
+        await send_request_parts(http_server, EVACUATE, leave_after=0)
         await asyncio.sleep(2)
         assert zone_of(node) == "emptied"
 
