--- a/src/petrelhaven/control/base_node.py
+++ b/src/petrelhaven/control/base_node.py
@@ -25,7 +25,7 @@
 from petrelhaven.membership.roster import NodeIdentity, Roster
 from petrelhaven.runtime.events import Events, emit
 from petrelhaven.transport.message_kinds import MessageKind
-from petrelhaven.transport.reach import Reach
+from petrelhaven.transport.node_caller import NodeCaller
 
 if TYPE_CHECKING:
     import random
@@ -133,7 +133,7 @@
     def _join_membership(self) -> None:
         identity = NodeIdentity(self.name, "core", self.zone, self.link.addr or "", 0)
         self.roster = Roster(self.clock, identity, self.log, self.suspicion_timeout_us)
-        self.reach = Reach(self.clock, self.link, self.roster, self.rng)
+        self.reach = NodeCaller(self.clock, self.link, self.roster, self.rng)
         self.prober = Prober(
             self.clock,
             self.link,
--- a/src/petrelhaven/control/consensus/node_services.py
+++ b/src/petrelhaven/control/consensus/node_services.py
@@ -19,7 +19,7 @@
     from petrelhaven.runtime.clock import Clock
     from petrelhaven.runtime.tasks import BackgroundTasks
     from petrelhaven.transport.link import Link
-    from petrelhaven.transport.reach import Reach
+    from petrelhaven.transport.node_caller import NodeCaller
 
 __all__ = ["DiskStates", "NodeServices", "ViewProposer"]
 
@@ -53,7 +53,7 @@
     log: logbook.Logger | None
     store: ControlNodeStore
     roster: Roster
-    reach: Reach
+    reach: NodeCaller
     prober: Prober
     chain: Chain
 
--- a/src/petrelhaven/control/request_router.py
+++ b/src/petrelhaven/control/request_router.py
@@ -31,7 +31,7 @@
     from petrelhaven.control.consensus.view import View
     from petrelhaven.runtime.clock import Clock
     from petrelhaven.transport.delivery import Delivery
-    from petrelhaven.transport.reach import Reach
+    from petrelhaven.transport.node_caller import NodeCaller
 
 __all__ = ["ANSWER_TIMEOUT_US", "RequestRouter"]
 
@@ -68,7 +68,7 @@
     """Sends records to the head and reads to the tail of the view's chain."""
 
     def __init__(
-        self, clock: Clock, chain: Chain, reach: Reach, name: str, peer_state: PeerState
+        self, clock: Clock, chain: Chain, reach: NodeCaller, name: str, peer_state: PeerState
     ) -> None:
         """Routes the requests that one control node receives.
 
--- a/src/petrelhaven/proxy/resumable/node.py
+++ b/src/petrelhaven/proxy/resumable/node.py
@@ -29,7 +29,7 @@
 )
 from petrelhaven.runtime.events import Events, emit
 from petrelhaven.transport.message_kinds import MessageKind
-from petrelhaven.transport.reach import Reach
+from petrelhaven.transport.node_caller import NodeCaller
 
 __all__ = ["ResumableProxy"]
 
@@ -55,7 +55,7 @@
         self.http, self.vary = http, vary
         identity = NodeIdentity(name, "edge", zone, link.addr, 0)
         self.roster = Roster(clock, identity, log)
-        self.reach = Reach(clock, link, self.roster, rng)
+        self.reach = NodeCaller(clock, link, self.roster, rng)
         self.prober = Prober(clock, link, tasks, rng, self.roster, seeds)
         self.control = Control(
             clock,
--- a/src/petrelhaven/transport/reach.py
+++ b/src/petrelhaven/transport/node_caller.py
@@ -24,7 +24,7 @@
 Result = dict[str, Any]
 
 
-class Reach:
+class NodeCaller:
     """Calls other nodes by name. Links that failed are remembered for a while and passed round.
 
     Whether a call may go a second way follows from its contract alone. One that may not be repeated
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -25,7 +25,7 @@
 from petrelhaven.transport.link import Link
 from petrelhaven.transport.message_kinds import MessageKind
 from petrelhaven.transport.messages import CALL, FAULT, pack
-from petrelhaven.transport.reach import Reach
+from petrelhaven.transport.node_caller import NodeCaller
 from petrelhaven.transport.sockets import UNACKNOWLEDGED_MS
 
 ROOT = Path(__file__).parent.parent
@@ -148,7 +148,7 @@
                 living=lambda peers=peers: list(peers),
                 state=lambda m: "alive",
             )
-            self.reaches[n] = Reach(nodes[n].clock, nodes[n], roster, random.Random(n))
+            self.reaches[n] = NodeCaller(nodes[n].clock, nodes[n], roster, random.Random(n))
         nodes["b"].on("span.deliver", self._run)
         nodes["b"].on("creed.belief", self._run)
         self.b = nodes["b"]
@@ -253,12 +253,12 @@
 
 
 def unsent_after_all(mp):
-    real = Reach._call_through_relays
+    real = NodeCaller._call_through_relays
 
     async def round_(self, name, relayed, end, may_have_left):
         return await real(self, name, relayed, end, False)
 
-    mp.setattr(Reach, "_call_through_relays", round_)
+    mp.setattr(NodeCaller, "_call_through_relays", round_)
 
 
 def unsent_taken_from_anybody(mp):
@@ -266,7 +266,7 @@
 
 
 def relay_calls_silence_unsent(mp):
-    real = Reach._relayed
+    real = NodeCaller._relayed
 
     async def relayed(self, channel, call):
         try:
@@ -274,7 +274,7 @@
         except (DeadlineExceeded, Unreachable) as fault:
             raise reach_module.NotRelayed(fault.note) from None
 
-    mp.setattr(Reach, "_relayed", relayed)
+    mp.setattr(NodeCaller, "_relayed", relayed)
 
 
 @pytest.mark.parametrize(
