--- a/src/petrelhaven/transport/light_client.py
+++ b/src/petrelhaven/transport/light_client.py
@@ -11,7 +11,7 @@
 import h11
 
 from petrelhaven.runtime.errors import DeadlineExceeded, NotSent, Unreachable
-from petrelhaven.transport.sockets import reset, tune
+from petrelhaven.transport.sockets import reset, set_socket_options
 
 if TYPE_CHECKING:
     from petrelhaven.runtime.clock import Clock
@@ -84,7 +84,7 @@
         reader, writer = await clock.limit(opening, min(us, _CONNECT_US))
     except (OSError, DeadlineExceeded):
         raise NotSent(addr) from None
-    tune(writer.transport)
+    set_socket_options(writer.transport)
     answered = False
     try:
         exchange = _Exchange(addr, verb, path, doc, heads)
--- a/src/petrelhaven/transport/link.py
+++ b/src/petrelhaven/transport/link.py
@@ -21,7 +21,7 @@
 from petrelhaven.transport.channel import Channel, Handler
 from petrelhaven.transport.contracts import Repeat, repeat_of
 from petrelhaven.transport.messages import CALL, DATAGRAM, FAULT, pack, unpack
-from petrelhaven.transport.sockets import is_closed, reset, tune
+from petrelhaven.transport.sockets import is_closed, reset, set_socket_options
 
 if TYPE_CHECKING:
     import logbook
@@ -265,7 +265,7 @@
                 return self._wrap(reader, writer)
 
     def _wrap(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> Channel:
-        tune(writer.transport)
+        set_socket_options(writer.transport)
         channel = Channel(
             self,
             lambda raw: writer.write(_framed(raw)),
--- a/src/petrelhaven/transport/sockets.py
+++ b/src/petrelhaven/transport/sockets.py
@@ -14,7 +14,7 @@
 _CLOSED_STATE = 7  # TCP_CLOSE in Linux's tcp_states.h
 
 
-def tune(transport: asyncio.BaseTransport) -> None:
+def set_socket_options(transport: asyncio.BaseTransport) -> None:
     """Sends small messages at once, and ends the connection to an unreachable machine."""
     sock = transport.get_extra_info("socket")
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
