--- a/src/petrelhaven/control/resumable/control_interface.py
+++ b/src/petrelhaven/control/resumable/control_interface.py
@@ -16,7 +16,7 @@
 from petrelhaven.control.interface.event_feed import EventFeed
 from petrelhaven.control.state.base import ZONE_EVACUATED, ZONE_OPEN
 from petrelhaven.runtime.errors import Malformed, NoRoute
-from petrelhaven.transport.http_server import HttpServer, body_of
+from petrelhaven.transport.http_server import HttpServer, read_json_body
 
 if TYPE_CHECKING:
     from petrelhaven.control.resumable.node import ResumableControlNode
@@ -51,7 +51,7 @@
             http_server.on(verb, path, handler)
 
     async def _announce(self, request: web.Request) -> Document:
-        self._node.announce(await body_of(request))
+        self._node.announce(await read_json_body(request))
         return {"ok": True}
 
     async def _apply_configuration(self, request: web.Request) -> Document:
@@ -78,7 +78,7 @@
         )
 
     async def _reform(self, request: web.Request) -> Document:
-        lost = parse_lost_nodes(await body_of(request))
+        lost = parse_lost_nodes(await read_json_body(request))
         answer: Document = await self._node.reform(lost, request.query.get("by", ""))
         return answer
 
--- a/src/petrelhaven/emulator/main.py
+++ b/src/petrelhaven/emulator/main.py
@@ -20,7 +20,7 @@
 from petrelhaven.runtime.errors import Fenced, Unreachable
 from petrelhaven.runtime.tasks import BackgroundTasks
 from petrelhaven.transport.http import fetch
-from petrelhaven.transport.http_server import HttpServer, body_of
+from petrelhaven.transport.http_server import HttpServer, read_json_body
 
 __all__ = ["main"]
 
@@ -115,16 +115,16 @@
         return True
 
     async def _register(self, request: web.Request) -> Document:
-        for name, group, address in (await body_of(request))["members"]:
+        for name, group, address in (await read_json_body(request))["members"]:
             self._members[name] = (group, address)
         return {"ok": True}
 
     async def _promote(self, request: web.Request) -> Document:
-        body = await body_of(request)
+        body = await read_json_body(request)
         return await self._logic.promote(body["group"], body["member"], body["epoch"], body["by"])
 
     async def _set_faults(self, request: web.Request) -> Document:
-        body, logic = await body_of(request), self._logic
+        body, logic = await read_json_body(request), self._logic
         logic.decline = bool(body.get("decline", logic.decline))
         logic.slow_us = int(body.get("slow_us", logic.slow_us))
         logic.unanswered = int(body.get("unanswered", logic.unanswered))
@@ -134,7 +134,7 @@
         return {"calls": self._logic.calls}
 
     async def _set_edges(self, request: web.Request) -> Document:
-        self._edges[:] = (await body_of(request))["edges"]
+        self._edges[:] = (await read_json_body(request))["edges"]
         return {"ok": True}
 
     async def _route(self, _request: web.Request) -> Document:
--- a/src/petrelhaven/emulator/member.py
+++ b/src/petrelhaven/emulator/member.py
@@ -14,7 +14,7 @@
 from petrelhaven.runtime.errors import Fault
 from petrelhaven.runtime.events import Events, emit, logger
 from petrelhaven.runtime.tasks import BackgroundTasks
-from petrelhaven.transport.http_server import HttpServer, body_of
+from petrelhaven.transport.http_server import HttpServer, read_json_body
 
 __all__ = ["Member"]
 
@@ -147,7 +147,7 @@
             return web.json_response(e.document, status=409)
 
     async def _run(self, req):
-        b = await body_of(req)
+        b = await read_json_body(req)
         await self._dark()
         if req.transport is None:
             return {}
@@ -174,7 +174,7 @@
         return d if d["ready"] else web.json_response(d, status=503)
 
     async def _feed(self, req):
-        b = await body_of(req)
+        b = await read_json_body(req)
         await self._dark()
         if b["pos"] == self.s.log and b["term"] == self.s.last_term() and b["now"] == self.s.term:
             self._news.clear()
@@ -194,7 +194,7 @@
         return await self._turn(lambda b: self.s.follow(b["source"], b["epoch"]), req)
 
     async def _turn(self, fn, req):
-        b = await body_of(req)
+        b = await read_json_body(req)
         await self._dark()
         try:
             fn(b)
@@ -206,7 +206,7 @@
         return {"ok": True}
 
     async def _switch(self, req):
-        b = await body_of(req)
+        b = await read_json_body(req)
         emit(self.log, Events.EMULATOR_FAULT_SET, **b)
         if b.get("crash"):
             os._exit(9)
--- a/src/petrelhaven/proxy/resumable/proxy_interface.py
+++ b/src/petrelhaven/proxy/resumable/proxy_interface.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, Any
 
 from petrelhaven.proxy.state_routes import serve_state
-from petrelhaven.transport.http_server import body_of
+from petrelhaven.transport.http_server import read_json_body
 
 if TYPE_CHECKING:
     from aiohttp import web
@@ -31,7 +31,7 @@
         return await self._proxy.open_session()
 
     async def _run_statement(self, request: web.Request) -> dict[str, Any]:
-        return await self._proxy.statement(request.match_info["sid"], await body_of(request))
+        return await self._proxy.statement(request.match_info["sid"], await read_json_body(request))
 
     async def _close(self, request: web.Request) -> dict[str, Any]:
         return await self._proxy.close_session(request.match_info["sid"])
--- a/src/petrelhaven/transport/http_server.py
+++ b/src/petrelhaven/transport/http_server.py
@@ -22,7 +22,7 @@
 Handler = Callable[[web.Request], Awaitable[Any]]
 
 
-async def body_of(request: web.Request) -> Any:  # noqa: ANN401 (any JSON document)
+async def read_json_body(request: web.Request) -> Any:  # noqa: ANN401 (any JSON document)
     """The request's JSON body.
 
     Raises:
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -16,7 +16,7 @@
 from petrelhaven.runtime.tasks import BackgroundTasks
 from petrelhaven.simulator.net import SimLog
 from petrelhaven.simulator.resumable.storm import inside
-from petrelhaven.transport.http_server import HttpServer, body_of
+from petrelhaven.transport.http_server import HttpServer, read_json_body
 from petrelhaven.transport.messages import DATAGRAM, KINDS, pack
 
 LEAF = (
@@ -236,7 +236,7 @@
         odd = {}
 
         async def any_(req):
-            await body_of(req)
+            await read_json_body(req)
             from aiohttp import web
 
             return web.Response(text=odd["text"], content_type="application/json")
