--- a/src/petrelhaven/control/counting/service.py
+++ b/src/petrelhaven/control/counting/service.py
@@ -25,8 +25,8 @@
     CountRequest,
     GrantList,
     ReportList,
-    copies_from,
-    copy_rows,
+    copies_from_rows,
+    copies_to_rows,
 )
 
 if TYPE_CHECKING:
@@ -183,7 +183,7 @@
         copies = [
             followed.standby.make_full_copy(tenant, now) for tenant, followed in found.items()
         ]
-        return {"view": body["view"], "rows": copy_rows(copies)}
+        return {"view": body["view"], "rows": copies_to_rows(copies)}
 
     def _apply_copy(self, copy: CounterCopy, request: CopyList, expires_at: int, now: int) -> bool:
         followed = self._standby_tenants.get(copy.tenant)
@@ -356,7 +356,7 @@
         except Fault:
             return
         now = self._clock.now()
-        for copy in copies_from(answer["rows"]):
+        for copy in copies_from_rows(answer["rows"]):
             if self._view_number == view.number and copy.tenant not in self._counted:
                 standby = Standby(self._table.policy.window_us)
                 standby.apply_copy(copy, self._incarnation, 1, now, now)
--- a/src/petrelhaven/transport/quota_messages.py
+++ b/src/petrelhaven/transport/quota_messages.py
@@ -105,22 +105,26 @@
             "life": self.life,
             "number": self.number,
             "bound": list(self.expiry),
-            "rows": copy_rows(self.copies),
+            "rows": copies_to_rows(self.copies),
         }
 
     @classmethod
     def from_body(cls, body: Mapping[str, Any]) -> CopyList:
         """Reads what `to_body` wrote."""
         return cls(
-            body["view"], body["life"], body["number"], body["bound"], copies_from(body["rows"])
+            body["view"],
+            body["life"],
+            body["number"],
+            body["bound"],
+            copies_from_rows(body["rows"]),
         )
 
 
-def copy_rows(copies: Sequence[CounterCopy]) -> list[list[Any]]:
+def copies_to_rows(copies: Sequence[CounterCopy]) -> list[list[Any]]:
     """Copies as they are sent, also in the answer to a `quota.fetch`."""
     return [list(copy) for copy in copies]
 
 
-def copies_from(rows: Sequence[Sequence[Any]]) -> list[CounterCopy]:
-    """Reads what `copy_rows` wrote."""
+def copies_from_rows(rows: Sequence[Sequence[Any]]) -> list[CounterCopy]:
+    """Reads what `copies_to_rows` wrote."""
     return [CounterCopy(*row) for row in rows]
