--- a/src/petrelhaven/control/base_node.py
+++ b/src/petrelhaven/control/base_node.py
@@ -202,7 +202,7 @@
             MessageKind.CHAIN_READ: self._handle_read,
             MessageKind.CHAIN_IN_FORCE: self.lease_table.report,
             MessageKind.PROXY_CONNECT: self.lease_table.subscribe,
-            MessageKind.NODE_BELIEF: self._handle_reported_state,
+            MessageKind.NODE_REPORTED_STATE: self._handle_reported_state,
         }
 
     def start(self) -> None:
--- a/src/petrelhaven/proxy/resumable/node.py
+++ b/src/petrelhaven/proxy/resumable/node.py
@@ -109,7 +109,7 @@
             MessageKind.REPLICA_DROP: self.session_replicas.drop,
             MessageKind.SESSION_CEDE: self.session_replicas.cede,
             MessageKind.REPLICA_VERSIONS: self.session_replicas.seen,
-            MessageKind.NODE_BELIEF: self._belief,
+            MessageKind.NODE_REPORTED_STATE: self._belief,
         }.items():
             link.on(k, f)
 
--- a/src/petrelhaven/transport/contracts.py
+++ b/src/petrelhaven/transport/contracts.py
@@ -242,4 +242,4 @@
 
 # Any node: calls through a third one, and what a node believes of another.
 _contract(MessageKind.RELAY, Repeat.CARRIED, "to:string kind:string us:long body:doc", "body:doc")
-_contract(MessageKind.NODE_BELIEF, Repeat.SAFE, "who:string", "doc:doc")
+_contract(MessageKind.NODE_REPORTED_STATE, Repeat.SAFE, "who:string", "doc:doc")
--- a/src/petrelhaven/transport/message_kinds.py
+++ b/src/petrelhaven/transport/message_kinds.py
@@ -61,4 +61,4 @@
 
     # Any node.
     RELAY: Final = "creed.relay"
-    NODE_BELIEF: Final = "creed.belief"
+    NODE_REPORTED_STATE: Final = "creed.belief"
