--- a/src/petrelhaven/simulator/net.py
+++ b/src/petrelhaven/simulator/net.py
@@ -112,7 +112,7 @@
         """Removes a file."""
         self.files.pop(name, None)
 
-    def lose(self):
+    def mark_lost(self):
         """Another, empty disk."""
         self.files = {}
 
@@ -262,7 +262,7 @@
         self.a.pipes.pop(self.key, None)
         self.b.pipes.pop(self.key, None)
         o, p, c = (self.b, self.ab, self.cb) if who is self.a else (self.a, self.ba, self.ca)
-        p.send(c.lose)
+        p.send(c.mark_lost)
 
     def reset(self, who):
         """One side closes by a reset: what a cut holds up of its bytes is lost."""
@@ -276,9 +276,9 @@
         for machine, ch, p in ((self.a, self.ca, self.ba), (self.b, self.cb, self.ab)):
             machine.pipes.pop(self.key, None)
             if machine.up and not silent:
-                p.send(ch.lose)
+                p.send(ch.mark_lost)
             elif machine.up:
-                self.net.loop.call_later(20, lambda ch=ch: ch.lose())
+                self.net.loop.call_later(20, lambda ch=ch: ch.mark_lost())
 
 
 class SimLink(SharedConnections):
--- a/src/petrelhaven/transport/channel.py
+++ b/src/petrelhaven/transport/channel.py
@@ -144,7 +144,7 @@
         """Resets the connection, unless an answer has shown that call `number` was received."""
         if number > self._last_answered and not self.gone.done():
             self._reset()
-            self.lose()
+            self.mark_lost()
 
     def feed(self, raw: bytes) -> None:
         """Takes one message that arrived.
@@ -201,7 +201,7 @@
         if not self.gone.done():
             self._send(raw)
 
-    def lose(self) -> None:
+    def mark_lost(self) -> None:
         """Marks the connection lost and fails what waits on it."""
         if not self.gone.done():
             self.gone.set_result(None)
@@ -215,4 +215,4 @@
             self._reset()
         else:
             self._close()
-        self.lose()
+        self.mark_lost()
--- a/src/petrelhaven/transport/link.py
+++ b/src/petrelhaven/transport/link.py
@@ -294,7 +294,7 @@
             self.garbage += 1
             emit(self.log, Events.MALFORMED_MESSAGE, note=fault.note)
         finally:
-            channel.lose()
+            channel.mark_lost()
             writer.close()
 
     def _take(self, channel: Channel, raw: bytes, writer: asyncio.StreamWriter) -> None:
