--- a/src/petrelhaven/control/base_node.py
+++ b/src/petrelhaven/control/base_node.py
@@ -133,7 +133,7 @@
     def _join_membership(self) -> None:
         identity = NodeIdentity(self.name, "core", self.zone, self.link.addr or "", 0)
         self.roster = Roster(self.clock, identity, self.log, self.suspicion_timeout_us)
-        self.reach = NodeCaller(self.clock, self.link, self.roster, self.rng)
+        self.node_caller = NodeCaller(self.clock, self.link, self.roster, self.rng)
         self.prober = Prober(
             self.clock,
             self.link,
@@ -228,7 +228,7 @@
         if name == self.name:
             answer: dict[str, Any] = await self.link.handlers[kind](None, body)
             return answer
-        return await self.reach.call(name, kind, body, timeout_us)
+        return await self.node_caller.call(name, kind, body, timeout_us)
 
     def update_state(self) -> None:
         """Sets `state` from the current view."""
--- a/src/petrelhaven/control/consensus/node_services.py
+++ b/src/petrelhaven/control/consensus/node_services.py
@@ -53,7 +53,7 @@
     log: logbook.Logger | None
     store: ControlNodeStore
     roster: Roster
-    reach: NodeCaller
+    node_caller: NodeCaller
     prober: Prober
     chain: Chain
 
--- a/src/petrelhaven/control/consensus/view_maintenance.py
+++ b/src/petrelhaven/control/consensus/view_maintenance.py
@@ -107,7 +107,9 @@
                 with contextlib.suppress(Fault):
                     body = {"name": node.name}
                     report = NodeReport.from_body(
-                        await node.reach.call(name, MessageKind.VIEW_READ, body, _REPORT_TIMEOUT_US)
+                        await node.node_caller.call(
+                            name, MessageKind.VIEW_READ, body, _REPORT_TIMEOUT_US
+                        )
                     )
         return report
 
--- a/src/petrelhaven/control/failover/interfaces.py
+++ b/src/petrelhaven/control/failover/interfaces.py
@@ -155,7 +155,7 @@
     log: logbook.Logger | None
     wire: MemberWire
     chain: Chain
-    reach: ControlNodeCalls
+    node_caller: ControlNodeCalls
     lease_table: LeaseTable
     last_heartbeats: dict[str, tuple[int, int]]
     heartbeat_us: int
--- a/src/petrelhaven/control/failover/observation.py
+++ b/src/petrelhaven/control/failover/observation.py
@@ -106,7 +106,7 @@
             return await self.inspect(endpoint)
         limit_us = _INSPECTION_TIMEOUT_US + _CALL_MARGIN_US
         try:
-            answer = await self._node.reach.call(
+            answer = await self._node.node_caller.call(
                 node, MessageKind.MEMBER_CHECK, endpoint.to_body(), limit_us
             )
         except Fault:
--- a/src/petrelhaven/control/node.py
+++ b/src/petrelhaven/control/node.py
@@ -110,7 +110,7 @@
         super().__init__(identity, resources, platform)
         self.views.may_decide_first_view = may_decide_first_view and self.link.addr in self.seeds
         self.request_router = RequestRouter(
-            self.clock, self.chain, self.reach, self.name, self.roster.state
+            self.clock, self.chain, self.node_caller, self.name, self.roster.state
         )
         self.roster.spread_limit = _SPREAD_LIMIT
         self.prober.join_us = _JOIN_INTERVAL_US
--- a/src/petrelhaven/control/request_router.py
+++ b/src/petrelhaven/control/request_router.py
@@ -68,7 +68,7 @@
     """Sends records to the head and reads to the tail of the view's chain."""
 
     def __init__(
-        self, clock: Clock, chain: Chain, reach: NodeCaller, name: str, peer_state: PeerState
+        self, clock: Clock, chain: Chain, node_caller: NodeCaller, name: str, peer_state: PeerState
     ) -> None:
         """Routes the requests that one control node receives.
 
@@ -81,7 +81,7 @@
         """
         self._clock = clock
         self._chain = chain
-        self._reach = reach
+        self._reach = node_caller
         self._name = name
         self._peer_state = peer_state
 
--- a/src/petrelhaven/control/resumable/node.py
+++ b/src/petrelhaven/control/resumable/node.py
@@ -85,7 +85,7 @@
         request = SubmitRequest(record, force)
         if view.head == self.name:
             return await self.append_as_head(request)
-        answer = await self.reach.call(
+        answer = await self.node_caller.call(
             view.head, MessageKind.CHAIN_ENTER, request.to_body(), _ENTER_TIMEOUT_US
         )
         return SubmitAnswer.from_body(answer)
@@ -97,7 +97,7 @@
             raise NotReady("no view yet")
         if view.tail == self.name:
             return self.chain.read_control_state()
-        answer = await self.reach.call(
+        answer = await self.node_caller.call(
             view.tail, MessageKind.CHAIN_READ, {"what": None}, _READ_TIMEOUT_US
         )
         document: dict[str, Any] = answer["doc"]
@@ -130,7 +130,7 @@
     async def _snapshot(self, proxy: str) -> dict[str, Any] | None:
         try:
             body = {"name": self.name}
-            answer = await self.reach.call(
+            answer = await self.node_caller.call(
                 proxy, MessageKind.PROXY_SNAPSHOT, body, _SNAPSHOT_TIMEOUT_US
             )
         except Fault as fault:
--- a/src/petrelhaven/proxy/resumable/delivery.py
+++ b/src/petrelhaven/proxy/resumable/delivery.py
@@ -40,7 +40,7 @@
             if n is None:
                 n = await self._find(sid)
             try:
-                r = await self.e.reach.call(
+                r = await self.e.node_caller.call(
                     n,
                     MessageKind.SESSION_DELIVER,
                     {"sid": sid, "ask": d},
--- a/src/petrelhaven/proxy/resumable/handover.py
+++ b/src/petrelhaven/proxy/resumable/handover.py
@@ -38,7 +38,7 @@
                 if k is None or s.state != "moving":
                     break
                 try:
-                    r = await self.e.reach.call(
+                    r = await self.e.node_caller.call(
                         k.split("/")[0],
                         MessageKind.SESSION_TAKE,
                         {
--- a/src/petrelhaven/proxy/resumable/node.py
+++ b/src/petrelhaven/proxy/resumable/node.py
@@ -55,7 +55,7 @@
         self.http, self.vary = http, vary
         identity = NodeIdentity(name, "edge", zone, link.addr, 0)
         self.roster = Roster(clock, identity, log)
-        self.reach = NodeCaller(clock, link, self.roster, rng)
+        self.node_caller = NodeCaller(clock, link, self.roster, rng)
         self.prober = Prober(clock, link, tasks, rng, self.roster, seeds)
         self.control = Control(
             clock,
@@ -71,10 +71,10 @@
         self.request_slots = RequestSlots(clock)
         self.homes = {}
         self.keeper = SessionKeeper(
-            clock, tasks, rng, self.control, self.reach, self.homes, zone, self.bounds, log
+            clock, tasks, rng, self.control, self.node_caller, self.homes, zone, self.bounds, log
         )
         self.session_replicas = SessionReplicas(
-            clock, tasks, rng, self.control, self.reach, self.homes, self.keeper, log
+            clock, tasks, rng, self.control, self.node_caller, self.homes, self.keeper, log
         )
         self.flow, self.follow, self.deliver, self.move = (
             StatementFlow(self),
--- a/src/petrelhaven/proxy/resumable/session_keeper.py
+++ b/src/petrelhaven/proxy/resumable/session_keeper.py
@@ -12,9 +12,15 @@
 class SessionKeeper:
     """Keeps the sessions at home here with keepers in other halls; nothing counts before all of them hold it."""
 
-    def __init__(self, clock, tasks, rng, control, reach, homes, zone, bounds, log=None):
+    def __init__(self, clock, tasks, rng, control, node_caller, homes, zone, bounds, log=None):
         self.clock, self.tasks, self.rng, self.control = clock, tasks, rng, control
-        self.reach, self.homes, self.zone, self.bounds, self.log = reach, homes, zone, bounds, log
+        self.node_caller, self.homes, self.zone, self.bounds, self.log = (
+            node_caller,
+            homes,
+            zone,
+            bounds,
+            log,
+        )
         self._tending = set()
 
     def _places(self, ks):
@@ -37,7 +43,7 @@
                 n,
             )
             for n, e in sorted(es.items())
-            if n not in names and e["state"] == "up" and self.reach.roster.state(n) != "gone"
+            if n not in names and e["state"] == "up" and self.node_caller.roster.state(n) != "gone"
         ]
         if not cs:
             return None
@@ -93,7 +99,7 @@
 
     async def _send(self, s, k, doc):
         try:
-            r = await self.reach.call(
+            r = await self.node_caller.call(
                 k.split("/")[0],
                 MessageKind.REPLICA_KEEP,
                 {
@@ -127,7 +133,7 @@
         for k in list(s.release):
             while self.control.lives(k):
                 try:
-                    await self.reach.call(
+                    await self.node_caller.call(
                         k.split("/")[0],
                         MessageKind.REPLICA_DROP,
                         {"sid": s.sid, "epoch": s.epoch},
@@ -154,7 +160,9 @@
         could = {
             e["hall"]
             for n, e in es.items()
-            if e["state"] == "up" and self._open(e["hall"]) and self.reach.roster.state(n) != "gone"
+            if e["state"] == "up"
+            and self._open(e["hall"])
+            and self.node_caller.roster.state(n) != "gone"
         }
         if len(good) < min(len(could), self.bounds().keepers):
             seen = set()
@@ -214,7 +222,7 @@
 
     async def _drop(self, k, s):
         try:
-            await self.reach.call(
+            await self.node_caller.call(
                 k.split("/")[0], MessageKind.REPLICA_DROP, {"sid": s.sid, "epoch": s.epoch}, 500_000
             )
         except Fault as f:
--- a/src/petrelhaven/proxy/resumable/session_replicas.py
+++ b/src/petrelhaven/proxy/resumable/session_replicas.py
@@ -17,13 +17,13 @@
 class SessionReplicas:
     """Holds copies. A copy is taken over only with the consent of every other living keeper that it names."""
 
-    def __init__(self, clock, tasks, rng, control, reach, homes, keeper, log=None):
-        self.clock, self.tasks, self.rng, self.control, self.reach = (
+    def __init__(self, clock, tasks, rng, control, node_caller, homes, keeper, log=None):
+        self.clock, self.tasks, self.rng, self.control, self.node_caller = (
             clock,
             tasks,
             rng,
             control,
-            reach,
+            node_caller,
         )
         self.homes, self.keeper, self.log = homes, keeper, log
         self.stored = {}
@@ -185,7 +185,7 @@
 
     async def _consent(self, k, sid, c, want, got):
         try:
-            return await self.reach.call(
+            return await self.node_caller.call(
                 k.split("/")[0],
                 MessageKind.SESSION_CEDE,
                 {
@@ -276,9 +276,9 @@
     async def ask(self, n, sids, us=800_000):
         """What edge `n` is to these sessions: rows of (session, role, epoch), or None."""
         try:
-            return (await self.reach.call(n, MessageKind.REPLICA_VERSIONS, {"rows": sids}, us))[
-                "rows"
-            ]
+            return (
+                await self.node_caller.call(n, MessageKind.REPLICA_VERSIONS, {"rows": sids}, us)
+            )["rows"]
         except Fault:
             return None
 
--- a/src/petrelhaven/transport/http_server.py
+++ b/src/petrelhaven/transport/http_server.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     import logbook
 
-__all__ = ["HttpServer", "body_of"]
+__all__ = ["HttpServer", "read_json_body"]
 
 _MAX_BODY_BYTES = 256 << 10
 _SHUTDOWN_S = 1
--- a/src/petrelhaven/transport/node_caller.py
+++ b/src/petrelhaven/transport/node_caller.py
@@ -13,7 +13,7 @@
 from petrelhaven.transport.link import SharedConnections
 from petrelhaven.transport.message_kinds import MessageKind
 
-__all__ = ["Reach"]
+__all__ = ["NodeCaller"]
 
 _FAILED_US = 1_500_000
 _MAX_RELAYS = 2
--- a/src/petrelhaven/transport/quota_messages.py
+++ b/src/petrelhaven/transport/quota_messages.py
@@ -19,8 +19,8 @@
     "CountRequest",
     "GrantList",
     "ReportList",
-    "copies_from",
-    "copy_rows",
+    "copies_from_rows",
+    "copies_to_rows",
 ]
 
 
--- a/src/petrelhaven/transport/sockets.py
+++ b/src/petrelhaven/transport/sockets.py
@@ -5,7 +5,7 @@
 import socket
 import struct
 
-__all__ = ["UNACKNOWLEDGED_MS", "is_closed", "reset", "tune"]
+__all__ = ["UNACKNOWLEDGED_MS", "is_closed", "reset", "set_socket_options"]
 
 UNACKNOWLEDGED_MS = 3_000
 """How long bytes may stay unacknowledged by the other machine before the connection is lost."""
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -97,7 +97,7 @@
         self.trace, self.acknowledged, self.fencing_token, self.promoted_names = [], (1, 5), 0, []
         self.rng, self.in_force_delay_s, self.platform_outcomes = random.Random(1), 0.0, []
         self.promotion_delay_s = 0.2
-        self.wire = self.platform = self.reach = self.lease_table = self
+        self.wire = self.platform = self.node_caller = self.lease_table = self
         self.name, self.zone, self.heartbeat_us, self.last_heartbeats = (
             "c1",
             "a",
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -149,7 +149,7 @@
         await fleet.start()
         head = head_of(fleet)
         near, far = others(fleet, head)
-        head_call = near.node.reach.call(
+        head_call = near.node.node_caller.call(
             head.name,
             "chain.enter",
             {
@@ -219,8 +219,10 @@
         head.kill()
         await asyncio.sleep(3)
         one, two = others(fleet, head)
-        one.node.reach._failed_until[two.name] = one.clock.now() + 1_500_000
-        return await outcome(one.node.reach.call(two.name, "view.ask", {"name": one.name}, 400_000))
+        one.node.node_caller._failed_until[two.name] = one.clock.now() + 1_500_000
+        return await outcome(
+            one.node.node_caller.call(two.name, "view.ask", {"name": one.name}, 400_000)
+        )
 
     assert inside(scenario, 1)[0] == "acknowledged"
 
