--- a/src/petrelhaven/simulator/net.py
+++ b/src/petrelhaven/simulator/net.py
@@ -112,7 +112,7 @@
         """Removes a file."""
         self.files.pop(name, None)
 
-    def mark_lost(self):
+    def lose(self):
         """Another, empty disk."""
         self.files = {}
 
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -19,7 +19,7 @@
 from petrelhaven.runtime.errors import Busy, DeadlineExceeded, Fault, NotSent, Stale, Unreachable
 from petrelhaven.runtime.tasks import BackgroundTasks
 from petrelhaven.transport import channel as channel_module
-from petrelhaven.transport import reach as reach_module
+from petrelhaven.transport import node_caller as node_caller_module
 from petrelhaven.transport.contracts import KINDS, Contract, Repeat, repeat_of
 from petrelhaven.transport.light_client import light_call
 from petrelhaven.transport.link import Link
@@ -135,7 +135,7 @@
     def __init__(self, net, how):
         self.net, self.how = net, how
         self.ran, self.bad = [], []
-        self.reaches = {}
+        self.node_callers = {}
         names = ("a", "b", "c", "d")
         nodes = {n: Node(net, n) for n in names}
         for n in names:
@@ -148,7 +148,7 @@
                 living=lambda peers=peers: list(peers),
                 state=lambda m: "alive",
             )
-            self.reaches[n] = NodeCaller(nodes[n].clock, nodes[n], roster, random.Random(n))
+            self.node_callers[n] = NodeCaller(nodes[n].clock, nodes[n], roster, random.Random(n))
         nodes["b"].on("span.deliver", self._run)
         nodes["b"].on("creed.belief", self._run)
         self.b = nodes["b"]
@@ -170,7 +170,7 @@
     async def call(self, token, kind):
         body = {"who": token} if kind == "creed.belief" else {"sid": token, "ask": None}
         try:
-            result = await self.reaches["a"].call("b", kind, body, 300_000)
+            result = await self.node_callers["a"].call("b", kind, body, 300_000)
             if list(result.values()) != [token]:
                 self.bad.append(("answer of another", token))
             return token, "ok"
@@ -249,7 +249,7 @@
 
 
 def repeated_by_goodwill(mp):
-    mp.setattr(reach_module, "repeat_of", lambda kind, body: Repeat.SAFE)
+    mp.setattr(node_caller_module, "repeat_of", lambda kind, body: Repeat.SAFE)
 
 
 def unsent_after_all(mp):
@@ -272,7 +272,7 @@
         try:
             return await real(self, channel, call)
         except (DeadlineExceeded, Unreachable) as fault:
-            raise reach_module.NotRelayed(fault.note) from None
+            raise node_caller_module.NotRelayed(fault.note) from None
 
     mp.setattr(NodeCaller, "_relayed", relayed)
 
