--- a/src/petrelhaven/control/request_router.py
+++ b/src/petrelhaven/control/request_router.py
@@ -75,7 +75,7 @@
         Args:
             clock: The node's monotonic clock.
             chain: The node's part of the chain.
-            reach: Calls other nodes by name.
+            node_caller: Calls other nodes by name.
             name: The node's name.
             peer_state: Returns the membership state of a node: alive, suspect, gone or None.
         """
