--- a/src/petrelhaven/simulator/net.py
+++ b/src/petrelhaven/simulator/net.py
@@ -262,7 +262,7 @@
         self.a.pipes.pop(self.key, None)
         self.b.pipes.pop(self.key, None)
         o, p, c = (self.b, self.ab, self.cb) if who is self.a else (self.a, self.ba, self.ca)
-        p.send(c.mark_lost)
+        p.send(c.handle_connection_loss)
 
     def reset(self, who):
         """One side closes by a reset: what a cut holds up of its bytes is lost."""
@@ -276,9 +276,9 @@
         for machine, ch, p in ((self.a, self.ca, self.ba), (self.b, self.cb, self.ab)):
             machine.pipes.pop(self.key, None)
             if machine.up and not silent:
-                p.send(ch.mark_lost)
+                p.send(ch.handle_connection_loss)
             elif machine.up:
-                self.net.loop.call_later(20, lambda ch=ch: ch.mark_lost())
+                self.net.loop.call_later(20, lambda ch=ch: ch.handle_connection_loss())
 
 
 class SimLink(SharedConnections):
--- a/src/petrelhaven/transport/channel.py
+++ b/src/petrelhaven/transport/channel.py
@@ -1,6 +1,6 @@
 """One connection between two processes.
 
-Calls are numbered; an answer is matched by its connection, its number and its kind.
+Calls are numbered. An answer is matched to its call by connection, number and kind.
 """
 
 import asyncio
@@ -29,12 +29,12 @@
 
 Handler = Callable[..., Any]
 
-_MAX_GIVEN_UP = 256
-_BAD_BODY = (TypeError, LookupError, ValueError, AttributeError)
+_MAX_ABANDONED_CALLS = 256
+_INVALID_BODY_ERRORS = (TypeError, LookupError, ValueError, AttributeError)
 
 
 class Node(Protocol):
-    """What a channel needs of the node it belongs to."""
+    """The parts of a node that its channels use."""
 
     clock: Clock
     tasks: BackgroundTasks
@@ -44,16 +44,17 @@
 
 @dataclass(frozen=True, slots=True)
 class _Pending:
-    """A call that waits for its answer."""
+    """A call that is waiting for its answer."""
 
     kind: str
     answer: asyncio.Future[dict[str, Any]]
 
 
-def _answered_fault(kind: str, doc: Mapping[str, Any]) -> Fault:
-    """The fault that the other side answered with.
+def _fault_from_answer(kind: str, doc: Mapping[str, Any]) -> Fault:
+    """Returns the fault that the other side answered with.
 
-    Only a relay can report that nothing was sent; from any other node, the call has arrived.
+    A `NotSent` fault is kept only if a relay reports that it sent nothing. From any other node it
+    becomes `Unreachable`, because the call itself has arrived there.
     """
     fault = rebuild(doc)
     relayed = kind == MessageKind.RELAY and isinstance(fault, NotRelayed)
@@ -64,11 +65,11 @@
 
 
 class Channel:
-    """One connection, over which either side may call.
+    """One connection over which both sides may make calls.
 
     Attributes:
-        gone: done once the connection is lost.
-        unanswered: how many calls in a row had no answer, as far as the caller counts them.
+        gone: a future that is done once the connection is lost.
+        unanswered: the number of consecutive calls without an answer, maintained by the caller.
     """
 
     def __init__(
@@ -79,106 +80,109 @@
         reset: Callable[[], None] | None = None,
         broken: Callable[[], bool] = lambda: False,
     ) -> None:
-        """A new connection.
+        """Creates the channel of an open connection.
 
         Args:
-            link: the node that serves what the other side calls.
-            send: writes one message.
-            close: ends the connection after what was written.
-            reset: ends it at once, with what the other machine has not received yet.
-            broken: whether the other side has reset it.
+            link: the node whose handlers serve the other side's calls.
+            send: writes one message to the connection.
+            close: closes the connection after sending the data already written.
+            reset: closes it at once and discards data that the other machine has not received;
+                defaults to `close`.
+            broken: returns whether the other side has reset the connection.
         """
         self._link = link
         self._send = send
         self._close = close
         self._reset = reset or close
         self._broken = broken
-        self._numbers = itertools.count(1)
+        self._call_numbers = itertools.count(1)
         self._pending: dict[int, _Pending] = {}
-        self._given_up: dict[int, str] = {}
-        self._last_sent = self._last_answered = self._last_heard = 0
+        self._abandoned_kinds: dict[int, str] = {}
+        self._last_sent_number = self._last_answered_number = self._last_received_number = 0
         self.gone = asyncio.get_running_loop().create_future()
         self.unanswered = 0
 
-    async def call(self, kind: str, body: Mapping[str, Any], us: int) -> dict[str, Any]:
+    async def call(self, kind: str, body: Mapping[str, Any], timeout_us: int) -> dict[str, Any]:
         """Calls the other side and returns its result.
 
-        A call that may not be repeated and is given up here is taken back from the wire, as far as
-        the other machine has not received it: the connection is reset.
+        If a call that may not be repeated is abandoned (timeout or cancellation), the connection
+        is reset, so that bytes that the other machine has not received are discarded.
 
         Args:
             kind: one of `MessageKind`.
             body: the fields of the request.
-            us: how long the answer may take, in microseconds.
+            timeout_us: the limit for the answer, in microseconds.
 
         Raises:
-            NotSent: nothing has left.
-            DeadlineExceeded: no answer came in time; what was asked may still happen.
+            NotSent: nothing was sent.
+            DeadlineExceeded: no answer arrived in time; the request may still take effect.
             Unreachable: the connection was lost; the outcome is unknown.
-            Fault: what the other side answered with; its `answered` is set.
+            Fault: the fault that the other side answered with; its `answered` is set.
         """
         if self.gone.done():
             raise NotSent(kind)
-        number = next(self._numbers)
+        number = next(self._call_numbers)
         raw = pack(kind, CALL, number, body)
         answer = asyncio.get_running_loop().create_future()
         self._pending[number] = _Pending(kind, answer)
-        self._last_sent = number
+        self._last_sent_number = number
         try:
             self._send(raw)
-            return await self._link.clock.limit(answer, us)
+            return await self._link.clock.limit(answer, timeout_us)
         finally:
             self._pending.pop(number, None)
             if answer.cancelled() or not answer.done():
-                self._give_up(number, kind, repeat_of(kind, body))
+                self._abandon_call(number, kind, repeat_of(kind, body))
 
-    def _give_up(self, number: int, kind: str, repeat: Repeat) -> None:
-        """Nobody waits for call `number` any more; an answer that comes must be of its kind."""
-        self._given_up[number] = kind
-        if len(self._given_up) > _MAX_GIVEN_UP:
-            del self._given_up[next(iter(self._given_up))]
+    def _abandon_call(self, number: int, kind: str, repeat: Repeat) -> None:
+        """Stops waiting for call `number`; a late answer is still checked against `kind`."""
+        self._abandoned_kinds[number] = kind
+        if len(self._abandoned_kinds) > _MAX_ABANDONED_CALLS:
+            del self._abandoned_kinds[next(iter(self._abandoned_kinds))]
         if repeat is Repeat.NEVER:
-            self._take_back(number)
+            self._withdraw_call(number)
 
-    def _take_back(self, number: int) -> None:
-        """Resets the connection, unless an answer has shown that call `number` was received."""
-        if number > self._last_answered and not self.gone.done():
+    def _withdraw_call(self, number: int) -> None:
+        """Resets the connection unless a later answer shows that call `number` was received."""
+        if number > self._last_answered_number and not self.gone.done():
             self._reset()
-            self.mark_lost()
+            self.handle_connection_loss()
 
     def feed(self, raw: bytes) -> None:
-        """Takes one message that arrived.
+        """Processes one received message.
 
         Raises:
-            Malformed: it is not a message that can arrive here.
-            VersionMismatch: it is of another version.
-            UnknownKind: its kind is not known.
+            Malformed: the message is invalid or unexpected on this connection.
+            VersionMismatch: the message has another protocol version.
+            UnknownKind: the kind of the message is not known.
         """
         message = unpack(raw)
         if message.flow == CALL:
-            if message.number <= self._last_heard:
+            if message.number <= self._last_received_number:
                 raise Malformed(f"{message.kind}: call number")
-            self._last_heard = message.number
+            self._last_received_number = message.number
             self._link.tasks.spawn(self._serve(message))
         elif message.flow in (RESULT, FAULT):
-            self._take_answer(message)
+            self._receive_answer(message)
         else:
             raise Malformed("flow")
 
-    def _take_answer(self, message: Message) -> None:
-        if not 0 < message.number <= self._last_sent:
+    def _receive_answer(self, message: Message) -> None:
+        if not 0 < message.number <= self._last_sent_number:
             raise Malformed(f"{message.kind}: answer to nothing")
         pending = self._pending.get(message.number)
-        kind = pending.kind if pending is not None else self._given_up.pop(message.number, None)
+        kind = (
+            pending.kind if pending is not None else self._abandoned_kinds.pop(message.number, None)
+        )
         if kind is not None and kind != message.kind:
             raise Malformed(f"{message.kind}: answer to {kind}")
-        self._last_answered = max(self._last_answered, message.number)
+        self._last_answered_number = max(self._last_answered_number, message.number)
         if pending is None or pending.answer.done():
             return
         if message.flow == RESULT:
             pending.answer.set_result(message.body)
         else:
-            pending.answer.set_exception(_answered_fault(message.kind, message.body["doc"]))
+            pending.answer.set_exception(_fault_from_answer(message.kind, message.body["doc"]))
 
     async def _serve(self, message: Message) -> None:
         kind = message.kind
@@ -195,14 +199,14 @@
             raw = pack(kind, FAULT, message.number, {"doc": fault.doc()})
         except Exception as error:
             emit(self._link.log, Events.HANDLER_FAILED, kind=kind, what=repr(error))
-            typed = Malformed if isinstance(error, _BAD_BODY) else Fault
+            typed = Malformed if isinstance(error, _INVALID_BODY_ERRORS) else Fault
             doc = typed(f"{kind}: {type(error).__name__}").doc()
             raw = pack(kind, FAULT, message.number, {"doc": doc})
         if not self.gone.done():
             self._send(raw)
 
-    def mark_lost(self) -> None:
-        """Marks the connection lost and fails what waits on it."""
+    def handle_connection_loss(self) -> None:
+        """Marks the connection as lost and fails its pending calls."""
         if not self.gone.done():
             self.gone.set_result(None)
         for pending in list(self._pending.values()):
@@ -210,9 +214,9 @@
                 pending.answer.set_exception(Unreachable("connection lost"))
 
     def close(self) -> None:
-        """Closes the connection and takes calls that may not have been received from the wire."""
-        if self._last_sent > self._last_answered:
+        """Closes the connection; resets it if the last call may not have been received."""
+        if self._last_sent_number > self._last_answered_number:
             self._reset()
         else:
             self._close()
-        self.mark_lost()
+        self.handle_connection_loss()
--- a/src/petrelhaven/transport/http.py
+++ b/src/petrelhaven/transport/http.py
@@ -1,4 +1,4 @@
-"""One HTTP exchange with an interface, for the tools."""
+"""An HTTP client for single requests, used by the tools."""
 
 from __future__ import annotations
 
@@ -10,38 +10,38 @@
 
 __all__ = ["fetch"]
 
-_DEADLINE_US = 30_000_000
-_CONNECT_S = 1
-_OK = 200
+_DEFAULT_TIMEOUT_US = 30_000_000
+_CONNECT_TIMEOUT_S = 1
+_STATUS_OK = 200
 
 
-async def fetch(  # noqa: PLR0913, PLR0917 (an HTTP exchange has as many parts)
+async def fetch(  # noqa: PLR0913, PLR0917 (an HTTP request has this many parts)
     addr: str,
     verb: str,
     path: str,
     data: str | bytes | None = None,
     doc: Any = None,  # noqa: ANN401 (any JSON document)
-    us: int = _DEADLINE_US,
+    us: int = _DEFAULT_TIMEOUT_US,
     raw: bool = False,
     http: aiohttp.ClientSession | None = None,
 ) -> Any:  # noqa: ANN401 (any JSON document)
-    """Returns the document that the server answers with.
+    """Sends one request and returns the JSON document of the response.
 
     Args:
         addr: host and port of the server.
         verb: the HTTP method.
         path: the path with its query.
-        data: the body as it is.
-        doc: the body as a JSON document, in place of `data`.
-        us: how long the exchange may take, in microseconds.
-        raw: whether to return the answer's bytes in place of its document.
-        http: the session to use; otherwise one is made for this exchange.
+        data: the body as text or bytes.
+        doc: the body as a JSON document, instead of `data`.
+        us: the limit for the whole exchange, in microseconds.
+        raw: whether to return the bytes of the response instead of its document.
+        http: the client session to use; by default, one is created for this exchange.
 
     Raises:
-        Fault: the typed fault that the server answered with, with the answer's status.
-        NotSent: there was no connection.
-        DeadlineExceeded: no answer came in time.
-        Unreachable: the connection was lost, or the answer was not JSON.
+        Fault: the typed fault that the server answered with; has the status of the response.
+        NotSent: the connection could not be opened.
+        DeadlineExceeded: no response arrived in time.
+        Unreachable: the connection was lost, or the response was not JSON.
     """
     session = http or aiohttp.ClientSession()
     try:
@@ -50,9 +50,9 @@
             f"http://{addr}{path}",
             data=data,
             json=doc,
-            timeout=aiohttp.ClientTimeout(total=us / 1e6, sock_connect=_CONNECT_S),
+            timeout=aiohttp.ClientTimeout(total=us / 1e6, sock_connect=_CONNECT_TIMEOUT_S),
         ) as response:
-            if response.status == _OK:
+            if response.status == _STATUS_OK:
                 return await response.read() if raw else await response.json()
             fault = rebuild(await response.json())
             fault.status = response.status
--- a/src/petrelhaven/transport/http_server.py
+++ b/src/petrelhaven/transport/http_server.py
@@ -1,4 +1,4 @@
-"""The HTTP/1.1 server of an interface with JSON documents, over aiohttp."""
+"""An HTTP/1.1 server for interfaces with JSON documents, based on aiohttp."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 __all__ = ["HttpServer", "read_json_body"]
 
-_MAX_BODY_BYTES = 256 << 10
-_SHUTDOWN_S = 1
+_DEFAULT_MAX_BODY_BYTES = 256 << 10
+_SHUTDOWN_TIMEOUT_S = 1
 
 Handler = Callable[[web.Request], Awaitable[Any]]
 
 
 async def read_json_body(request: web.Request) -> Any:  # noqa: ANN401 (any JSON document)
-    """The request's JSON body.
+    """Returns the JSON document in the request's body.
 
     Raises:
         Malformed: the body is not JSON.
@@ -35,23 +35,30 @@
 
 
 def _fault_response(fault: Fault) -> web.Response:
-    """The response of a typed fault."""
+    """Returns the response that reports a typed fault."""
     seconds = fault.retry_after_seconds()
     headers = {} if seconds is None else {"Retry-After": str(seconds)}
     return web.json_response(fault.doc(), status=fault.status, headers=headers)
 
 
 class HttpServer:
-    """Serves handlers that return documents or raise typed faults; `addr` is where it listens."""
+    """Serves handlers that return documents or raise typed faults.
+
+    Attributes:
+        addr: host and port of the listener; None before `start`.
+    """
 
     def __init__(
         self,
         host: str = "127.0.0.1",
         port: int = 0,
-        max_body_bytes: int = _MAX_BODY_BYTES,
+        max_body_bytes: int = _DEFAULT_MAX_BODY_BYTES,
         log: logbook.Logger | None = None,
     ) -> None:
-        """Will listen at `host` and `port` (0 picks one); handlers' errors go to `log`."""
+        """Configures the server for `host` and `port` (0 picks a free one).
+
+        Unexpected errors of handlers are written to `log`.
+        """
         self._log = log
         self._app = web.Application(client_max_size=max_body_bytes, middlewares=[self._guard])
         self._host, self._port = host, port
@@ -59,12 +66,12 @@
         self.addr: str | None = None
 
     def on(self, verb: str, path: str, handler: Handler) -> None:
-        """Serves `verb path` with `handler(request)`; it returns a document or a response."""
+        """Registers `handler` for `verb path`; it returns a document or a response."""
         self._app.router.add_route(verb, path, handler)
 
     @web.middleware
     async def _guard(self, request: web.Request, handler: Handler) -> web.StreamResponse:
-        """Turns what a handler returns or raises into a response."""
+        """Converts the result or the exception of a handler into a response."""
         try:
             result = await handler(request)
             return result if isinstance(result, web.StreamResponse) else web.json_response(result)
@@ -82,13 +89,13 @@
             return _fault_response(Fault(type(error).__name__))
 
     async def start(self) -> str:
-        """Listens; returns the address.
+        """Starts listening and returns the address.
 
         Raises:
-            OSError: the address can't be listened at.
+            OSError: the address is not available.
         """
         self._runner = web.AppRunner(
-            self._app, access_log=None, handle_signals=False, shutdown_timeout=_SHUTDOWN_S
+            self._app, access_log=None, handle_signals=False, shutdown_timeout=_SHUTDOWN_TIMEOUT_S
         )
         await self._runner.setup()
         await web.TCPSite(self._runner, self._host, self._port).start()
@@ -96,6 +103,6 @@
         return self.addr
 
     async def close(self) -> None:
-        """Stops serving."""
+        """Stops the server and closes its connections."""
         if self._runner is not None:
             await self._runner.cleanup()
--- a/src/petrelhaven/transport/lease_messages.py
+++ b/src/petrelhaven/transport/lease_messages.py
@@ -1,4 +1,4 @@
-"""Typed bodies of the messages about leases and about what proxies have acknowledged.
+"""Typed bodies of the messages about leases and about records acknowledged by proxies.
 
 The fields on the wire are those of the contracts `chain.force`, `edge.hold`, `edge.lease` and
 `edge.push` in `transport/contracts`; only this module translates between them and the names used
@@ -27,13 +27,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AcknowledgementReport:
-    """What a control node answers to `chain.force`: which proxies follow up to where.
+    """The answer of a control node to `chain.force`: which records the proxies have acknowledged.
 
     Attributes:
-        acknowledged: The record up to which each proxy follows, as it acknowledged to this node.
-        lease_us: How long the lease of each proxy may still run that this node granted.
-        unknown_leases_us: How long leases may still run that another node granted before.
-        commit: The newest record that this node knows to be committed.
+        acknowledged: The newest record that each proxy has acknowledged to this node.
+        lease_us: The remaining time of each proxy's lease that this node granted, in microseconds.
+        unknown_leases_us: How long leases granted earlier by another node may still be valid, in
+            microseconds.
+        commit: The newest committed record that this node has.
     """
 
     acknowledged: Mapping[str, int]
@@ -42,7 +43,7 @@
     commit: int
 
     def to_body(self) -> dict[str, Any]:
-        """The fields as they are sent."""
+        """Returns the fields of the message body."""
         return {
             "acked": self.acknowledged,
             "live": self.lease_us,
@@ -52,15 +53,15 @@
 
     @classmethod
     def from_body(cls, body: Mapping[str, Any]) -> AcknowledgementReport:
-        """Reads what `to_body` wrote."""
+        """Parses the fields of a message body."""
         return cls(body["acked"], body["live"], body["floor"], body["commit"])
 
 
 @dataclass(frozen=True, slots=True)
 class StateSubscription:
-    """What a proxy asks with `edge.hold`: to be sent records over this connection.
+    """The request `edge.hold` of a proxy for records over this connection.
 
-    `applied_seq` is the newest record it has applied, -1 before its first snapshot.
+    `applied_seq` is the newest record that the proxy has applied, -1 before its first snapshot.
     """
 
     proxy: str
@@ -68,36 +69,36 @@
 
     @classmethod
     def from_body(cls, body: Mapping[str, Any]) -> StateSubscription:
-        """Reads the fields as they are sent."""
+        """Parses the fields of a message body."""
         return cls(body["edge"], body["applied"])
 
 
 @dataclass(frozen=True, slots=True)
 class SubscriptionAnswer:
-    """What a control node answers to a `StateSubscription`; `note` tells why it was declined."""
+    """The answer to a `StateSubscription`; `note` is the reason for a refusal."""
 
     accepted: bool
     note: str = ""
 
     def to_body(self) -> dict[str, Any]:
-        """The fields as they are sent."""
+        """Returns the fields of the message body."""
         return {"ok": self.accepted, "note": self.note}
 
 
 def push_body(
     snapshot: dict[str, Any] | None, records: list[NumberedRecord], commit: int
 ) -> dict[str, Any]:
-    """The fields of `edge.push`: a snapshot, or the records that follow what the proxy has."""
+    """Returns the fields of `edge.push`: a snapshot, or the records after the proxy's last one."""
     return {"frame": snapshot, "recs": [list(row) for row in records], "commit": commit}
 
 
 @dataclass(frozen=True, slots=True)
 class PushReceipt:
-    """What a proxy answers to `edge.push`.
+    """The answer of a proxy to `edge.push`.
 
     Attributes:
-        applied_seq: The newest record it has applied.
-        acknowledged_seq: The newest record that it follows in all that it does.
+        applied_seq: The newest record that the proxy has applied.
+        acknowledged_seq: The newest record that is in force in all parts of the proxy.
     """
 
     applied_seq: int
@@ -105,15 +106,15 @@
 
     @classmethod
     def from_body(cls, body: Mapping[str, Any]) -> PushReceipt:
-        """Reads the fields as they are sent."""
+        """Parses the fields of a message body."""
         return cls(body["applied"], body["acked"])
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseRequest:
-    """What a proxy with resumable sessions asks with `edge.lease`.
+    """The request `edge.lease` of a proxy with resumable sessions.
 
-    `incarnation` and `boot` tell which process of that name asks.
+    `incarnation` and `boot` identify the process among those that had the proxy's name.
     """
 
     proxy: str
@@ -123,18 +124,18 @@
 
     @classmethod
     def from_body(cls, body: Mapping[str, Any]) -> LeaseRequest:
-        """Reads the fields as they are sent."""
+        """Parses the fields of a message body."""
         return cls(body["edge"], body["inc"], body["boot"], body["acked"])
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseGrant:
-    """What a control node answers to a `LeaseRequest`.
+    """The answer of a control node to a `LeaseRequest`.
 
     Attributes:
         granted: Whether the lease is granted.
-        lease_us: How long it lasts from the moment of the request, in microseconds.
-        required_seq: The record that the proxy must have applied before the lease counts.
+        lease_us: The duration of the lease from the time of the request, in microseconds.
+        required_seq: The record that the proxy must have applied before the lease is valid.
     """
 
     granted: bool
@@ -142,5 +143,5 @@
     required_seq: int
 
     def to_body(self) -> dict[str, Any]:
-        """The fields as they are sent."""
+        """Returns the fields of the message body."""
         return {"ok": self.granted, "us": self.lease_us, "need": self.required_seq}
--- a/src/petrelhaven/transport/light_client.py
+++ b/src/petrelhaven/transport/light_client.py
@@ -1,4 +1,4 @@
-"""One HTTP exchange over h11, for machines where each megabyte counts."""
+"""A small HTTP client based on h11, for machines with little memory."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 __all__ = ["light_call"]
 
-_CONNECT_US = 1_000_000
-_DEADLINE_US = 2_000_000
-_READ_BYTES = 65_536
+_CONNECT_TIMEOUT_US = 1_000_000
+_DEFAULT_TIMEOUT_US = 2_000_000
+_READ_CHUNK_BYTES = 65_536
 
 
 @dataclass(frozen=True, slots=True)
-class _Exchange:
-    """What is asked: `doc` is the JSON document to send, if any."""
+class _OutgoingRequest:
+    """The request to send; `doc` is its JSON document, if any."""
 
     addr: str
     verb: str
@@ -33,8 +33,8 @@
     doc: Any
     headers: Sequence[tuple[str, str]]
 
-    def written_by(self, connection: h11.Connection) -> bytes:
-        """The bytes of the request."""
+    def encode(self, connection: h11.Connection) -> bytes:
+        """Returns the bytes of the request as `connection` encodes them."""
         body = json.dumps(self.doc).encode() if self.doc is not None else b""
         headers = [
             ("Host", self.addr),
@@ -44,51 +44,51 @@
             *self.headers,
         ]
         request = h11.Request(method=self.verb, target=self.path, headers=headers)
-        out = connection.send(request) or b""
+        encoded = connection.send(request) or b""
         if body:
-            out += connection.send(h11.Data(data=body)) or b""
-        return out + (connection.send(h11.EndOfMessage()) or b"")
+            encoded += connection.send(h11.Data(data=body)) or b""
+        return encoded + (connection.send(h11.EndOfMessage()) or b"")
 
 
-async def light_call(  # noqa: PLR0913, PLR0917 (an HTTP exchange has as many parts)
+async def light_call(  # noqa: PLR0913, PLR0917 (an HTTP request has this many parts)
     clock: Clock,
     addr: str,
     verb: str,
     path: str,
     doc: Any = None,  # noqa: ANN401 (any JSON document)
     heads: Sequence[tuple[str, str]] = (),
-    us: int = _DEADLINE_US,
+    us: int = _DEFAULT_TIMEOUT_US,
 ) -> tuple[int, Any]:
-    """Returns status and document of one exchange over a connection of its own.
+    """Sends one request over a new connection; returns the status and the document of the response.
 
-    A request that is given up is taken back from the wire, as far as the other machine has not
-    received it: the connection is reset.
+    If the request is abandoned, the connection is reset, so that bytes that the other machine has
+    not received are discarded.
 
     Args:
-        clock: measures the limits on time.
+        clock: the clock for the timeouts.
         addr: host and port of the server.
         verb: the HTTP method.
         path: the path with its query.
         doc: the JSON document to send, if any.
-        heads: further headers.
-        us: how long the answer may take, in microseconds.
+        heads: additional headers.
+        us: the limit for the response, in microseconds.
 
     Raises:
-        NotSent: nothing has left.
-        DeadlineExceeded: no answer came in time; what was asked may still happen.
-        Unreachable: the connection was lost, or its bytes were not HTTP; the outcome is unknown.
+        NotSent: the connection could not be opened.
+        DeadlineExceeded: no response arrived in time; the request may still take effect.
+        Unreachable: the connection was lost or the response was invalid; the outcome is unknown.
     """
     host, port = addr.rsplit(":", 1)
     try:
         opening = asyncio.open_connection(host, int(port))
-        reader, writer = await clock.limit(opening, min(us, _CONNECT_US))
+        reader, writer = await clock.limit(opening, min(us, _CONNECT_TIMEOUT_US))
     except (OSError, DeadlineExceeded):
         raise NotSent(addr) from None
     set_socket_options(writer.transport)
     answered = False
     try:
-        exchange = _Exchange(addr, verb, path, doc, heads)
-        answer = await clock.limit(_run(exchange, reader, writer), us)
+        request = _OutgoingRequest(addr, verb, path, doc, heads)
+        answer = await clock.limit(_exchange(request, reader, writer), us)
         answered = True
         return answer
     except (OSError, h11.RemoteProtocolError, ValueError):
@@ -100,30 +100,30 @@
             reset(writer.transport)
 
 
-async def _run(
-    exchange: _Exchange, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+async def _exchange(
+    request: _OutgoingRequest, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
 ) -> tuple[int, Any]:
-    """Writes the request and reads the whole response."""
+    """Writes the request and reads the complete response."""
     connection = h11.Connection(h11.CLIENT)
-    writer.write(exchange.written_by(connection))
+    writer.write(request.encode(connection))
     parts: list[bytes] = []
     status = 0
     while True:
         event = connection.next_event()
         if event is h11.NEED_DATA:
-            connection.receive_data(await reader.read(_READ_BYTES))
+            connection.receive_data(await reader.read(_READ_CHUNK_BYTES))
         elif isinstance(event, h11.Response):
             status = event.status_code
         elif isinstance(event, h11.Data):
             parts.append(bytes(event.data))
         elif isinstance(event, h11.EndOfMessage):
-            return status, _document(b"".join(parts))
+            return status, _parse_document(b"".join(parts))
         elif isinstance(event, h11.ConnectionClosed):
-            raise Unreachable(exchange.addr)
+            raise Unreachable(request.addr)
 
 
-def _document(raw: bytes) -> Any:  # noqa: ANN401 (any JSON document)
-    """The JSON document in `raw`, or None."""
+def _parse_document(raw: bytes) -> Any:  # noqa: ANN401 (any JSON document)
+    """Returns the JSON document in `raw`, or None if it is empty or invalid."""
     try:
         return json.loads(raw) if raw else None
     except (ValueError, RecursionError):
--- a/src/petrelhaven/transport/light_http.py
+++ b/src/petrelhaven/transport/light_http.py
@@ -1,4 +1,4 @@
-"""A light HTTP/1.1 server over h11, for machines where each megabyte counts."""
+"""A small HTTP/1.1 server based on h11, for machines with little memory."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 __all__ = ["LightHttpServer", "Request"]
 
-_IDLE_S = 60
-_BACKLOG = 512
-_MAX_BODY_BYTES = 512 << 10
-_LOGGED_PATH = 60
+_IDLE_TIMEOUT_S = 60
+_LISTEN_BACKLOG = 512
+_DEFAULT_MAX_BODY_BYTES = 512 << 10
+_MAX_LOGGED_PATH_CHARS = 60
 _US_PER_S = 1_000_000
-_NOT_FOUND = b'{"fault":"http","note":"Not Found"}'
+_NOT_FOUND_BODY = b'{"fault":"http","note":"Not Found"}'
 
 Headers = Sequence[tuple[str, str]]
 Response = tuple[int, bytes, Headers]
@@ -31,27 +31,34 @@
 
 
 class Request:
-    """One request: its verb, its path with the query, the bytes of its body, how it came."""
+    """One request.
+
+    Attributes:
+        verb: the HTTP method.
+        path: the path with its query.
+        body: the bytes of the body.
+        delivery: how the request was delivered.
+    """
 
     __slots__ = ("verb", "path", "body", "delivery")
 
     def __init__(self, verb: str, path: str, body: bytes, delivery: Delivery | None = None) -> None:
-        """Takes the parts as they were received."""
+        """Stores the parts as they were received."""
         self.verb, self.path, self.body = verb, path, body
         self.delivery = delivery or Delivery()
 
     @property
     def query(self) -> dict[str, str]:
-        """The parameters after the path's `?`, by name; of a name given twice, the last."""
+        """The query parameters by name; the last value of a repeated name."""
         from urllib.parse import parse_qsl
 
         return dict(parse_qsl(self.path.partition("?")[2], keep_blank_values=True))
 
     def text(self) -> str:
-        """The body as text.
+        """Returns the body as text.
 
         Raises:
-            Malformed: it is not UTF-8.
+            Malformed: the body is not UTF-8.
         """
         try:
             return self.body.decode()
@@ -59,10 +66,10 @@
             raise Malformed("the body is not UTF-8") from None
 
     def doc(self) -> Any:  # noqa: ANN401 (any JSON document)
-        """The body's JSON document.
+        """Returns the JSON document in the body.
 
         Raises:
-            Malformed: it is not JSON.
+            Malformed: the body is not JSON.
         """
         try:
             return json.loads(self.body)
@@ -71,41 +78,43 @@
 
 
 class _Connection(asyncio.Protocol):
-    """One client's connection, which serves one request after the other."""
+    """The connection of one client; serves its requests one after the other."""
 
     def __init__(self, server: LightHttpServer) -> None:
         self._server = server
         self._protocol = h11.Connection(h11.SERVER)
         self._transport: asyncio.Transport
-        self._task: asyncio.Task[None] | None = None
-        self._idle: asyncio.TimerHandle | None = None
+        self._serving_task: asyncio.Task[None] | None = None
+        self._idle_timer: asyncio.TimerHandle | None = None
         self._request: h11.Request | None = None
         self._body: list[bytes] = []
         self._body_size = 0
         self._opened_at = asyncio.get_running_loop().time()
         self._first_byte_at: float | None = None
-        self._served_any = self._caller_left = False
+        self._has_served_request = self._has_caller_left = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Starts to wait for a request."""
+        """Registers the connection and starts its idle timer."""
         self._transport = cast(asyncio.Transport, transport)
         self._server.connections.add(self)
         self._restart_idle_timer()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Forgets the connection."""
-        self._caller_left = True
+        """Removes the connection from the server."""
+        self._has_caller_left = True
         self._server.connections.discard(self)
-        if self._idle is not None:
-            self._idle.cancel()
+        if self._idle_timer is not None:
+            self._idle_timer.cancel()
 
     def _restart_idle_timer(self) -> None:
-        if self._idle is not None:
-            self._idle.cancel()
-        self._idle = asyncio.get_running_loop().call_later(_IDLE_S, self._transport.close)
+        if self._idle_timer is not None:
+            self._idle_timer.cancel()
+        self._idle_timer = asyncio.get_running_loop().call_later(
+            _IDLE_TIMEOUT_S, self._transport.close
+        )
 
     def data_received(self, data: bytes) -> None:
-        """Takes bytes that arrived."""
+        """Processes received bytes."""
         if self._first_byte_at is None:
             self._first_byte_at = asyncio.get_running_loop().time()
         self._protocol.receive_data(data)
@@ -113,14 +122,14 @@
         self._read_events()
 
     def eof_received(self) -> bool:
-        """The client sends no more; the connection stays open while a request is served."""
-        self._caller_left = True
+        """The client half-closed the connection; it stays open while a request is served."""
+        self._has_caller_left = True
         self._protocol.receive_data(b"")
         self._read_events()
-        return self._task is not None
+        return self._serving_task is not None
 
     def _read_events(self) -> None:
-        """Handles what has arrived, up to the end of one request."""
+        """Handles received events up to the end of one request."""
         while True:
             try:
                 event = self._protocol.next_event()
@@ -131,19 +140,19 @@
                 return
 
     def _handle(self, event: object) -> bool:
-        """Handles one event; returns whether to read another."""
+        """Handles one event; returns whether to read the next one."""
         if isinstance(event, h11.Request):
             self._request, self._body, self._body_size = event, [], 0
             return True
         if isinstance(event, h11.Data):
-            return self._take_data(event)
+            return self._append_body(event)
         if isinstance(event, h11.EndOfMessage):
             self._start_serving()
-        elif self._task is None:
+        elif self._serving_task is None:
             self._transport.close()
         return False
 
-    def _take_data(self, event: h11.Data) -> bool:
+    def _append_body(self, event: h11.Data) -> bool:
         self._body_size += len(event.data)
         if self._body_size > self._server.max_body_bytes:
             document = TooLarge("the request is too large").doc()
@@ -154,7 +163,7 @@
         return True
 
     def _reject(self) -> None:
-        """Answers bytes that are not HTTP, if an answer can still be sent, and closes."""
+        """Closes the connection after invalid HTTP; sends an error response if still possible."""
         if self._protocol.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             self._respond(Malformed.status, b"{}", close=True)
         self._transport.close()
@@ -165,18 +174,18 @@
             self._request.method.decode(),
             self._request.target.decode("latin-1"),
             b"".join(self._body),
-            self._delivery(),
+            self._measure_delivery(),
         )
-        self._task = asyncio.ensure_future(self._serve(request))
+        self._serving_task = asyncio.ensure_future(self._serve(request))
 
-    def _delivery(self) -> Delivery:
-        """How the request that has just arrived came here."""
+    def _measure_delivery(self) -> Delivery:
+        """Returns how the request that was just received was delivered."""
         now = asyncio.get_running_loop().time()
         first = now if self._first_byte_at is None else self._first_byte_at
-        opening = 0.0 if self._served_any else first - self._opened_at
-        self._first_byte_at, self._served_any = None, True
+        opening = 0.0 if self._has_served_request else first - self._opened_at
+        self._first_byte_at, self._has_served_request = None, True
         return Delivery(
-            int(opening * _US_PER_S), int((now - first) * _US_PER_S), lambda: self._caller_left
+            int(opening * _US_PER_S), int((now - first) * _US_PER_S), lambda: self._has_caller_left
         )
 
     async def _serve(self, request: Request) -> None:
@@ -187,7 +196,7 @@
         if self._protocol.our_state is h11.MUST_CLOSE:
             self._transport.close()
             return
-        self._request = self._task = None
+        self._request = self._serving_task = None
         try:
             self._protocol.start_next_cycle()
         except h11.LocalProtocolError:
@@ -198,39 +207,44 @@
     def _respond(
         self, status: int, body: bytes, headers: Headers = (), close: bool = False
     ) -> None:
-        """Writes one response; with `close`, it announces the connection's end."""
-        sent = [("Content-Length", str(len(body))), *headers]
+        """Writes one response; with `close`, adds the header `Connection: close`."""
+        response_headers = [("Content-Length", str(len(body))), *headers]
         if not any(name == "Content-Type" for name, _ in headers):
-            sent.append(("Content-Type", "application/json"))
+            response_headers.append(("Content-Type", "application/json"))
         if close:
-            sent.append(("Connection", "close"))
-        out = self._protocol.send(h11.Response(status_code=status, headers=sent)) or b""
+            response_headers.append(("Connection", "close"))
+        encoded = (
+            self._protocol.send(h11.Response(status_code=status, headers=response_headers)) or b""
+        )
         if self._request is None or self._request.method != b"HEAD":
-            out += self._protocol.send(h11.Data(data=body)) or b""
-        self._transport.write(out + (self._protocol.send(h11.EndOfMessage()) or b""))
+            encoded += self._protocol.send(h11.Data(data=body)) or b""
+        self._transport.write(encoded + (self._protocol.send(h11.EndOfMessage()) or b""))
 
     def close(self) -> None:
-        """Ends the connection."""
+        """Closes the connection."""
         self._transport.close()
 
 
 class LightHttpServer:
-    """Serves handlers by verb and path.
+    """Serves requests with handlers that are registered by verb and path.
 
     Attributes:
-        max_body_bytes: the largest body of a request that is taken.
-        connections: the clients' open connections.
-        addr: where it listens, once it does.
+        max_body_bytes: the maximum size of a request body.
+        connections: the open connections of clients.
+        addr: host and port of the listener; None before `start`.
     """
 
     def __init__(
         self,
         host: str,
         port: int,
-        max_body_bytes: int = _MAX_BODY_BYTES,
+        max_body_bytes: int = _DEFAULT_MAX_BODY_BYTES,
         log: logbook.Logger | None = None,
     ) -> None:
-        """Will listen at `host` and `port` (0 picks one); handlers' errors go to `log`."""
+        """Configures the server for `host` and `port` (0 picks a free one).
+
+        Unexpected errors of handlers are written to `log`.
+        """
         self._host, self._port, self._log = host, port, log
         self.max_body_bytes = max_body_bytes
         self._exact: dict[tuple[str, str], Handler] = {}
@@ -241,11 +255,12 @@
         self.addr: str | None = None
 
     def on(self, verb: str, path: str, handler: Handler) -> None:
-        """Serves `verb path` with `handler(request)`.
+        """Registers `handler` for `verb path`.
 
-        A path that ends in `/` leaves its last segment open, one with `/{}/` its last but one; the
-        handler is then called with that segment as a second argument. It returns a JSON document,
-        the bytes of one, or a `Response`, and may raise any Fault.
+        A path that ends in `/` has a variable last segment; a path with `/{}/` has a variable
+        segment before the last. The handler is called with the request and, if there is one, the
+        variable segment. It returns a JSON document, the bytes of one, or a `Response`, and may
+        raise any Fault.
         """
         if path.endswith("/"):
             routes = self._by_last_segment
@@ -256,7 +271,7 @@
         routes[verb, path] = handler
 
     def _route(self, request: Request) -> tuple[Handler, tuple[str, ...]] | None:
-        """The handler of a request and the segment of its path that was left open, if any."""
+        """Returns the handler for a request and the variable segment of its path, if any."""
         path = request.path.split("?", 1)[0]
         handler = self._exact.get((request.verb, path))
         if handler is not None:
@@ -272,11 +287,11 @@
         return handler, (segment,)
 
     async def answer(self, request: Request) -> Response:
-        """The response to one request: status, body, headers."""
+        """Returns the response to one request: status, body, headers."""
         try:
             route = self._route(request)
             if route is None:
-                return 404, _NOT_FOUND, ()
+                return 404, _NOT_FOUND_BODY, ()
             handler, segments = route
             result = await handler(request, *segments)
             if isinstance(result, tuple):
@@ -290,26 +305,26 @@
             emit(
                 self._log,
                 Events.HANDLER_FAILED,
-                path=request.path[:_LOGGED_PATH],
+                path=request.path[:_MAX_LOGGED_PATH_CHARS],
                 what=repr(error),
             )
             return 500, json.dumps(Fault(type(error).__name__).doc()).encode(), ()
 
     async def start(self) -> str:
-        """Listens; returns the address.
+        """Starts listening and returns the address.
 
         Raises:
-            OSError: the address can't be listened at.
+            OSError: the address is not available.
         """
         loop = asyncio.get_running_loop()
         self._listener = await loop.create_server(
-            lambda: _Connection(self), self._host, self._port, backlog=_BACKLOG
+            lambda: _Connection(self), self._host, self._port, backlog=_LISTEN_BACKLOG
         )
         self.addr = "{}:{}".format(*self._listener.sockets[0].getsockname()[:2])
         return self.addr
 
     async def close(self) -> None:
-        """Stops listening and ends every connection."""
+        """Stops listening and closes all connections."""
         if self._listener is not None:
             self._listener.close()
         for connection in list(self.connections):
--- a/src/petrelhaven/transport/link.py
+++ b/src/petrelhaven/transport/link.py
@@ -1,4 +1,4 @@
-"""Links between the system's own processes: calls over TCP connections, datagrams over UDP."""
+"""Links between the system's processes: calls over TCP connections, datagrams over UDP."""
 
 from __future__ import annotations
 
@@ -30,15 +30,15 @@
 
 _MAGIC = 0x7E7A
 _PREFIX = struct.Struct(">HI")
-_LARGEST_MESSAGE = 4 << 20
-_OPEN_US = 1_000_000
-_ATTEMPT_US = 250_000
-_MAX_UNANSWERED = 2
-_PORT_TRIES = 20
-_BAD_BODY = (TypeError, LookupError, ValueError, AttributeError)
+_MAX_MESSAGE_BYTES = 4 << 20
+_OPEN_TIMEOUT_US = 1_000_000
+_CONNECT_ATTEMPT_TIMEOUT_US = 250_000
+_MAX_UNANSWERED_CALLS = 2
+_MAX_PORT_ATTEMPTS = 20
+_INVALID_BODY_ERRORS = (TypeError, LookupError, ValueError, AttributeError)
 
 
-def _framed(raw: bytes) -> bytes:
+def _add_prefix(raw: bytes) -> bytes:
     return _PREFIX.pack(_MAGIC, len(raw)) + raw
 
 
@@ -48,14 +48,14 @@
 
 
 async def _shared_call(
-    channel: Channel, kind: str, body: Mapping[str, Any], us: int
+    channel: Channel, kind: str, body: Mapping[str, Any], timeout_us: int
 ) -> dict[str, Any]:
-    """A call over a shared connection, which is closed after two calls without an answer."""
+    """Calls over a shared connection; closes it after two consecutive calls without an answer."""
     try:
-        result = await channel.call(kind, body, us)
+        result = await channel.call(kind, body, timeout_us)
     except DeadlineExceeded as late:
         channel.unanswered = 0 if late.answered else channel.unanswered + 1
-        if channel.unanswered >= _MAX_UNANSWERED:
+        if channel.unanswered >= _MAX_UNANSWERED_CALLS:
             channel.close()
         raise
     except Fault as fault:
@@ -67,75 +67,75 @@
 
 
 class _Datagrams(asyncio.DatagramProtocol):
-    """Hands arriving datagrams to the link."""
+    """Passes received datagrams to the link."""
 
     def __init__(self, link: Link) -> None:
         self._link = link
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        """Takes one datagram."""
+        """Handles one received datagram."""
         self._link.receive_datagram(data)
 
 
 class _Destination(NamedTuple):
-    """What a shared connection is for: an address, and calls that may or may not be repeated."""
+    """The key of a shared connection: its address, and whether its calls may not be repeated."""
 
     address: str
-    sent_once: bool
+    is_sent_once: bool
 
 
 class SharedConnections:
-    """Calls by address over shared connections; `open` is the link's own.
+    """Calls by address over shared connections; subclasses implement `open`.
 
-    Calls that may not be repeated have a connection to themselves: giving one up resets it, and
-    that must not cost the answers of all others.
+    Calls that may not be repeated use a separate connection: abandoning one of them resets its
+    connection, which must not fail the other calls.
     """
 
     tasks: BackgroundTasks
     handlers: dict[str, Handler]
 
     def __init__(self) -> None:
-        """No connections yet."""
+        """Creates the object without connections."""
         self._connections: dict[_Destination, Channel] = {}
         self._opening: dict[_Destination, asyncio.Task[Channel]] = {}
 
     def on(self, kind: str, handler: Handler) -> None:
-        """Answers calls (or takes datagrams) of `kind` with `handler`."""
+        """Registers `handler` for calls or datagrams of `kind`."""
         self.handlers[kind] = handler
 
     async def open(self, address: str) -> Channel:
-        """A new connection to `address`.
+        """Opens a new connection to `address`.
 
         Raises:
-            NotSent: there is none.
+            NotSent: the connection could not be opened.
         """
         raise NotImplementedError
 
     async def call(
-        self, address: str, kind: str, body: Mapping[str, Any], us: int
+        self, address: str, kind: str, body: Mapping[str, Any], timeout_us: int
     ) -> dict[str, Any]:
-        """Calls over the shared connection to `address` that fits the call.
+        """Makes a call over a shared connection to `address`, opening it if needed.
 
         Args:
             address: host and port of the other node's link.
             kind: one of `MessageKind`.
             body: the fields of the request.
-            us: how long the answer may take once the connection is open, in microseconds.
+            timeout_us: the limit for the answer once the connection is open, in microseconds.
 
         Raises:
-            NotSent: nothing has left.
-            DeadlineExceeded: no answer came in time; what was asked may still happen.
+            NotSent: nothing was sent.
+            DeadlineExceeded: no answer arrived in time; the request may still take effect.
             Unreachable: the connection was lost; the outcome is unknown.
-            Fault: what the other side answered with; its `answered` is set.
+            Fault: the fault that the other side answered with; its `answered` is set.
         """
         destination = _Destination(address, repeat_of(kind, body) is Repeat.NEVER)
         channel = self._connections.get(destination)
         if channel is None or channel.gone.done():
             channel = await self._wait_for_opening(destination)
-        return await _shared_call(channel, kind, body, us)
+        return await _shared_call(channel, kind, body, timeout_us)
 
     async def _wait_for_opening(self, destination: _Destination) -> Channel:
-        """The connection that is being opened, maybe by another caller; else NotSent."""
+        """Waits for the connection to open, possibly for another caller; may raise NotSent."""
         task = self._opening.get(destination) or self._start_opening(destination)
         try:
             return await asyncio.shield(task)
@@ -158,11 +158,12 @@
             del self._opening[destination]
 
     def cancel_opening(self, address: str) -> None:
-        """Gives up connections to `address` that are being opened.
+        """Cancels attempts to open connections to `address`.
 
-        It has just been heard of, so that a new attempt succeeds sooner than one under way.
+        Called when the node at `address` has just been heard from: a new attempt then succeeds
+        sooner than one that is already in progress.
         """
-        for destination in [place for place in self._opening if place.address == address]:
+        for destination in [key for key in self._opening if key.address == address]:
             self._opening.pop(destination).cancel()
 
     async def _open_shared(self, destination: _Destination) -> Channel:
@@ -171,11 +172,11 @@
 
 
 class Link(SharedConnections):
-    """All links of one node over real sockets.
+    """The links of one node over real sockets.
 
     Attributes:
-        addr: host and port that it listens at, once it does; the same for TCP and UDP.
-        garbage: how many messages arrived that could not be read.
+        addr: host and port of the TCP and UDP listeners; None before `start`.
+        garbage: the number of received messages that could not be processed.
     """
 
     def __init__(
@@ -186,7 +187,7 @@
         host: str = "127.0.0.1",
         port: int = 0,
     ) -> None:
-        """A link that is to listen at `host` and `port`; port 0 takes any."""
+        """Configures the link to listen at `host` and `port`; port 0 picks a free one."""
         super().__init__()
         self.clock, self.tasks, self.log = clock, tasks, log
         self.handlers = {}
@@ -197,9 +198,9 @@
         self.addr: str | None = None
 
     async def start(self) -> str:
-        """Listens on TCP and UDP at one port; returns the address."""
+        """Starts listening on TCP and UDP at the same port; returns the address."""
         loop = asyncio.get_running_loop()
-        for attempt in range(_PORT_TRIES):
+        for attempt in range(_MAX_PORT_ATTEMPTS):
             self._server = await asyncio.start_server(self._accept, self._host, self._port)
             port = self._server.sockets[0].getsockname()[1]
             try:
@@ -209,19 +210,19 @@
                 break
             except OSError:
                 self._server.close()
-                if self._port or attempt == _PORT_TRIES - 1:
+                if self._port or attempt == _MAX_PORT_ATTEMPTS - 1:
                     raise
         self.addr = f"{self._host}:{port}"
         return self.addr
 
     def send_datagram(self, address: str, kind: str, body: Mapping[str, Any]) -> None:
-        """Sends one message over UDP; it may be lost, or arrive twice."""
+        """Sends one message over UDP; it may be lost or arrive twice."""
         if self._datagrams is None or self._datagrams.is_closing():
             return
         self._datagrams.sendto(pack(kind, DATAGRAM, 0, body), _host_and_port(address))
 
     def receive_datagram(self, raw: bytes) -> None:
-        """Takes one message that arrived over UDP; one that can't be read is counted and logged."""
+        """Handles one message received over UDP; counts and logs an invalid one."""
         kind = ""
         try:
             message = unpack(raw)
@@ -232,73 +233,73 @@
             handler(message.body)
         except Fault as fault:
             self.garbage += 1
-            unversed = isinstance(fault, VersionMismatch)
-            event = Events.VERSION_MISMATCH if unversed else Events.MALFORMED_MESSAGE
+            is_version_mismatch = isinstance(fault, VersionMismatch)
+            event = Events.VERSION_MISMATCH if is_version_mismatch else Events.MALFORMED_MESSAGE
             emit(self.log, event, fault=fault.code, note=fault.note)
-        except _BAD_BODY as error:
+        except _INVALID_BODY_ERRORS as error:
             self.garbage += 1
             note = f"{kind}: {type(error).__name__}"
             emit(self.log, Events.MALFORMED_MESSAGE, fault=Malformed.code, note=note)
 
     async def open(self, address: str) -> Channel:
-        """A new connection to `address`.
+        """Opens a new connection to `address`.
 
-        An opening packet that was lost is sent again only after a second and more, so each attempt
-        is short and begins anew.
+        The kernel repeats a lost SYN packet only after a second or more. Therefore each attempt
+        has a short timeout and is followed by a new one.
 
         Raises:
-            NotSent: there is none.
+            NotSent: the connection could not be opened.
         """
         host, port = _host_and_port(address)
-        end = self.clock.now() + _OPEN_US
+        deadline = self.clock.now() + _OPEN_TIMEOUT_US
         while True:
             try:
                 reader, writer = await self.clock.limit(
-                    asyncio.open_connection(host, port), _ATTEMPT_US
+                    asyncio.open_connection(host, port), _CONNECT_ATTEMPT_TIMEOUT_US
                 )
             except OSError:
                 raise NotSent(address) from None
             except DeadlineExceeded:
-                if self.clock.now() >= end:
+                if self.clock.now() >= deadline:
                     raise NotSent(address) from None
             else:
-                return self._wrap(reader, writer)
+                return self._make_channel(reader, writer)
 
-    def _wrap(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> Channel:
+    def _make_channel(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> Channel:
         set_socket_options(writer.transport)
         channel = Channel(
             self,
-            lambda raw: writer.write(_framed(raw)),
+            lambda raw: writer.write(_add_prefix(raw)),
             writer.close,
             lambda: reset(writer.transport),
             lambda: is_closed(writer.transport),
         )
-        self.tasks.spawn(self._pump(channel, reader, writer))
+        self.tasks.spawn(self._read_messages(channel, reader, writer))
         return channel
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self._wrap(reader, writer)
+        self._make_channel(reader, writer)
 
-    async def _pump(
+    async def _read_messages(
         self, channel: Channel, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         try:
             while True:
                 magic, size = _PREFIX.unpack(await reader.readexactly(_PREFIX.size))
-                if magic != _MAGIC or size > _LARGEST_MESSAGE:
+                if magic != _MAGIC or size > _MAX_MESSAGE_BYTES:
                     raise Malformed("prefix")
-                self._take(channel, await reader.readexactly(size), writer)
+                self._receive_message(channel, await reader.readexactly(size), writer)
         except (asyncio.IncompleteReadError, OSError):
             pass
         except Malformed as fault:
             self.garbage += 1
             emit(self.log, Events.MALFORMED_MESSAGE, note=fault.note)
         finally:
-            channel.mark_lost()
+            channel.handle_connection_loss()
             writer.close()
 
-    def _take(self, channel: Channel, raw: bytes, writer: asyncio.StreamWriter) -> None:
-        """Hands on one message; a call of another version is declined."""
+    def _receive_message(self, channel: Channel, raw: bytes, writer: asyncio.StreamWriter) -> None:
+        """Passes one message to the channel; answers a call of another version with a fault."""
         try:
             channel.feed(raw)
         except (VersionMismatch, UnknownKind) as fault:
@@ -306,10 +307,10 @@
             emit(self.log, Events.VERSION_MISMATCH, note=fault.note)
             if fault.details.get("flow") == CALL:
                 kind, number = fault.details.get("kind", ""), fault.details.get("id", 0)
-                writer.write(_framed(pack(kind, FAULT, number, {"doc": fault.doc()})))
+                writer.write(_add_prefix(pack(kind, FAULT, number, {"doc": fault.doc()})))
 
     async def close(self) -> None:
-        """Closes every socket."""
+        """Closes the listeners and all connections."""
         if self._server:
             self._server.close()
         if self._datagrams:
--- a/src/petrelhaven/transport/message_kinds.py
+++ b/src/petrelhaven/transport/message_kinds.py
@@ -1,7 +1,7 @@
-"""The kinds of messages between the system's own processes, by name.
+"""Names of the kinds of messages between the system's processes.
 
-The values are what travels: plain strings, so that a kind that was read from a message and one
-that is named here compare and hash alike. They never change. `contracts` has the body of each.
+The values are sent in messages and never change. They are plain strings, so that a kind read from a
+message compares equal to its constant and has the same hash. `contracts` defines the body of each.
 """
 
 from typing import Final
@@ -10,7 +10,7 @@
 
 
 class MessageKind:
-    """Every kind of message."""
+    """The name of every kind of message."""
 
     # Membership.
     PEER_PROBE: Final = "kith.probe"
@@ -26,7 +26,7 @@
     VIEW_CONFIRM: Final = "view.confirm"
     DISK_STATE_CHANGED: Final = "disk.turned"
 
-    # Control nodes: the chain and what its nodes know.
+    # Control nodes: the chain, observations and checks of members.
     CHAIN_APPEND: Final = "chain.append"
     CHAIN_ENTER: Final = "chain.enter"
     CHAIN_READ: Final = "chain.read"
@@ -46,12 +46,12 @@
     AGREED_TIME_READ: Final = "tie.wall"
     QUOTA_REPORT: Final = "quota.report"
 
-    # Control nodes among themselves: counts of tenants' operations.
+    # Between control nodes: counts of tenants' operations.
     QUOTA_COUNT: Final = "quota.count"
     QUOTA_COPY: Final = "quota.copy"
     QUOTA_FETCH: Final = "quota.fetch"
 
-    # Proxies among themselves: resumable sessions and their replicas.
+    # Between proxies: resumable sessions and their replicas.
     SESSION_DELIVER: Final = "span.deliver"
     SESSION_TAKE: Final = "span.take"
     SESSION_CEDE: Final = "span.cede"
--- a/src/petrelhaven/transport/messages.py
+++ b/src/petrelhaven/transport/messages.py
@@ -1,4 +1,4 @@
-"""Messages between the system's own processes as bytes, and back."""
+"""Encoding and decoding of messages between the system's processes."""
 
 import io
 import json
@@ -17,10 +17,10 @@
 VERSION = 3
 CALL, RESULT, FAULT, DATAGRAM = 0, 1, 2, 3
 
-_COMPRESS_ABOVE = 1_024
-_LARGEST_BODY = 16 << 20
-_LONGEST_KIND = 40
-_HEAD = fastavro.parse_schema(
+_COMPRESSION_THRESHOLD_BYTES = 1_024
+_MAX_BODY_BYTES = 16 << 20
+_MAX_REPORTED_KIND_CHARS = 40
+_ENVELOPE_SCHEMA = fastavro.parse_schema(
     {
         "type": "record",
         "name": "head",
@@ -42,10 +42,10 @@
     """One message.
 
     Attributes:
-        kind: its kind, one of `MessageKind`.
-        flow: CALL, RESULT, FAULT, or DATAGRAM for a datagram that nobody answers.
-        number: the call's number on its connection, which its answer repeats.
-        body: its fields.
+        kind: the kind of the message, one of `MessageKind`.
+        flow: CALL, RESULT, FAULT, or DATAGRAM, which has no answer.
+        number: the number of the call on its connection; its answer has the same number.
+        body: the fields of the message.
     """
 
     kind: str
@@ -64,16 +64,16 @@
 
 
 def pack(kind: str, flow: int, number: int, body: Mapping[str, Any]) -> bytes:
-    """The bytes of one message.
+    """Encodes one message.
 
     Args:
         kind: one of `MessageKind`.
         flow: CALL, RESULT, FAULT or DATAGRAM.
-        number: the call's number on its connection; 0 for a datagram.
-        body: the fields that the contract of `kind` names.
+        number: the number of the call on its connection; 0 for a datagram.
+        body: the fields that the contract of `kind` declares.
 
     Raises:
-        UnknownKind: no contract has this kind.
+        UnknownKind: there is no contract for `kind`.
     """
     shape = _shape_of(kind, flow)
     if shape.documents:
@@ -83,7 +83,7 @@
     written = io.BytesIO()
     fastavro.schemaless_writer(written, shape.schema, body)
     raw = written.getvalue()
-    compressed = len(raw) > _COMPRESS_ABOVE
+    compressed = len(raw) > _COMPRESSION_THRESHOLD_BYTES
     if compressed:
         raw = zlib.compress(raw, 1)
     head = {
@@ -95,38 +95,42 @@
         "body": raw,
     }
     packed = io.BytesIO()
-    fastavro.schemaless_writer(packed, _HEAD, head)
+    fastavro.schemaless_writer(packed, _ENVELOPE_SCHEMA, head)
     return packed.getvalue()
 
 
 def _decompress(raw: bytes) -> bytes:
     stream = zlib.decompressobj()
-    out = stream.decompress(raw, _LARGEST_BODY)
+    decompressed = stream.decompress(raw, _MAX_BODY_BYTES)
     if stream.unconsumed_tail or not stream.eof:
         raise ValueError("length")
-    return out
+    return decompressed
 
 
-def _read_head(raw: bytes) -> dict[str, Any]:
+def _read_envelope(raw: bytes) -> dict[str, Any]:
     try:
-        head = cast(dict[str, Any], fastavro.schemaless_reader(io.BytesIO(raw), _HEAD))
+        head = cast(dict[str, Any], fastavro.schemaless_reader(io.BytesIO(raw), _ENVELOPE_SCHEMA))
     except Exception as error:
         raise Malformed(f"head: {type(error).__name__}") from None
     if head["v"] != VERSION:
-        more = {"id": head["id"], "flow": head["flow"], "kind": head["kind"][:_LONGEST_KIND]}
+        more = {
+            "id": head["id"],
+            "flow": head["flow"],
+            "kind": head["kind"][:_MAX_REPORTED_KIND_CHARS],
+        }
         raise VersionMismatch(f"message version {head['v']}", details=more)
     return head
 
 
 def unpack(raw: bytes) -> Message:
-    """The message that `raw` holds.
+    """Decodes one message.
 
     Raises:
-        VersionMismatch: it is of another version of this protocol.
+        VersionMismatch: the message has another protocol version.
         UnknownKind: this version has no such kind of message.
-        Malformed: it is not a message, or its body is not as its contract says.
+        Malformed: `raw` is not a message, or its body does not match its contract.
     """
-    head = _read_head(raw)
+    head = _read_envelope(raw)
     shape = _shape_of(head["kind"], head["flow"])
     try:
         written = _decompress(head["body"]) if head["thin"] else head["body"]
--- a/src/petrelhaven/transport/node_caller.py
+++ b/src/petrelhaven/transport/node_caller.py
@@ -1,4 +1,4 @@
-"""Calls by name: straight where the link works, else through a third node that reaches both."""
+"""Calls other nodes by name: directly if possible, otherwise relayed by a third node."""
 
 import random
 from collections.abc import Mapping
@@ -15,112 +15,113 @@
 
 __all__ = ["NodeCaller"]
 
-_FAILED_US = 1_500_000
+_FAILED_LINK_MEMORY_US = 1_500_000
 _MAX_RELAYS = 2
-_FIRST_SHARE = 3
-_RELAY_SHARE = 2
+_DIRECT_CALL_DIVISOR = 3
+_RELAYED_CALL_DIVISOR = 2
 
 Body = Mapping[str, Any]
 Result = dict[str, Any]
 
 
 class NodeCaller:
-    """Calls other nodes by name. Links that failed are remembered for a while and passed round.
+    """Calls other nodes by name.
 
-    Whether a call may go a second way follows from its contract alone. One that may not be repeated
-    goes another way only if it is certain that nothing of it has left before.
+    A link that failed is bypassed for a while. The contract of a call alone decides whether the
+    call may be sent again over another path. A call that may not be repeated takes another path
+    only if it is certain that none of it was sent before.
     """
 
     def __init__(
         self, clock: Clock, link: SharedConnections, roster: Roster, rng: random.Random
     ) -> None:
-        """Calls over `link` the nodes that `roster` knows; `rng` draws the order of relays."""
+        """Calls the nodes listed in `roster` over `link`; `rng` shuffles the relays."""
         self.clock, self.link, self.roster, self.rng = clock, link, roster, rng
         self._failed_until: dict[str, int] = {}
-        link.on(MessageKind.RELAY, self._relayed)
+        link.on(MessageKind.RELAY, self._serve_relayed_call)
 
-    async def call(self, name: str, kind: str, body: Body, us: int) -> Result:
-        """Calls the node `name`, straight or through another node.
+    async def call(self, name: str, kind: str, body: Body, timeout_us: int) -> Result:
+        """Calls the node `name`, directly or through a relay.
 
         Args:
-            name: the node; this node itself is called without a link.
+            name: the node to call; a call to this node itself uses no link.
             kind: one of `MessageKind`.
             body: the fields of the request.
-            us: how long the answer may take, in microseconds.
+            timeout_us: the limit for the answer, in microseconds.
 
         Raises:
-            NotSent: nothing has left.
-            DeadlineExceeded: no answer came in time; what was asked may still happen.
+            NotSent: nothing was sent.
+            DeadlineExceeded: no answer arrived in time; the request may still take effect.
             Unreachable: the connection was lost; the outcome is unknown.
-            Fault: what the other side answered with; its `answered` is set.
+            Fault: the fault that the other side answered with; its `answered` is set.
         """
         address = self.roster.addr_of(name)
         if name == self.roster.name:
             return cast(Result, await self.link.handlers[kind](None, body))
         if address is None:
             raise NotSent(f"unknown node {name}")
-        end = self.clock.now() + us
-        once = repeat_of(kind, body) is Repeat.NEVER
-        may_have_left = False
-        other_ways = bool(self._relays(name))
-        if not self._has_failed(name) or not other_ways:
-            share = _FIRST_SHARE if other_ways and not once else 1
+        deadline = self.clock.now() + timeout_us
+        is_sent_once = repeat_of(kind, body) is Repeat.NEVER
+        may_have_been_sent = False
+        has_relays = bool(self._usable_relays(name))
+        if not self._has_failed(name) or not has_relays:
+            divisor = _DIRECT_CALL_DIVISOR if has_relays and not is_sent_once else 1
             try:
-                result = await self.link.call(address, kind, body, us // share)
+                result = await self.link.call(address, kind, body, timeout_us // divisor)
                 self._failed_until.pop(name, None)
                 return result
             except (DeadlineExceeded, Unreachable) as fault:
                 if fault.answered:
                     raise
-                self._failed_until[name] = self.clock.now() + _FAILED_US
-                may_have_left = not isinstance(fault, NotSent)
-                if may_have_left and once:
+                self._failed_until[name] = self.clock.now() + _FAILED_LINK_MEMORY_US
+                may_have_been_sent = not isinstance(fault, NotSent)
+                if may_have_been_sent and is_sent_once:
                     raise
         relayed = {"to": address, "kind": kind, "body": body}
-        return await self._call_through_relays(name, relayed, end, may_have_left)
+        return await self._call_through_relays(name, relayed, deadline, may_have_been_sent)
 
     async def _call_through_relays(
-        self, name: str, relayed: dict[str, Any], end: int, may_have_left: bool
+        self, name: str, relayed: dict[str, Any], deadline: int, may_have_been_sent: bool
     ) -> Result:
-        """Calls through up to two other nodes, one after the other, until `end`."""
-        once = repeat_of(relayed["kind"], relayed["body"]) is Repeat.NEVER
-        for relay in self._best_first(name, self._relays(name))[:_MAX_RELAYS]:
-            us = end - self.clock.now()
+        """Calls through up to two relays, one after the other, until `deadline`."""
+        is_sent_once = repeat_of(relayed["kind"], relayed["body"]) is Repeat.NEVER
+        for relay in self._order_relays(name, self._usable_relays(name))[:_MAX_RELAYS]:
+            timeout_us = deadline - self.clock.now()
             address = self.roster.addr_of(relay)
-            if us <= 0 or address is None:
+            if timeout_us <= 0 or address is None:
                 break
-            relayed["us"] = us // _RELAY_SHARE
+            relayed["us"] = timeout_us // _RELAYED_CALL_DIVISOR
             try:
-                result = await self.link.call(address, MessageKind.RELAY, relayed, us)
+                result = await self.link.call(address, MessageKind.RELAY, relayed, timeout_us)
                 return cast(Result, result["body"])
             except NotSent:
                 continue
             except (DeadlineExceeded, Unreachable):
-                if once:
+                if is_sent_once:
                     raise
-                may_have_left = True
-        raise Unreachable(name) if may_have_left else NotSent(name)
+                may_have_been_sent = True
+        raise Unreachable(name) if may_have_been_sent else NotSent(name)
 
     def _has_failed(self, name: str) -> bool:
-        """Whether the link to a node failed a moment ago."""
+        """Returns whether the link to a node failed recently."""
         return self._failed_until.get(name, 0) > self.clock.now()
 
-    def _relays(self, name: str) -> list[str]:
-        """Living nodes that may see `name`."""
+    def _usable_relays(self, name: str) -> list[str]:
+        """Returns the nodes that are alive and may have a working link to `name`."""
         return [
             relay
             for relay in self.roster.living()
             if relay != name and not self._has_failed(relay) and self.roster.state(relay) == ALIVE
         ]
 
-    def _best_first(self, name: str, relays: list[str]) -> list[str]:
-        """Relays of other zones than the two ends come first; in random order among each."""
+    def _order_relays(self, name: str, relays: list[str]) -> list[str]:
+        """Sorts relays outside the zones of caller and target first; shuffles them otherwise."""
         peers = self.roster.peers
         zones = {self.roster.zone, peers[name].zone if name in peers else ""}
         return sorted(relays, key=lambda relay: (peers[relay].zone in zones, self.rng.random()))
 
-    async def _relayed(self, channel: Channel, call: dict[str, Any]) -> Result:
-        """Another node's call, sent on once; NotRelayed if nothing of it left here."""
+    async def _serve_relayed_call(self, channel: Channel, call: dict[str, Any]) -> Result:
+        """Forwards another node's call once; raises NotRelayed if nothing was sent."""
         try:
             body = await self.link.call(call["to"], call["kind"], call["body"], call["us"])
         except NotSent as fault:
--- a/src/petrelhaven/transport/operator_interface.py
+++ b/src/petrelhaven/transport/operator_interface.py
@@ -1,4 +1,4 @@
-"""The product's own operator interface, beside another interface of the same machine."""
+"""The operator interface on a machine that also serves another interface."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 __all__ = ["serve_operator_interface"]
 
-_ANY_ADDRESS = "127.0.0.1:0"
+_UNUSED_ADDRESS = "127.0.0.1:0"
 
 
 async def serve_operator_interface(
@@ -21,12 +21,12 @@
     routes: Callable[[LightHttpServer], object],
     log: logbook.Logger | None = None,
 ) -> LightHttpServer:
-    """Serves `routes(server)` at `addr`, if that is given and free.
+    """Starts a server at `addr`, if given, with the handlers that `routes` registers.
 
-    An address that is taken stops nothing: the event is written to `log`, and the server that is
-    returned does not listen.
+    An address in use is not an error: the event is written to `log`, and the returned server does
+    not listen.
     """
-    host, port = (addr or _ANY_ADDRESS).rsplit(":", 1)
+    host, port = (addr or _UNUSED_ADDRESS).rsplit(":", 1)
     server = LightHttpServer(host, int(port), log=log)
     routes(server)
     if addr:
--- a/src/petrelhaven/transport/proxy_messages.py
+++ b/src/petrelhaven/transport/proxy_messages.py
@@ -20,7 +20,7 @@
 
 
 class Suspicion(NamedTuple):
-    """A report that the primary of a group fails; `how` is the sign of it, as `routing/member`."""
+    """A report that a group's primary is failing; `how` is a symptom from `routing/member`."""
 
     group: str
     member: str
@@ -28,7 +28,7 @@
 
 
 class ControlNodeAddress(NamedTuple):
-    """Where a control node of the view is."""
+    """The zone and the address of a control node of the view."""
 
     name: str
     zone: str
@@ -37,13 +37,13 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseRenewal:
-    """What a proxy asks with `tie.pulse`.
+    """The request `tie.pulse` of a proxy for a renewal of its lease.
 
     Attributes:
         proxy: The proxy's name.
-        applied_seq: The number of the newest record that it has applied.
-        view_number: The newest view that it knows.
-        suspicions: Primaries that fail, as it has seen.
+        applied_seq: The number of the newest record that the proxy has applied.
+        view_number: The newest view that the proxy has received.
+        suspicions: The primaries that the proxy has observed to fail.
     """
 
     proxy: str
@@ -52,7 +52,7 @@
     suspicions: tuple[Suspicion, ...] = ()
 
     def to_body(self) -> dict[str, Any]:
-        """The fields as they are sent."""
+        """Returns the fields of the message body."""
         return {
             "name": self.proxy,
             "seq": self.applied_seq,
@@ -62,7 +62,7 @@
 
     @classmethod
     def from_body(cls, body: dict[str, Any]) -> LeaseRenewal:
-        """Reads what `to_body` wrote."""
+        """Parses the fields of a message body."""
         return cls(
             proxy=body["name"],
             applied_seq=body["seq"],
@@ -73,16 +73,16 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseAnswer:
-    """What a control node answers to a `LeaseRenewal`.
+    """The answer of a control node to a `LeaseRenewal`.
 
     Attributes:
-        granted: Whether it may grant leases: a majority of control nodes confirms it.
-        lease_us: How long the lease lasts from the moment of the request, in microseconds.
-        confirmation_age_us: How long ago a majority confirmed it, in microseconds.
-        required_seq: The record that the proxy must have applied before the lease counts.
+        granted: Whether the node may grant leases, which a majority of control nodes confirms.
+        lease_us: The duration of the lease from the time of the request, in microseconds.
+        confirmation_age_us: The time since the confirmation by a majority, in microseconds.
+        required_seq: The record that the proxy must have applied before the lease is valid.
         view_number: The number of the current view, 0 if there is none.
-        proxy_count: How many proxies are connected to control nodes.
-        control_nodes: The view's control nodes; empty if the proxy knows this view.
+        proxy_count: The number of proxies that are connected to control nodes.
+        control_nodes: The control nodes of the view; empty if the proxy already has this view.
     """
 
     granted: bool
@@ -94,7 +94,7 @@
     control_nodes: tuple[ControlNodeAddress, ...] = ()
 
     def to_body(self) -> dict[str, Any]:
-        """The fields as they are sent."""
+        """Returns the fields of the message body."""
         return {
             "ok": self.granted,
             "us": self.lease_us,
@@ -107,7 +107,7 @@
 
     @classmethod
     def from_body(cls, body: dict[str, Any]) -> LeaseAnswer:
-        """Reads what `to_body` wrote."""
+        """Parses the fields of a message body."""
         return cls(
             granted=body["ok"],
             lease_us=body["us"],
@@ -121,11 +121,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StatePush:
-    """What a control node sends with `edge.push`.
+    """The request `edge.push` of a control node.
 
     Attributes:
-        snapshot: The whole control state as a document, or None.
-        records: Numbered records that follow it, each as (number, record).
+        snapshot: The complete control state as a document, or None.
+        records: The records after the snapshot or after the proxy's last one, as (number, record).
     """
 
     snapshot: dict[str, Any] | None
@@ -133,15 +133,15 @@
 
     @classmethod
     def from_body(cls, body: dict[str, Any]) -> StatePush:
-        """Reads the fields as they are sent."""
+        """Parses the fields of a message body."""
         return cls(body["frame"], body["recs"])
 
 
 class StateReceipt(NamedTuple):
-    """What a proxy answers to a `StatePush`: what it has applied and may acknowledge."""
+    """The answer of a proxy to a `StatePush`: the newest record that it has applied."""
 
     applied_seq: int
 
     def to_body(self) -> dict[str, Any]:
-        """The fields as they are sent."""
+        """Returns the fields of the message body."""
         return {"applied": self.applied_seq, "acked": self.applied_seq}
--- a/src/petrelhaven/transport/quota_messages.py
+++ b/src/petrelhaven/transport/quota_messages.py
@@ -1,4 +1,4 @@
-"""Typed bodies of the messages about tenants' limits.
+"""Typed bodies of the messages about quotas of tenants.
 
 The fields on the wire are those of the contracts `quota.report`, `quota.count`, `quota.copy` and
 `quota.fetch` in `transport/contracts`; only this module translates between them and the names used
@@ -26,70 +26,70 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportList:
-    """What a proxy asks its control node with `quota.report`."""
+    """The request `quota.report` of a proxy to its control node."""
 
     proxy: str
     reports: Sequence[AccountReport]
 
     def to_body(self) -> dict[str, Any]:
-        """The fields as they are sent."""
+        """Returns the fields of the message body."""
         return {"name": self.proxy, "rows": [list(report) for report in self.reports]}
 
     @classmethod
     def from_body(cls, body: Mapping[str, Any]) -> ReportList:
-        """Reads what `to_body` wrote."""
+        """Parses the fields of a message body."""
         return cls(body["name"], [AccountReport(*row) for row in body["rows"]])
 
 
 @dataclass(frozen=True, slots=True)
 class GrantList:
-    """The answer to a `ReportList`: a grant for each report that was counted."""
+    """The answer to a `ReportList`: a grant for each counted report."""
 
     grants: Sequence[Grant]
 
     def to_body(self) -> dict[str, Any]:
-        """The fields as they are sent."""
+        """Returns the fields of the message body."""
         return {"rows": [list(grant) for grant in self.grants]}
 
     @classmethod
     def from_body(cls, body: Mapping[str, Any]) -> GrantList:
-        """Reads what `to_body` wrote."""
+        """Parses the fields of a message body."""
         return cls([Grant(*row) for row in body["rows"]])
 
 
 @dataclass(frozen=True, slots=True)
 class CountRequest:
-    """What a control node asks a counting node with `quota.count`.
+    """The request `quota.count` of a control node to a counting node.
 
     Attributes:
-        view_number: The view in which that node counts the tenants.
-        reports: Reports with the names of the proxies that sent them.
+        view_number: The view in which the counting node counts the tenants' operations.
+        reports: The reports, each with the name of the proxy that sent it.
     """
 
     view_number: int
     reports: Sequence[tuple[str, AccountReport]]
 
     def to_body(self) -> dict[str, Any]:
-        """The fields as they are sent."""
+        """Returns the fields of the message body."""
         rows = [[proxy, *report] for proxy, report in self.reports]
         return {"view": self.view_number, "rows": rows}
 
     @classmethod
     def from_body(cls, body: Mapping[str, Any]) -> CountRequest:
-        """Reads what `to_body` wrote."""
+        """Parses the fields of a message body."""
         return cls(body["view"], [(row[0], AccountReport(*row[1:])) for row in body["rows"]])
 
 
 @dataclass(frozen=True, slots=True)
 class CopyList:
-    """What a counting node sends its successor with `quota.copy`.
+    """The request `quota.copy` of a counting node to its successor.
 
     Attributes:
-        view_number: The view in which it counts the tenants.
-        life: Which process sends it.
-        number: Its number among that process's copies.
-        expiry: When the copies may serve no longer, by the clock of the successor.
-        copies: The copies.
+        view_number: The view in which the counting node counts the tenants' operations.
+        life: The number that identifies the sending process.
+        number: The sequence number of this message among those of the process.
+        expiry: When the copies expire, by the clock of the successor.
+        copies: The copies of the counters.
     """
 
     view_number: int
@@ -99,7 +99,7 @@
     copies: Sequence[CounterCopy]
 
     def to_body(self) -> dict[str, Any]:
-        """The fields as they are sent."""
+        """Returns the fields of the message body."""
         return {
             "view": self.view_number,
             "life": self.life,
@@ -110,7 +110,7 @@
 
     @classmethod
     def from_body(cls, body: Mapping[str, Any]) -> CopyList:
-        """Reads what `to_body` wrote."""
+        """Parses the fields of a message body."""
         return cls(
             body["view"],
             body["life"],
@@ -121,10 +121,10 @@
 
 
 def copies_to_rows(copies: Sequence[CounterCopy]) -> list[list[Any]]:
-    """Copies as they are sent, also in the answer to a `quota.fetch`."""
+    """Returns copies as rows of `quota.copy` or of the answer to `quota.fetch`."""
     return [list(copy) for copy in copies]
 
 
 def copies_from_rows(rows: Sequence[Sequence[Any]]) -> list[CounterCopy]:
-    """Reads what `copies_to_rows` wrote."""
+    """Parses the rows that `copies_to_rows` returns."""
     return [CounterCopy(*row) for row in rows]
--- a/src/petrelhaven/transport/sockets.py
+++ b/src/petrelhaven/transport/sockets.py
@@ -1,4 +1,4 @@
-"""Socket options of the connections between processes, and to members."""
+"""Socket options of connections between processes and to members."""
 
 import asyncio
 import contextlib
@@ -8,14 +8,14 @@
 __all__ = ["UNACKNOWLEDGED_MS", "is_closed", "reset", "set_socket_options"]
 
 UNACKNOWLEDGED_MS = 3_000
-"""How long bytes may stay unacknowledged by the other machine before the connection is lost."""
+"""How long sent bytes may stay unacknowledged before the kernel drops the connection."""
 
 _NO_LINGER = struct.pack("ii", 1, 0)
 _CLOSED_STATE = 7  # TCP_CLOSE in Linux's tcp_states.h
 
 
 def set_socket_options(transport: asyncio.BaseTransport) -> None:
-    """Sends small messages at once, and ends the connection to an unreachable machine."""
+    """Disables Nagle's algorithm and limits how long sent data may stay unacknowledged."""
     sock = transport.get_extra_info("socket")
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     with contextlib.suppress(OSError):
@@ -23,7 +23,7 @@
 
 
 def reset(transport: asyncio.WriteTransport) -> None:
-    """Ends a connection by a reset: bytes that have not reached the other machine never will."""
+    """Resets a connection; bytes that the other machine has not received are discarded."""
     sock = transport.get_extra_info("socket")
     if sock is not None:
         with contextlib.suppress(OSError):
@@ -32,7 +32,7 @@
 
 
 def is_closed(transport: asyncio.BaseTransport) -> bool:
-    """Whether the connection was reset, known before what arrived earlier has been read."""
+    """Returns whether the connection was closed or reset, even while received data is unread."""
     if transport.is_closing():
         return True
     sock = transport.get_extra_info("socket")
--- a/tests/model/cluster.py
+++ b/tests/model/cluster.py
@@ -192,7 +192,7 @@
             end.cut(False)
             for machine, channel in ((end.a, end.ca), (end.b, end.cb)):
                 if machine is machine:
-                    channel.mark_lost()
+                    channel.handle_connection_loss()
 
     async def until(self, condition, seconds):
         """Waits in virtual time for a condition; false if it did not come true."""
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -255,18 +255,18 @@
 def unsent_after_all(mp):
     real = NodeCaller._call_through_relays
 
-    async def round_(self, name, relayed, end, may_have_left):
+    async def round_(self, name, relayed, end, may_have_been_sent):
         return await real(self, name, relayed, end, False)
 
     mp.setattr(NodeCaller, "_call_through_relays", round_)
 
 
 def unsent_taken_from_anybody(mp):
-    mp.setattr(channel_module, "_answered_fault", lambda kind, doc: channel_module.rebuild(doc))
+    mp.setattr(channel_module, "_fault_from_answer", lambda kind, doc: channel_module.rebuild(doc))
 
 
 def relay_calls_silence_unsent(mp):
-    real = NodeCaller._relayed
+    real = NodeCaller._serve_relayed_call
 
     async def relayed(self, channel, call):
         try:
@@ -274,7 +274,7 @@
         except (DeadlineExceeded, Unreachable) as fault:
             raise node_caller_module.NotRelayed(fault.note) from None
 
-    mp.setattr(NodeCaller, "_relayed", relayed)
+    mp.setattr(NodeCaller, "_serve_relayed_call", relayed)
 
 
 @pytest.mark.parametrize(
@@ -569,12 +569,12 @@
     async def go():
         tasks, taken = BackgroundTasks(), []
         link, other = Link(LoopClock(), tasks), Link(LoopClock(), tasks)
-        real = other._wrap
-        other._wrap = lambda r, w: (taken.append(w.transport), real(r, w))
+        real = other._make_channel
+        other._make_channel = lambda r, w: (taken.append(w.transport), real(r, w))
         address = await other.start()
         opened = []
-        wrap = link._wrap
-        link._wrap = lambda r, w: (opened.append(w.transport), wrap(r, w))[1]
+        wrap = link._make_channel
+        link._make_channel = lambda r, w: (opened.append(w.transport), wrap(r, w))[1]
         await link.open(address)
         host, port = address.split(":")
         transport, _ = await asyncio.get_running_loop().create_connection(
--- a/tests/test_channel_model.py
+++ b/tests/test_channel_model.py
@@ -125,9 +125,11 @@
             if way.seen:
                 way.bring(way.seen[i % len(way.seen)])
         elif what == "other kind":
-            number = max(1, self.channel._last_sent - i % 3)
+            number = max(1, self.channel._last_sent_number - i % 3)
             pending = self.channel._pending.get(number)
-            asked = pending.kind if pending is not None else self.channel._given_up.get(number)
+            asked = (
+                pending.kind if pending is not None else self.channel._abandoned_kinds.get(number)
+            )
             kind = KINDS[0] if asked == KINDS[1] else KINDS[1]
             connections[-1].ways["b"].bring(pack(kind, RESULT, number, {"doc": "of no caller"}))
         await asyncio.sleep(0)
@@ -174,7 +176,7 @@
 
 
 def kind_not_looked_at(mp):
-    real = Channel._take_answer
+    real = Channel._receive_answer
 
     def take(self, message):
         pending = self._pending.get(message.number)
@@ -182,7 +184,7 @@
             self._pending[message.number] = channel_module._Pending(message.kind, pending.answer)
         real(self, message)
 
-    mp.setattr(Channel, "_take_answer", take)
+    mp.setattr(Channel, "_receive_answer", take)
 
 
 def numbers_used_again(mp):
@@ -199,10 +201,10 @@
 
     def init(self, *a):
         real(self, *a)
-        self._numbers = Free(self)
+        self._call_numbers = Free(self)
 
     def any_number(self, raw):
-        self._last_heard = 0
+        self._last_received_number = 0
         feed(self, raw)
 
     mp.setattr(Channel, "__init__", init)
@@ -213,14 +215,14 @@
     real = Channel.feed
 
     def feed(self, raw):
-        self._last_heard = 0
+        self._last_received_number = 0
         real(self, raw)
 
     mp.setattr(Channel, "feed", feed)
 
 
 def nothing_taken_back(mp):
-    mp.setattr(Channel, "_take_back", lambda self, number: None)
+    mp.setattr(Channel, "_withdraw_call", lambda self, number: None)
 
 
 GUARDS = {
--- a/tests/wire_model.py
+++ b/tests/wire_model.py
@@ -60,7 +60,7 @@
     def bring(self, raw):
         """Hands one message to the other end, as often as it is called."""
         if raw is None:
-            self.connection.ends[self.dst].mark_lost()
+            self.connection.ends[self.dst].handle_connection_loss()
         elif not self.connection.ends[self.dst].gone.done():
             self.seen.append(raw)
             try:
@@ -102,7 +102,7 @@
         """The network loses the connection: both ends learn of it, what is held up is lost."""
         for name, way in self.ways.items():
             way.held.clear()
-            self.ends[name].mark_lost()
+            self.ends[name].handle_connection_loss()
 
 
 class Net:
