--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Whatever is wrong at a face or on a link gets a typed result that names the field, and changes nothing."""
+"""Invalid input at an interface or a link gets a typed fault that names the field, and changes no state."""
 
 import asyncio
 import json
@@ -156,7 +156,7 @@
         )
 
 
-def test_junk_inside_well_formed_messages_is_counted_and_no_node_stumbles():
+def test_invalid_values_in_well_formed_messages_are_counted_and_no_node_fails():
     async def go(w):
         await w.start()
         junk = [
@@ -231,7 +231,7 @@
     assert len(net.log) == 1 and len(net.findings) == found
 
 
-def test_a_member_that_answers_oddly_is_a_typed_fault_never_a_result():
+def test_an_invalid_answer_of_a_member_is_a_typed_fault_and_never_a_result():
     async def go():
         odd = {}
 
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -1,4 +1,8 @@
-"""Internal calls: each says whether it may be repeated, every site honours it, what is given up stays given up."""
+"""Calls between processes: each kind declares whether it may be repeated, and all code follows the declaration.
+
+The tests guard against calls that run twice, that run after their caller abandoned them, and answers that
+reach another caller.
+"""
 
 import ast
 import asyncio
@@ -45,7 +49,7 @@
 SENT_ONCE = {"chain.enter", "disk.turned", "edge.enter", "span.deliver", "warden.look"}
 
 
-# What is declared, and who calls.
+# Declared properties, and the places that make calls.
 
 
 def test_every_kind_says_whether_it_may_be_repeated():
@@ -73,7 +77,7 @@
 
 
 def calls():
-    """Every call in the sources as (file, node)."""
+    """Yields every call expression in the sources as (file, syntax node)."""
     for path in sorted(SOURCE.rglob("*.py")):
         for node in ast.walk(ast.parse(path.read_text())):
             if isinstance(node, ast.Call):
@@ -84,7 +88,7 @@
 
 
 def kind_named_by(node):
-    """The kind that a node of the form `MessageKind.NAME` stands for, or None."""
+    """Returns the kind if `node` has the form `MessageKind.NAME`, otherwise None."""
     if isinstance(node, ast.Attribute) and getattr(node.value, "id", "") == "MessageKind":
         return KIND_NAMES[node.attr]
     return None
@@ -109,16 +113,16 @@
                     and re.fullmatch(r"[a-z]+\.[a-z]+", str(arg.value))
                 ), (path, arg.value)
                 named.add(kind_named_by(arg))
-    spelled, spoken = set(), set()
+    literal_kinds, named_kinds = set(), set()
     for path in SOURCE.rglob("*.py"):
         for node in ast.walk(ast.parse(path.read_text())):
             if path.name != "message_kinds.py" and isinstance(node, ast.Constant):
-                spelled |= {node.value} & set(KINDS)
+                literal_kinds |= {node.value} & set(KINDS)
             if path.name != "contracts.py":
-                spoken.add(kind_named_by(node))
+                named_kinds.add(kind_named_by(node))
     assert {"chain.enter", "chain.append", "span.deliver", "warden.look"} <= named
-    assert spelled == set()
-    assert spoken - {None} == set(KINDS)
+    assert literal_kinds == set()
+    assert named_kinds - {None} == set(KINDS)
 
 
 def test_only_the_transport_opens_and_feeds_channels():
@@ -126,11 +130,11 @@
     assert makers == {"transport/link.py", "simulator/net.py"}
 
 
-# Calls by name, over connections that are cut, reset and heal as drawn.
+# Calls by name, over connections that are cut, reset and restored at random.
 
 
 class Fleet:
-    """A caller, the called node and two others that may relay, over modelled connections."""
+    """A calling node, a called node and two possible relays, over modelled connections."""
 
     def __init__(self, net, how):
         self.net, self.how = net, how
@@ -200,7 +204,7 @@
 
 
 def reached(steps, how):
-    """What a drawn play breaks."""
+    """Returns the violations that a random schedule causes."""
 
     async def go(net):
         f = Fleet(net, how)
@@ -212,7 +216,7 @@
             elif what == "tick":
                 await asyncio.sleep(0.01 * n)
             elif what == "cut":
-                # mostly the direct way, in either direction
+                # mostly the link between caller and target, in either direction
                 net.cut(*(("a", "b"), ("b", "a"), ("a", "b"), WAYS[n])[n % 4])
             elif what == "heal" and net.cuts:
                 net.heal(*sorted(net.cuts)[n % len(net.cuts)])
@@ -248,24 +252,24 @@
     assert reached(steps, how) == []
 
 
-def repeated_by_goodwill(mp):
+def calls_always_repeated(mp):
     mp.setattr(node_caller_module, "repeat_of", lambda kind, body: Repeat.SAFE)
 
 
-def unsent_after_all(mp):
+def not_sent_after_a_possible_send(mp):
     real = NodeCaller._call_through_relays
 
-    async def round_(self, name, relayed, end, may_have_been_sent):
+    async def call_through_relays(self, name, relayed, end, may_have_been_sent):
         return await real(self, name, relayed, end, False)
 
-    mp.setattr(NodeCaller, "_call_through_relays", round_)
+    mp.setattr(NodeCaller, "_call_through_relays", call_through_relays)
 
 
-def unsent_taken_from_anybody(mp):
+def not_sent_accepted_from_any_node(mp):
     mp.setattr(channel_module, "_fault_from_answer", lambda kind, doc: channel_module.rebuild(doc))
 
 
-def relay_calls_silence_unsent(mp):
+def relay_reports_a_timeout_as_not_sent(mp):
     real = NodeCaller._serve_relayed_call
 
     async def relayed(self, channel, call):
@@ -280,10 +284,10 @@
 @pytest.mark.parametrize(
     "guard,what",
     [
-        (repeated_by_goodwill, "ran twice"),
-        (unsent_after_all, "ran, though nothing had left"),
-        (unsent_taken_from_anybody, "ran, though nothing had left"),
-        (relay_calls_silence_unsent, "ran, though nothing had left"),
+        (calls_always_repeated, "ran twice"),
+        (not_sent_after_a_possible_send, "ran, though nothing had left"),
+        (not_sent_accepted_from_any_node, "ran, though nothing had left"),
+        (relay_reports_a_timeout_as_not_sent, "ran, though nothing had left"),
     ],
 )
 def test_without_its_guard_the_same_draws_find_the_violation(guard, what):
@@ -325,7 +329,7 @@
     virtual(go)
 
 
-def test_a_caller_that_leaves_does_not_take_the_opening_from_the_others():
+def test_a_cancelled_caller_does_not_cancel_the_opening_for_the_others():
     async def go(net):
         a, b = Node(net, "a"), Node(net, "b")
 
@@ -343,8 +347,9 @@
     virtual(go)
 
 
-def test_a_fault_that_the_other_side_says_is_no_sign_of_a_lost_connection():
-    """Answers of `late` were counted as silence: two of them closed the connection, with all calls on it."""
+def test_a_fault_from_the_other_side_does_not_count_as_a_missing_answer():
+    """Guards against closing a working connection: `DeadlineExceeded` answers were counted as missing answers, and
+    two of them closed the connection with all calls on it."""
 
     async def go(net):
         a, b = Node(net, "a"), Node(net, "b")
@@ -368,7 +373,7 @@
     virtual(go)
 
 
-def test_what_the_other_side_says_of_its_own_calls_is_not_taken_for_this_one():
+def test_a_fault_about_a_further_call_is_not_attributed_to_this_call():
     async def go(net):
         a, b = Node(net, "a"), Node(net, "b")
 
@@ -390,7 +395,7 @@
     virtual(go)
 
 
-def test_giving_up_one_call_that_is_sent_once_leaves_the_others_their_connection():
+def test_abandoning_a_call_that_is_sent_once_does_not_fail_other_calls():
     async def go(net):
         a, b = Node(net, "a"), Node(net, "b")
 
@@ -411,8 +416,8 @@
     virtual(go)
 
 
-def test_a_hold_that_arrives_late_does_not_end_the_pushes_over_a_newer_connection():
-    """An edge asks to be pushed to, is cut off, and asks anew over another connection; then the first one arrives."""
+def test_a_late_subscription_does_not_end_the_pushes_over_a_newer_connection():
+    """A proxy subscribes, is cut off and subscribes again over a new connection; then the first request arrives."""
     from petrelhaven.control.leases import ConnectionLeaseTable
 
     async def go(net):
@@ -439,7 +444,7 @@
         old, new = await edge.open("core"), await edge.open("core")
         assert (await new.call("edge.hold", hold, 100_000))["ok"]
         await asyncio.sleep(0.1)
-        # the older connection's bytes arrive only now, and it is not known yet that its far end is gone
+        # the bytes of the older connection arrive only now, and its end has not been noticed yet
         await old.call("edge.hold", hold, 100_000)
         await asyncio.sleep(0.1)
         chain.committed_seq = control_state.seq = 4
@@ -452,14 +457,14 @@
     virtual(go)
 
 
-# Real sockets: bytes that the other machine has not taken in are lost with the caller's patience.
+# Real sockets: when a call is abandoned, bytes that the other machine has not received are discarded.
 
 
 BIG = random.Random(1).randbytes(60_000).hex()
 
 
-class DeafServer:
-    """Takes connections with a small window and reads nothing until it is told to."""
+class NonReadingServer:
+    """Accepts connections with a small receive buffer and reads nothing until `count_received_bytes`."""
 
     def __init__(self):
         self.socket = socket.socket()
@@ -469,29 +474,29 @@
         self.addr = "%s:%d" % self.socket.getsockname()
 
     def read_all(self):
-        got = 0
+        received_bytes = 0
         conn, _ = self.socket.accept()
         conn.settimeout(1)
         try:
             while data := conn.recv(65_536):
-                got += len(data)
+                received_bytes += len(data)
         except (ConnectionResetError, TimeoutError):
             pass
         finally:
             conn.close()
             self.socket.close()
-        return got
+        return received_bytes
 
-    async def hears(self):
-        """How many bytes of the first connection still come."""
+    async def count_received_bytes(self):
+        """Returns how many bytes of the first connection still arrive."""
         await asyncio.sleep(0.05)
         return await asyncio.get_running_loop().run_in_executor(None, self.read_all)
 
 
 @pytest.mark.parametrize("end", ["late", "cancelled"])
-def test_a_call_that_is_given_up_is_taken_back_from_the_wire(end):
+def test_an_abandoned_call_is_not_delivered_completely(end):
     async def go():
-        server, tasks = DeafServer(), BackgroundTasks()
+        server, tasks = NonReadingServer(), BackgroundTasks()
         link = Link(LoopClock(), tasks)
         task = asyncio.ensure_future(
             link.call(server.addr, "span.deliver", {"sid": BIG, "ask": {}}, 100_000)
@@ -501,38 +506,38 @@
             task.cancel()
         with pytest.raises((DeadlineExceeded, asyncio.CancelledError)):
             await task
-        assert await server.hears() < len(BIG) // 2
+        assert await server.count_received_bytes() < len(BIG) // 2
         await tasks.close()
 
     run_in_virtual_time(go())
 
 
-def test_a_fenced_call_to_the_platform_is_taken_back_from_the_wire():
+def test_an_abandoned_call_to_the_platform_is_not_delivered_completely():
     async def go():
-        server = DeafServer()
+        server = NonReadingServer()
         with pytest.raises(DeadlineExceeded):
             await light_call(LoopClock(), server.addr, "POST", "/failover", {"a": BIG}, us=100_000)
-        assert await server.hears() < len(BIG)
+        assert await server.count_received_bytes() < len(BIG)
 
     run_in_virtual_time(go())
 
 
-def test_a_statement_that_is_given_up_is_taken_back_from_the_wire():
+def test_an_abandoned_statement_is_not_delivered_completely():
     async def go():
-        server = DeafServer()
+        server = NonReadingServer()
         host, port = server.addr.split(":")
         _, member_connection = await asyncio.get_running_loop().create_connection(
             LineMemberConnection, host, int(port)
         )
         member_connection.send_session_statement("set", ("a", BIG))
         member_connection.close()
-        assert await server.hears() < len(BIG)
+        assert await server.count_received_bytes() < len(BIG)
 
     run_in_virtual_time(go())
 
 
-def test_a_call_whose_caller_has_reset_the_connection_is_not_run_any_more():
-    """A machine that stood still reads what came before the reset; what is sent once must not run then."""
+def test_a_call_whose_caller_has_reset_the_connection_does_not_run():
+    """After a pause, a machine reads requests from before the reset; a call that is sent once must not run then."""
 
     async def go():
         tasks, ran = BackgroundTasks(), []
@@ -560,17 +565,17 @@
     run_in_virtual_time(go())
 
 
-def test_connections_do_not_wait_for_a_dark_machine_for_long():
-    def bound(transport):
+def test_connections_to_an_unreachable_machine_time_out():
+    def user_timeout_ms(transport):
         return transport.get_extra_info("socket").getsockopt(
             socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT
         )
 
     async def go():
-        tasks, taken = BackgroundTasks(), []
+        tasks, accepted = BackgroundTasks(), []
         link, other = Link(LoopClock(), tasks), Link(LoopClock(), tasks)
         real = other._make_channel
-        other._make_channel = lambda r, w: (taken.append(w.transport), real(r, w))
+        other._make_channel = lambda r, w: (accepted.append(w.transport), real(r, w))
         address = await other.start()
         opened = []
         wrap = link._make_channel
@@ -581,23 +586,25 @@
             LineMemberConnection, host, int(port)
         )
         await asyncio.sleep(0.05)
-        assert [bound(t) for t in [*opened, *taken, transport]] == [UNACKNOWLEDGED_MS] * 4
+        assert [user_timeout_ms(t) for t in [*opened, *accepted, transport]] == [
+            UNACKNOWLEDGED_MS
+        ] * 4
         await tasks.close()
         await other.close()
 
     run_in_virtual_time(go())
 
 
-def test_a_fault_without_a_shape_ends_the_connection_and_the_call():
+def test_a_malformed_fault_ends_the_connection_and_the_call():
     async def go():
         tasks = BackgroundTasks()
 
-        async def odd(reader, writer):
+        async def answer_with_invalid_fault(reader, writer):
             await reader.readexactly(6)
             raw = pack("creed.belief", FAULT, 1, {"doc": [1]})
             writer.write(struct.pack(">HI", 0x7E7A, len(raw)) + raw)
 
-        server = await asyncio.start_server(odd, "127.0.0.1", 0)
+        server = await asyncio.start_server(answer_with_invalid_fault, "127.0.0.1", 0)
         address = "%s:%d" % server.sockets[0].getsockname()
         link = Link(LoopClock(), tasks)
         with pytest.raises(Unreachable):
@@ -609,15 +616,15 @@
     run_in_virtual_time(go())
 
 
-def test_a_batch_that_is_cancelled_leaves_its_connection_lost():
-    """On the product's own members: the batch may still run there, and nothing else may use its connection."""
+def test_a_cancelled_batch_leaves_its_connection_lost():
+    """The batch may still run on the member, so nothing else may use its connection."""
     from petrelhaven.proxy.resumable.member_protocol import Wire
 
     async def go():
-        async def mute(reader, writer):
+        async def never_answer(reader, writer):
             await reader.read()
 
-        server = await asyncio.start_server(mute, "127.0.0.1", 0)
+        server = await asyncio.start_server(never_answer, "127.0.0.1", 0)
         tasks = BackgroundTasks()
         wire = Wire(LoopClock(), tasks)
         connection = wire_connection(wire, "%s:%d" % server.sockets[0].getsockname())
--- a/tests/test_channel_model.py
+++ b/tests/test_channel_model.py
@@ -1,6 +1,7 @@
-"""Calls over held connections, drawn: no answer reaches another caller, nothing given up runs later or twice.
+"""Random schedules of calls over delayed connections.
 
-Each guard is taken out in turn, and the same draws find it.
+No answer may reach another caller, and no call may run twice or after its caller abandoned it. Each guard of the
+channel is then disabled in turn, and the same schedules must find the violation.
 """
 
 import asyncio
@@ -25,7 +26,7 @@
     database=None,
     suppress_health_check=list(HealthCheck),
 )
-# Two kinds whose answers have one shape, and one that is sent once.
+# Two kinds whose answers have the same fields, and one that is sent once.
 ASKS = {
     "creed.belief": lambda token: {"who": token},
     "chain.read": lambda token: {"what": token},
@@ -50,7 +51,7 @@
 
 
 class Play:
-    """One caller's node, one that answers, and what was seen."""
+    """A calling node, an answering node, and what was observed."""
 
     def __init__(self, net):
         self.net = net
@@ -66,7 +67,7 @@
             token = token_of(kind, body)
             self.ran.append(token)
             if repeat_of(kind, body) is Repeat.NEVER and token in self.given_up:
-                # bytes that are on their way at that moment can't be called back
+                # bytes that are in transit at that moment can't be discarded
                 if self.given_up[token] + WAY_US < self.arrived[token]:
                     self.bad.append(("ran after it was given up", token))
             await asyncio.sleep(next(self.delays))
@@ -79,14 +80,14 @@
         way = self.net.connections[-1].ways["a"]
         bring = way.bring
 
-        def noted(raw):
+        def record_arrival(raw):
             if raw is not None:
                 m = unpack(raw)
                 if m.flow == CALL:
                     self.arrived.setdefault(token_of(m.kind, m.body), self.a.clock.now())
             bring(raw)
 
-        way.bring = noted
+        way.bring = record_arrival
 
     async def call(self, kind, us):
         token = f"{kind} {next(self.tokens)}"
@@ -165,7 +166,7 @@
 
 
 def matched_by_number_alone(mp):
-    """One table for all connections of a node."""
+    """Uses one table of pending calls for all connections of a node."""
     real = Channel.__init__
 
     def init(self, link, *a):
@@ -175,7 +176,7 @@
     mp.setattr(Channel, "__init__", init)
 
 
-def kind_not_looked_at(mp):
+def kind_not_checked(mp):
     real = Channel._receive_answer
 
     def take(self, message):
@@ -187,10 +188,10 @@
     mp.setattr(Channel, "_receive_answer", take)
 
 
-def numbers_used_again(mp):
-    """A call takes the lowest number that no caller waits under."""
+def call_numbers_reused(mp):
+    """Gives a call the lowest number that no pending call has."""
 
-    class Free:
+    class LowestFreeNumber:
         def __init__(self, channel):
             self.channel = channel
 
@@ -201,7 +202,7 @@
 
     def init(self, *a):
         real(self, *a)
-        self._call_numbers = Free(self)
+        self._call_numbers = LowestFreeNumber(self)
 
     def any_number(self, raw):
         self._last_received_number = 0
@@ -211,7 +212,7 @@
     mp.setattr(Channel, "feed", any_number)
 
 
-def calls_heard_twice(mp):
+def repeated_calls_accepted(mp):
     real = Channel.feed
 
     def feed(self, raw):
@@ -221,16 +222,16 @@
     mp.setattr(Channel, "feed", feed)
 
 
-def nothing_taken_back(mp):
+def abandoned_calls_not_withdrawn(mp):
     mp.setattr(Channel, "_withdraw_call", lambda self, number: None)
 
 
 GUARDS = {
     matched_by_number_alone: "answer of another",
-    kind_not_looked_at: "answer of another",
-    numbers_used_again: "answer of another",
-    calls_heard_twice: "ran twice",
-    nothing_taken_back: "ran after it was given up",
+    kind_not_checked: "answer of another",
+    call_numbers_reused: "answer of another",
+    repeated_calls_accepted: "ran twice",
+    abandoned_calls_not_withdrawn: "ran after it was given up",
 }
 
 
@@ -271,8 +272,8 @@
     virtual(go)
 
 
-def test_giving_up_a_call_that_was_certainly_received_costs_no_other_answer():
-    """An answer to a later call shows that the earlier one arrived: there is nothing to take back."""
+def test_abandoning_a_call_that_was_received_does_not_fail_other_calls():
+    """An answer to a later call shows that the earlier call arrived, so the connection needs no reset."""
 
     async def go(net):
         p = Play(net)
@@ -295,7 +296,7 @@
 
 
 def test_an_answer_of_another_kind_to_a_call_that_was_given_up_ends_the_connection_too():
-    """Taken for a sign that the earlier calls had arrived, it kept one that was to be taken back."""
+    """The answer was taken as a sign that earlier calls had arrived, so an abandoned call was not withdrawn."""
     steps = [("call", 2, 60_000), ("call", 1, 2_000), ("cut", 0, 0), ("tick", 9, 0)]
     assert played([*steps, ("other kind", 0, 0), ("tick", 9, 0), ("heal", 0, 0)]) == []
 
--- a/tests/test_light_http.py
+++ b/tests/test_light_http.py
@@ -1,4 +1,7 @@
-"""The light HTTP face and call: whatever comes gets one typed answer or a close, and a call has a typed outcome."""
+"""The light HTTP server and client.
+
+The server answers any input with one typed response or closes the connection. A client call has a typed outcome.
+"""
 
 import asyncio
 import json
@@ -28,8 +31,8 @@
 MOST = 1000
 
 
-class Called:
-    """A face whose handlers note what they were called with."""
+class RecordingServer:
+    """A server whose handlers record their arguments."""
 
     def __init__(self):
         self.calls, self.held = [], None
@@ -96,8 +99,8 @@
             asyncio.get_running_loop().call_soon(self.proto.connection_lost, None)
 
 
-class Server:
-    """What a face's listening socket would be: makes the protocol of a connection."""
+class ConnectionMaker:
+    """Replaces the listening socket: creates the protocol of one connection."""
 
     def __init__(self, called):
         self.called = called
@@ -120,15 +123,15 @@
 
 
 def talk(fn):
-    """What `fn(called, protocol, transport)` returns in virtual time."""
+    """Runs `fn(recording_server, protocol, transport)` in virtual time and returns its result."""
     loop = WarpLoop()
     asyncio.set_event_loop(loop)
-    loose = []
-    loop.set_exception_handler(lambda _, c: loose.append(c))
+    loop_errors = []
+    loop.set_exception_handler(lambda _, c: loop_errors.append(c))
 
     async def go():
-        c = Called()
-        p, tr = await Server(c).open()
+        c = RecordingServer()
+        p, tr = await ConnectionMaker(c).open()
         return await fn(c, p, tr)
 
     try:
@@ -137,12 +140,12 @@
         end_all(loop)
         loop.close()
         asyncio.set_event_loop(None)
-    assert not loose, loose
+    assert not loop_errors, loop_errors
     return got
 
 
 def answers(out, verbs=("GET",)):
-    """(status, headers, body) of each answer."""
+    """Parses responses; returns (status, headers, body) of each."""
     c, got = h11.Connection(h11.CLIENT), []
     if not out:
         return got
@@ -211,7 +214,7 @@
     assert (got[0][1].get("retry-after") is not None) == (fault == "not-ready")
 
 
-def test_what_is_served():
+def test_requests_are_routed_to_their_handlers():
     assert one(get("/echo?x=1", "POST", b"abc"))[0][0][2] == b"abc"
     assert one(get("/below/i-7?x"))[0][0][2] == b'{"rest":"i-7"}'
     got = one(get("/shaped"))[0][0]
@@ -220,7 +223,7 @@
 
 
 @pytest.mark.parametrize("body", [b"", b"{", b"\xff", b"[" * 900, b"{} x"])
-def test_a_body_that_is_no_json_is_malformed(body):
+def test_a_body_that_is_not_json_is_malformed(body):
     got, closed, _ = one(get("/doc", "POST", body))
     assert got[0][0] == 400 and json.loads(got[0][2])["fault"] == "malformed" and not closed
 
@@ -264,7 +267,7 @@
         b"\x16\x03\x01\r\n\r\n",
     ],
 )
-def test_a_request_that_is_none_is_told_once_and_the_connection_closed(raw):
+def test_invalid_http_gets_one_400_and_the_connection_is_closed(raw):
     got, closed, calls = one(raw)
     assert [x[0] for x in got] == [400] and closed and not calls
 
@@ -336,7 +339,7 @@
         assert [x[0] for x in got][:1] in ([], [400], [200], [404], [413])
 
 
-def test_a_caller_that_says_no_more_is_answered_and_then_closed():
+def test_a_half_closed_connection_is_answered_and_then_closed():
     async def go(c, p, tr):
         c.held = asyncio.get_running_loop().create_future()
         p.data_received(get("/held"))
@@ -378,7 +381,7 @@
     talk(go)
 
 
-def test_a_caller_that_went_away_gets_nothing_and_leaves_nothing():
+def test_a_lost_connection_gets_no_response_and_is_removed():
     async def go(c, p, tr):
         c.held = asyncio.get_running_loop().create_future()
         p.data_received(get("/held"))
@@ -411,11 +414,14 @@
     assert [x[0] for x in got] == [200] and closed
 
 
-# Calls
+# Client calls
 
 
 def call(script, us=2_000_000, doc=None, heads=()):
-    """The outcome of a call to a peer that answers with the parts of `script` (None: mute), and what the peer got."""
+    """Calls a peer that answers with the parts of `script` (None: no answer).
+
+    Returns the result and what the peer received.
+    """
 
     async def go():
         ends, got = [], []
@@ -479,7 +485,7 @@
     assert type(e.value) is Unreachable
 
 
-def test_a_mute_peer_is_late_and_a_dead_port_unsent():
+def test_a_silent_peer_times_out_and_a_closed_port_is_not_sent():
     with pytest.raises(DeadlineExceeded):
         call(None, us=50_000)
     with socket.socket() as s:
@@ -490,7 +496,7 @@
             )
 
 
-def test_a_call_says_its_document_and_heads_whole():
+def test_a_call_sends_its_document_and_headers():
     got = call(
         [b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"],
         doc={"é": 1},
@@ -505,9 +511,9 @@
     assert f"content-length: {len(json.dumps({'é': 1}))}" in lines
 
 
-def test_a_face_and_a_call_meet():
+def test_the_client_works_with_the_server():
     async def go():
-        c = Called()
+        c = RecordingServer()
         a = await c.http_server.start()
         assert await light_call(LoopClock(), a, "POST", "/doc", {"x": [1]}) == (200, {"x": [1]})
         st_, d = await light_call(LoopClock(), a, "GET", "/busy")
--- a/tests/test_message_compatibility.py
+++ b/tests/test_message_compatibility.py
@@ -1,6 +1,6 @@
-"""Messages between processes have the bytes that commit 3ca81ad gave them.
+"""Messages between processes are encoded to the same bytes as by commit 3ca81ad.
 
-Bodies above a kibibyte are compressed: their bytes are also those of the zlib named in the fixture.
+Bodies larger than 1 KiB are compressed: their bytes also depend on the zlib version named in the fixture.
 """
 
 import json
@@ -16,7 +16,7 @@
 
 
 def repeats():
-    """Whether calls of each kind may be repeated."""
+    """Returns for each kind whether its calls may be repeated."""
     return {kind: contract.repeat.value for kind, contract in KINDS.items()}
 
 
--- a/tests/virtual_io.py
+++ b/tests/virtual_io.py
@@ -1,4 +1,4 @@
-"""Real sockets of one process in virtual time, so that a test's verdict does not depend on how busy the machine is."""
+"""Real sockets of one process in virtual time, so that test results don't depend on the load of the machine."""
 
 import asyncio
 import selectors
@@ -9,13 +9,13 @@
 __all__ = ["HANG_S", "LoopClock", "VirtualIoLoop", "run_in_virtual_time"]
 
 HANG_S = 120.0
-"""Real seconds after which a wait for an event counts as a hang; no test passes or fails by it otherwise."""
+"""Real seconds without an event after which a wait raises TimeoutError; it affects no other result."""
 
-QUIET_S = 0.05
-"""Real seconds without any event after which nothing is on its way through the kernel: a longer wait is cut short."""
+QUIESCENCE_S = 0.05
+"""Real seconds without an event after which no data is in transit in the kernel; a longer wait then ends at once."""
 
-EVENT_S = 1e-6
-"""Virtual seconds that pass with each batch of events, so that time goes on in an endless exchange too."""
+EVENT_DURATION_S = 1e-6
+"""Virtual seconds that pass with each batch of events, so that time also advances during an endless exchange."""
 
 
 class _Selector(selectors.DefaultSelector):
@@ -25,15 +25,15 @@
         self.threads = 0
 
     def select(self, timeout=None):
-        """The next events; time goes on by `timeout` once sockets and threads were quiet for that long."""
+        """Returns the next events; advances time by `timeout` if sockets and threads stay quiet."""
         if timeout is not None and timeout <= 0:
             return super().select(0)
-        quiet = QUIET_S if timeout is None else min(timeout, QUIET_S)
+        quiescence_s = QUIESCENCE_S if timeout is None else min(timeout, QUIESCENCE_S)
         hangs_at = time.monotonic() + HANG_S
         while True:
-            events = super().select(quiet)
+            events = super().select(quiescence_s)
             if events:
-                self.now += EVENT_S
+                self.now += EVENT_DURATION_S
                 return events
             if timeout is not None and not self.threads:
                 self.now += timeout
@@ -43,9 +43,9 @@
 
 
 class VirtualIoLoop(asyncio.SelectorEventLoop):
-    """An event loop over real sockets whose clock stands still while anything is running or on its way.
+    """An event loop over real sockets whose clock stops while code runs or data is in transit.
 
-    Both ends of every connection have to be in this loop; child processes run in real time and have no place here.
+    Both ends of every connection must be in this loop. Child processes run in real time and can't be used.
     """
 
     def __init__(self):
@@ -53,11 +53,11 @@
         super().__init__(self._virtual)
 
     def time(self):
-        """Virtual seconds since the start of the loop."""
+        """Returns virtual seconds since the start of the loop."""
         return self._virtual.now
 
     def run_in_executor(self, executor, func, *args):
-        """Runs `func` in a thread; time stands still until it ends."""
+        """Runs `func` in a thread; virtual time stops until it ends."""
         future = super().run_in_executor(executor, func, *args)
         self._virtual.threads += 1
         future.add_done_callback(self._thread_ended)
@@ -68,16 +68,16 @@
 
 
 class LoopClock(Clock):
-    """The clock of a node in a virtual loop: microseconds of the loop's time."""
+    """The clock of a node in a virtual loop; returns microseconds of the loop's time."""
 
     __slots__ = ()
 
     def now(self):
-        """Microseconds."""
+        """Returns the loop's time in microseconds."""
         return round(asyncio.get_running_loop().time() * 1_000_000)
 
 
 def run_in_virtual_time(work):
-    """Runs a coroutine over real sockets in virtual time; like `asyncio.run`, it ends all tasks."""
+    """Runs a coroutine over real sockets in virtual time; like `asyncio.run`, cancels all remaining tasks."""
     with asyncio.Runner(loop_factory=VirtualIoLoop) as runner:
         return runner.run(work)
--- a/tests/wire_model.py
+++ b/tests/wire_model.py
@@ -1,4 +1,4 @@
-"""Connections in virtual time between two nodes, with what may happen to their bytes, for tests of calls."""
+"""Modelled connections between nodes in virtual time, with delays, cuts and resets, for tests of calls."""
 
 import asyncio
 import collections
@@ -10,18 +10,18 @@
 from petrelhaven.transport.channel import Channel
 from petrelhaven.transport.link import SharedConnections
 
-WAY_S = 0.005
+WAY_S = 0.005  # one-way delay
 
 
 class LoopClock(Clock):
-    """The time of the running loop."""
+    """The clock of the running loop."""
 
     def now(self):
         return int(asyncio.get_running_loop().time() * 1e6)
 
 
 class Node(SharedConnections):
-    """One node: real calls over real channels, on modelled connections."""
+    """A node that makes real calls over real channels, on modelled connections."""
 
     def __init__(self, net, name):
         super().__init__()
@@ -41,24 +41,24 @@
 
 
 class Way:
-    """One direction of a connection: bytes in order, held while it is cut."""
+    """One direction of a connection; delivers messages in order and delays them while it is cut."""
 
     def __init__(self, connection, src, dst):
         self.connection, self.src, self.dst = connection, src, dst
-        self.held = collections.deque()
+        self.delayed = collections.deque()
         self.seen = []
 
     def send(self, raw):
         asyncio.get_running_loop().call_later(WAY_S, self._arrive, raw)
 
     def _arrive(self, raw):
-        if self.held or self.connection.net.is_cut(self.src, self.dst):
-            self.held.append(raw)
+        if self.delayed or self.connection.net.is_cut(self.src, self.dst):
+            self.delayed.append(raw)
         else:
             self.bring(raw)
 
     def bring(self, raw):
-        """Hands one message to the other end, as often as it is called."""
+        """Delivers one message to the other end; repeated calls deliver it again."""
         if raw is None:
             self.connection.ends[self.dst].handle_connection_loss()
         elif not self.connection.ends[self.dst].gone.done():
@@ -72,8 +72,8 @@
                 pass
 
     def heal(self):
-        while self.held:
-            self.bring(self.held.popleft())
+        while self.delayed:
+            self.bring(self.delayed.popleft())
 
 
 class Connection:
@@ -94,19 +94,19 @@
         net.connections.append(self)
 
     def reset(self, name):
-        """One end resets: what is held up of its bytes is lost."""
-        self.ways[name].held.clear()
+        """Resets the connection from one end; its delayed messages are lost."""
+        self.ways[name].delayed.clear()
         self.ways[name].send(None)
 
     def break_off(self):
-        """The network loses the connection: both ends learn of it, what is held up is lost."""
+        """Breaks the connection: both ends are notified, and delayed messages are lost."""
         for name, way in self.ways.items():
-            way.held.clear()
+            way.delayed.clear()
             self.ends[name].handle_connection_loss()
 
 
 class Net:
-    """All nodes, connections and cuts."""
+    """The network: all nodes, connections and cuts."""
 
     def __init__(self):
         self.nodes, self.connections, self.cuts, self.closed = {}, [], set(), []
@@ -123,13 +123,13 @@
 
     def heal(self, src, dst):
         self.cuts.discard((src, dst))
-        for c in self.connections:
-            if src in c.ways and c.ways[src].dst == dst:
-                c.ways[src].heal()
+        for connection in self.connections:
+            if src in connection.ways and connection.ways[src].dst == dst:
+                connection.ways[src].heal()
 
 
 def virtual(fn):
-    """What `fn(net)` returns, run in virtual time."""
+    """Runs `fn(net)` in virtual time and returns its result."""
     loop = WarpLoop()
     asyncio.set_event_loop(loop)
 
