--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -157,9 +157,9 @@
 
 
 def test_invalid_values_in_well_formed_messages_are_counted_and_no_node_fails():
-    async def go(w):
-        await w.start()
-        junk = [
+    async def go(world):
+        await world.start()
+        invalid_values = [
             None,
             3,
             "x",
@@ -170,11 +170,11 @@
             [[1, 2, 3, 4, 5, 6]],
             [["e9", "edge", "a", "sim:e9", "x", "alive"]],
         ]
-        for b in (w.cores[0], w.edges[0]):
-            n = b.link.garbage
-            for x in junk:
+        for node in (world.cores[0], world.edges[0]):
+            garbage_before = node.link.garbage
+            for value in invalid_values:
                 for kind in ("kith.probe", "kith.ack", "kith.ask"):
-                    b.link.receive_datagram(
+                    node.link.receive_datagram(
                         pack(
                             kind,
                             DATAGRAM,
@@ -182,41 +182,41 @@
                             {
                                 "nonce": 1,
                                 "src": "sim:e2",
-                                "news": x,
+                                "news": value,
                                 **({"to": "sim:e3"} if kind == "kith.ask" else {}),
                             },
                         )
                     )
-            assert b.link.garbage > n
-        ch = await w.edges[1].link.open(w.edges[0].link.addr)
+            assert node.link.garbage > garbage_before
+        channel = await world.edges[1].link.open(world.edges[0].link.addr)
         for kind in sorted(KINDS):
-            for x in (None, 3, "x", [], {}, [[1]]):
-                ask = {
-                    f["name"]: (
-                        x
-                        if f["name"] in KINDS[kind].request.documents
+            for value in (None, 3, "x", [], {}, [[1]]):
+                body = {
+                    field["name"]: (
+                        value
+                        if field["name"] in KINDS[kind].request.documents
                         else {"string": "sim:e3", "long": 1, "boolean": False}.get(
-                            str(f["type"]), []
+                            str(field["type"]), []
                         )
                     )
-                    for f in KINDS[kind].request.schema["fields"]
+                    for field in KINDS[kind].request.schema["fields"]
                 }
-                if isinstance(ask.get("acked"), list):
-                    ask["acked"] = 1
+                if isinstance(body.get("acked"), list):
+                    body["acked"] = 1
                 if kind in ("kith.probe", "kith.ack", "kith.ask", "edge.push"):
                     continue
                 try:
-                    await ch.call(kind, ask, 400_000)
-                except Fault as f:
-                    assert type(f) is not Fault and not ch.gone.done(), (kind, f)
+                    await channel.call(kind, body, 400_000)
+                except Fault as fault:
+                    assert type(fault) is not Fault and not channel.gone.done(), (kind, fault)
         await asyncio.sleep(3)
-        sid = (await w.edges[0].node.open_session())["session"]
+        sid = (await world.edges[0].node.open_session())["session"]
         assert (
-            await w.edges[2].node.statement(
+            await world.edges[2].node.statement(
                 sid, {"verb": "put", "route": "g1", "key": "z", "value": 1, "try": 1}
             )
         )["outcome"] == "kept"
-        return [x for x in w.net.findings if not x[3].startswith("E112 ")]
+        return [finding for finding in world.net.findings if not finding[3].startswith("E112 ")]
 
     assert inside(go, 2)[0] == []
 
@@ -233,21 +233,21 @@
 
 def test_an_invalid_answer_of_a_member_is_a_typed_fault_and_never_a_result():
     async def go():
-        odd = {}
+        answer = {}
 
-        async def any_(req):
-            await read_json_body(req)
+        async def handle(request):
+            await read_json_body(request)
             from aiohttp import web
 
-            return web.Response(text=odd["text"], content_type="application/json")
+            return web.Response(text=answer["text"], content_type="application/json")
 
-        f = HttpServer()
-        for p in ("/open", "/run", "/status"):
-            f.on("POST", p, any_)
-        a, tasks = await f.start(), BackgroundTasks()
-        w = Wire(LoopClock(), tasks)
-        odd["text"] = '{"conn": 1}'
-        c = await w.open(a)
+        server = HttpServer()
+        for path in ("/open", "/run", "/status"):
+            server.on("POST", path, handle)
+        address, tasks = await server.start(), BackgroundTasks()
+        wire = Wire(LoopClock(), tasks)
+        answer["text"] = '{"conn": 1}'
+        connection = await wire.open(address)
         for text in (
             "",
             "nope",
@@ -259,17 +259,17 @@
             '{"results": [3]}',
             '{"role": 1, "log": "x", "term": 0}',
         ):
-            odd["text"] = text
-            for fn in (
-                lambda: c.run([{"v": "get"}], 1_000_000),
-                lambda: w.status(a, 1_000_000),
-                lambda: w.open(a),
+            answer["text"] = text
+            for operation in (
+                lambda: connection.run([{"v": "get"}], 1_000_000),
+                lambda: wire.status(address, 1_000_000),
+                lambda: wire.open(address),
             ):
                 with pytest.raises(Unreachable):
-                    await fn()
-        c.close()
-        await w.close()
-        await f.close()
+                    await operation()
+        connection.close()
+        await wire.close()
+        await server.close()
         await tasks.close()
 
     run_in_virtual_time(go())
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -207,41 +207,41 @@
     """Returns the violations that a random schedule causes."""
 
     async def go(net):
-        f = Fleet(net, how)
+        fleet = Fleet(net, how)
         tasks = []
-        for i, (what, n) in enumerate(steps):
-            if what == "call":
-                kind = "span.deliver" if n % 3 else "creed.belief"
-                tasks.append(asyncio.ensure_future(f.call(f"{kind} {i}", kind)))
-            elif what == "tick":
-                await asyncio.sleep(0.01 * n)
-            elif what == "cut":
+        for index, (action, choice) in enumerate(steps):
+            if action == "call":
+                kind = "span.deliver" if choice % 3 else "creed.belief"
+                tasks.append(asyncio.ensure_future(fleet.call(f"{kind} {index}", kind)))
+            elif action == "tick":
+                await asyncio.sleep(0.01 * choice)
+            elif action == "cut":
                 # mostly the link between caller and target, in either direction
-                net.cut(*(("a", "b"), ("b", "a"), ("a", "b"), WAYS[n])[n % 4])
-            elif what == "heal" and net.cuts:
-                net.heal(*sorted(net.cuts)[n % len(net.cuts)])
-            elif what == "break" and net.connections:
-                net.connections[n % len(net.connections)].break_off()
-            elif what == "deaf":
-                net.deaf.add(("a", "b") if n % 2 else WAYS[n])
-            elif what == "alone":
+                net.cut(*(("a", "b"), ("b", "a"), ("a", "b"), WAYS[choice])[choice % 4])
+            elif action == "heal" and net.cuts:
+                net.heal(*sorted(net.cuts)[choice % len(net.cuts)])
+            elif action == "break" and net.connections:
+                net.connections[choice % len(net.connections)].break_off()
+            elif action == "deaf":
+                net.deaf.add(("a", "b") if choice % 2 else WAYS[choice])
+            elif action == "alone":
                 net.deaf |= {("c", "b"), ("d", "b")}
-            elif what == "hear":
+            elif action == "hear":
                 net.deaf.clear()
             await asyncio.sleep(0.001)
-        done = await asyncio.gather(*tasks)
-        for way in list(net.cuts):
-            net.heal(*way)
+        outcomes = await asyncio.gather(*tasks)
+        for cut in list(net.cuts):
+            net.heal(*cut)
         await asyncio.sleep(3)
-        for token, outcome in done:
-            runs = f.ran.count(token)
+        for token, outcome in outcomes:
+            runs = fleet.ran.count(token)
             if runs > 1 and token.startswith("span.deliver"):
-                f.bad.append(("ran twice", token))
+                fleet.bad.append(("ran twice", token))
             if outcome == "unsent" and runs:
-                f.bad.append(("ran, though nothing had left", token))
+                fleet.bad.append(("ran, though nothing had left", token))
             if outcome == "ok" and not runs:
-                f.bad.append(("an answer to nothing", token))
-        return f.bad
+                fleet.bad.append(("an answer to nothing", token))
+        return fleet.bad
 
     return virtual(go)
 
--- a/tests/test_channel_model.py
+++ b/tests/test_channel_model.py
@@ -82,51 +82,53 @@
 
         def record_arrival(raw):
             if raw is not None:
-                m = unpack(raw)
-                if m.flow == CALL:
-                    self.arrived.setdefault(token_of(m.kind, m.body), self.a.clock.now())
+                message = unpack(raw)
+                if message.flow == CALL:
+                    self.arrived.setdefault(
+                        token_of(message.kind, message.body), self.a.clock.now()
+                    )
             bring(raw)
 
         way.bring = record_arrival
 
-    async def call(self, kind, us):
+    async def call(self, kind, timeout_us):
         token = f"{kind} {next(self.tokens)}"
         try:
-            r = await self.channel.call(kind, ASKS[kind](token), us)
-            if r[ANSWERS[kind]] != token:
-                self.bad.append(("answer of another", token, r))
+            answer = await self.channel.call(kind, ASKS[kind](token), timeout_us)
+            if answer[ANSWERS[kind]] != token:
+                self.bad.append(("answer of another", token, answer))
         except (Fault, asyncio.CancelledError):
             self.given_up[token] = self.a.clock.now()
 
-    async def step(self, what, i, us):
+    async def step(self, action, choice, timeout_us):
         connections = self.net.connections
-        if what == "call":
+        if action == "call":
             if self.channel.gone.done() and not self.net.cuts:
                 await self.connect()
-            self.calls.append(asyncio.ensure_future(self.call(KINDS[i % 3], us)))
-        elif what == "cancel" and self.calls:
-            self.calls[i % len(self.calls)].cancel()
-        elif what == "tick":
-            await asyncio.sleep(0.004 * (1 + i))
-        elif what == "reset":
+            self.calls.append(asyncio.ensure_future(self.call(KINDS[choice % 3], timeout_us)))
+        elif action == "cancel" and self.calls:
+            self.calls[choice % len(self.calls)].cancel()
+        elif action == "tick":
+            await asyncio.sleep(0.004 * (1 + choice))
+        elif action == "reset":
             connections[-1].break_off()
-        elif what in ("cut", "cut back"):
-            self.net.cut(*("ab" if what == "cut" else "ba"))
-        elif what == "heal":
+        elif action in ("cut", "cut back"):
+            self.net.cut(*("ab" if action == "cut" else "ba"))
+        elif action == "heal":
             self.net.heal("a", "b")
             self.net.heal("b", "a")
-        elif what == "reconnect" and not self.net.cuts:
+        elif action == "reconnect" and not self.net.cuts:
             await self.connect()
-        elif what == "again":
-            way = connections[i % len(connections)].ways["b"]
+        elif action == "again":
+            way = connections[choice % len(connections)].ways["b"]
             if way.seen:
-                way.bring(way.seen[i % len(way.seen)])
-        elif what == "call again":
-            way = connections[i % len(connections)].ways["a"]
+                way.bring(way.seen[choice % len(way.seen)])
+        elif action == "call again":
+            way = connections[choice % len(connections)].ways["a"]
             if way.seen:
-                way.bring(way.seen[i % len(way.seen)])
-        elif what == "other kind":
-            number = max(1, self.channel._last_sent_number - i % 3)
+                way.bring(way.seen[choice % len(way.seen)])
+        elif action == "other kind":
+            number = max(1, self.channel._last_sent_number - choice % 3)
             pending = self.channel._pending.get(number)
             asked = (
                 pending.kind if pending is not None else self.channel._abandoned_kinds.get(number)
@@ -140,21 +142,21 @@
             self.net.heal(*way)
         await asyncio.sleep(1)
         await asyncio.gather(*self.calls)
-        once = [t for t in self.ran if t.startswith("span.deliver")]
-        if len(set(once)) < len(once):
-            self.bad.append(("ran twice", sorted(once)))
-        for c in self.net.connections:
-            assert not any(end._pending for end in c.ends.values())
+        single_runs = [token for token in self.ran if token.startswith("span.deliver")]
+        if len(set(single_runs)) < len(single_runs):
+            self.bad.append(("ran twice", sorted(single_runs)))
+        for connection in self.net.connections:
+            assert not any(end._pending for end in connection.ends.values())
         return self.bad
 
 
 def played(steps):
     async def go(net):
-        p = Play(net)
-        await p.connect()
+        play = Play(net)
+        await play.connect()
         for step in steps:
-            await p.step(*step)
-        return await p.end()
+            await play.step(*step)
+        return await play.end()
 
     return virtual(go)
 
@@ -258,16 +260,16 @@
 
 def test_an_answer_of_another_kind_under_a_number_ends_the_connection():
     async def go(net):
-        p = Play(net)
-        await p.connect()
-        f = asyncio.ensure_future(p.channel.call("creed.belief", {"who": "x"}, 1_000_000))
+        play = Play(net)
+        await play.connect()
+        call = asyncio.ensure_future(play.channel.call("creed.belief", {"who": "x"}, 1_000_000))
         await asyncio.sleep(0)
         with pytest.raises(Malformed):
-            p.channel.feed(pack("chain.read", RESULT, 1, {"doc": "y"}))
+            play.channel.feed(pack("chain.read", RESULT, 1, {"doc": "y"}))
         net.connections[-1].ways["b"].bring(pack("chain.read", RESULT, 1, {"doc": "y"}))
         with pytest.raises(Fault):
-            await f
-        assert p.channel.gone.done()
+            await call
+        assert play.channel.gone.done()
 
     virtual(go)
 
@@ -276,21 +278,21 @@
     """An answer to a later call shows that the earlier call arrived, so the connection needs no reset."""
 
     async def go(net):
-        p = Play(net)
-        await p.connect()
+        play = Play(net)
+        await play.connect()
 
         async def slow(channel, body):
             await asyncio.sleep(5)
 
-        p.b.on("span.deliver", slow)
+        play.b.on("span.deliver", slow)
         late = asyncio.ensure_future(
-            p.channel.call("span.deliver", ASKS["span.deliver"]("s"), 50_000)
+            play.channel.call("span.deliver", ASKS["span.deliver"]("s"), 50_000)
         )
         await asyncio.sleep(0.005)
-        assert await p.channel.call("creed.belief", {"who": "x"}, 100_000) == {"doc": "x"}
+        assert await play.channel.call("creed.belief", {"who": "x"}, 100_000) == {"doc": "x"}
         with pytest.raises(Fault):
             await late
-        assert not p.channel.gone.done()
+        assert not play.channel.gone.done()
 
     virtual(go)
 
@@ -303,10 +305,10 @@
 
 def test_an_answer_to_a_call_that_was_never_sent_ends_the_connection():
     async def go(net):
-        p = Play(net)
-        await p.connect()
+        play = Play(net)
+        await play.connect()
         for number in (0, 1):
             with pytest.raises(Malformed):
-                p.channel.feed(pack("chain.read", RESULT, number, {"doc": "y"}))
+                play.channel.feed(pack("chain.read", RESULT, number, {"doc": "y"}))
 
     virtual(go)
--- a/tests/test_light_http.py
+++ b/tests/test_light_http.py
@@ -28,65 +28,65 @@
 DRAWN = settings(
     max_examples=120, phases=[Phase.generate], deadline=None, derandomize=True, database=None
 )
-MOST = 1000
+MAX_BODY_BYTES = 1000
 
 
 class RecordingServer:
     """A server whose handlers record their arguments."""
 
     def __init__(self):
-        self.calls, self.held = [], None
-        self.http_server = LightHttpServer("127.0.0.1", 0, max_body_bytes=MOST)
+        self.calls, self.pending_response = [], None
+        self.http_server = LightHttpServer("127.0.0.1", 0, max_body_bytes=MAX_BODY_BYTES)
 
-        async def echo(q):
-            self.calls.append(("echo", q.body))
-            return q.body
+        async def echo(request):
+            self.calls.append(("echo", request.body))
+            return request.body
 
-        async def below(q, rest):
-            self.calls.append(("below", rest))
-            return {"rest": rest}
+        async def below(request, segment):
+            self.calls.append(("below", segment))
+            return {"rest": segment}
 
-        async def doc(q):
-            return q.doc()
+        async def doc(request):
+            return request.doc()
 
-        async def held(q):
-            await self.held
+        async def wait(request):
+            await self.pending_response
             return {}
 
-        async def odd(q):
+        async def fail(request):
             raise {
                 "/stale": Stale("old", details={"n": 1}),
                 "/busy": NotReady("soon"),
                 "/fault": ValueError("x"),
                 "/deep": RecursionError(),
-            }[q.path]
+            }[request.path]
 
-        async def shaped(q):
+        async def custom_response(request):
             return 204, b"", (("X-More", "1"),)
 
-        async def unshaped(q):
+        async def not_serializable(request):
             return {"x": object()}
 
-        for verb, path, fn in (
+        for verb, path, handler in (
             ("POST", "/echo", echo),
             ("GET", "/echo", echo),
             ("GET", "/below/", below),
             ("POST", "/doc", doc),
-            ("GET", "/held", held),
-            ("GET", "/shaped", shaped),
-            ("GET", "/unshaped", unshaped),
-            *(("GET", f"/{x}", odd) for x in ("stale", "busy", "fault", "deep")),
+            ("GET", "/held", wait),
+            ("GET", "/shaped", custom_response),
+            ("GET", "/unshaped", not_serializable),
+            *(("GET", f"/{name}", fail) for name in ("stale", "busy", "fault", "deep")),
         ):
-            self.http_server.on(verb, path, fn)
+            self.http_server.on(verb, path, handler)
 
 
 class Transport:
     def __init__(self):
-        self.out, self.closed, self.proto, self.late = b"", False, None, b""
+        self.out, self.closed, self.protocol, self.written_after_close = b"", False, None, b""
 
     def write(self, data):
         if self.closed:
-            self.late += data
+            self.written_after_close += data
         else:
             self.out += data
 
@@ -96,30 +96,30 @@
     def close(self):
         if not self.closed:
             self.closed = True
-            asyncio.get_running_loop().call_soon(self.proto.connection_lost, None)
+            asyncio.get_running_loop().call_soon(self.protocol.connection_lost, None)
 
 
 class ConnectionMaker:
     """Replaces the listening socket: creates the protocol of one connection."""
 
-    def __init__(self, called):
-        self.called = called
+    def __init__(self, recording_server):
+        self.recording_server = recording_server
 
     async def open(self):
         loop = asyncio.get_running_loop()
-        made = []
+        factories = []
 
         async def create_server(factory, *_, **__):
-            made.append(factory)
-            s = type("S", (), {"sockets": [self], "close": lambda _: None})()
-            return s
+            factories.append(factory)
+            listener = type("S", (), {"sockets": [self], "close": lambda _: None})()
+            return listener
 
         loop.create_server, self.getsockname = create_server, lambda: ("127.0.0.1", 1)
-        await self.called.http_server.start()
-        tr = Transport()
-        tr.proto = made[0]()
-        tr.proto.connection_made(tr)
-        return tr.proto, tr
+        await self.recording_server.http_server.start()
+        transport = Transport()
+        transport.protocol = factories[0]()
+        transport.protocol.connection_made(transport)
+        return transport.protocol, transport
 
 
 def talk(fn):
@@ -127,49 +127,55 @@
     loop = WarpLoop()
     asyncio.set_event_loop(loop)
     loop_errors = []
-    loop.set_exception_handler(lambda _, c: loop_errors.append(c))
+    loop.set_exception_handler(lambda _, context: loop_errors.append(context))
 
     async def go():
-        c = RecordingServer()
-        p, tr = await ConnectionMaker(c).open()
-        return await fn(c, p, tr)
+        recording_server = RecordingServer()
+        protocol, transport = await ConnectionMaker(recording_server).open()
+        return await fn(recording_server, protocol, transport)
 
     try:
-        got = loop.run_until_complete(go())
+        result = loop.run_until_complete(go())
     finally:
         end_all(loop)
         loop.close()
         asyncio.set_event_loop(None)
     assert not loop_errors, loop_errors
-    return got
+    return result
 
 
 def answers(out, verbs=("GET",)):
     """Parses responses; returns (status, headers, body) of each."""
-    c, got = h11.Connection(h11.CLIENT), []
+    client, responses = h11.Connection(h11.CLIENT), []
     if not out:
-        return got
-    c.receive_data(out)
-    for v in [*verbs, *["GET"] * 20]:
-        c.send(h11.Request(method=v, target="/", headers=[("Host", "x")]))
-        c.send(h11.EndOfMessage())
+        return responses
+    client.receive_data(out)
+    for verb in [*verbs, *["GET"] * 20]:
+        client.send(h11.Request(method=verb, target="/", headers=[("Host", "x")]))
+        client.send(h11.EndOfMessage())
         body = b""
         while True:
-            e = c.next_event()
-            if e is h11.NEED_DATA or type(e) is h11.ConnectionClosed:
-                assert c.trailing_data[0] == b""
-                return got
-            if type(e) is h11.Response:
-                head = e
-            elif type(e) is h11.Data:
-                body += bytes(e.data)
-            elif type(e) is h11.EndOfMessage:
+            event = client.next_event()
+            if event is h11.NEED_DATA or type(event) is h11.ConnectionClosed:
+                assert client.trailing_data[0] == b""
+                return responses
+            if type(event) is h11.Response:
+                response = event
+            elif type(event) is h11.Data:
+                body += bytes(event.data)
+            elif type(event) is h11.EndOfMessage:
                 break
-        got.append((head.status_code, {k.decode(): x.decode() for k, x in head.headers}, body))
-        if c.our_state is not h11.DONE or c.their_state is not h11.DONE:
-            return got
-        c.start_next_cycle()
-    return got
+        responses.append(
+            (
+                response.status_code,
+                {name.decode(): value.decode() for name, value in response.headers},
+                body,
+            )
+        )
+        if client.our_state is not h11.DONE or client.their_state is not h11.DONE:
+            return responses
+        client.start_next_cycle()
+    return responses
 
 
 def get(path, verb="GET", body=b"", heads=""):
@@ -274,7 +280,7 @@
 
 @pytest.mark.parametrize("chunked", [False, True])
 def test_a_body_over_the_bound_is_declined_and_no_handler_called(chunked):
-    body = b"x" * (MOST + 1)
+    body = b"x" * (MAX_BODY_BYTES + 1)
     raw = (
         get("/echo", "POST", body)
         if not chunked
@@ -290,8 +296,8 @@
         and closed
         and not calls
     )
-    got, closed, calls = one(get("/echo", "POST", b"x" * MOST))
-    assert got[0][0] == 200 and len(got[0][2]) == MOST and not closed
+    got, closed, calls = one(get("/echo", "POST", b"x" * MAX_BODY_BYTES))
+    assert got[0][0] == 200 and len(got[0][2]) == MAX_BODY_BYTES and not closed
 
 
 PARTS = st.lists(
@@ -341,12 +347,12 @@
 
 def test_a_half_closed_connection_is_answered_and_then_closed():
     async def go(c, p, tr):
-        c.held = asyncio.get_running_loop().create_future()
+        c.pending_response = asyncio.get_running_loop().create_future()
         p.data_received(get("/held"))
         assert p.eof_received()
         await asyncio.sleep(1)
         assert tr.out == b"" and not tr.closed
-        c.held.set_result(None)
+        c.pending_response.set_result(None)
         await asyncio.sleep(1)
         assert (
             [x[0] for x in answers(tr.out)] == [200] and tr.closed and not c.http_server.connections
@@ -383,13 +389,13 @@
 
 def test_a_lost_connection_gets_no_response_and_is_removed():
     async def go(c, p, tr):
-        c.held = asyncio.get_running_loop().create_future()
+        c.pending_response = asyncio.get_running_loop().create_future()
         p.data_received(get("/held"))
         await asyncio.sleep(0.1)
         tr.close()
-        c.held.set_result(None)
+        c.pending_response.set_result(None)
         await asyncio.sleep(1)
-        assert tr.out == tr.late == b"" and not c.http_server.connections
+        assert tr.out == tr.written_after_close == b"" and not c.http_server.connections
 
     talk(go)
 
@@ -424,24 +430,24 @@
     """
 
     async def go():
-        ends, got = [], []
+        writers, received = [], []
 
-        async def peer(r, w):
-            ends.append(w)
-            got.append(await r.readuntil(b"\r\n\r\n"))
+        async def peer(reader, writer):
+            writers.append(writer)
+            received.append(await reader.readuntil(b"\r\n\r\n"))
             for part in script or ():
-                w.write(part)
-                await w.drain()
+                writer.write(part)
+                await writer.drain()
             if script is not None:
-                w.close()
+                writer.close()
 
-        s = await asyncio.start_server(peer, "127.0.0.1", 0)
+        listener = await asyncio.start_server(peer, "127.0.0.1", 0)
         try:
-            a = "127.0.0.1:%d" % s.sockets[0].getsockname()[1]
-            return await light_call(LoopClock(), a, "POST", "/p", doc, heads, us), got
+            address = "127.0.0.1:%d" % listener.sockets[0].getsockname()[1]
+            return await light_call(LoopClock(), address, "POST", "/p", doc, heads, us), received
         finally:
-            for e in [s, *ends]:
-                e.close()
+            for closable in [listener, *writers]:
+                closable.close()
 
     return run_in_virtual_time(go())
 
