--- a/tests/test_light_http.py
+++ b/tests/test_light_http.py
@@ -186,10 +186,10 @@
 
 
 def one(raw, verb="GET"):
-    async def go(c, p, tr):
-        p.data_received(raw)
+    async def go(server, protocol, transport):
+        protocol.data_received(raw)
         await asyncio.sleep(1)
-        return answers(tr.out, (verb,)), tr.closed, c.calls
+        return answers(transport.out, (verb,)), transport.closed, server.calls
 
     return talk(go)
 
@@ -235,8 +235,8 @@
 
 
 def test_a_head_request_has_no_body_and_the_connection_goes_on():
-    async def go(c, p, tr):
-        p.data_received(
+    async def go(server, protocol, transport):
+        protocol.data_received(
             get("/below/a")
             + get("/none", "HEAD")
             + get("/below/a")
@@ -244,11 +244,11 @@
             + b"nonsense\r\n\r\n"
         )
         await asyncio.sleep(1)
-        got = answers(tr.out, ("GET", "HEAD", "GET", "HEAD"))
+        got = answers(transport.out, ("GET", "HEAD", "GET", "HEAD"))
         assert (
-            [x[0] for x in got] == [200, 404, 200, 404, 400]
+            [response[0] for response in got] == [200, 404, 200, 404, 400]
             and got[1][2] == got[3][2] == b""
-            and tr.closed
+            and transport.closed
         )
 
     talk(go)
@@ -346,68 +346,79 @@
 
 
 def test_a_half_closed_connection_is_answered_and_then_closed():
-    async def go(c, p, tr):
-        c.pending_response = asyncio.get_running_loop().create_future()
-        p.data_received(get("/held"))
-        assert p.eof_received()
+    async def go(server, protocol, transport):
+        server.pending_response = asyncio.get_running_loop().create_future()
+        protocol.data_received(get("/held"))
+        assert protocol.eof_received()
         await asyncio.sleep(1)
-        assert tr.out == b"" and not tr.closed
-        c.pending_response.set_result(None)
+        assert transport.out == b"" and not transport.closed
+        server.pending_response.set_result(None)
         await asyncio.sleep(1)
         assert (
-            [x[0] for x in answers(tr.out)] == [200] and tr.closed and not c.http_server.connections
+            [response[0] for response in answers(transport.out)] == [200]
+            and transport.closed
+            and not server.http_server.connections
         )
 
     talk(go)
 
 
 def test_a_caller_that_stops_inside_a_request_or_between_them_is_closed():
-    async def go(c, p, tr):
-        p.data_received(get("/echo", "POST", b"abc")[:-1])
-        assert not p.eof_received()
+    async def go(server, protocol, transport):
+        protocol.data_received(get("/echo", "POST", b"abc")[:-1])
+        assert not protocol.eof_received()
         await asyncio.sleep(1)
-        assert [x[0] for x in answers(tr.out)] == [400] and tr.closed and not c.calls
+        assert (
+            [response[0] for response in answers(transport.out)] == [400]
+            and transport.closed
+            and not server.calls
+        )
 
     talk(go)
 
-    async def idle(c, p, tr):
-        assert not p.eof_received()
-        assert tr.out == b"" and tr.closed
+    async def idle(server, protocol, transport):
+        assert not protocol.eof_received()
+        assert transport.out == b"" and transport.closed
 
     talk(idle)
 
 
 def test_requests_in_a_row_before_the_end_are_all_answered():
-    async def go(c, p, tr):
-        p.data_received(get("/below/a") * 3)
-        assert p.eof_received()
+    async def go(server, protocol, transport):
+        protocol.data_received(get("/below/a") * 3)
+        assert protocol.eof_received()
         await asyncio.sleep(1)
-        assert [x[0] for x in answers(tr.out)] == [200] * 3 and tr.closed
+        assert [response[0] for response in answers(transport.out)] == [
+            200
+        ] * 3 and transport.closed
 
     talk(go)
 
 
 def test_a_lost_connection_gets_no_response_and_is_removed():
-    async def go(c, p, tr):
-        c.pending_response = asyncio.get_running_loop().create_future()
-        p.data_received(get("/held"))
+    async def go(server, protocol, transport):
+        server.pending_response = asyncio.get_running_loop().create_future()
+        protocol.data_received(get("/held"))
         await asyncio.sleep(0.1)
-        tr.close()
-        c.pending_response.set_result(None)
+        transport.close()
+        server.pending_response.set_result(None)
         await asyncio.sleep(1)
-        assert tr.out == tr.written_after_close == b"" and not c.http_server.connections
+        assert (
+            transport.out == transport.written_after_close == b""
+            and not server.http_server.connections
+        )
 
     talk(go)
 
 
 def test_an_idle_connection_is_closed_and_a_used_one_is_not():
-    async def go(c, p, tr):
+    async def go(server, protocol, transport):
         for _ in range(4):
             await asyncio.sleep(50)
-            p.data_received(get("/below/a"))
-        assert not tr.closed
+            protocol.data_received(get("/below/a"))
+        assert not transport.closed
         await asyncio.sleep(61)
-        assert tr.closed and len(answers(tr.out)) == 4
+        assert transport.closed and len(answers(transport.out)) == 4
 
     talk(go)
 
@@ -519,14 +530,21 @@
 
 def test_the_client_works_with_the_server():
     async def go():
-        c = RecordingServer()
-        a = await c.http_server.start()
-        assert await light_call(LoopClock(), a, "POST", "/doc", {"x": [1]}) == (200, {"x": [1]})
-        st_, d = await light_call(LoopClock(), a, "GET", "/busy")
-        assert st_ == 503 and d["fault"] == "not-ready" and isinstance(d["retry_after_us"], int)
-        await c.http_server.close()
+        server = RecordingServer()
+        address = await server.http_server.start()
+        assert await light_call(LoopClock(), address, "POST", "/doc", {"x": [1]}) == (
+            200,
+            {"x": [1]},
+        )
+        status, document = await light_call(LoopClock(), address, "GET", "/busy")
+        assert (
+            status == 503
+            and document["fault"] == "not-ready"
+            and isinstance(document["retry_after_us"], int)
+        )
+        await server.http_server.close()
         with pytest.raises(NotSent):
-            await light_call(LoopClock(), a, "GET", "/busy")
+            await light_call(LoopClock(), address, "GET", "/busy")
 
     run_in_virtual_time(go())
     assert issubclass(NotSent, Fault)
