--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -223,11 +223,11 @@
             elif action == "break" and net.connections:
                 net.connections[choice % len(net.connections)].break_off()
             elif action == "deaf":
-                net.deaf.add(("a", "b") if choice % 2 else WAYS[choice])
+                net.refused_links.add(("a", "b") if choice % 2 else WAYS[choice])
             elif action == "alone":
-                net.deaf |= {("c", "b"), ("d", "b")}
+                net.refused_links |= {("c", "b"), ("d", "b")}
             elif action == "hear":
-                net.deaf.clear()
+                net.refused_links.clear()
             await asyncio.sleep(0.001)
         outcomes = await asyncio.gather(*tasks)
         for cut in list(net.cuts):
@@ -321,7 +321,7 @@
         assert [r["doc"] for r in await asyncio.gather(*both)] == ["x", "y"]
         assert len(net.connections) == 1
         net.connections[0].break_off()
-        net.deaf.add(("a", "b"))
+        net.refused_links.add(("a", "b"))
         both = [a.call("b", "creed.belief", {"who": n}, 100_000) for n in ("x", "y")]
         got = await asyncio.gather(*both, return_exceptions=True)
         assert [type(e) for e in got] == [NotSent, NotSent]
--- a/tests/wire_model.py
+++ b/tests/wire_model.py
@@ -110,13 +110,13 @@
 
     def __init__(self):
         self.nodes, self.connections, self.cuts, self.closed = {}, [], set(), []
-        self.deaf = set()
+        self.refused_links = set()
 
     def is_cut(self, src, dst):
         return (src, dst) in self.cuts
 
     def refuses(self, src, dst):
-        return (src, dst) in self.deaf or self.is_cut(src, dst) or self.is_cut(dst, src)
+        return (src, dst) in self.refused_links or self.is_cut(src, dst) or self.is_cut(dst, src)
 
     def cut(self, src, dst):
         self.cuts.add((src, dst))
