--- a/tests/test_platform_lines.py
+++ b/tests/test_platform_lines.py
@@ -15,7 +15,7 @@
 
 from client_connection import ClientConnection  # noqa: E402
 from configuration_documents import configuration_text, internal_name  # noqa: E402
-from member_connections import LineMemberConnection, LineWire  # noqa: E402
+from member_connections import LineMemberConnection, LineProtocolConnector  # noqa: E402
 from petrelhaven.control.state.control_state import ControlState  # noqa: E402
 from petrelhaven.proxy.node import ProxyNode  # noqa: E402
 from petrelhaven.proxy.pool.member_connection import MemberConnection  # noqa: E402
@@ -31,7 +31,7 @@
 )
 from petrelhaven.runtime.tasks import BackgroundTasks  # noqa: E402
 from petrelhaven.simulator.virtual_time import WarpLoop, end_all  # noqa: E402
-from statements import LONGEST_LINE  # noqa: E402
+from statements import MAX_LINE_BYTES  # noqa: E402
 
 DRAWN = settings(
     max_examples=60, phases=[Phase.generate], deadline=None, derandomize=True, database=None
@@ -427,7 +427,7 @@
         (b"CONNECT nowhere me\r\n", b"NODB"),
         (b"CONNECT  me\r\n", b"NODB"),
         (b"CONNECT DB me\r\n", b"NODB"),
-        (b"CONNECT " + b"x" * LONGEST_LINE + b"\r\n", b"TOOLARGE"),
+        (b"CONNECT " + b"x" * MAX_LINE_BYTES + b"\r\n", b"TOOLARGE"),
         (b"CONNECT db\nQUERY 1 PUT k v\r\n", b"MALFORMED"),
         (b"CONNECT db me\r\r\n", b"MALFORMED"),
     ],
@@ -558,7 +558,7 @@
 def test_a_message_over_the_bound_is_not_run(whole):
     async def go(d):
         f, tr = d.client()
-        raw = b"QUERY 1 PUT k " + b"x" * LONGEST_LINE + (b"\r\n" if whole else b"")
+        raw = b"QUERY 1 PUT k " + b"x" * MAX_LINE_BYTES + (b"\r\n" if whole else b"")
         for at in range(0, len(raw), 1 << 18):
             if not tr.closed:
                 f.data_received(raw[at : at + (1 << 18)])
@@ -572,11 +572,11 @@
     async def go(d):
         f, tr = d.client()
         head = b"QUERY 1 PUT k "
-        f.data_received(head + b"x" * (LONGEST_LINE - len(head)) + b"\r\n")
+        f.data_received(head + b"x" * (MAX_LINE_BYTES - len(head)) + b"\r\n")
         await rest()
         assert replies(tr.out)[0][0][1].startswith(b"COMPLETE") and len(
             d.member.kept["k"]
-        ) == LONGEST_LINE - len(head)
+        ) == MAX_LINE_BYTES - len(head)
 
     virtual(go)
 
@@ -776,13 +776,13 @@
 
 @pytest.mark.parametrize(
     ("text", "runs"),
-    [(b"PUT a 1", range(64, 67)), (b"PUT a " + b"x" * (LONGEST_LINE >> 2), range(4, 8))],
+    [(b"PUT a 1", range(64, 67)), (b"PUT a " + b"x" * (MAX_LINE_BYTES >> 2), range(4, 8))],
 )
 def test_more_than_a_session_may_ask_at_once_is_not_run_and_ends_it(text, runs):
     async def go(d):
         f, tr = d.client()
         f.data_received(said(*[text] * 200))
-        assert sum(len(t) for _, t in f._queue) <= 2 * LONGEST_LINE
+        assert sum(len(t) for _, t in f._queue) <= 2 * MAX_LINE_BYTES
         await rest()
         got, end = replies(tr.out)
         assert (
@@ -864,7 +864,7 @@
         b"COMPLETE s\r\nCOMPLETE t\r\nREADY I -\r\n",
         b"ERROR BUSY x\r\nCOMPLETE t\r\nREADY I -\r\n",
         "COMPLETE s\r\nREADY I ².1\r\n".encode(),
-        b"ROW " + b"x" * (LONGEST_LINE + 9),
+        b"ROW " + b"x" * (MAX_LINE_BYTES + 9),
     ],
 )
 def test_a_reply_out_of_order_is_no_reply(raw):
@@ -959,7 +959,7 @@
             return "127.0.0.1:%d" % s.sockets[0].getsockname()[1], got
 
         try:
-            await fn(LineWire(Clock()), serve)
+            await fn(LineProtocolConnector(Clock()), serve)
         finally:
             for e in ends:
                 e.close()
--- a/tests/test_platform_words.py
+++ b/tests/test_platform_words.py
@@ -12,8 +12,8 @@
 from petrelhaven.proxy.session.statement import Reply, Statement  # noqa: E402
 from petrelhaven.runtime.errors import Fault  # noqa: E402
 from statements import (  # noqa: E402
-    CODES_BY_WORD,
-    ERROR_WORDS,
+    CODES_BY_KEYWORD,
+    ERROR_KEYWORDS,
     format_position,
     format_reply,
     format_statement,
@@ -192,12 +192,12 @@
     WORD,
     st.sampled_from("ITE"),
     POSITION,
-    st.none() | st.sampled_from(sorted(ERROR_WORDS)),
+    st.none() | st.sampled_from(sorted(ERROR_KEYWORDS)),
 )
 def test_a_reply_has_its_rows_one_end_and_one_ready(rows, stamp, state, position, code):
     lines = format_reply(Reply(rows, stamp, code, "why", state, position)).split("\r\n")
     assert lines == [f"ROW {r}" for r in rows] + [
-        f"ERROR {ERROR_WORDS[code]} why" if code else f"COMPLETE {stamp}",
+        f"ERROR {ERROR_KEYWORDS[code]} why" if code else f"COMPLETE {stamp}",
         f"READY {state} {format_position(position)}",
         "",
     ]
@@ -205,7 +205,7 @@
 
 
 def test_every_code_has_one_word():
-    assert {CODES_BY_WORD[w] for w in ERROR_WORDS.values()} == set(ERROR_WORDS)
+    assert {CODES_BY_KEYWORD[w] for w in ERROR_KEYWORDS.values()} == set(ERROR_KEYWORDS)
 
 
 @DRAWN
--- a/tests/test_tenant_configuration.py
+++ b/tests/test_tenant_configuration.py
@@ -13,7 +13,7 @@
 from test_platform_lines import Door, LoopClock, WarpLoop, end_all, replies, rest, said
 
 from configuration_documents import configuration_text, platform_configuration  # isort: skip
-from member_connections import LineWire  # isort: skip
+from member_connections import LineProtocolConnector  # isort: skip
 from petrelhaven.control.configuration.parsing import parse_configuration
 from petrelhaven.proxy.proxy_interface import ProxyInterface
 from petrelhaven.runtime.errors import Invalid
@@ -152,7 +152,7 @@
         super().__init__(leave_starting=True)
         self.wire_member = Member()
         asyncio.get_running_loop().create_connection = self.wire_member.connect
-        self.proxy.wire = LineWire(LoopClock())
+        self.proxy.wire = LineProtocolConnector(LoopClock())
         self.proxy.log = logbook.Logger("proxy")
         core_connection = self.core_connection
         core_connection.joined, core_connection.lease_until, core_connection.control_nodes = (
--- a/tests/test_tenant_keys.py
+++ b/tests/test_tenant_keys.py
@@ -8,7 +8,15 @@
 import hashlib
 
 import pytest
-from test_platform_lines import CONFIG, FakeTransport, LineWire, replies, rest, said, virtual
+from test_platform_lines import (
+    CONFIG,
+    FakeTransport,
+    LineProtocolConnector,
+    replies,
+    rest,
+    said,
+    virtual,
+)
 
 KEY, OTHER_KEY = "key-One", "key-two"
 TENANTS = [
@@ -77,7 +85,7 @@
 
     async def go(door):
         member = ScriptedMember()
-        door.proxy.wire = LineWire(door.clock)
+        door.proxy.wire = LineProtocolConnector(door.clock)
         asyncio.get_running_loop().create_connection = member.connect
         if configuration is not None:
             door.configure(configuration)
--- a/tests/test_tenant_names.py
+++ b/tests/test_tenant_names.py
@@ -15,7 +15,7 @@
 from test_platform_lines import Door
 from virtual_io import LoopClock, run_in_virtual_time
 
-from member_connections import LineWire
+from member_connections import LineProtocolConnector
 
 KEYS = {"lima": "k3yOfLima", "cusco": "k3yOfCusco", "ica": "k3yOfIca"}
 TENANTS = [{"Name": name, "ApiKeys": [key]} for name, key in KEYS.items()]
@@ -152,7 +152,7 @@
         super().__init__(leave_starting=True)
         self.members = members
         self.proxy.clock = self.clock = LoopClock()
-        self.proxy.wire = LineWire(self.clock)
+        self.proxy.wire = LineProtocolConnector(self.clock)
         self.numbers = itertools.count(1)
 
     def configure(self, config):
@@ -374,7 +374,9 @@
 def test_a_connection_without_a_tenant_is_opened_under_the_systems_own_name():
     async def go(door):
         member = door.members[0]
-        line = await LineWire(LoopClock()).open(member.address, "svc", member.name, 450_000)
+        line = await LineProtocolConnector(LoopClock()).open(
+            member.address, "svc", member.name, 450_000
+        )
         assert (await line.send_command("status"))["term"] == 1
         assert member.connects == [f"svc {OF_NOBODY} m1"]
         line.close()
