--- a/tests/test_boot_watch.py
+++ b/tests/test_boot_watch.py
@@ -24,8 +24,8 @@
 ROOT = Path(__file__).parent.parent
 sys.path.insert(0, str(ROOT / "platform"))
 
-from boot import load  # noqa: E402
-from reload import Reload  # noqa: E402
+from boot import load_boot_settings  # noqa: E402
+from reload import SettingsReloader  # noqa: E402
 
 pytestmark = pytest.mark.xdist_group("faces")
 BOUNDS = {"ContactMs": 3000, "DrainMs": 3000, "GraceS": 4, "RecoveryS": 8}
@@ -75,9 +75,11 @@
     def __init__(self, path):
         self.path = path
         self.put(EDGE)
-        self.log, self.taken, self.boot = Log(), [], load(str(path))
+        self.log, self.taken, self.boot = Log(), [], load_boot_settings(str(path))
         live = {"seeds": "seeds", "platform_address": "platform"}
-        self.reload = Reload(LoopClock(), self.boot, "edge", live, self.taken.append, self.log)
+        self.reload = SettingsReloader(
+            LoopClock(), self.boot, "edge", live, self.taken.append, self.log
+        )
 
     def put(self, text):
         if text is None:
--- a/tests/test_platform_boot.py
+++ b/tests/test_platform_boot.py
@@ -14,7 +14,7 @@
 ROOT = Path(__file__).parent.parent
 sys.path.insert(0, str(ROOT / "platform"))
 
-from boot import BootFault, load  # noqa: E402
+from boot import BootFault, load_boot_settings  # noqa: E402
 
 DRAWN = settings(
     max_examples=150,
@@ -70,7 +70,7 @@
     def write(text):
         p = tmp_path / "boot.toml"
         p.write_bytes(text if isinstance(text, bytes) else text.encode())
-        return load(str(p))
+        return load_boot_settings(str(p))
 
     return write
 
@@ -253,7 +253,7 @@
     monkeypatch.delenv("PETRELHAVEN_SETTINGS", raising=False)
     for path in (None, str(tmp_path), str(tmp_path / "none")):
         with pytest.raises(ExceptionGroup) as e:
-            load(path)
+            load_boot_settings(path)
         assert len(e.value.exceptions) == 1
 
 
--- a/tests/test_tenant_bounds.py
+++ b/tests/test_tenant_bounds.py
@@ -7,7 +7,7 @@
 from test_platform_boot import EDGE
 from test_tenant_configuration import ACME, BOLT, KEY, OTHER_KEY, PUBLIC, document, play
 
-from boot import load  # isort: skip
+from boot import load_boot_settings  # isort: skip
 from configuration_documents import configuration_text  # isort: skip
 from petrelhaven.control.configuration.parsing import parse_configuration
 from petrelhaven.control.interface.event_feed import EventFeed
@@ -22,7 +22,7 @@
     bound_lines = "".join(f"{name} = {json.dumps(value)}\n" for name, value in bounds.items())
     path = tmp_path / "boot.toml"
     path.write_text(EDGE.replace("[Bounds]\n", f"[Bounds]\n{bound_lines}"))
-    return load(str(path))
+    return load_boot_settings(str(path))
 
 
 # Keys at a disconnected proxy
