--- a/tests/test_member_model.py
+++ b/tests/test_member_model.py
@@ -198,7 +198,7 @@
         self.member.client_of[number] = self.name
         self.member.values_of[number] = dict(self.values)
         self.transport.out = b""
-        if self.disconnected or self.front.gone or self.transport.closed:
+        if self.disconnected or self.front.is_lost or self.transport.closed:
             return None
         self.front.data_received(f"QUERY {number} {text}\r\n".encode())
         for _ in range(1000):
@@ -334,14 +334,14 @@
 
 def reply_goes_to_next_waiter(monkeypatch):
     """Gives a reply to the first request that still waits, not to the one that it answers."""
-    real = LineMemberConnection._end
+    real = LineMemberConnection._complete_reply
 
     def end(self, r):
         while len(self._awaited) > 1 and self._awaited[0].future.done():
             self._awaited.popleft()
         real(self, r)
 
-    monkeypatch.setattr(LineMemberConnection, "_end", end)
+    monkeypatch.setattr(LineMemberConnection, "_complete_reply", end)
     monkeypatch.setattr(LineMemberConnection, "pending_replies", 0)
     monkeypatch.setattr(ConnectionPool, "discard", lambda self, c: self.release(c))
 
