--- a/tests/test_boot_watch.py
+++ b/tests/test_boot_watch.py
@@ -117,7 +117,7 @@
         asyncio.set_event_loop(None)
 
 
-def test_seeds_and_the_platforms_address_are_taken_without_a_signal(tmp_path):
+def test_seeds_and_the_platform_address_are_reloaded_without_a_signal(tmp_path):
     async def go(w):
         assert await w.at(EDGE) == (0, [], []) and w.told() == []
         assert await w.at(OTHER) == (1, [], []) and w.taken[0].seeds == (
@@ -168,7 +168,7 @@
     watched(tmp_path / "b.toml", go)
 
 
-def test_what_a_running_program_can_not_take_waits_for_its_restart(tmp_path):
+def test_restart_only_fields_are_reported_as_waiting(tmp_path):
     async def go(w):
         other = (
             OTHER.replace('Zone = "a"', 'Zone = "b"')
@@ -190,7 +190,7 @@
     watched(tmp_path / "b.toml", go)
 
 
-def test_a_file_that_is_still_being_written_is_let_settle(tmp_path):
+def test_a_file_is_not_loaded_while_it_is_being_written(tmp_path):
     async def go(w):
         await LoopClock().sleep(1_990_000)
         w.put(OTHER[:50])
@@ -289,7 +289,7 @@
     asyncio.run(go())
 
 
-def test_an_edge_whose_seeds_were_wrong_comes_in_once_the_file_is_right(built, tmp_path):
+def test_a_proxy_with_wrong_seeds_joins_after_its_file_is_corrected(built, tmp_path):
     async def go():
         net = network()
         f = Fleet(
@@ -336,7 +336,7 @@
     asyncio.run(go())
 
 
-def test_a_port_that_is_taken_costs_the_face_and_nothing_else(built, tmp_path):
+def test_an_occupied_operator_port_disables_only_the_operator_interface(built, tmp_path):
     async def go():
         f = Fleet(
             built,
--- a/tests/test_platform_boot.py
+++ b/tests/test_platform_boot.py
@@ -90,7 +90,7 @@
     return "\n".join(lines)
 
 
-def test_an_edges_file(loaded):
+def test_a_valid_proxy_file(loaded):
     s = loaded(EDGE)
     assert (s.name, s.zone, s.ip, s.link_address) == (
         "edge-sthlm-hall-a-1",
@@ -118,7 +118,7 @@
     )
 
 
-def test_a_cores_file(loaded):
+def test_a_valid_control_node_file(loaded):
     s = loaded(CORE)
     assert (s.control_address, s.data_folder, s.client_address, s.ready_address) == (
         "10.1.0.42:8180",
@@ -153,7 +153,7 @@
         ("PortRange", "[7580, 7580]"),
     ],
 )
-def test_what_may_differ_is_taken(loaded, field, value):
+def test_valid_variations_are_accepted(loaded, field, value):
     loaded(changed(EDGE, field, value))
 
 
@@ -245,7 +245,7 @@
         b"\0",
     ],
 )
-def test_a_torn_file_is_declined(loaded, text):
+def test_a_truncated_or_undecodable_file_is_rejected(loaded, text):
     assert declined(loaded, text) == ["file"]
 
 
@@ -315,7 +315,9 @@
 
 @pytest.mark.parametrize("program", ["edge", "core"])
 @pytest.mark.parametrize("torn", [False, True])
-def test_a_program_declines_its_file_with_2_before_anything_else(tmp_path, taken, program, torn):
+def test_a_program_exits_with_status_2_before_any_side_effect_if_its_file_is_invalid(
+    tmp_path, taken, program, torn
+):
     data = tmp_path / "data"
     text = (
         (EDGE if program == "edge" else CORE)
--- a/tests/test_platform_forms.py
+++ b/tests/test_platform_forms.py
@@ -175,7 +175,7 @@
     assert all(x["host"] == " " for x in got.values()) and bool(got) == (not d["Routes"])
 
 
-def test_the_pages_own_example():
+def test_the_documented_example_is_converted():
     m = mapped(config(Revision=7))
     assert m["groups"] == [{"name": "svc1", "cap": 68, "sync": 1}]
     assert m["routes"] == [
@@ -225,17 +225,17 @@
     ],
     ids=lambda d: "",
 )
-def test_what_the_pages_allow_is_taken(d):
+def test_documented_variations_are_accepted(d):
     m = mapped(d)
     assert m["version"] == d["Revision"]
 
 
-def test_no_client_can_name_the_route_that_stands_for_none():
+def test_the_placeholder_route_is_unreachable():
     for d in (config(Routes=[]), config(Routes=[], Services=[])):
         assert [r["host"] for r in mapped(d)["routes"]] == [" "]
 
 
-def test_of_one_hosts_routes_the_one_with_the_shortest_prefix_binds():
+def test_the_route_with_the_shortest_prefix_applies_to_its_host():
     rs = [{**ROUTE, "PathPrefix": p, "TimeoutMs": 1 + i} for i, p in enumerate(["/a/b", "/", "/a"])]
     other = {**ROUTE, "Hostname": "db2", "PathPrefix": "/a"}
     for routes in (rs, rs[::-1], [other, *rs], [*rs, other]):
@@ -360,7 +360,7 @@
         assert f.details["faults"][0][0] == "$" or raw.strip()[:1] == b"{"
 
 
-def test_numbers_beyond_all_bounds_are_held_to_bounds():
+def test_out_of_range_numbers_are_clamped():
     m = mapped(
         b'{"Revision":1,"Services":[{"Name":"s","ConnLimit":-1e400,"SyncReplicas":99}],"Limits":{"TxnIdleMs":0},'
         b'"Routes":[{"Hostname":"h","Service":"s","TimeoutMs":1e400,"TargetMs":-1,"Priority":1e400}]}'
@@ -403,7 +403,7 @@
         "A" * 16,
     ],
 )
-def test_a_name_that_does_not_fit_comes_back_by_way_of_the_configuration(name):
+def test_an_encoded_or_hashed_name_is_restored(name):
     m = mapped(config({"Service": name}, {"Name": name}))
     g = m["groups"][0]["name"]
     assert NAME.fullmatch(g) and g == m["routes"][0]["group"] and platform_name(g) == name
@@ -411,7 +411,7 @@
     assert d["group"] == g and d["hall"] == internal_name(name)
 
 
-def test_a_plain_name_is_its_own_label():
+def test_a_valid_name_is_not_encoded():
     for n in ("huvo11a", "a", "a" * 32, "lima-sala-a", "x", "xx-1"):
         assert internal_name(n) == platform_name(n) == n
 
@@ -429,7 +429,7 @@
 }
 
 
-def test_a_beat():
+def test_conversion_of_a_heartbeat():
     want = {
         "member": "i-1",
         "group": "huvo11a",
--- a/tests/test_platform_lines.py
+++ b/tests/test_platform_lines.py
@@ -432,7 +432,7 @@
         (b"CONNECT db me\r\r\n", b"MALFORMED"),
     ],
 )
-def test_what_opens_no_session_gets_one_error_and_a_close(first, code):
+def test_an_invalid_first_message_gets_one_error_and_a_close(first, code):
     async def go(d):
         f, tr = d.client(first + said("PUT k v"))
         await rest()
@@ -444,7 +444,7 @@
     virtual(go)
 
 
-def test_an_edge_without_a_configuration_says_busy_within_2_s():
+def test_a_proxy_without_a_configuration_replies_busy_within_2_s():
     async def go(d):
         f, tr = d.client(b"CONNECT db me\r\n" + said("PUT a 1"))
         await rest(1)
@@ -468,7 +468,7 @@
         (b"nowhere", b"", True),
     ],
 )
-def test_what_is_asked_before_the_first_configuration_is_served_after_it(name, tail, ends):
+def test_statements_received_before_the_first_configuration_are_executed_after_it(name, tail, ends):
     async def go(d):
         f, tr = d.client(b"CONNECT " + name + b" me\r\n" + said("PUT a 1", "PUT a 2"))
         f.data_received(tail) if tail is not None else f.eof_received()
@@ -497,7 +497,7 @@
     virtual(go, leave_starting=True)
 
 
-def test_a_route_that_went_away_is_told_at_the_next_statement():
+def test_a_removed_route_is_reported_at_the_next_statement():
     async def go(d):
         f, tr = d.client()
         d.configure({**CONFIG, "Revision": 2, "Routes": []})
@@ -524,7 +524,7 @@
         b"QUERY 9 PUT k \r w\r\n",
     ],
 )
-def test_what_is_no_message_ends_the_session_after_the_replies_owed(tail):
+def test_an_invalid_message_ends_the_session_after_pending_replies(tail):
     async def go(d):
         f, tr = d.client()
         f.data_received(said("PUT a 1", "PUT a 2") + tail + said("PUT a 3"))
@@ -621,7 +621,7 @@
     assert {(e, s) for _, e, s in got} == {("COMPLETE", "T" if inside else "I")}
 
 
-def test_a_commit_after_a_failure_keeps_nothing():
+def test_a_commit_after_a_failure_stores_nothing():
     async def go(d):
         got = await answers(
             d,
@@ -658,7 +658,7 @@
     virtual(go)
 
 
-def test_nothing_is_said_while_nothing_is_asked():
+def test_a_client_receives_nothing_while_no_statement_is_pending():
     async def go(d):
         f, tr = d.client()
         f.data_received(said("BEGIN", "PUT a 1"))
@@ -680,7 +680,7 @@
     virtual(go)
 
 
-def test_a_mute_member_gets_one_ready_per_query_within_the_routes_timeout():
+def test_an_unresponsive_member_gives_one_ready_per_query_within_the_route_timeout():
     async def go(d):
         f, tr = d.client()
         d.member.mute = True
@@ -695,7 +695,7 @@
     virtual(go)
 
 
-def test_a_client_that_says_no_more_gets_what_it_asked_for():
+def test_a_client_that_half_closes_gets_all_replies():
     async def go(d):
         f, tr = d.client()
         f.data_received(said("PUT a 1", "PUT a 2"))
@@ -721,7 +721,7 @@
     virtual(go)
 
 
-def test_a_transaction_that_rests_too_long_is_ended_and_its_client_told_at_the_next_statement():
+def test_an_idle_transaction_is_aborted_and_reported_at_the_next_statement():
     async def go(d):
         limit_s = d.proxy.bounds().idle_txn_us / 1e6
         f, tr = d.client()
@@ -761,7 +761,7 @@
     virtual(go)
 
 
-def test_what_a_lost_client_had_asked_for_next_is_not_run():
+def test_queued_statements_of_a_lost_client_are_not_executed():
     async def go(d):
         f, tr = d.client()
         d.member.mute = True
@@ -778,7 +778,7 @@
     ("text", "runs"),
     [(b"PUT a 1", range(64, 67)), (b"PUT a " + b"x" * (MAX_LINE_BYTES >> 2), range(4, 8))],
 )
-def test_more_than_a_session_may_ask_at_once_is_not_run_and_ends_it(text, runs):
+def test_exceeding_the_statement_queue_ends_the_session(text, runs):
     async def go(d):
         f, tr = d.client()
         f.data_received(said(*[text] * 200))
@@ -882,7 +882,7 @@
 @pytest.mark.parametrize(
     "raw", [b"READY I 3.1\r\n", b"ROW a\r\n", b"COMPLETE s\r\n", b"ERROR BUSY x\r\n"]
 )
-def test_a_member_that_answers_nothing_asked_is_left(raw):
+def test_an_unsolicited_member_message_closes_the_connection(raw):
     async def go():
         c = member_connection()
         f = c.send_statement(ASK)
@@ -922,7 +922,7 @@
     run(go)
 
 
-def test_an_answer_that_nobody_waits_for_any_more_is_not_given_to_the_next():
+def test_a_reply_to_a_cancelled_request_is_not_given_to_the_next():
     async def go():
         c = member_connection()
         a, b = c.send_statement(ASK), c.send_statement(ASK)
@@ -967,7 +967,7 @@
     asyncio.run(go())
 
 
-def test_how_a_connection_to_a_member_opens_or_not():
+def test_faults_while_opening_a_member_connection():
     async def go(wire, serve):
         for script, fault in (
             ([b"ERROR WRONGNODE i-2\r\n"], MemberReplaced),
@@ -996,7 +996,7 @@
 
 
 @pytest.mark.parametrize("name", ["svc", "Huvo.1_a", "x-odd", "bö", "S" * 64, "ü" * 64])
-def test_a_member_is_asked_for_by_its_services_own_name(name):
+def test_connect_uses_the_platforms_service_name(name):
     config = {
         **CONFIG,
         "Services": [{"Name": name}],
--- a/tests/test_platform_words.py
+++ b/tests/test_platform_words.py
@@ -120,7 +120,7 @@
         "FETCH\ta",
     ],
 )
-def test_all_else_is_malformed(text):
+def test_any_other_text_is_malformed(text):
     r = parse_statement("1", text)
     assert isinstance(r, Reply) and r.code == "malformed"
 
@@ -160,7 +160,7 @@
     )
 
 
-def test_statements_of_the_systems_own():
+def test_formatting_of_system_statements():
     assert (
         format_system_statement("begin", ("reads", (3, 7)), "5")
         == "QUERY 5 AFTER 3.7 BEGIN FETCH\r\n"
@@ -204,7 +204,7 @@
     assert parse_position(format_position(position)) == position
 
 
-def test_every_code_has_one_word():
+def test_every_reply_code_has_one_keyword():
     assert {CODES_BY_KEYWORD[w] for w in ERROR_KEYWORDS.values()} == set(ERROR_KEYWORDS)
 
 
--- a/tests/test_unread_fields.py
+++ b/tests/test_unread_fields.py
@@ -18,13 +18,13 @@
 }
 
 
-def test_a_document_that_is_acted_upon_as_a_whole_names_nothing():
+def test_a_document_without_unread_fields_reports_nothing():
     """Guards against an alarm at each configuration, which nobody would read."""
     rows = [{k: v for k, v in row.items() if k != "MaxTries"} for row in DOCUMENT["Routes"]]
     assert unread_fields({**DOCUMENT, "Routes": rows}) == []
 
 
-def test_sections_and_fields_that_nothing_acts_upon_are_named_once():
+def test_unread_sections_and_fields_are_reported_once():
     """Guards against promises that nothing keeps (the incident of issue 30)."""
     document = {
         **DOCUMENT,
