--- a/tests/test_boot_watch.py
+++ b/tests/test_boot_watch.py
@@ -1,4 +1,4 @@
-"""The platform's settings file changes underneath running programs, with no signal: taken live, or declined whole."""
+"""Changes of the boot settings file of running programs are applied without a signal, or rejected as a unit."""
 
 import asyncio
 import socket
@@ -70,7 +70,7 @@
 
 
 class Watched:
-    """A boot file and the program's view of it, in virtual time; `at(text)` writes it and lets two looks pass."""
+    """A settings file and its reloader in virtual time; `at(text)` writes the file and waits for two polls."""
 
     def __init__(self, path):
         self.path = path
@@ -92,7 +92,7 @@
         await LoopClock().sleep(4_400_000)
         return len(self.taken), self.reload.declined, self.reload.waiting
 
-    def told(self):
+    def logged_events(self):
         lines, self.log.lines = self.log.lines, []
         return [line[:4] for line in lines]
 
@@ -119,21 +119,21 @@
 
 def test_seeds_and_the_platform_address_are_reloaded_without_a_signal(tmp_path):
     async def go(w):
-        assert await w.at(EDGE) == (0, [], []) and w.told() == []
+        assert await w.at(EDGE) == (0, [], []) and w.logged_events() == []
         assert await w.at(OTHER) == (1, [], []) and w.taken[0].seeds == (
             "10.1.0.45:7580",
             "10.3.0.41:7580",
         )
-        assert w.log.lines[0].endswith("fields=seeds") and w.told() == ["E107"]
+        assert w.log.lines[0].endswith("fields=seeds") and w.logged_events() == ["E107"]
         assert await w.at(OTHER.replace("10.200.0.62", "10.200.0.63")) == (2, [], [])
         assert w.taken[1].platform_address == "10.200.0.63:8186" and w.log.lines[0].endswith(
             "fields=platform"
         )
-        w.told()
+        w.logged_events()
         assert await w.at(OTHER.replace("10.200.0.62", "10.200.0.63") + "# words\n") == (2, [], [])
         assert w.log.lines[0].endswith("fields=none")
         w.reload.reload()
-        assert w.told() == ["E107", "E107"] and len(w.taken) == 2
+        assert w.logged_events() == ["E107", "E107"] and len(w.taken) == 2
 
     watched(tmp_path / "b.toml", go)
 
@@ -157,12 +157,12 @@
 def test_a_torn_or_wrong_file_is_declined_and_the_running_settings_stay(tmp_path, bad):
     async def go(w):
         n, declined, _ = await w.at(bad)
-        assert n == 0 and declined and w.told() == ["E106"]
-        assert (await w.at(bad))[1] == declined and w.told() == []
+        assert n == 0 and declined and w.logged_events() == ["E106"]
+        assert (await w.at(bad))[1] == declined and w.logged_events() == []
         w.reload.reload()
-        assert w.told() == ["E106"] and w.taken == []
+        assert w.logged_events() == ["E106"] and w.taken == []
         assert w.reload.status() == {"file": str(w.path), "waiting": [], "declined": declined}
-        assert await w.at(EDGE) == (0, [], []) and w.told() == ["E107"]
+        assert await w.at(EDGE) == (0, [], []) and w.logged_events() == ["E107"]
         assert (await w.at(OTHER))[:2] == (1, [])
 
     watched(tmp_path / "b.toml", go)
@@ -179,12 +179,12 @@
             1,
             [],
             ["Zone", "PortRange", "Bounds.GraceS"],
-        ) and w.told() == ["E107", "E108"]
+        ) and w.logged_events() == ["E107", "E108"]
         assert await w.at(other + "\n") == (
             1,
             [],
             ["Zone", "PortRange", "Bounds.GraceS"],
-        ) and w.told() == ["E107"]
+        ) and w.logged_events() == ["E107"]
         assert await w.at(EDGE) == (2, [], [])
 
     watched(tmp_path / "b.toml", go)
@@ -197,7 +197,7 @@
         await LoopClock().sleep(50_000)
         w.put(OTHER)
         await LoopClock().sleep(2_200_000)
-        assert len(w.taken) == 1 and w.told() == ["E107"]
+        assert len(w.taken) == 1 and w.logged_events() == ["E107"]
 
     watched(tmp_path / "b.toml", go)
 
@@ -231,7 +231,7 @@
 
 @pytest.fixture
 def built(tmp_path):
-    """A checkout as its build leaves it, made of links to this one."""
+    """A built checkout, made of links to this one."""
     root = tmp_path / "root"
     (root / "target/app").mkdir(parents=True)
     for name in ("deploy", "platform", "src"):
@@ -269,19 +269,19 @@
                 put(m, text(m))
                 await soon(lambda m=m: declined(m, False), HANG_S)
             assert (await status(edge))["ready"] and (await status(edge))["joined"]
-            # the platform moves to another address: the cores learn it from the file alone
-            here = s.cloud.address
+            # the platform moves to another address, which the control nodes learn only from the file
+            old_address = s.cloud.address
             await s.cloud.close()
-            there = f"{here.rsplit(':', 1)[0]}:8187"
-            s.cloud.address = there
+            new_address = f"{old_address.rsplit(':', 1)[0]}:8187"
+            s.cloud.address = new_address
             await s.cloud.start()
             for m in cores:
-                put(m, text(m).replace(here, there))
+                put(m, text(m).replace(old_address, new_address))
             logs = [s.fleet.folder / m.name / "control.log" for m in cores]
             await until(lambda: all("fields=platform" in p.read_text() for p in logs), HANG_S)
-            old = s.primary()
-            await old.crash()
-            await until(lambda: s.primary() not in (None, old), HANG_S)
+            old_primary = s.primary()
+            await old_primary.crash()
+            await until(lambda: s.primary() not in (None, old_primary), HANG_S)
             assert s.fleet.own_ends() == {} and all(
                 p.starts == 1 for m in [edge, *cores] for p in m.processes.values()
             )
@@ -350,7 +350,7 @@
         )
         core, log = f.machines["core-a-1"], f.folder / "core-a-1" / "control.log"
         with socket.socket() as taken:
-            # connections of an earlier test may still be in TIME_WAIT here; a listener is taken all the same
+            # connections of an earlier test may still be in TIME_WAIT on this port
             taken.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             taken.bind((core.ip, 7581))
             taken.listen()
--- a/tests/test_platform_boot.py
+++ b/tests/test_platform_boot.py
@@ -1,4 +1,4 @@
-"""The platform's settings file: unknown fields are taken, all wrong ones declined by name at once, first of all."""
+"""Boot settings file: unknown fields are ignored; all invalid fields are reported by name before start-up."""
 
 import os
 import socket
@@ -68,59 +68,66 @@
 @pytest.fixture
 def loaded(tmp_path):
     def write(text):
-        p = tmp_path / "boot.toml"
-        p.write_bytes(text if isinstance(text, bytes) else text.encode())
-        return load_boot_settings(str(p))
+        path = tmp_path / "boot.toml"
+        path.write_bytes(text if isinstance(text, bytes) else text.encode())
+        return load_boot_settings(str(path))
 
     return write
 
 
-def declined(loaded, text):
-    with pytest.raises(ExceptionGroup) as e:
+def rejected_fields(loaded, text):
+    with pytest.raises(ExceptionGroup) as raised:
         loaded(text)
-    assert all(type(x) is BootFault for x in e.value.exceptions)
-    return sorted(str(x).split(":")[0] for x in e.value.exceptions)
+    assert all(type(fault) is BootFault for fault in raised.value.exceptions)
+    return sorted(str(fault).split(":")[0] for fault in raised.value.exceptions)
 
 
 def changed(text, field, value):
-    """The file with the line of `field` replaced by `value`, or without it if that is None."""
+    """Returns the file with the value of `field` replaced, or without its line if `value` is None."""
     lines = text.splitlines()
-    i = next(i for i, ln in enumerate(lines) if ln.split(" =")[0] == field)
-    lines[i : i + 1] = [] if value is None else [f"{field} = {value}"]
+    index = next(i for i, line in enumerate(lines) if line.split(" =")[0] == field)
+    lines[index : index + 1] = [] if value is None else [f"{field} = {value}"]
     return "\n".join(lines)
 
 
 def test_a_valid_proxy_file(loaded):
-    s = loaded(EDGE)
-    assert (s.name, s.zone, s.ip, s.link_address) == (
+    proxy = loaded(EDGE)
+    assert (proxy.name, proxy.zone, proxy.ip, proxy.link_address) == (
         "edge-sthlm-hall-a-1",
         "sthlm-hall-a",
         "10.1.0.42",
         "10.1.0.42:7580",
     )
-    assert (s.client_address, s.ready_address, s.control_address, s.data_folder) == (
+    assert (
+        proxy.client_address,
+        proxy.ready_address,
+        proxy.control_address,
+        proxy.data_folder,
+    ) == (
         "10.1.0.42:8182",
         "10.1.0.42:8181",
         None,
         None,
     )
     assert (
-        s.seeds == ("10.1.0.45:7580", "10.2.0.41:7580") and s.platform_address == "10.200.0.62:8186"
+        proxy.seeds == ("10.1.0.45:7580", "10.2.0.41:7580")
+        and proxy.platform_address == "10.200.0.62:8186"
     )
-    assert (s.drain_us, s.grace_us, s.evacuate_us, s.heartbeat_us) == (
+    assert (proxy.drain_us, proxy.grace_us, proxy.evacuate_us, proxy.heartbeat_us) == (
         7_000_000,
         6_000_000,
         5_000_000,
         1_200_000,
     )
     assert (
-        s.zones == {"sthlm-hall-a": "stockholm", "gbg-hall-b": "goteborg"} and s.bootstrap is True
+        proxy.zones == {"sthlm-hall-a": "stockholm", "gbg-hall-b": "goteborg"}
+        and proxy.bootstrap is True
     )
 
 
 def test_a_valid_control_node_file(loaded):
-    s = loaded(CORE)
-    assert (s.control_address, s.data_folder, s.client_address, s.ready_address) == (
+    core = loaded(CORE)
+    assert (core.control_address, core.data_folder, core.client_address, core.ready_address) == (
         "10.1.0.42:8180",
         "/data",
         None,
@@ -158,8 +165,8 @@
 
 
 def test_fractions_of_bounds_are_kept(loaded):
-    s = loaded(changed(changed(EDGE, "GraceS", "6.5"), "BeatIntervalMs", "0.5"))
-    assert (s.grace_us, s.heartbeat_us) == (6_500_000, 500)
+    loaded_settings = loaded(changed(changed(EDGE, "GraceS", "6.5"), "BeatIntervalMs", "0.5"))
+    assert (loaded_settings.grace_us, loaded_settings.heartbeat_us) == (6_500_000, 500)
 
 
 @pytest.mark.parametrize(
@@ -209,12 +216,12 @@
     ],
 )
 def test_a_wrong_field_is_declined_by_its_name(loaded, text, field, value, at):
-    assert declined(loaded, changed(text, field, value)) == [at]
+    assert rejected_fields(loaded, changed(text, field, value)) == [at]
 
 
 def test_all_wrong_fields_are_named_at_once(loaded):
     text = EDGE
-    for f, v in (
+    for field, value in (
         ("NodeName", None),
         ("Zone", "3"),
         ("PortRange", "[]"),
@@ -222,8 +229,8 @@
         ("Front", '"x"'),
         ("Ready", None),
     ):
-        text = changed(text, f, v)
-    assert declined(loaded, text) == [
+        text = changed(text, field, value)
+    assert rejected_fields(loaded, text) == [
         "BindAddrs.Front",
         "BindAddrs.Ready",
         "Bounds.GraceS",
@@ -231,7 +238,7 @@
         "PortRange",
         "Zone",
     ]
-    assert declined(loaded, "") == ["IpAddr", "NodeName", "PortRange", "Serves", "Zone"]
+    assert rejected_fields(loaded, "") == ["IpAddr", "NodeName", "PortRange", "Serves", "Zone"]
 
 
 @pytest.mark.parametrize(
@@ -246,15 +253,15 @@
     ],
 )
 def test_a_truncated_or_undecodable_file_is_rejected(loaded, text):
-    assert declined(loaded, text) == ["file"]
+    assert rejected_fields(loaded, text) == ["file"]
 
 
 def test_no_file_is_declined(tmp_path, monkeypatch):
     monkeypatch.delenv("PETRELHAVEN_SETTINGS", raising=False)
     for path in (None, str(tmp_path), str(tmp_path / "none")):
-        with pytest.raises(ExceptionGroup) as e:
+        with pytest.raises(ExceptionGroup) as raised:
             load_boot_settings(path)
-        assert len(e.value.exceptions) == 1
+        assert len(raised.value.exceptions) == 1
 
 
 VALUES = st.sampled_from(
@@ -305,27 +312,27 @@
 
 
 @pytest.fixture
-def taken():
-    """Three addresses that are listened on already: a program that tried to listen there would fail otherwise."""
-    ss = [socket.create_server(("127.0.0.1", 0)) for _ in range(3)]
-    yield [s.getsockname()[1] for s in ss]
-    for s in ss:
-        s.close()
+def occupied_ports():
+    """Three ports with a listener; a program that tried to listen on one would fail in another way."""
+    servers = [socket.create_server(("127.0.0.1", 0)) for _ in range(3)]
+    yield [server.getsockname()[1] for server in servers]
+    for server in servers:
+        server.close()
 
 
 @pytest.mark.parametrize("program", ["edge", "core"])
 @pytest.mark.parametrize("torn", [False, True])
 def test_a_program_exits_with_status_2_before_any_side_effect_if_its_file_is_invalid(
-    tmp_path, taken, program, torn
+    tmp_path, occupied_ports, program, torn
 ):
     data = tmp_path / "data"
     text = (
         (EDGE if program == "edge" else CORE)
-        .replace("10.1.0.42:8182", f"127.0.0.1:{taken[0]}")
-        .replace("10.1.0.42:8181", f"127.0.0.1:{taken[1]}")
-        .replace("10.1.0.42:8180", f"127.0.0.1:{taken[1]}")
+        .replace("10.1.0.42:8182", f"127.0.0.1:{occupied_ports[0]}")
+        .replace("10.1.0.42:8181", f"127.0.0.1:{occupied_ports[1]}")
+        .replace("10.1.0.42:8180", f"127.0.0.1:{occupied_ports[1]}")
         .replace('"10.1.0.42"', '"127.0.0.1"')
-        .replace("[7580,7595]", f"[{taken[2]},{taken[2]}]")
+        .replace("[7580,7595]", f"[{occupied_ports[2]},{occupied_ports[2]}]")
         .replace("/data", str(data))
     )
     text = (
@@ -335,7 +342,7 @@
     )
     (tmp_path / "boot.toml").write_text(text)
     before = sorted(os.listdir(tmp_path))
-    p = subprocess.run(
+    process = subprocess.run(
         [sys.executable, str(ROOT / f"platform/{program}.py")],
         cwd=ROOT,
         capture_output=True,
@@ -343,8 +350,8 @@
         timeout=HANG_S,
         env={**os.environ, "PETRELHAVEN_SETTINGS": str(tmp_path / "boot.toml")},
     )
-    assert p.returncode == 2 and p.stdout == ""
-    want = (
+    assert process.returncode == 2 and process.stdout == ""
+    expected_lines = (
         ["boot file declined: file: "]
         if torn
         else [
@@ -352,7 +359,8 @@
             "boot file declined: Bounds.DrainMs: not valid",
         ]
     )
-    assert [ln.startswith(w) for ln, w in zip(p.stderr.splitlines(), want, strict=True)] == [
-        True
-    ] * len(want)
+    assert [
+        line.startswith(start)
+        for line, start in zip(process.stderr.splitlines(), expected_lines, strict=True)
+    ] == [True] * len(expected_lines)
     assert sorted(os.listdir(tmp_path)) == before and not data.exists()
--- a/tests/test_platform_forms.py
+++ b/tests/test_platform_forms.py
@@ -1,4 +1,4 @@
-"""The platform's documents: configurations come back as they were sent, invalid ones are declined by their field."""
+"""Conversion of platform documents: originals are restored unchanged, invalid fields are reported by path."""
 
 import json
 import sys
@@ -71,19 +71,19 @@
 
 
 def mapped(d, zones=("a",)):
-    """What an edge holds of a configuration, once the product's own check has taken it."""
+    """Returns the configuration in a proxy's control state after the project's parser accepted it."""
     text = configuration_text(d if isinstance(d, bytes) else json.dumps(d).encode(), list(zones))
     parse_configuration(text)
-    led = ControlState()
-    led.apply(1, {"t": "manifest", "text": text, "version": json.loads(text)["version"]})
-    return led.configuration
+    control_state = ControlState()
+    control_state.apply(1, {"t": "manifest", "text": text, "version": json.loads(text)["version"]})
+    return control_state.configuration
 
 
 def faults(d):
-    with pytest.raises(Invalid) as e:
+    with pytest.raises(Invalid) as raised:
         configuration_text(d if isinstance(d, bytes) else json.dumps(d).encode(), ["a"])
-    assert e.value.status == 422
-    return [at for at, what in e.value.details["faults"] if what]
+    assert raised.value.status == 422
+    return [path for path, problem in raised.value.details["faults"] if problem]
 
 
 NAMES = st.text(min_size=1, max_size=64).filter(
--- a/tests/test_platform_lines.py
+++ b/tests/test_platform_lines.py
@@ -1,4 +1,4 @@
-"""The platform's wire over connections: whatever comes in whatever pieces, each QUERY gets one end and one READY."""
+"""Line protocol connections: each QUERY gets one COMPLETE or ERROR and one READY, however bytes are split."""
 
 import asyncio
 import json
@@ -49,7 +49,7 @@
 
 
 class Member:
-    """A member that keeps what is committed at it and which lines it ran."""
+    """A member that stores committed values and the statements it executed."""
 
     def __init__(self):
         self.kept, self.ran, self.member_connections, self.pos = {}, [], [], 7
@@ -69,66 +69,68 @@
         return f
 
 
-class MemberStrand(MemberConnection):
+class FakeMemberConnection(MemberConnection):
     def __init__(self, member):
         super().__init__()
-        self.m, self.open_, self.shaped = member, None, {}
+        self.member, self.open_, self.prepared = member, None, {}
         member.member_connections.append(self)
 
     def _run(self, text):
-        words = text.split(" ")
-        if words[0] == "EXECUTE":
-            return self._run(" ".join([self.shaped[words[1]].split(" ")[0], *words[2:]]))
-        mark = "I" if self.open_ is None else "T"
-        if words[0] == "FETCH":
-            thing = text.split(" ", 1)[1]
-            return self.m.reply([{**self.m.kept, **(self.open_ or {})}.get(thing, "")], mark)
-        if words[0] == "PUT":
-            _, thing, data = text.split(" ", 2)
+        tokens = text.split(" ")
+        if tokens[0] == "EXECUTE":
+            return self._run(" ".join([self.prepared[tokens[1]].split(" ")[0], *tokens[2:]]))
+        state = "I" if self.open_ is None else "T"
+        if tokens[0] == "FETCH":
+            key = text.split(" ", 1)[1]
+            return self.member.reply(
+                [{**self.member.kept, **(self.open_ or {})}.get(key, "")], state
+            )
+        if tokens[0] == "PUT":
+            _, key, data = text.split(" ", 2)
             if data == "fail":
-                return self.m.reply(state=mark if mark == "I" else "E", code="failed")
-            (self.m.kept if self.open_ is None else self.open_)[thing] = data
-            return self.m.reply(state=mark)
+                return self.member.reply(state=state if state == "I" else "E", code="failed")
+            (self.member.kept if self.open_ is None else self.open_)[key] = data
+            return self.member.reply(state=state)
         assert text == "COMMIT"
-        self.m.kept.update(self.open_)
+        self.member.kept.update(self.open_)
         self.open_ = None
-        return self.m.reply()
+        return self.member.reply()
 
-    def send_statement(self, a, after=None, alias=None):
-        text = a.text if alias is None else f"EXECUTE {alias} {a.data}"
-        self.m.ran.append((a.number, a.text))
+    def send_statement(self, statement, after=None, alias=None):
+        text = statement.text if alias is None else f"EXECUTE {alias} {statement.data}"
+        self.member.ran.append((statement.number, statement.text))
         return self._run(text)
 
     def send_session_statement(self, verb, args=(), num="-"):
         if verb == "begin":
             self.open_ = {}
-            return self.m.reply(state="T")
+            return self.member.reply(state="T")
         if verb == "prepare":
-            self.shaped[args[0]] = args[1]
+            self.prepared[args[0]] = args[1]
         if verb == "reset":
-            self.shaped = {}
+            self.prepared = {}
         if verb == "rollback":
             self.open_ = None
-        return self.m.reply(state="I" if self.open_ is None else "T")
+        return self.member.reply(state="I" if self.open_ is None else "T")
 
     def send_command(self, verb, *args):
         f = asyncio.get_running_loop().create_future()
-        f.set_result({"role": "primary", "term": 1, "pos": (1, self.m.pos), "held": 0})
+        f.set_result({"role": "primary", "term": 1, "pos": (1, self.member.pos), "held": 0})
         return f
 
     def close(self):
         self.lost = True
 
 
-class FakeWire:
+class FakeConnector:
     def __init__(self, member):
         self.member = member
 
     async def open(self, addr, group, member, us, tenant=""):
-        return MemberStrand(self.member)
+        return FakeMemberConnection(self.member)
 
 
-class FakeTie:
+class FakeCoreConnection:
     holds_lease, lease_confirmed, proxy_count = True, True, 3
 
     def __init__(self):
@@ -142,7 +144,7 @@
 
 
 class FakeTransport:
-    """Collects what is written; like a real one it says once that the connection is lost."""
+    """Collects written bytes; calls `connection_lost` once, as a real transport does."""
 
     def __init__(self):
         self.out, self.closed, self.aborted, self.front = b"", False, False, None
@@ -171,10 +173,10 @@
 
 
 class Door:
-    """A gate with one member in office, and clients' connections to it."""
+    """A proxy with one primary member, and client connections to the proxy."""
 
     def __init__(self, leave_starting=False):
-        self.member, self.core_connection, self.door = Member(), FakeTie(), set()
+        self.member, self.core_connection, self.door = Member(), FakeCoreConnection(), set()
         self.clock, self.tasks = LoopClock(), BackgroundTasks()
         self.proxy = ProxyNode(
             "e",
@@ -183,7 +185,7 @@
             self.tasks,
             random.Random(1),
             self.core_connection,
-            FakeWire(self.member),
+            FakeConnector(self.member),
             lambda h: 0,
             1_000_000,
             1_000_000,
@@ -233,12 +235,12 @@
 
 
 async def rest(s=3.0):
-    """Virtual time in which whatever is under way ends."""
+    """Sleeps in virtual time, long enough for pending operations to end."""
     await asyncio.sleep(s)
 
 
 def virtual(fn, **kw):
-    """What `fn(door)` returns, run in virtual time."""
+    """Runs `fn(door)` in virtual time and returns its result."""
     loop = WarpLoop()
     asyncio.set_event_loop(loop)
 
@@ -254,7 +256,7 @@
 
 
 def replies(out):
-    """The replies in `out` after the READY to CONNECT: (ROW fields, end, READY)."""
+    """Returns the replies after the READY to CONNECT, as (rows, COMPLETE or ERROR line, READY text)."""
     lines = out.split(b"\r\n")
     assert lines.pop() == b"" and lines.pop(0) == b"READY I -"
     got, rows, end = [], [], None
@@ -320,7 +322,7 @@
 
 
 def expected(texts):
-    """The end and the state after each statement, by the pages."""
+    """Returns the end and the session state after each statement as page PROTOCOL specifies them."""
     state, names, out = "I", {}, []
     for t in texts:
         w = t.split(" ")
@@ -727,13 +729,13 @@
         f, tr = d.client()
         f.data_received(said("BEGIN", "PUT a 1"))
         await rest(limit_s - 0.5)
-        strand = next(s for s in d.member.member_connections if s.open_ is not None)
-        assert not strand.lost
+        transaction_connection = next(s for s in d.member.member_connections if s.open_ is not None)
+        assert not transaction_connection.lost
         f.data_received(said("PUT b 1"))
         await rest(limit_s - 0.5)
-        assert not strand.lost, "a statement begins the rest anew"
+        assert not transaction_connection.lost, "a statement restarts the idle timeout"
         await rest(1)
-        assert strand.lost and d.member.kept == {}
+        assert transaction_connection.lost and d.member.kept == {}
         before = len(replies(tr.out)[0])
         f.data_received(said("PUT c 1"))
         await rest(0.1)
@@ -798,14 +800,14 @@
 # Connections to members
 
 
-class StrandTransport(FakeTransport):
+class FakeMemberTransport(FakeTransport):
     def close(self):
         self.closed = True
 
 
 def member_connection():
     c = LineMemberConnection()
-    c.connection_made(StrandTransport())
+    c.connection_made(FakeMemberTransport())
     c.drops = []
     c.on_lost = c.drops.append
     return c
@@ -936,7 +938,7 @@
 
 
 def loopback(fn):
-    """Runs `fn(wire, serve)`; `serve(script)` is the address of a member that answers its first message so."""
+    """Runs `fn(connector, serve)`; `serve(script)` starts a member that replies to its first message with `script`."""
 
     async def go():
         ends = []
@@ -968,7 +970,7 @@
 
 
 def test_faults_while_opening_a_member_connection():
-    async def go(wire, serve):
+    async def go(connector, serve):
         for script, fault in (
             ([b"ERROR WRONGNODE i-2\r\n"], MemberReplaced),
             ([b"ERROR CONNLIMIT 40\r\n"], Busy),
@@ -980,16 +982,16 @@
         ):
             a, _ = await serve(script)
             with pytest.raises(fault) as e:
-                await wire.open(a, "svc", "i-1", 2_000_000)
+                await connector.open(a, "svc", "i-1", 2_000_000)
             assert type(e.value) is fault, script
         a, _ = await serve(None)
         with pytest.raises(NotSent) as e:
-            await wire.open(a, "svc", "i-1", 30_000)
+            await connector.open(a, "svc", "i-1", 30_000)
         assert e.value.note == "mute"
         with socket.socket() as s:
             s.bind(("127.0.0.1", 0))
             with pytest.raises(NotSent) as e:
-                await wire.open("127.0.0.1:%d" % s.getsockname()[1], "svc", "i-1", 2_000_000)
+                await connector.open("127.0.0.1:%d" % s.getsockname()[1], "svc", "i-1", 2_000_000)
         assert e.value.note == "refused"
 
     loopback(go)
@@ -1002,8 +1004,8 @@
         "Services": [{"Name": name}],
         "Routes": [{**CONFIG["Routes"][0], "Service": name}],
     }
-    led = ControlState()
-    led.apply(
+    control_state = ControlState()
+    control_state.apply(
         1,
         {
             "t": "manifest",
@@ -1011,11 +1013,11 @@
             "version": 1,
         },
     )
-    assert led.configuration["groups"][0]["name"] == internal_name(name)
+    assert control_state.configuration["groups"][0]["name"] == internal_name(name)
 
-    async def go(wire, serve):
+    async def go(connector, serve):
         a, got = await serve([b"REA", b"DY I 3.1\r\n"])
-        c = await wire.open(a, internal_name(name), "i-1", 2_000_000)
+        c = await connector.open(a, internal_name(name), "i-1", 2_000_000)
         assert got == [f"CONNECT {name} petrelhaven i-1\r\n".encode()]
         c.close()
 
--- a/tests/test_platform_words.py
+++ b/tests/test_platform_words.py
@@ -1,4 +1,4 @@
-"""The words of the platform's wire: what is a statement, what is none, and that bytes pass as they came."""
+"""Parsing and formatting of line protocol messages, including that bytes are forwarded unchanged."""
 
 import sys
 from pathlib import Path
@@ -121,8 +121,8 @@
     ],
 )
 def test_any_other_text_is_malformed(text):
-    r = parse_statement("1", text)
-    assert isinstance(r, Reply) and r.code == "malformed"
+    reply = parse_statement("1", text)
+    assert isinstance(reply, Reply) and reply.code == "malformed"
 
 
 @DRAWN
@@ -171,8 +171,8 @@
         format_system_statement("prepare", ("p1", "PUT q"), "5") == "QUERY 5 PREPARE p1 PUT q\r\n"
     )
     assert [
-        format_system_statement(v, a)
-        for v, a in (
+        format_system_statement(verb, arguments)
+        for verb, arguments in (
             ("reset", ()),
             ("rollback", ()),
             ("status", ()),
@@ -181,8 +181,8 @@
             ("demote", (9,)),
         )
     ] == [
-        f"QUERY - {t}\r\n"
-        for t in ("RESET", "ROLLBACK", "STATUS", "PAUSE 9", "RESUME", "STEPDOWN 9")
+        f"QUERY - {text}\r\n"
+        for text in ("RESET", "ROLLBACK", "STATUS", "PAUSE 9", "RESUME", "STEPDOWN 9")
     ]
 
 
@@ -205,7 +205,7 @@
 
 
 def test_every_reply_code_has_one_keyword():
-    assert {CODES_BY_KEYWORD[w] for w in ERROR_KEYWORDS.values()} == set(ERROR_KEYWORDS)
+    assert {CODES_BY_KEYWORD[keyword] for keyword in ERROR_KEYWORDS.values()} == set(ERROR_KEYWORDS)
 
 
 @DRAWN
--- a/tests/test_unread_fields.py
+++ b/tests/test_unread_fields.py
@@ -1,4 +1,4 @@
-"""A configuration that is acknowledged although nothing acts upon part of it is named in the log."""
+"""Fields of an acknowledged configuration that have no effect are found, so that they can be logged."""
 
 import sys
 from pathlib import Path
@@ -19,13 +19,13 @@
 
 
 def test_a_document_without_unread_fields_reports_nothing():
-    """Guards against an alarm at each configuration, which nobody would read."""
+    """Guards against a warning at every configuration, which operators would learn to ignore."""
     rows = [{k: v for k, v in row.items() if k != "MaxTries"} for row in DOCUMENT["Routes"]]
     assert unread_fields({**DOCUMENT, "Routes": rows}) == []
 
 
 def test_unread_sections_and_fields_are_reported_once():
-    """Guards against promises that nothing keeps (the incident of issue 30)."""
+    """Guards against silently ignored fields (the incident of issue 30)."""
     document = {
         **DOCUMENT,
         "Services": [{"Name": "a", "WarmupRateS": 2.0}, {"Name": "b", "WarmupRateS": 1.0}],
