--- a/tests/test_platform_lines.py
+++ b/tests/test_platform_lines.py
@@ -283,11 +283,11 @@
 
 
 async def answers(door, *texts):
-    f, tr = door.client()
-    f.data_received(said(*texts))
+    client, transport = door.client()
+    client.data_received(said(*texts))
     await rest()
-    got, end = replies(tr.out)
-    assert end is None and not tr.aborted
+    got, end = replies(transport.out)
+    assert end is None and not transport.aborted
     return [
         (
             rows,
@@ -435,26 +435,32 @@
     ],
 )
 def test_an_invalid_first_message_gets_one_error_and_a_close(first, code):
-    async def go(d):
-        f, tr = d.client(first + said("PUT k v"))
+    async def go(door):
+        client, transport = door.client(first + said("PUT k v"))
         await rest()
         assert (
-            tr.closed and tr.out.startswith(b"ERROR " + code + b" ") and tr.out.count(b"\r\n") == 1
+            transport.closed
+            and transport.out.startswith(b"ERROR " + code + b" ")
+            and transport.out.count(b"\r\n") == 1
         )
-        assert not d.proxy.sessions and not d.door and d.member.kept == {}
+        assert not door.proxy.sessions and not door.door and door.member.kept == {}
 
     virtual(go)
 
 
 def test_a_proxy_without_a_configuration_replies_busy_within_2_s():
-    async def go(d):
-        f, tr = d.client(b"CONNECT db me\r\n" + said("PUT a 1"))
+    async def go(door):
+        client, transport = door.client(b"CONNECT db me\r\n" + said("PUT a 1"))
         await rest(1)
-        assert tr.out == b"" and not tr.closed
+        assert transport.out == b"" and not transport.closed
         await rest(0.9)
-        assert tr.out.startswith(b"ERROR BUSY ") and tr.out.count(b"\r\n") == 1 and tr.closed
+        assert (
+            transport.out.startswith(b"ERROR BUSY ")
+            and transport.out.count(b"\r\n") == 1
+            and transport.closed
+        )
         await rest()
-        assert d.member.kept == {} and not d.door and not d.proxy.sessions
+        assert door.member.kept == {} and not door.door and not door.proxy.sessions
 
     virtual(go, leave_starting=True)
 
@@ -471,45 +477,56 @@
     ],
 )
 def test_statements_received_before_the_first_configuration_are_executed_after_it(name, tail, ends):
-    async def go(d):
-        f, tr = d.client(b"CONNECT " + name + b" me\r\n" + said("PUT a 1", "PUT a 2"))
-        f.data_received(tail) if tail is not None else f.eof_received()
+    async def go(door):
+        client, transport = door.client(
+            b"CONNECT " + name + b" me\r\n" + said("PUT a 1", "PUT a 2")
+        )
+        client.data_received(tail) if tail is not None else client.eof_received()
         await rest(0.5)
-        assert tr.out == b"" and not tr.closed and not f.idle
-        d.configure(CONFIG)
+        assert transport.out == b"" and not transport.closed and not client.idle
+        door.configure(CONFIG)
         await rest()
         if name == b"nowhere":
-            assert tr.out.startswith(b"ERROR NODB") and tr.out.count(b"\r\n") == 1
+            assert transport.out.startswith(b"ERROR NODB") and transport.out.count(b"\r\n") == 1
         else:
-            assert len(replies(tr.out)[0]) == 2 and d.member.kept == {"a": "2"}
-        assert tr.closed == ends and not tr.aborted and len(d.proxy.sessions) == (not ends)
+            assert len(replies(transport.out)[0]) == 2 and door.member.kept == {"a": "2"}
+        assert (
+            transport.closed == ends
+            and not transport.aborted
+            and len(door.proxy.sessions) == (not ends)
+        )
 
     virtual(go, leave_starting=True)
 
 
 def test_a_client_lost_before_the_first_configuration_leaves_nothing_behind():
-    async def go(d):
-        f, tr = d.client(b"CONNECT db me\r\n" + said("PUT a 1"))
-        tr.close()
+    async def go(door):
+        client, transport = door.client(b"CONNECT db me\r\n" + said("PUT a 1"))
+        transport.close()
         await rest(0.1)
-        d.configure(CONFIG)
+        door.configure(CONFIG)
         await rest()
-        assert tr.out == b"" and not d.proxy.sessions and not d.door and d.member.kept == {}
+        assert (
+            transport.out == b""
+            and not door.proxy.sessions
+            and not door.door
+            and door.member.kept == {}
+        )
 
     virtual(go, leave_starting=True)
 
 
 def test_a_removed_route_is_reported_at_the_next_statement():
-    async def go(d):
-        f, tr = d.client()
-        d.configure({**CONFIG, "Revision": 2, "Routes": []})
-        f.data_received(said("FETCH k"))
+    async def go(door):
+        client, transport = door.client()
+        door.configure({**CONFIG, "Revision": 2, "Routes": []})
+        client.data_received(said("FETCH k"))
         await rest()
-        got, _ = replies(tr.out)
+        got, _ = replies(transport.out)
         assert got[0][1].startswith(b"ERROR NODB") and got[0][2] == b"I -"
         for name in (b"db", b"", b"none", b" "):
-            _, tr = d.client(b"CONNECT " + name + b" me\r\n")
-            assert tr.out.startswith(b"ERROR NODB"), name
+            _, transport = door.client(b"CONNECT " + name + b" me\r\n")
+            assert transport.out.startswith(b"ERROR NODB"), name
 
     virtual(go)
 
@@ -527,27 +544,27 @@
     ],
 )
 def test_an_invalid_message_ends_the_session_after_pending_replies(tail):
-    async def go(d):
-        f, tr = d.client()
-        f.data_received(said("PUT a 1", "PUT a 2") + tail + said("PUT a 3"))
+    async def go(door):
+        client, transport = door.client()
+        client.data_received(said("PUT a 1", "PUT a 2") + tail + said("PUT a 3"))
         await rest()
-        got, end = replies(tr.out)
+        got, end = replies(transport.out)
         assert (
             [x[1][:8] for x in got] == [b"COMPLETE"] * 2
-            and tr.closed
+            and transport.closed
             and end.startswith(b"ERROR MALFORMED")
         )
-        assert d.member.kept == {"a": "2"} and not d.proxy.sessions
+        assert door.member.kept == {"a": "2"} and not door.proxy.sessions
 
     virtual(go)
 
 
 def test_a_query_without_a_text_is_malformed_and_the_session_goes_on():
-    async def go(d):
-        f, tr = d.client()
-        f.data_received(b"QUERY 1\r\nQUERY 2 \r\nQUERY 3 PUT a b\r\n")
+    async def go(door):
+        client, transport = door.client()
+        client.data_received(b"QUERY 1\r\nQUERY 2 \r\nQUERY 3 PUT a b\r\n")
         await rest()
-        assert [x[1].split(b" ")[0] for x in replies(tr.out)[0]] == [
+        assert [x[1].split(b" ")[0] for x in replies(transport.out)[0]] == [
             b"ERROR",
             b"ERROR",
             b"COMPLETE",
@@ -558,26 +575,30 @@
 
 @pytest.mark.parametrize("whole", [True, False])
 def test_a_message_over_the_bound_is_not_run(whole):
-    async def go(d):
-        f, tr = d.client()
+    async def go(door):
+        client, transport = door.client()
         raw = b"QUERY 1 PUT k " + b"x" * MAX_LINE_BYTES + (b"\r\n" if whole else b"")
         for at in range(0, len(raw), 1 << 18):
-            if not tr.closed:
-                f.data_received(raw[at : at + (1 << 18)])
+            if not transport.closed:
+                client.data_received(raw[at : at + (1 << 18)])
         await rest()
-        assert tr.closed and replies(tr.out)[1].startswith(b"ERROR TOOLARGE") and d.member.ran == []
+        assert (
+            transport.closed
+            and replies(transport.out)[1].startswith(b"ERROR TOOLARGE")
+            and door.member.ran == []
+        )
 
     virtual(go)
 
 
 def test_a_message_of_just_the_bound_passes():
-    async def go(d):
-        f, tr = d.client()
+    async def go(door):
+        client, transport = door.client()
         head = b"QUERY 1 PUT k "
-        f.data_received(head + b"x" * (MAX_LINE_BYTES - len(head)) + b"\r\n")
+        client.data_received(head + b"x" * (MAX_LINE_BYTES - len(head)) + b"\r\n")
         await rest()
-        assert replies(tr.out)[0][0][1].startswith(b"COMPLETE") and len(
-            d.member.kept["k"]
+        assert replies(transport.out)[0][0][1].startswith(b"COMPLETE") and len(
+            door.member.kept["k"]
         ) == MAX_LINE_BYTES - len(head)
 
     virtual(go)
@@ -661,36 +682,36 @@
 
 
 def test_a_client_receives_nothing_while_no_statement_is_pending():
-    async def go(d):
-        f, tr = d.client()
-        f.data_received(said("BEGIN", "PUT a 1"))
+    async def go(door):
+        client, transport = door.client()
+        client.data_received(said("BEGIN", "PUT a 1"))
         await rest(1)
-        at = len(tr.out)
-        d.configure({**CONFIG, "Revision": 2})
+        at = len(transport.out)
+        door.configure({**CONFIG, "Revision": 2})
         await rest(60)
-        assert len(tr.out) == at and not tr.closed
-        assert all(s.lost for s in d.member.member_connections if s.open_ is not None)
-        f.data_received(said("COMMIT"))
+        assert len(transport.out) == at and not transport.closed
+        assert all(s.lost for s in door.member.member_connections if s.open_ is not None)
+        client.data_received(said("COMMIT"))
         await rest()
-        got, _ = replies(tr.out)
+        got, _ = replies(transport.out)
         assert (
             got[-1][1].startswith(b"ERROR ABORTED")
             and got[-1][2][:1] == b"I"
-            and d.member.kept == {}
+            and door.member.kept == {}
         )
 
     virtual(go)
 
 
 def test_an_unresponsive_member_gives_one_ready_per_query_within_the_route_timeout():
-    async def go(d):
-        f, tr = d.client()
-        d.member.mute = True
-        f.data_received(said("PUT a 1", "FETCH a"))
+    async def go(door):
+        client, transport = door.client()
+        door.member.mute = True
+        client.data_received(said("PUT a 1", "FETCH a"))
         await rest(0.75)
-        assert tr.out == b"READY I -\r\n"
+        assert transport.out == b"READY I -\r\n"
         await rest(3)
-        got, end = replies(tr.out)
+        got, end = replies(transport.out)
         assert len(got) == 2 and end is None and got[0][1].startswith(b"ERROR INDOUBT")
         assert got[1][1].split(b" ")[1] in (b"BUSY", b"TIMEOUT")
 
@@ -698,80 +719,82 @@
 
 
 def test_a_client_that_half_closes_gets_all_replies():
-    async def go(d):
-        f, tr = d.client()
-        f.data_received(said("PUT a 1", "PUT a 2"))
-        assert f.eof_received()
+    async def go(door):
+        client, transport = door.client()
+        client.data_received(said("PUT a 1", "PUT a 2"))
+        assert client.eof_received()
         await rest()
-        assert len(replies(tr.out)[0]) == 2 and tr.closed and not d.proxy.sessions
-        f, tr = d.client()
-        assert not f.eof_received() and tr.closed
+        assert len(replies(transport.out)[0]) == 2 and transport.closed and not door.proxy.sessions
+        client, transport = door.client()
+        assert not client.eof_received() and transport.closed
 
     virtual(go)
 
 
 def test_a_client_lost_inside_a_transaction_has_its_member_connection_closed():
-    async def go(d):
-        f, tr = d.client()
-        f.data_received(said("BEGIN", "PUT a 1"))
+    async def go(door):
+        client, transport = door.client()
+        client.data_received(said("BEGIN", "PUT a 1"))
         await rest()
-        s = next(s for s in d.member.member_connections if s.open_ is not None)
-        tr.close()
+        s = next(s for s in door.member.member_connections if s.open_ is not None)
+        transport.close()
         await rest()
-        assert s.lost and not d.proxy.sessions and not d.door and d.member.kept == {}
+        assert s.lost and not door.proxy.sessions and not door.door and door.member.kept == {}
 
     virtual(go)
 
 
 def test_an_idle_transaction_is_aborted_and_reported_at_the_next_statement():
-    async def go(d):
-        limit_s = d.proxy.bounds().idle_txn_us / 1e6
-        f, tr = d.client()
-        f.data_received(said("BEGIN", "PUT a 1"))
+    async def go(door):
+        limit_s = door.proxy.bounds().idle_txn_us / 1e6
+        client, transport = door.client()
+        client.data_received(said("BEGIN", "PUT a 1"))
         await rest(limit_s - 0.5)
-        transaction_connection = next(s for s in d.member.member_connections if s.open_ is not None)
+        transaction_connection = next(
+            s for s in door.member.member_connections if s.open_ is not None
+        )
         assert not transaction_connection.lost
-        f.data_received(said("PUT b 1"))
+        client.data_received(said("PUT b 1"))
         await rest(limit_s - 0.5)
         assert not transaction_connection.lost, "a statement restarts the idle timeout"
         await rest(1)
-        assert transaction_connection.lost and d.member.kept == {}
-        before = len(replies(tr.out)[0])
-        f.data_received(said("PUT c 1"))
+        assert transaction_connection.lost and door.member.kept == {}
+        before = len(replies(transport.out)[0])
+        client.data_received(said("PUT c 1"))
         await rest(0.1)
-        (rows, end, ready), *_ = replies(tr.out)[0][before:]
+        (rows, end, ready), *_ = replies(transport.out)[0][before:]
         assert (rows, ready[:1]) == ([], b"E") and end.startswith(b"ERROR ABORTED"), end
-        assert "PUT c 1" not in [text for _, text in d.member.ran]
+        assert "PUT c 1" not in [text for _, text in door.member.ran]
 
     virtual(go)
 
 
 def test_a_client_lost_while_its_write_runs_leaves_nothing_behind():
-    async def go(d):
-        f, tr = d.client()
-        d.member.mute = True
-        f.data_received(said("BEGIN", "PUT a 1", "PUT b 1"))
+    async def go(door):
+        client, transport = door.client()
+        door.member.mute = True
+        client.data_received(said("BEGIN", "PUT a 1", "PUT b 1"))
         await rest(0.01)
-        tr.close()
+        transport.close()
         await rest(10)
-        assert not d.proxy.sessions and not d.door and d.proxy.request_slots.used == 0
+        assert not door.proxy.sessions and not door.door and door.proxy.request_slots.used == 0
         assert (
-            d.proxy.groups["svc"].strong_sessions == 0
-            and d.proxy.groups["svc"].members["m1"].pool.busy == set()
+            door.proxy.groups["svc"].strong_sessions == 0
+            and door.proxy.groups["svc"].members["m1"].pool.busy == set()
         )
 
     virtual(go)
 
 
 def test_queued_statements_of_a_lost_client_are_not_executed():
-    async def go(d):
-        f, tr = d.client()
-        d.member.mute = True
-        f.data_received(said("PUT a 1", "PUT b 1"))
+    async def go(door):
+        client, transport = door.client()
+        door.member.mute = True
+        client.data_received(said("PUT a 1", "PUT b 1"))
         await rest(0.01)
-        tr.close()
+        transport.close()
         await rest(10)
-        assert [t for _, t in d.member.ran] == ["PUT a 1"] and not tr.aborted
+        assert [t for _, t in door.member.ran] == ["PUT a 1"] and not transport.aborted
 
     virtual(go)
 
@@ -781,17 +804,17 @@
     [(b"PUT a 1", range(64, 67)), (b"PUT a " + b"x" * (MAX_LINE_BYTES >> 2), range(4, 8))],
 )
 def test_exceeding_the_statement_queue_ends_the_session(text, runs):
-    async def go(d):
-        f, tr = d.client()
-        f.data_received(said(*[text] * 200))
-        assert sum(len(t) for _, t in f._queue) <= 2 * MAX_LINE_BYTES
+    async def go(door):
+        client, transport = door.client()
+        client.data_received(said(*[text] * 200))
+        assert sum(len(t) for _, t in client._queue) <= 2 * MAX_LINE_BYTES
         await rest()
-        got, end = replies(tr.out)
+        got, end = replies(transport.out)
         assert (
             len(got) in runs
-            and len(d.member.ran) == len(got)
+            and len(door.member.ran) == len(got)
             and end.startswith(b"ERROR BUSY")
-            and tr.closed
+            and transport.closed
         )
 
     virtual(go)
@@ -871,12 +894,12 @@
 )
 def test_a_reply_out_of_order_is_no_reply(raw):
     async def go():
-        c = member_connection()
-        f = c.send_statement(ASK)
-        c.data_received(raw)
-        assert c.lost and c.drops == [c] and c._transport.closed
-        assert isinstance(f.exception(), Unreachable)
-        assert isinstance(c.send_statement(ASK).exception(), Unreachable)
+        connection = member_connection()
+        future = connection.send_statement(ASK)
+        connection.data_received(raw)
+        assert connection.lost and connection.drops == [connection] and connection._transport.closed
+        assert isinstance(future.exception(), Unreachable)
+        assert isinstance(connection.send_statement(ASK).exception(), Unreachable)
 
     run(go)
 
@@ -886,10 +909,10 @@
 )
 def test_an_unsolicited_member_message_closes_the_connection(raw):
     async def go():
-        c = member_connection()
-        f = c.send_statement(ASK)
-        c.data_received(b"COMPLETE s\r\nREADY I 3.1\r\n" + raw)
-        assert f.result().ok and f.result().rows == [] and c.lost
+        connection = member_connection()
+        future = connection.send_statement(ASK)
+        connection.data_received(b"COMPLETE s\r\nREADY I 3.1\r\n" + raw)
+        assert future.result().ok and future.result().rows == [] and connection.lost
 
     run(go)
 
@@ -911,25 +934,29 @@
 
 def test_a_status_is_a_row_or_a_typed_fault():
     async def go():
-        c = member_connection()
-        fs = [c.send_command("status") for _ in range(4)]
-        c.data_received(
+        connection = member_connection()
+        futures = [connection.send_command("status") for _ in range(4)]
+        connection.data_received(
             b"ROW primary 3 3.9 0 0 1 2\r\nCOMPLETE -\r\nREADY I 3.9\r\nERROR BUSY x\r\nREADY I 3.9\r\n"
             b"ROW odd\r\nCOMPLETE -\r\nREADY I 3.9\r\nERROR NOSTMT x\r\nREADY I 3.9\r\n"
         )
-        assert fs[0].result()["pos"] == (3, 9)
-        assert [type(f.exception()) for f in fs[1:]] == [Busy, MemberDeclined, MemberDeclined]
-        assert not c.lost
+        assert futures[0].result()["pos"] == (3, 9)
+        assert [type(future.exception()) for future in futures[1:]] == [
+            Busy,
+            MemberDeclined,
+            MemberDeclined,
+        ]
+        assert not connection.lost
 
     run(go)
 
 
 def test_a_reply_to_a_cancelled_request_is_not_given_to_the_next():
     async def go():
-        c = member_connection()
-        a, b = c.send_statement(ASK), c.send_statement(ASK)
+        connection = member_connection()
+        a, b = connection.send_statement(ASK), connection.send_statement(ASK)
         a.cancel()
-        c.data_received(
+        connection.data_received(
             b"ROW old\r\nCOMPLETE s\r\nREADY I 3.1\r\nROW new\r\nCOMPLETE t\r\nREADY I 3.2\r\n"
         )
         assert b.result().rows == ["new"] and b.result().stamp == "t"
@@ -1016,9 +1043,9 @@
     assert control_state.configuration["groups"][0]["name"] == internal_name(name)
 
     async def go(connector, serve):
-        a, got = await serve([b"REA", b"DY I 3.1\r\n"])
-        c = await connector.open(a, internal_name(name), "i-1", 2_000_000)
+        address, got = await serve([b"REA", b"DY I 3.1\r\n"])
+        connection = await connector.open(address, internal_name(name), "i-1", 2_000_000)
         assert got == [f"CONNECT {name} petrelhaven i-1\r\n".encode()]
-        c.close()
+        connection.close()
 
     loopback(go)
