--- a/src/petrelhaven/proxy/node.py
+++ b/src/petrelhaven/proxy/node.py
@@ -287,7 +287,7 @@
             self._path.transactions.release_transaction(session)
         session.close()
 
-    async def serve_one(self, session: ClientSession, statement: Statement) -> Reply:
+    async def serve_statement(self, session: ClientSession, statement: Statement) -> Reply:
         """The reply to one statement."""
         if session.state == ENDED:
             return Reply(code="aborted", text="the session has ended")
--- a/src/petrelhaven/simulator/connection_sessions/embargo.py
+++ b/src/petrelhaven/simulator/connection_sessions/embargo.py
@@ -97,14 +97,14 @@
     def boot_edge(self, b):
         """Powers an edge on, with the judge behind it."""
         super().boot_edge(b)
-        real = b.node.serve_one
+        real = b.node.serve_statement
 
         async def judged(v, a):
             r = await real(v, a)
             self._look(b.name, a, r)
             return r
 
-        b.node.serve_one = judged
+        b.node.serve_statement = judged
 
     def _look(self, edge, a, r):
         if a.writes or a.verb not in ("read", "execute"):
--- a/src/petrelhaven/simulator/connection_sessions/front.py
+++ b/src/petrelhaven/simulator/connection_sessions/front.py
@@ -113,7 +113,7 @@
                 if a.verb == "execute" and a.name in self._session.prepared:
                     a.prepared_text = self._session.prepared[a.name]
                     a.writes = a.prepared_text.startswith("put")
-                r = await self.proxy.serve_one(self._session, a)
+                r = await self.proxy.serve_statement(self._session, a)
                 if self._gone:
                     return
                 self._reply(r)
--- a/src/petrelhaven/simulator/embargo_cost.py
+++ b/src/petrelhaven/simulator/embargo_cost.py
@@ -56,10 +56,10 @@
     v, r = g.open("g1", "u"), random.Random(5)
     asks = [Statement(str(i), "read", f"get {r.getrandbits(40):010x}") for i in range(_READS)]
     for a in asks[:200]:
-        await g.serve_one(v, a)
+        await g.serve_statement(v, a)
     t = time.process_time()
     for a in asks:
-        assert (await g.serve_one(v, a)).ok
+        assert (await g.serve_statement(v, a)).ok
     total_s = time.process_time() - t
     t = time.process_time()
     if n is not None:
@@ -79,7 +79,7 @@
     async def reader(b):
         v = b.node.open("g1", "u")
         while True:
-            r = await b.node.serve_one(v, Statement("r", "read", "get r0"))
+            r = await b.node.serve_statement(v, Statement("r", "read", "get r0"))
             if r.ok:
                 return out.append((f.true() - until) / 1000)
             await asyncio.sleep(0.001 if f.true() > until - 20_000 else 0.05)
@@ -105,7 +105,7 @@
             at = f.true()
             if at >= until:
                 came[(at - until) // 100_000] += 1
-            x = await g.serve_one(v, Statement(f"{i}", "read", "get r0"))
+            x = await g.serve_statement(v, Statement(f"{i}", "read", "get r0"))
             if x.ok:
                 done.append((f.true() - until) / 1e6)
                 return g.close(v)
--- a/tests/embargo_world.py
+++ b/tests/embargo_world.py
@@ -500,7 +500,7 @@
                 if machine.node is None or machine.frozen or machine.node.state != "serving":
                     continue
                 session = machine.node.open("db", "writer")
-                reply = await machine.node.serve_one(
+                reply = await machine.node.serve_statement(
                     session, Statement("w", "write", f"PUT {record_key} {data}", writes=True)
                 )
                 machine.node.close(session)
@@ -530,7 +530,7 @@
             return None
         session = node.open(host, client)
         if how == "prepared":
-            await node.serve_one(
+            await node.serve_statement(
                 session,
                 Statement("p", "prepare", "PREPARE q FETCH s1", name="q", prepared_text="FETCH s1"),
             )
@@ -545,12 +545,14 @@
         else:
             statement = Statement("r", "read", f"FETCH {record_key}")
         if how in ("reads", "writes"):
-            await node.serve_one(session, Statement("b", "begin", "BEGIN", writes=how == "writes"))
-        reply = await node.serve_one(session, statement)
+            await node.serve_statement(
+                session, Statement("b", "begin", "BEGIN", writes=how == "writes")
+            )
+        reply = await node.serve_statement(session, statement)
         if machine.life == life:
             self.check_reply(proxy, record_key, reply, client)
         if how in ("reads", "writes"):
-            await node.serve_one(session, Statement("e", "rollback", "ROLLBACK"))
+            await node.serve_statement(session, Statement("e", "rollback", "ROLLBACK"))
         node.close(session)
         return reply
 
@@ -588,12 +590,14 @@
         if node is None or node.state != "serving":
             return
         session = node.open("db", "u")
-        await node.serve_one(
+        await node.serve_statement(
             session,
             Statement("p", "prepare", "PREPARE q FETCH s1", name="q", prepared_text="FETCH s1"),
         )
-        await node.serve_one(session, Statement("b", "begin", "BEGIN", writes=rng.random() < 0.5))
-        await node.serve_one(session, Statement("r", "read", "FETCH other"))
+        await node.serve_statement(
+            session, Statement("b", "begin", "BEGIN", writes=rng.random() < 0.5)
+        )
+        await node.serve_statement(session, Statement("r", "read", "FETCH other"))
         for _ in range(4):
             await machine.clock.sleep(rng.randrange(200_000, 2_000_000))
             statement = rng.choice(
@@ -609,10 +613,10 @@
                     ),
                 )
             )
-            reply = await node.serve_one(session, statement)
+            reply = await node.serve_statement(session, statement)
             if machine.life == life:
                 self.check_reply(proxy, record_key, reply)
-        await node.serve_one(session, Statement("e", "rollback", "ROLLBACK"))
+        await node.serve_statement(session, Statement("e", "rollback", "ROLLBACK"))
         node.close(session)
 
     def start_readers(self, record_keys, per_record=2):
--- a/tests/test_embargo_world.py
+++ b/tests/test_embargo_world.py
@@ -117,12 +117,14 @@
     node = world.proxies["e1"].node
     plain_session, transaction_session = node.open("db", "u"), node.open("db", "u")
     for session in (plain_session, transaction_session):
-        await node.serve_one(
+        await node.serve_statement(
             session,
             Statement("1", "prepare", "PREPARE q FETCH s1", name="q", prepared_text="FETCH s1"),
         )
-    await node.serve_one(transaction_session, Statement("2", "begin", "BEGIN", writes=True))
-    assert (await node.serve_one(transaction_session, Statement("3", "read", "FETCH opening"))).ok
+    await node.serve_statement(transaction_session, Statement("2", "begin", "BEGIN", writes=True))
+    assert (
+        await node.serve_statement(transaction_session, Statement("3", "read", "FETCH opening"))
+    ).ok
     until = await place_record(world, release_after_s=6)
     for session in (plain_session, transaction_session):
         for statement in (
@@ -136,12 +138,12 @@
             ),
             Statement("5", "read", "FETCH opening"),
         ):
-            world.check_reply("e1", "opening", await node.serve_one(session, statement))
-    reply = await node.serve_one(
+            world.check_reply("e1", "opening", await node.serve_statement(session, statement))
+    reply = await node.serve_statement(
         transaction_session, Statement("6", "write", "PUT other 1", writes=True)
     )
     assert reply.ok and reply.state == "T"
-    assert (await node.serve_one(transaction_session, Statement("7", "commit", "COMMIT"))).ok
+    assert (await node.serve_statement(transaction_session, Statement("7", "commit", "COMMIT"))).ok
     assert world.true_time() < until
     return world.early_reads
 
