--- a/src/petrelhaven/proxy/node.py
+++ b/src/petrelhaven/proxy/node.py
@@ -168,7 +168,7 @@
         """Whether new connections should come here."""
         return self.state == SERVING
 
-    async def opened(self, limit_us: int) -> None:
+    async def wait_until_configured(self, limit_us: int) -> None:
         """Waits until this proxy knows a configuration.
 
         Raises:
