--- a/src/petrelhaven/proxy/node.py
+++ b/src/petrelhaven/proxy/node.py
@@ -400,7 +400,7 @@
         self.count["shed"] += 1
         return f"not run; come back in {int(delay_us * self.rng.uniform(0.75, 1.25)) // 1000} ms"
 
-    def out_of_time(self, tried: bool = False) -> Reply:
+    def timeout_reply(self, tried: bool = False) -> Reply:
         """The reply to a statement whose time is over; `tried` if a member has it."""
         if tried:
             return Reply(code="timeout", text="no answer in time")
--- a/src/petrelhaven/proxy/routing/interfaces.py
+++ b/src/petrelhaven/proxy/routing/interfaces.py
@@ -114,7 +114,7 @@
     def retry_after(self, delay_us: int = ...) -> str:
         """Returns the text of a reply that asks the client to retry, with the delay."""
 
-    def out_of_time(self, tried: bool = False) -> Reply:
+    def timeout_reply(self, tried: bool = False) -> Reply:
         """Returns the reply to a statement that timed out; `tried` if a member received it."""
 
 
--- a/src/petrelhaven/proxy/routing/read_path.py
+++ b/src/petrelhaven/proxy/routing/read_path.py
@@ -91,7 +91,7 @@
         while True:
             state.left_us = state.request.deadline - self._clock.now()
             if state.left_us <= 0:
-                return self._proxy.out_of_time(bool(state.running))
+                return self._proxy.timeout_reply(bool(state.running))
             reply = yield from self._run_round(state)
             if reply is not None:
                 return reply
--- a/src/petrelhaven/proxy/routing/write_path.py
+++ b/src/petrelhaven/proxy/routing/write_path.py
@@ -44,11 +44,11 @@
         while True:
             left_us = request.deadline - self._clock.now()
             if left_us <= 0:
-                return self._proxy.out_of_time()
+                return self._proxy.timeout_reply()
             member = group.available_primary()
             if member is None:
                 if group.primary_is_lost(request.route, request.deadline):
-                    return self._proxy.out_of_time()
+                    return self._proxy.timeout_reply()
                 yield wait_for_first(
                     self._clock,
                     [group.next_leadership_change()],
@@ -116,7 +116,7 @@
         """Returns the reply when the time limit passed before the member answered."""
         if not attempt.sent:
             attempt.task.cancel()
-            return self._proxy.out_of_time()
+            return self._proxy.timeout_reply()
         self._proxy.count["unsure"] += 1
         request.group.note_failure(attempt.member, NO_ANSWER)
         return Reply(code="unsure", text="no answer came; the write may be kept or not")
