--- a/src/petrelhaven/proxy/node.py
+++ b/src/petrelhaven/proxy/node.py
@@ -400,9 +400,9 @@
         self.count["shed"] += 1
         return f"not run; come back in {int(delay_us * self.rng.uniform(0.75, 1.25)) // 1000} ms"
 
-    def timeout_reply(self, tried: bool = False) -> Reply:
-        """The reply to a statement whose time is over; `tried` if a member has it."""
-        if tried:
+    def timeout_reply(self, sent_to_member: bool = False) -> Reply:
+        """The reply to a statement whose time is over; `sent_to_member` if a member has it."""
+        if sent_to_member:
             return Reply(code="timeout", text="no answer in time")
         return Reply(code="busy", text=self.retry_after())
 
--- a/src/petrelhaven/proxy/routing/interfaces.py
+++ b/src/petrelhaven/proxy/routing/interfaces.py
@@ -114,8 +114,8 @@
     def retry_after(self, delay_us: int = ...) -> str:
         """Returns the text of a reply that asks the client to retry, with the delay."""
 
-    def timeout_reply(self, tried: bool = False) -> Reply:
-        """Returns the reply to a statement that timed out; `tried` if a member received it."""
+    def timeout_reply(self, sent_to_member: bool = False) -> Reply:
+        """Returns the reply to a statement that timed out; `sent_to_member` if a member received it."""
 
 
 class GroupMembers(Protocol):
