--- a/src/petrelhaven/proxy/proxy_interface.py
+++ b/src/petrelhaven/proxy/proxy_interface.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING, Any
 
 from petrelhaven.control.interface.documents import configuration_response, leadership_history
-from petrelhaven.proxy.state_routes import serve_state
+from petrelhaven.proxy.state_routes import add_state_routes
 from petrelhaven.runtime.errors import Malformed, NoRoute
 
 if TYPE_CHECKING:
@@ -37,7 +37,7 @@
             settings: Makes the part of the status that tells which settings are in force.
         """
         self._proxy, self._settings = proxy, settings
-        serve_state(http_server, proxy, self.status, self.reported_state)
+        add_state_routes(http_server, proxy, self.status, self.reported_state)
         http_server.on("GET", "/realm", self._show_control_state)
         http_server.on("GET", "/why", self._show_leadership)
         http_server.on("GET", "/manifest", self._show_configuration)
--- a/src/petrelhaven/proxy/resumable/proxy_interface.py
+++ b/src/petrelhaven/proxy/resumable/proxy_interface.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, Any
 
-from petrelhaven.proxy.state_routes import serve_state
+from petrelhaven.proxy.state_routes import add_state_routes
 from petrelhaven.transport.http_server import body_of
 
 if TYPE_CHECKING:
@@ -25,7 +25,7 @@
         http_server.on("POST", "/sessions", self._open)
         http_server.on("POST", "/sessions/{sid}", self._run_statement)
         http_server.on("DELETE", "/sessions/{sid}", self._close)
-        serve_state(http_server, proxy, proxy.status, proxy.reported_state)
+        add_state_routes(http_server, proxy, proxy.status, proxy.reported_state)
 
     async def _open(self, _request: web.Request) -> dict[str, Any]:
         return await self._proxy.open_session()
--- a/src/petrelhaven/proxy/state_routes.py
+++ b/src/petrelhaven/proxy/state_routes.py
@@ -39,7 +39,7 @@
         """The state that a proxy which is not ready names."""
 
 
-def serve_state(
+def add_state_routes(
     http_server: HttpRoutes,
     proxy: Readiness,
     status: Callable[[], Document],
