--- a/src/petrelhaven/control/node.py
+++ b/src/petrelhaven/control/node.py
@@ -219,7 +219,7 @@
         """Returns the link addresses of the members of the view that are known."""
         addresses = []
         for name in sorted(view.members):
-            address = self.roster.addr_of(name)
+            address = self.roster.address_of(name)
             if address:
                 zone = self.zone if name == self.name else self.roster.peers[name].zone
                 addresses.append(ControlNodeAddress(name, zone, address))
--- a/src/petrelhaven/membership/prober.py
+++ b/src/petrelhaven/membership/prober.py
@@ -86,7 +86,7 @@
         self.roster.leaving = True
         body = self._introduction().to_body()
         for name in self.roster.living()[:limit]:
-            address = self.roster.addr_of(name)
+            address = self.roster.address_of(name)
             if address is not None:
                 self.link.send_datagram(address, MessageKind.PEER_ACKNOWLEDGE, body)
 
--- a/src/petrelhaven/membership/roster.py
+++ b/src/petrelhaven/membership/roster.py
@@ -222,7 +222,7 @@
         peer = self.peers.get(name)
         return peer.state if peer is not None else None
 
-    def addr_of(self, name: str) -> str | None:
+    def address_of(self, name: str) -> str | None:
         """The link address of `name`."""
         if name == self.name:
             return self.addr
--- a/src/petrelhaven/transport/reach.py
+++ b/src/petrelhaven/transport/reach.py
@@ -54,7 +54,7 @@
             Unreachable: the connection was lost; the outcome is unknown.
             Fault: what the other side answered with; its `answered` is set.
         """
-        address = self.roster.addr_of(name)
+        address = self.roster.address_of(name)
         if name == self.roster.name:
             return cast(Result, await self.link.handlers[kind](None, body))
         if address is None:
@@ -86,7 +86,7 @@
         once = repeat_of(relayed["kind"], relayed["body"]) is Repeat.NEVER
         for relay in self._best_first(name, self._relays(name))[:_MAX_RELAYS]:
             us = end - self.clock.now()
-            address = self.roster.addr_of(relay)
+            address = self.roster.address_of(relay)
             if us <= 0 or address is None:
                 break
             relayed["us"] = us // _RELAY_SHARE
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -144,7 +144,7 @@
                 name=n,
                 zone=n,
                 peers=peers,
-                addr_of=lambda m, n=n: m if m != "z" else None,
+                address_of=lambda m, n=n: m if m != "z" else None,
                 living=lambda peers=peers: list(peers),
                 state=lambda m: "alive",
             )
