--- a/src/petrelhaven/control/view_changes.py
+++ b/src/petrelhaven/control/view_changes.py
@@ -92,9 +92,9 @@
         it.
         """
         roster = self._node.roster
-        gone_for = roster.gone_for(name)
-        if gone_for is not None:
-            return roster.departed(name) or gone_for > _LOST_AFTER_US
+        gone_duration_us = roster.gone_duration_us(name)
+        if gone_duration_us is not None:
+            return roster.departed(name) or gone_duration_us > _LOST_AFTER_US
         return (
             roster.state(name) is None
             and self._node.clock.now() - self._started_at > _LOST_AFTER_US
--- a/src/petrelhaven/membership/roster.py
+++ b/src/petrelhaven/membership/roster.py
@@ -134,7 +134,7 @@
         self._change_state(peer, update.state, update.incarnation)
         peer.departed = update.state == GONE and update.address == source
 
-    def gone_for(self, name: str) -> int | None:
+    def gone_duration_us(self, name: str) -> int | None:
         """Microseconds since peer `name` counts as gone; None if it does not, or is not known."""
         peer = self.peers.get(name)
         if peer is None or peer.state != GONE:
