--- a/src/petrelhaven/control/consensus/disk_watch.py
+++ b/src/petrelhaven/control/consensus/disk_watch.py
@@ -63,7 +63,7 @@
             self._notify_all()
 
     def _notify_all(self) -> None:
-        for name in self._node.roster.living("core"):
+        for name in self._node.roster.living_peers("core"):
             if name != self._node.name:
                 self._node.tasks.spawn(self._notify(name))
 
--- a/src/petrelhaven/control/departure.py
+++ b/src/petrelhaven/control/departure.py
@@ -58,7 +58,7 @@
         roster = self._node.roster
         return [
             name
-            for name in roster.living("core")
+            for name in roster.living_peers("core")
             if not view.is_member(name) and roster.state(name) == ALIVE
         ]
 
--- a/src/petrelhaven/control/resumable/node.py
+++ b/src/petrelhaven/control/resumable/node.py
@@ -123,7 +123,7 @@
 
     async def snapshots(self) -> dict[str, dict[str, Any]]:
         """The control states that living proxies hold, by their names."""
-        proxies = self.roster.living("edge")
+        proxies = self.roster.living_peers("edge")
         found = await asyncio.gather(*[self._snapshot(proxy) for proxy in proxies])
         return {proxy: snapshot for proxy, snapshot in zip(proxies, found, strict=True) if snapshot}
 
--- a/src/petrelhaven/membership/prober.py
+++ b/src/petrelhaven/membership/prober.py
@@ -85,7 +85,7 @@
         """Notifies living peers, at most `limit` of them, that this node is leaving."""
         self.roster.leaving = True
         body = self._introduction().to_body()
-        for name in self.roster.living()[:limit]:
+        for name in self.roster.living_peers()[:limit]:
             address = self.roster.address_of(name)
             if address is not None:
                 self.link.send_datagram(address, MessageKind.PEER_ACKNOWLEDGE, body)
--- a/src/petrelhaven/membership/roster.py
+++ b/src/petrelhaven/membership/roster.py
@@ -207,7 +207,7 @@
         peers = [peer for _, peer in sorted(self.peers.items())]
         return [self.own_update().to_wire(), *(peer.update().to_wire() for peer in peers)]
 
-    def living(self, role: str | None = None) -> list[str]:
+    def living_peers(self, role: str | None = None) -> list[str]:
         """Names of peers not gone, by role."""
         return [
             name
--- a/src/petrelhaven/transport/reach.py
+++ b/src/petrelhaven/transport/reach.py
@@ -109,7 +109,7 @@
         """Living nodes that may see `name`."""
         return [
             relay
-            for relay in self.roster.living()
+            for relay in self.roster.living_peers()
             if relay != name and not self._has_failed(relay) and self.roster.state(relay) == ALIVE
         ]
 
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -145,7 +145,7 @@
                 zone=n,
                 peers=peers,
                 address_of=lambda m, n=n: m if m != "z" else None,
-                living=lambda peers=peers: list(peers),
+                living_peers=lambda peers=peers: list(peers),
                 state=lambda m: "alive",
             )
             self.reaches[n] = Reach(nodes[n].clock, nodes[n], roster, random.Random(n))
