--- a/src/petrelhaven/control/view_changes.py
+++ b/src/petrelhaven/control/view_changes.py
@@ -94,7 +94,7 @@
         roster = self._node.roster
         gone_duration_us = roster.gone_duration_us(name)
         if gone_duration_us is not None:
-            return roster.departed(name) or gone_duration_us > _LOST_AFTER_US
+            return roster.has_departed(name) or gone_duration_us > _LOST_AFTER_US
         return (
             roster.state(name) is None
             and self._node.clock.now() - self._started_at > _LOST_AFTER_US
--- a/src/petrelhaven/membership/roster.py
+++ b/src/petrelhaven/membership/roster.py
@@ -141,7 +141,7 @@
             return None
         return self.clock.now() - peer.changed_at
 
-    def departed(self, name: str) -> bool:
+    def has_departed(self, name: str) -> bool:
         """Whether peer `name` told this node itself that it leaves, and has not come back."""
         peer = self.peers.get(name)
         return peer is not None and peer.departed
