--- a/src/petrelhaven/membership/roster.py
+++ b/src/petrelhaven/membership/roster.py
@@ -70,7 +70,7 @@
         self.on_change: list[Callable[[Peer, str | None], object]] = []
         self.suspect_us = suspect_us
         self.leaving = False
-        self.spread_limit = 0
+        self.transmit_limit = 0
         self._own_spread = 0
 
     def own_update(self) -> PeerUpdate:
@@ -177,9 +177,9 @@
     def rows(self, most: int = _ROWS_A_PROBE) -> list[WireRow]:
         """At most `most` rows for a probe: this node first, then the least spread.
 
-        With `spread_limit`, only what is not well known yet.
+        With `transmit_limit`, only what is not well known yet.
         """
-        if self.spread_limit:
+        if self.transmit_limit:
             return self._little_known_rows(most)
         peers = sorted(self.peers.values(), key=lambda peer: (peer.spread, peer.name))
         return [self.own_update().to_wire(), *self._pass_on(peers[:most])]
@@ -189,10 +189,10 @@
         peers = [
             peer
             for _, peer in sorted(self.peers.items())
-            if peer.spread < self.spread_limit or peer.state == SUSPECT
+            if peer.spread < self.transmit_limit or peer.state == SUSPECT
         ]
         rows = self._pass_on(peers[:most])
-        if self._own_spread < self.spread_limit or self.leaving:
+        if self._own_spread < self.transmit_limit or self.leaving:
             rows.insert(0, self.own_update().to_wire())
         return rows
 
--- a/tests/test_prober.py
+++ b/tests/test_prober.py
@@ -15,7 +15,7 @@
     machine.boot()
     identity = NodeIdentity(name, "core", "a", machine.link.addr, 1)
     machine.node = Roster(machine.clock, identity, machine.log)
-    machine.node.spread_limit = WELL_KNOWN
+    machine.node.transmit_limit = WELL_KNOWN
     prober = Prober(
         machine.clock, machine.link, machine.tasks, random.Random(7), machine.node, seeds
     )
