--- a/src/petrelhaven/control/node.py
+++ b/src/petrelhaven/control/node.py
@@ -113,7 +113,7 @@
             self.clock, self.chain, self.reach, self.name, self.roster.state
         )
         self.roster.transmit_limit = _SPREAD_LIMIT
-        self.prober.join_us = _JOIN_INTERVAL_US
+        self.prober.join_period_us = _JOIN_INTERVAL_US
         self.chain.confirmation.asks_only_quorum = True
         self.chain.confirmation.count_connected_proxies = lambda: len(self.connected_proxies)
         self.chain.on_commit.append(self._start_services)
--- a/src/petrelhaven/membership/prober.py
+++ b/src/petrelhaven/membership/prober.py
@@ -38,7 +38,7 @@
 class Prober:
     """Keeps a roster up to date by probing one peer a period.
 
-    `join_us` is how often the seeds are asked for the whole roster once a peer is known.
+    `join_period_us` is how often the seeds are asked for the whole roster once a peer is known.
     """
 
     def __init__(  # noqa: PLR0913, PLR0917 (whoever runs it gives each)
@@ -60,7 +60,7 @@
         self.clock, self.link, self.tasks, self.rng = clock, link, tasks, rng
         self.roster, self.seeds = roster, seeds
         self.period_us, self.answer_us, self.second_opinions = period_us, answer_us, second_opinions
-        self.join_us = _JOIN_PERIOD_US
+        self.join_period_us = _JOIN_PERIOD_US
         self._waiting: dict[int, asyncio.Future[None]] = {}
         self._round: list[str] = []
         self._nonce = _NOBODY_WAITS
@@ -95,7 +95,7 @@
             for address in self.seeds:
                 if address != self.link.addr:
                     await self._exchange_rosters(address)
-            pause_us = self.join_us if self.roster.peers else _FIRST_JOIN_PERIOD_US
+            pause_us = self.join_period_us if self.roster.peers else _FIRST_JOIN_PERIOD_US
             await self.clock.sleep(pause_us)
 
     async def _exchange_rosters(self, address: str) -> None:
--- a/tests/test_prober.py
+++ b/tests/test_prober.py
@@ -19,7 +19,7 @@
     prober = Prober(
         machine.clock, machine.link, machine.tasks, random.Random(7), machine.node, seeds
     )
-    prober.join_us = 60_000_000
+    prober.join_period_us = 60_000_000
     machine.tasks.spawn(prober.run())
     return machine
 
