--- a/src/petrelhaven/membership/prober.py
+++ b/src/petrelhaven/membership/prober.py
@@ -51,15 +51,15 @@
         seeds: Sequence[str],
         period_us: int = _PERIOD_US,
         answer_us: int = _ANSWER_US,
-        second_opinions: int = _SECOND_OPINIONS,
+        indirect_probes: int = _SECOND_OPINIONS,
     ) -> None:
         """Answers others' probes from now on; `run` starts this node's own.
 
-        A peer has `answer_us` to answer; else `second_opinions` others are asked to probe it.
+        A peer has `answer_us` to answer; else `indirect_probes` others are asked to probe it.
         """
         self.clock, self.link, self.tasks, self.rng = clock, link, tasks, rng
         self.roster, self.seeds = roster, seeds
-        self.period_us, self.answer_us, self.second_opinions = period_us, answer_us, second_opinions
+        self.period_us, self.answer_us, self.indirect_probes = period_us, answer_us, indirect_probes
         self.join_period_us = _JOIN_PERIOD_US
         self._waiting: dict[int, asyncio.Future[None]] = {}
         self._round: list[str] = []
@@ -148,7 +148,7 @@
         ]
         self.rng.shuffle(others)
         opinions = [
-            self._is_reached_by(other.addr, peer.addr) for other in others[: self.second_opinions]
+            self._is_reached_by(other.addr, peer.addr) for other in others[: self.indirect_probes]
         ]
         reached = await asyncio.gather(*opinions)
         if not any(reached):
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -223,7 +223,7 @@
     mp.setattr(
         probe.Prober,
         "__init__",
-        lambda self, *a, **kw: real(self, *a, **{**kw, "second_opinions": 0}),
+        lambda self, *a, **kw: real(self, *a, **{**kw, "indirect_probes": 0}),
     )
 
 
