--- a/src/petrelhaven/proxy/node.py
+++ b/src/petrelhaven/proxy/node.py
@@ -103,7 +103,7 @@
         wire: MemberWire,
         zone_distance: Callable[[str], int],
         drain_us: int,
-        empty_us: int,
+        evacuate_us: int,
         log: logbook.Logger | None = None,
         revoke_us: int | None = None,
     ) -> None:
@@ -126,7 +126,7 @@
         self.name, self.zone, self.log = name, zone, log
         self.clock, self.tasks, self.rng = clock, tasks, rng
         self.core_connection, self.wire, self.zone_distance = core_connection, wire, zone_distance
-        self.drain_us, self.evacuation_us = drain_us, empty_us
+        self.drain_us, self.evacuation_us = drain_us, evacuate_us
         self._revoke_us = revoke_us
         self.logical_clock = LogicalClock()
         self.remote_contact = RemoteContact(clock)
