--- a/src/petrelhaven/proxy/routing/__init__.py
+++ b/src/petrelhaven/proxy/routing/__init__.py
@@ -1,7 +1,8 @@
 """Routes statements from clients to members and the replies back.
 
 1. An adapter speaks the protocol of clients and members (on the platform, the modules
-   `client_connection` and `member_connections`). It calls `ProxyNode.serve_statement` (`proxy/node`).
+   `client_connection` and `member_connections`). It calls `ProxyNode.serve_statement`
+   (`proxy/node`).
 2. `reply_without_member` (`session/immediate_reply`) answers SET, PREPARE, DEALLOC, BEGIN and
    ROLLBACK.
 3. For all other statements, `ProxyNode._run_routed` looks up the route and the group, consults the
--- a/src/petrelhaven/proxy/routing/interfaces.py
+++ b/src/petrelhaven/proxy/routing/interfaces.py
@@ -115,7 +115,7 @@
         """Returns the text of a reply that asks the client to retry, with the delay."""
 
     def timeout_reply(self, sent_to_member: bool = False) -> Reply:
-        """Returns the reply to a statement that timed out; `sent_to_member` if a member received it."""
+        """Returns the reply to a statement that timed out, whether or not a member received it."""
 
 
 class GroupMembers(Protocol):
