--- a/src/petrelhaven/proxy/core_connection.py
+++ b/src/petrelhaven/proxy/core_connection.py
@@ -120,7 +120,7 @@
         self.clock, self.tasks, self.link, self.rng, self.log = clock, tasks, link, rng, log
         self.name, self.seeds, self._zone_distance = name, seeds, zone_distance
         self.control_state = ControlState()
-        self.joined = False
+        self.has_control_state = False
         self.view_number = 0
         self.control_nodes: dict[str, int] = {}
         self.proxy_count = 0
@@ -209,17 +209,19 @@
 
     async def _open(self, address: str) -> Channel | None:
         """A channel to a control node; None if it could not be reached."""
-        limit_us = _OPEN_LIMIT_US if self.joined else _FIRST_OPEN_LIMIT_US
+        limit_us = _OPEN_LIMIT_US if self.has_control_state else _FIRST_OPEN_LIMIT_US
         try:
             return await self.clock.limit(self.link.open(address), limit_us)
         except Fault:
-            pause_us = _UNREACHABLE_PAUSE_US if self.joined else _FIRST_UNREACHABLE_PAUSE_US
+            pause_us = (
+                _UNREACHABLE_PAUSE_US if self.has_control_state else _FIRST_UNREACHABLE_PAUSE_US
+            )
             self._avoid_until[address] = self.clock.now() + pause_us
             return None
 
     async def _follow(self, address: str, channel: Channel) -> None:
         """Has the control state pushed over `channel`, and renews the lease until that fails."""
-        applied_seq = self.control_state.seq if self.joined else _NOTHING_APPLIED
+        applied_seq = self.control_state.seq if self.has_control_state else _NOTHING_APPLIED
         hold = {"edge": self.name, "inc": 0, "applied": applied_seq}
         answer = await channel.call(MessageKind.PROXY_CONNECT, hold, _HOLD_LIMIT_US)
         if not answer["ok"]:
@@ -329,7 +331,7 @@
 
     async def _send_snapshot(self, _channel: Channel, _body: dict[str, Any]) -> dict[str, Any]:
         """Answers `edge.frame`: the control state as this proxy has it, for a reform."""
-        return {"frame": self.control_state.snapshot() if self.joined else None}
+        return {"frame": self.control_state.snapshot() if self.has_control_state else None}
 
     async def _apply_push(self, channel: Channel, body: dict[str, Any]) -> dict[str, Any]:
         """Answers `edge.push`: applies a snapshot and records that are newer than what is known."""
@@ -346,10 +348,12 @@
 
     def _apply_snapshot(self, snapshot: dict[str, Any] | None) -> bool:
         """Takes a whole control state over; whether it was newer."""
-        if snapshot is None or (self.joined and snapshot["seq"] <= self.control_state.seq):
+        if snapshot is None or (
+            self.has_control_state and snapshot["seq"] <= self.control_state.seq
+        ):
             return False
         self.control_state = ControlState(snapshot)
-        self.joined = True
+        self.has_control_state = True
         return True
 
     def _apply_records(self, records: list[tuple[int, dict[str, Any]]]) -> list[dict[str, Any]]:
--- a/src/petrelhaven/proxy/proxy_interface.py
+++ b/src/petrelhaven/proxy/proxy_interface.py
@@ -61,7 +61,7 @@
             **self._proxy.status(),
             **self.reported_state(),
             "settings": self._settings(),
-            "joined": core_connection.joined,
+            "joined": core_connection.has_control_state,
             "lease_us": max(0, core_connection.lease_until - self._proxy.clock.now()),
             "cores": sorted(core_connection.control_nodes),
             "edges_tied": core_connection.proxy_count,
--- a/src/petrelhaven/proxy/state_routes.py
+++ b/src/petrelhaven/proxy/state_routes.py
@@ -7,7 +7,7 @@
 
 from petrelhaven.runtime.errors import NotReady
 
-__all__ = ["HttpRequest", "HttpRoutes", "serve_state"]
+__all__ = ["HttpRequest", "HttpRoutes", "add_state_routes"]
 
 Document = dict[str, Any]
 
--- a/tests/test_connection_sessions_storm.py
+++ b/tests/test_connection_sessions_storm.py
@@ -295,7 +295,7 @@
 def older_frames_too(mp):
     mp.setattr(
         core_connection.CoreConnection,
-        "joined",
+        "has_control_state",
         property(lambda self: False, lambda self, v: None),
         raising=False,
     )
