--- a/src/petrelhaven/proxy/node.py
+++ b/src/petrelhaven/proxy/node.py
@@ -325,7 +325,7 @@
             return self._path.transactions.abort_transaction(request, text)
         if tenant is not ANONYMOUS_TENANT and not self._keys_are_certain():
             return self._path.transactions.refuse_statement(request, self.retry_after())
-        self._follow_tenant(session, tenant)
+        self._update_tenant(session, tenant)
         if self.embargo is not None:
             refusal = self.embargo.refuse_if_withheld(session, statement, group.name)
             if refusal is not None:
@@ -360,7 +360,7 @@
         is_bound = transaction is not None and transaction.connection is not None
         return is_bound and session.tenant != tenant.name
 
-    def _follow_tenant(self, session: ClientSession, tenant: Tenant) -> None:
+    def _update_tenant(self, session: ClientSession, tenant: Tenant) -> None:
         """The session's key belongs to `tenant` by now."""
         session.tenant = tenant.name
         if self.tenants.requires_keys:
--- a/tests/test_tenant_storm.py
+++ b/tests/test_tenant_storm.py
@@ -94,7 +94,7 @@
 
 def members_get_no_tenant_name(monkeypatch):
     monkeypatch.setattr(
-        ProxyNode, "_follow_tenant", lambda self, session, tenant: setattr(session, "tenant", "")
+        ProxyNode, "_update_tenant", lambda self, session, tenant: setattr(session, "tenant", "")
     )
 
 
