--- a/src/petrelhaven/membership/roster.py
+++ b/src/petrelhaven/membership/roster.py
@@ -71,7 +71,7 @@
         self.suspect_us = suspect_us
         self.leaving = False
         self.transmit_limit = 0
-        self._own_spread = 0
+        self._own_transmit_count = 0
 
     def own_update(self) -> PeerUpdate:
         """What this node reports of itself."""
@@ -112,7 +112,7 @@
             return
         denied = update.state != ALIVE and update.incarnation >= self.incarnation
         if denied:
-            self._own_spread = 0
+            self._own_transmit_count = 0
         if denied or update.incarnation > self.incarnation:
             self.incarnation = update.incarnation + 1
 
@@ -185,14 +185,14 @@
         return [self.own_update().to_wire(), *self._pass_on(peers[:most])]
 
     def _little_known_rows(self, most: int) -> list[WireRow]:
-        self._own_spread += 1
+        self._own_transmit_count += 1
         peers = [
             peer
             for _, peer in sorted(self.peers.items())
             if peer.spread < self.transmit_limit or peer.state == SUSPECT
         ]
         rows = self._pass_on(peers[:most])
-        if self._own_spread < self.transmit_limit or self.leaving:
+        if self._own_transmit_count < self.transmit_limit or self.leaving:
             rows.insert(0, self.own_update().to_wire())
         return rows
 
--- a/tests/test_prober.py
+++ b/tests/test_prober.py
@@ -30,7 +30,7 @@
         old = [member(net, name, ["sim:a", "sim:b"]) for name in ("a", "b")]
         await asyncio.sleep(10)
         # all that a and b may pass on of themselves in probes has been passed on
-        assert all(machine.node._own_spread >= WELL_KNOWN for machine in old)
+        assert all(machine.node._own_transmit_count >= WELL_KNOWN for machine in old)
         new = member(net, "n", ["sim:a"])
         while new.node.state("a") is None or old[1].node.state("n") is None:
             await asyncio.sleep(0.01)
