--- a/src/petrelhaven/proxy/core_connection.py
+++ b/src/petrelhaven/proxy/core_connection.py
@@ -61,7 +61,7 @@
 _NEVER_US = -(1 << 60)
 
 
-class LeaseCompanion(Protocol):
+class RenewalFollowUp(Protocol):
     """Something that asks the control node for more at each renewal of the lease."""
 
     async def ask(self, channel: Channel) -> None:
@@ -127,7 +127,7 @@
         self.on_change: list[StateListener] = []
         self.lease_until = 0
         self._confirmed_at = _NEVER_US
-        self.true_time: LeaseCompanion | None = None
+        self.true_time: RenewalFollowUp | None = None
         self._pending_lease: _PendingLease | None = None
         self._avoid_until: dict[str, int] = {}
         self._next_report_at: dict[str, int] = {}
