--- a/src/petrelhaven/membership/__init__.py
+++ b/src/petrelhaven/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Failure detection: who is in the fleet and alive."""
+"""Group membership and failure detection among the nodes of a fleet."""
--- a/src/petrelhaven/membership/messages.py
+++ b/src/petrelhaven/membership/messages.py
@@ -1,4 +1,4 @@
-"""Typed bodies of the messages of failure detection.
+"""Typed bodies of the failure detection messages.
 
 The fields on the wire are those of the contracts in `transport/contracts`; only this module and
 `update` translate between them and the names used in the code.
@@ -15,13 +15,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """A probe, the request for a second opinion, or the acknowledgement of either.
+    """A probe, a request for an indirect probe, or the acknowledgement of either.
 
     Attributes:
-        nonce: the number by which the sender knows its acknowledgement.
+        nonce: the number that matches an acknowledgement to its request.
         source: the link address of the sender.
-        rows: updates about peers, not checked yet.
-        target: the link address to probe for the sender; only in a request for a second opinion.
+        rows: updates about peers, not validated yet.
+        target: the link address to probe; only in a request for an indirect probe.
     """
 
     nonce: int
@@ -30,7 +30,7 @@
     target: str | None = None
 
     def to_body(self) -> dict[str, Any]:
-        """The fields as they are sent."""
+        """Returns the fields as they are sent."""
         body = {"nonce": self.nonce, "src": self.source, "news": self.rows}
         if self.target is not None:
             body["to"] = self.target
@@ -38,5 +38,5 @@
 
     @classmethod
     def from_body(cls, body: Mapping[str, Any]) -> Probe:
-        """Reads the fields as they came in."""
+        """Creates a probe from received fields."""
         return cls(body["nonce"], body["src"], body["news"], body.get("to"))
--- a/src/petrelhaven/membership/peer.py
+++ b/src/petrelhaven/membership/peer.py
@@ -1,4 +1,4 @@
-"""What one node believes of another."""
+"""The state of a peer in the view of one node."""
 
 from collections.abc import Callable
 
@@ -12,13 +12,13 @@
 
 
 class Peer:
-    """A peer with an explicit state; `apply` is the one function that changes it.
+    """A peer and its membership state, which only `apply` changes.
 
     Attributes:
-        changed_at: when its state last changed, in clock microseconds.
-        last_contact: when it last sent a message to this node itself, in clock microseconds.
-        spread: how often its present state was passed on.
-        departed: whether it reported itself that it leaves.
+        changed_at: when the state last changed, in microseconds of the node's clock.
+        last_contact: when the peer last sent a message to this node, in microseconds of the clock.
+        transmit_count: how often its current state was sent to other nodes.
+        departed: whether the peer itself announced that it leaves.
     """
 
     __slots__ = (
@@ -29,7 +29,7 @@
         "incarnation",
         "state",
         "changed_at",
-        "spread",
+        "transmit_count",
         "last_contact",
         "departed",
         "__dict__",
@@ -47,29 +47,29 @@
             {"trigger": "remove", "source": [ALIVE, SUSPECT, GONE], "dest": GONE},
         ],
     )
-    _TRIGGER = {ALIVE: "revive", SUSPECT: "suspect", GONE: "remove"}
+    _TRIGGERS = {ALIVE: "revive", SUSPECT: "suspect", GONE: "remove"}
 
     def __init__(self, update: PeerUpdate, now: int) -> None:
-        """Adds a peer that `update` is the first to name, as alive; `now` in clock microseconds."""
+        """Creates a peer from the first update about it, in state ALIVE; `now` in microseconds."""
         self.name = update.name
         self.role = update.role
         self.zone = update.zone
         self.addr = update.address
         self.incarnation = update.incarnation
         self.changed_at = now
-        self.spread = 0
+        self.transmit_count = 0
         self.last_contact = _NEVER_US
         self.departed = False
         self._machine.add_model(self)
 
     def apply(self, state: str, incarnation: int, now: int) -> None:
-        """Changes to `state` at `incarnation`; `now` in clock microseconds."""
+        """Changes the peer to `state` at `incarnation`; `now` in microseconds."""
         if state == SUSPECT and self.state == GONE:
             self.revive()
-        getattr(self, self._TRIGGER[state])()
-        self.incarnation, self.changed_at, self.spread = incarnation, now, 0
+        getattr(self, self._TRIGGERS[state])()
+        self.incarnation, self.changed_at, self.transmit_count = incarnation, now, 0
         self.departed = self.departed and state == GONE
 
     def update(self) -> PeerUpdate:
-        """What this node reports of the peer."""
+        """Returns the update that reports this peer to other nodes."""
         return PeerUpdate(self.name, self.role, self.zone, self.addr, self.incarnation, self.state)
--- a/src/petrelhaven/membership/prober.py
+++ b/src/petrelhaven/membership/prober.py
@@ -1,4 +1,4 @@
-"""Failure detection: probes in turn, second opinions of other nodes, suspicion before removal."""
+"""Failure detection in the manner of SWIM: probes, indirect probes and suspicion."""
 
 from __future__ import annotations
 
@@ -22,26 +22,27 @@
 
 __all__ = ["Prober"]
 
-_PERIOD_US = 200_000
-_ANSWER_US = 90_000
-_SECOND_OPINIONS = 3
+_PROBE_PERIOD_US = 200_000
+_PROBE_TIMEOUT_US = 90_000
+_INDIRECT_PROBES = 3
 _JOIN_PERIOD_US = 2_000_000
 _FIRST_JOIN_PERIOD_US = 200_000
-_JOIN_ANSWER_US = 800_000
-_ALONE_US = 1_000_000
-_SEED_PROBE_US = 100_000
-_GONE_PROBED_SHARE = 0.2
-_SECOND_OPINION_TIMES = 3
-_NOBODY_WAITS = 0
+_JOIN_TIMEOUT_US = 800_000
+_SEED_PROBE_DELAY_US = 1_000_000
+_SEED_PROBE_PERIOD_US = 100_000
+_GONE_PEER_PROBE_PROBABILITY = 0.2
+_INDIRECT_TIMEOUT_FACTOR = 3
+_UNAWAITED_NONCE = 0
 
 
 class Prober:
-    """Keeps a roster up to date by probing one peer a period.
+    """Keeps a roster up to date by probing one peer per period.
 
-    `join_period_us` is how often the seeds are asked for the whole roster once a peer is known.
+    Attributes:
+        join_period_us: How often this node exchanges rosters with the seeds, once it has a peer.
     """
 
-    def __init__(  # noqa: PLR0913, PLR0917 (whoever runs it gives each)
+    def __init__(  # noqa: PLR0913, PLR0917 (dependencies that the node injects)
         self,
         clock: Clock,
         link: Link,
@@ -49,40 +50,42 @@
         rng: random.Random,
         roster: Roster,
         seeds: Sequence[str],
-        period_us: int = _PERIOD_US,
-        answer_us: int = _ANSWER_US,
-        indirect_probes: int = _SECOND_OPINIONS,
+        period_us: int = _PROBE_PERIOD_US,
+        probe_timeout_us: int = _PROBE_TIMEOUT_US,
+        indirect_probes: int = _INDIRECT_PROBES,
     ) -> None:
-        """Answers others' probes from now on; `run` starts this node's own.
+        """Registers the message handlers; `run` starts this node's own probes.
 
-        A peer has `answer_us` to answer; else `indirect_probes` others are asked to probe it.
+        If a peer does not acknowledge a probe within `probe_timeout_us`, up to `indirect_probes`
+        other peers are asked to probe it.
         """
         self.clock, self.link, self.tasks, self.rng = clock, link, tasks, rng
         self.roster, self.seeds = roster, seeds
-        self.period_us, self.answer_us, self.indirect_probes = period_us, answer_us, indirect_probes
+        self.period_us, self.probe_timeout_us = period_us, probe_timeout_us
+        self.indirect_probes = indirect_probes
         self.join_period_us = _JOIN_PERIOD_US
-        self._waiting: dict[int, asyncio.Future[None]] = {}
-        self._round: list[str] = []
-        self._nonce = _NOBODY_WAITS
-        self._meeting: set[str] = set()
+        self._pending_probes: dict[int, asyncio.Future[None]] = {}
+        self._probe_queue: list[str] = []
+        self._last_nonce = _UNAWAITED_NONCE
+        self._contacted_senders: set[str] = set()
         link.on(MessageKind.PEER_PROBE, self._on_probe)
         link.on(MessageKind.PEER_ACKNOWLEDGE, self._on_acknowledge)
         link.on(MessageKind.PEER_PROBE_FOR, self._on_probe_for)
         link.on(MessageKind.PEER_JOIN, self._on_join)
 
     async def run(self) -> None:
-        """Joins through the seeds, then probes for good."""
+        """Starts joining through the seeds, then probes peers until cancelled."""
         self.tasks.spawn(self._join())
         self.tasks.spawn(self._probe_seeds())
         while True:
             await self.clock.sleep(self.period_us)
             self.roster.expire_suspicions()
-            peer = self._next()
+            peer = self._next_peer()
             if peer is not None:
-                self.tasks.spawn(self._check(peer))
+                self.tasks.spawn(self._probe_peer(peer))
 
     def leave(self, limit: int | None = None) -> None:
-        """Notifies living peers, at most `limit` of them, that this node is leaving."""
+        """Notifies up to `limit` living peers (None: all of them) that this node is leaving."""
         self.roster.leaving = True
         body = self._introduction().to_body()
         for name in self.roster.living_peers()[:limit]:
@@ -91,6 +94,7 @@
                 self.link.send_datagram(address, MessageKind.PEER_ACKNOWLEDGE, body)
 
     async def _join(self) -> None:
+        """Exchanges rosters with the seeds periodically."""
         while True:
             for address in self.seeds:
                 if address != self.link.addr:
@@ -99,47 +103,48 @@
             await self.clock.sleep(pause_us)
 
     async def _exchange_rosters(self, address: str) -> None:
-        """Sends the whole roster to the node at `address` and merges its roster."""
+        """Sends the full roster to the node at `address` and merges the roster that it returns."""
         body = {"src": self.link.addr, "news": self.roster.all_rows()}
         with contextlib.suppress(Fault):
-            reply = await self.link.call(address, MessageKind.PEER_JOIN, body, _JOIN_ANSWER_US)
+            reply = await self.link.call(address, MessageKind.PEER_JOIN, body, _JOIN_TIMEOUT_US)
             self.roster.merge(reply["news"])
 
-    async def _meet(self, address: str) -> None:
-        """Gets to know a node that sends probes but does not introduce itself in them."""
+    async def _fetch_unknown_sender(self, address: str) -> None:
+        """Exchanges rosters with the sender of a probe that is missing from this roster."""
         try:
             await self._exchange_rosters(address)
         finally:
-            self._meeting.discard(address)
+            self._contacted_senders.discard(address)
 
     async def _probe_seeds(self) -> None:
-        """Until a peer is known, probes the seeds often, without connections that hang.
+        """Sends datagrams to the seeds frequently until the roster has a peer.
 
-        A node that starts inside a partition is known outside within a moment of its end.
+        A join over a connection may hang during a partition. Datagrams let a node that started
+        inside a partition become known soon after the partition heals.
         """
-        await self.clock.sleep(_ALONE_US)
+        await self.clock.sleep(_SEED_PROBE_DELAY_US)
         while not self.roster.peers:
             body = self._introduction().to_body()
             for address in self.seeds:
                 if address != self.link.addr:
                     self.link.send_datagram(address, MessageKind.PEER_PROBE, body)
-            await self.clock.sleep(_SEED_PROBE_US)
+            await self.clock.sleep(_SEED_PROBE_PERIOD_US)
 
-    def _next(self) -> Peer | None:
-        """The next peer of a shuffled round; of those gone, only some."""
-        while self._round:
-            peer = self.roster.peers.get(self._round.pop())
+    def _next_peer(self) -> Peer | None:
+        """Returns the next peer of a shuffled round, which skips most peers that are gone."""
+        while self._probe_queue:
+            peer = self.roster.peers.get(self._probe_queue.pop())
             if peer is None:
                 continue
-            if peer.state != GONE or self.rng.random() < _GONE_PROBED_SHARE:
+            if peer.state != GONE or self.rng.random() < _GONE_PEER_PROBE_PROBABILITY:
                 return peer
-        self._round = sorted(self.roster.peers)
-        self.rng.shuffle(self._round)
-        return self.roster.peers.get(self._round.pop()) if self._round else None
+        self._probe_queue = sorted(self.roster.peers)
+        self.rng.shuffle(self._probe_queue)
+        return self.roster.peers.get(self._probe_queue.pop()) if self._probe_queue else None
 
-    async def _check(self, peer: Peer) -> None:
-        """Probes a peer; suspects it if neither this node nor the third parties reach it."""
-        if await self._ping(peer.addr, MessageKind.PEER_PROBE):
+    async def _probe_peer(self, peer: Peer) -> None:
+        """Probes a peer directly, then indirectly; suspects it if every probe fails."""
+        if await self._probe_address(peer.addr, MessageKind.PEER_PROBE):
             return
         others = [
             other
@@ -147,80 +152,86 @@
             if name != peer.name and other.state == ALIVE
         ]
         self.rng.shuffle(others)
-        opinions = [
-            self._is_reached_by(other.addr, peer.addr) for other in others[: self.indirect_probes]
+        indirect_probes = [
+            self._probe_indirectly(other.addr, peer.addr)
+            for other in others[: self.indirect_probes]
         ]
-        reached = await asyncio.gather(*opinions)
+        reached = await asyncio.gather(*indirect_probes)
         if not any(reached):
             self.roster.suspect(peer.name)
 
-    async def _is_reached_by(self, address: str, target: str) -> bool:
-        """Whether the node at `address` reports that it reaches the one at `target`."""
+    async def _probe_indirectly(self, address: str, target: str) -> bool:
+        """Returns whether the node at `address` reports that `target` answered its probe."""
         kind = MessageKind.PEER_PROBE_FOR
-        return await self._ping(address, kind, target, _SECOND_OPINION_TIMES)
+        return await self._probe_address(address, kind, target, _INDIRECT_TIMEOUT_FACTOR)
 
-    async def _ping(
-        self, address: str, kind: str, target: str | None = None, times: int = 1
+    async def _probe_address(
+        self, address: str, kind: str, target: str | None = None, timeout_factor: int = 1
     ) -> bool:
-        """Whether `address` acknowledges a message of `kind` in `times` the usual wait."""
-        self._nonce += 1
-        nonce = self._nonce
-        answered = self._waiting[nonce] = asyncio.get_running_loop().create_future()
-        self._send(address, kind, nonce, target)
+        """Sends a message of `kind` and returns whether it is acknowledged in time.
+
+        The timeout is `timeout_factor` times the probe timeout.
+        """
+        self._last_nonce += 1
+        nonce = self._last_nonce
+        acknowledged = self._pending_probes[nonce] = asyncio.get_running_loop().create_future()
+        self._send_probe(address, kind, nonce, target)
         try:
-            await self.clock.limit(answered, self.answer_us * times)
+            await self.clock.limit(acknowledged, self.probe_timeout_us * timeout_factor)
         except Fault:
             return False
         else:
             return True
         finally:
-            self._waiting.pop(nonce, None)
+            self._pending_probes.pop(nonce, None)
 
     def _introduction(self) -> Probe:
-        """An update about this node alone, which nobody has to acknowledge."""
-        return Probe(_NOBODY_WAITS, self._own_address(), [self.roster.own_update().to_wire()])
+        """Returns a message with only the update about this node; no acknowledgement is awaited."""
+        return Probe(_UNAWAITED_NONCE, self._own_address(), [self.roster.own_update().to_wire()])
 
     def _own_address(self) -> str:
-        assert self.link.addr is not None, "the link listens before the prober runs"
+        assert self.link.addr is not None, "the link must listen before the prober runs"
         return self.link.addr
 
-    def _send(self, address: str, kind: str, nonce: int, target: str | None = None) -> None:
+    def _send_probe(self, address: str, kind: str, nonce: int, target: str | None = None) -> None:
         probe = Probe(nonce, self._own_address(), self.roster.rows(), target)
         self.link.send_datagram(address, kind, probe.to_body())
 
     def _acknowledge(self, probe: Probe) -> None:
-        self._send(probe.source, MessageKind.PEER_ACKNOWLEDGE, probe.nonce)
+        self._send_probe(probe.source, MessageKind.PEER_ACKNOWLEDGE, probe.nonce)
 
     def _on_probe(self, body: dict[str, Any]) -> None:
-        self._acknowledge(self._merge_sender(body))
+        self._acknowledge(self._merge_message(body))
 
-    def _merge_sender(self, body: dict[str, Any]) -> Probe:
-        """Reads a probe and merges what its sender reports.
+    def _merge_message(self, body: dict[str, Any]) -> Probe:
+        """Merges the updates of a received message and returns the message.
 
-        A sender that counts as well known leaves itself out of its probes. A node that started
-        only now may not know it, and whoever did may be gone: so it asks.
+        A node omits itself from its probes once it has reached the transmit limit. A node that
+        starts later may then hear of it from nobody, so it exchanges rosters with unknown senders.
         """
         probe = Probe.from_body(body)
         self.roster.record_contact(probe.source)
         self.roster.merge(probe.rows, probe.source)
-        if probe.source not in self._meeting and not self.roster.knows_address(probe.source):
-            self._meeting.add(probe.source)
-            self.tasks.spawn(self._meet(probe.source))
+        if probe.source not in self._contacted_senders and not self.roster.knows_address(
+            probe.source
+        ):
+            self._contacted_senders.add(probe.source)
+            self.tasks.spawn(self._fetch_unknown_sender(probe.source))
         return probe
 
     def _on_acknowledge(self, body: dict[str, Any]) -> None:
-        probe = self._merge_sender(body)
-        answered = self._waiting.get(probe.nonce)
-        if answered is not None and not answered.done():
-            answered.set_result(None)
+        probe = self._merge_message(body)
+        acknowledged = self._pending_probes.get(probe.nonce)
+        if acknowledged is not None and not acknowledged.done():
+            acknowledged.set_result(None)
 
     def _on_probe_for(self, body: dict[str, Any]) -> None:
-        self.tasks.spawn(self._second_opinion(self._merge_sender(body)))
+        self.tasks.spawn(self._probe_for(self._merge_message(body)))
 
-    async def _second_opinion(self, request: Probe) -> None:
-        """Probes a peer for another node, which learns only if it answers."""
-        assert request.target is not None, "its contract has the field"
-        if await self._ping(request.target, MessageKind.PEER_PROBE):
+    async def _probe_for(self, request: Probe) -> None:
+        """Probes a peer for another node, and acknowledges the request only if the peer answers."""
+        assert request.target is not None, "the contract requires the field"
+        if await self._probe_address(request.target, MessageKind.PEER_PROBE):
             self._acknowledge(request)
 
     async def _on_join(self, channel: Channel, body: dict[str, Any]) -> dict[str, Any]:
--- a/src/petrelhaven/proxy/__init__.py
+++ b/src/petrelhaven/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The proxy side: sessions, member connections and statement routing."""
+"""The proxy: client sessions, member connections and statement routing."""
--- a/src/petrelhaven/proxy/bounds.py
+++ b/src/petrelhaven/proxy/bounds.py
@@ -1,4 +1,4 @@
-"""The bounds by which a proxy with connection sessions works."""
+"""Time and concurrency limits of a proxy with connection sessions."""
 
 from dataclasses import dataclass
 
@@ -7,13 +7,13 @@
 
 @dataclass(slots=True)
 class ProxyBounds:
-    """Times are in microseconds.
+    """The limits that a proxy currently applies; times in microseconds.
 
     Attributes:
-        fetch_us: How long a position fetch may take before another is started beside it.
-        join_us: How long a read waits for a position.
-        lanes: How many position fetches a group has under way at once.
-        idle_txn_us: How long a transaction may be idle between statements.
+        fetch_us: How long a position fetch may take before another one is started in parallel.
+        join_us: How long a read waits for a position before it gives up.
+        lanes: How many position fetches of one group may run in parallel.
+        idle_txn_us: How long a transaction may be idle between statements before it is ended.
     """
 
     fetch_us: int = 250_000
--- a/src/petrelhaven/proxy/core_connection.py
+++ b/src/petrelhaven/proxy/core_connection.py
@@ -1,8 +1,9 @@
-"""A proxy's core connection: the control state as it is pushed, and the lease that comes with it.
+"""A proxy's core connection: receives the control state and renews the proxy's lease.
 
-A proxy keeps a connection to the nearest control node that a majority confirms. Over it come the
-records of the control state, numbered, and every quarter of a second the renewal of a lease. The
-rules of that lease are in docs/notes/core-connections-and-leases.md.
+A proxy stays connected to the nearest control node that a majority confirms. The control node
+pushes the numbered records of the control state over this connection, and the proxy renews its
+lease every quarter of a second. docs/notes/core-connections-and-leases.md has the rules of the
+lease.
 """
 
 from __future__ import annotations
@@ -36,41 +37,43 @@
 __all__ = ["CoreConnection", "StateListener"]
 
 StateListener = Callable[[list[dict[str, Any]], bool], None]
-"""Called with the records just applied, and whether a whole control state was taken over."""
+"""Called with the records just applied, and whether a snapshot replaced the control state."""
 
 _RENEWAL_PERIOD_US = 250_000
-_RENEWAL_LIMIT_US = 450_000
-_RENEWAL_RETRY_US = 200_000
-_RENEWALS_MISSED_MOST = 2
-_RECENT_CONFIRMATION_US = 600_000
-_UNCONFIRMED_MOST_US = 3_000_000
-
-_OPEN_LIMIT_US = 1_000_000
-_FIRST_OPEN_LIMIT_US = 250_000
-_HOLD_LIMIT_US = 800_000
-
-_UNREACHABLE_PAUSE_US = 1_500_000
-_FIRST_UNREACHABLE_PAUSE_US = 250_000
-_DECLINED_PAUSE_US = 150_000
-_LOST_PAUSE_US = 100_000
-_NOBODY_PAUSE_US = 100_000
+_RENEWAL_TIMEOUT_US = 450_000
+_RENEWAL_RETRY_DELAY_US = 200_000
+_MAX_MISSED_RENEWALS = 2
+_MAX_CONFIRMATION_AGE_US = 600_000
+_MAX_TIME_WITHOUT_GRANT_US = 3_000_000
+
+# Until the first control state arrives, connecting times out and is retried sooner.
+_CONNECT_TIMEOUT_US = 1_000_000
+_FIRST_CONNECT_TIMEOUT_US = 250_000
+_SUBSCRIBE_TIMEOUT_US = 800_000
+
+# How long a control node is avoided after a failure.
+_UNREACHABLE_BACKOFF_US = 1_500_000
+_FIRST_UNREACHABLE_BACKOFF_US = 250_000
+_DECLINED_BACKOFF_US = 150_000
+_DISCONNECTED_BACKOFF_US = 100_000
+_ALL_AVOIDED_PAUSE_US = 100_000
 
 _SUSPICION_PERIOD_US = 250_000
 _UNKNOWN_DISTANCE = 9
-_NOTHING_APPLIED = -1
+_NO_RECORD_APPLIED = -1
 _NEVER_US = -(1 << 60)
 
 
 class RenewalFollowUp(Protocol):
-    """Something that asks the control node for more at each renewal of the lease."""
+    """A further request to the control node after each renewal of the lease."""
 
     async def ask(self, channel: Channel) -> None:
-        """Asks the control node behind `channel`."""
+        """Sends the request over `channel`."""
 
 
 @dataclass(frozen=True, slots=True)
 class _PendingLease:
-    """A lease that counts once the proxy has applied record `required_seq`."""
+    """A granted lease that takes effect once the proxy has applied record `required_seq`."""
 
     required_seq: int
     asked_at: int
@@ -79,22 +82,22 @@
 
 
 class CoreConnection:
-    """Follows the control state, renews the lease and reports primaries that fail.
+    """Receives the control state, renews the lease and reports suspected primaries.
 
     Attributes:
         name: The proxy's name.
-        seeds: Addresses of control nodes to begin with.
-        control_state: The control state as far as it has been pushed.
-        joined: Whether a control state has been received at all.
-        view_number: The number of the newest known view of control nodes.
-        control_nodes: The distance of each control node of that view, by its address.
-        proxy_count: How many proxies are connected to control nodes, as last reported.
-        lease_until: When the lease ends, in microseconds of the proxy's clock.
-        on_change: Called after each change of the control state or of `proxy_count`.
-        true_time: What asks for the time agreed on, while an embargo needs it.
+        seeds: Addresses of control nodes for the first connection.
+        control_state: The control state as of the last applied push.
+        joined: Whether a control state has been received.
+        view_number: The number of the newest received view of control nodes.
+        control_nodes: The zone distance of each control node of that view, by address.
+        proxy_count: The last reported number of proxies connected to control nodes.
+        lease_until: When the lease expires, in microseconds of the proxy's clock.
+        on_change: Listeners, called after each change of the control state or of `proxy_count`.
+        true_time: Requests the agreed time after each renewal; None while no embargo needs it.
     """
 
-    def __init__(  # noqa: PLR0913, PLR0917 (what a node gives to each of its parts)
+    def __init__(  # noqa: PLR0913, PLR0917 (dependencies that the program or the simulator injects)
         self,
         clock: Clock,
         tasks: BackgroundTasks,
@@ -105,17 +108,17 @@
         zone_distance: Callable[[str], int],
         log: logbook.Logger | None = None,
     ) -> None:
-        """Serves pushes on `link`; `start` connects.
+        """Registers the handlers of pushes on `link`; `start` connects.
 
         Args:
-            clock: Monotonic time.
-            tasks: Where the connection's tasks run.
+            clock: Monotonic clock in microseconds.
+            tasks: Runs the connection's background tasks.
             link: Opens channels to control nodes.
-            rng: Chooses among control nodes at the same distance.
+            rng: Selects among control nodes at the same distance.
             name: The proxy's name.
-            seeds: Addresses of control nodes to begin with.
-            zone_distance: How far a zone is, 0 the proxy's own.
-            log: Where events go.
+            seeds: Addresses of control nodes for the first connection.
+            zone_distance: Returns the distance of a zone; 0 is the proxy's own zone.
+            log: Receives events of the connection.
         """
         self.clock, self.tasks, self.link, self.rng, self.log = clock, tasks, link, rng, log
         self.name, self.seeds, self._zone_distance = name, seeds, zone_distance
@@ -136,31 +139,32 @@
         link.on(MessageKind.PROXY_SNAPSHOT, self._send_snapshot)
 
     def start(self) -> None:
-        """Starts the task that keeps the connection."""
+        """Starts the task that connects, and reconnects after a failure."""
         self.tasks.spawn(self._run())
 
     @property
     def holds_lease(self) -> bool:
-        """Whether this proxy holds a lease; to be asked right before a send.
+        """Whether this proxy holds a lease; check it immediately before each send.
 
-        While it does, what it has applied is the newest control state in force.
+        While the proxy holds a lease, its control state is the newest one in force.
         """
         return self.clock.now() < self.lease_until
 
     @property
     def lease_confirmed(self) -> bool:
-        """Whether the lease holds, and a majority of control nodes was reached a moment ago.
+        """Whether this proxy holds a lease and a majority recently confirmed its control node.
 
-        A lease outlives the contact that brought it; what came to be known since the last renewal,
-        such as a new replica of a group, may be known to nobody in reach.
+        A lease stays valid after contact with the control nodes is lost. Changes since the last
+        renewal, such as a new replica of a group, may then have reached no node that this proxy
+        can contact.
         """
-        confirmed_us = self.clock.now() - self._confirmed_at
-        return self.holds_lease and confirmed_us <= _RECENT_CONFIRMATION_US
+        confirmation_age_us = self.clock.now() - self._confirmed_at
+        return self.holds_lease and confirmation_age_us <= _MAX_CONFIRMATION_AGE_US
 
     def _extend_lease(self, asked_at: int, lease_us: int, confirmation_age_us: int) -> None:
-        """Takes a lease of `lease_us` asked for at `asked_at`.
+        """Applies a lease of `lease_us`, which begins when it was requested at `asked_at`.
 
-        The control node had been confirmed by a majority `confirmation_age_us` before it answered.
+        A majority had confirmed the control node `confirmation_age_us` before it answered.
         """
         self.lease_until = max(self.lease_until, asked_at + lease_us)
         self._confirmed_at = max(self._confirmed_at, asked_at - confirmation_age_us)
@@ -168,19 +172,19 @@
     def _is_avoided(self, address: str) -> bool:
         return self._avoid_until.get(address, 0) > self.clock.now()
 
-    def _nearest(self) -> str | None:
-        """The address of a control node to connect to, or None if all are avoided for now."""
+    def _select_control_node(self) -> str | None:
+        """Returns the address of a nearest usable control node; None while all are avoided."""
         distances = dict(self.control_nodes)
         for address in self.seeds:
             distances.setdefault(address, _UNKNOWN_DISTANCE)
         usable = sorted(address for address in distances if not self._is_avoided(address))
         if not usable:
             return None
-        least = min(distances[address] for address in usable)
-        return self.rng.choice([address for address in usable if distances[address] == least])
+        shortest = min(distances[address] for address in usable)
+        return self.rng.choice([address for address in usable if distances[address] == shortest])
 
-    def _nearer_is_usable(self, address: str) -> bool:
-        """Whether a control node nearer than `address` may be connected to again."""
+    def _has_nearer_control_node(self, address: str) -> bool:
+        """Whether a control node nearer than `address` is usable."""
         distance = self.control_nodes.get(address, _UNKNOWN_DISTANCE)
         return any(
             other_distance < distance and not self._is_avoided(other)
@@ -188,83 +192,89 @@
         )
 
     async def _run(self) -> None:
-        """Connects to one control node after the other, for as long as the proxy runs."""
+        """Keeps the proxy connected to a control node, for as long as the proxy runs."""
         while True:
-            address = self._nearest()
+            address = self._select_control_node()
             if address is None:
-                await self.clock.sleep(_NOBODY_PAUSE_US)
+                await self.clock.sleep(_ALL_AVOIDED_PAUSE_US)
                 continue
-            channel = await self._open(address)
+            channel = await self._open_channel(address)
             if channel is None:
                 continue
             try:
-                await self._follow(address, channel)
+                await self._serve_channel(address, channel)
             except Fault:
                 pass
             finally:
                 self._channel = None
                 channel.close()
-            avoid_until = self.clock.now() + _LOST_PAUSE_US
+            avoid_until = self.clock.now() + _DISCONNECTED_BACKOFF_US
             self._avoid_until[address] = max(self._avoid_until.get(address, 0), avoid_until)
 
-    async def _open(self, address: str) -> Channel | None:
-        """A channel to a control node; None if it could not be reached."""
-        limit_us = _OPEN_LIMIT_US if self.has_control_state else _FIRST_OPEN_LIMIT_US
+    async def _open_channel(self, address: str) -> Channel | None:
+        """Opens a channel to a control node; returns None if the node is unreachable."""
+        timeout_us = _CONNECT_TIMEOUT_US if self.has_control_state else _FIRST_CONNECT_TIMEOUT_US
         try:
-            return await self.clock.limit(self.link.open(address), limit_us)
+            return await self.clock.limit(self.link.open(address), timeout_us)
         except Fault:
-            pause_us = (
-                _UNREACHABLE_PAUSE_US if self.has_control_state else _FIRST_UNREACHABLE_PAUSE_US
+            backoff_us = (
+                _UNREACHABLE_BACKOFF_US if self.has_control_state else _FIRST_UNREACHABLE_BACKOFF_US
             )
-            self._avoid_until[address] = self.clock.now() + pause_us
+            self._avoid_until[address] = self.clock.now() + backoff_us
             return None
 
-    async def _follow(self, address: str, channel: Channel) -> None:
-        """Has the control state pushed over `channel`, and renews the lease until that fails."""
-        applied_seq = self.control_state.seq if self.has_control_state else _NOTHING_APPLIED
-        hold = {"edge": self.name, "inc": 0, "applied": applied_seq}
-        answer = await channel.call(MessageKind.PROXY_CONNECT, hold, _HOLD_LIMIT_US)
+    async def _serve_channel(self, address: str, channel: Channel) -> None:
+        """Subscribes to the control state over `channel` and renews the lease until that fails.
+
+        Also returns when a nearer control node is usable again.
+        """
+        applied_seq = self.control_state.seq if self.has_control_state else _NO_RECORD_APPLIED
+        subscription = {"edge": self.name, "inc": 0, "applied": applied_seq}
+        answer = await channel.call(MessageKind.PROXY_CONNECT, subscription, _SUBSCRIBE_TIMEOUT_US)
         if not answer["ok"]:
-            self._avoid_until[address] = self.clock.now() + _DECLINED_PAUSE_US
+            self._avoid_until[address] = self.clock.now() + _DECLINED_BACKOFF_US
             return
         self._channel = channel
         emit(self.log, Events.CONTROL_NODE_CONNECTED, core=address)
-        missed, granted_at = 0, self.clock.now()
+        missed_renewals, granted_at = 0, self.clock.now()
         while not channel.gone.done():
             try:
                 granted = await self._renew_lease()
                 if self.true_time is not None:
                     self.tasks.spawn(self.true_time.ask(channel))
-                missed = 0
+                missed_renewals = 0
                 granted_at = self.clock.now() if granted else granted_at
             except Fault:
-                missed += 1
-            ungranted_us = self.clock.now() - granted_at
-            if missed >= _RENEWALS_MISSED_MOST or ungranted_us > _UNCONFIRMED_MOST_US:
+                missed_renewals += 1
+            without_grant_us = self.clock.now() - granted_at
+            if (
+                missed_renewals >= _MAX_MISSED_RENEWALS
+                or without_grant_us > _MAX_TIME_WITHOUT_GRANT_US
+            ):
                 emit(self.log, Events.CONTROL_NODE_LOST, core=address)
-                self._avoid_until[address] = self.clock.now() + _UNREACHABLE_PAUSE_US
+                self._avoid_until[address] = self.clock.now() + _UNREACHABLE_BACKOFF_US
                 return
-            if self._nearer_is_usable(address):
+            if self._has_nearer_control_node(address):
                 return
-            pause_us = _RENEWAL_RETRY_US if missed else _RENEWAL_PERIOD_US
+            pause_us = _RENEWAL_RETRY_DELAY_US if missed_renewals else _RENEWAL_PERIOD_US
             await asyncio.wait([channel.gone], timeout=pause_us / 1e6)
 
     async def _renew_lease(self, suspicions: tuple[Suspicion, ...] = ()) -> bool:
-        """Asks for a lease and reports suspicions; whether a lease was granted."""
+        """Requests a lease and reports suspicions; returns whether the lease was granted."""
         channel = self._channel
         if channel is None:
             return False
         asked_at = self.clock.now()
         renewal = LeaseRenewal(self.name, self.control_state.seq, self.view_number, suspicions)
-        body = await channel.call(MessageKind.LEASE_RENEW, renewal.to_body(), _RENEWAL_LIMIT_US)
+        body = await channel.call(MessageKind.LEASE_RENEW, renewal.to_body(), _RENEWAL_TIMEOUT_US)
         answer = LeaseAnswer.from_body(body)
-        self._take_fleet(answer)
+        self._update_nodes(answer)
         if answer.granted:
-            self._take_lease(answer, asked_at)
+            self._apply_lease(answer, asked_at)
         return answer.granted
 
-    def _take_fleet(self, answer: LeaseAnswer) -> None:
-        """Takes what an answer says of the other proxies and of the control nodes."""
+    def _update_nodes(self, answer: LeaseAnswer) -> None:
+        """Updates the number of proxies and the control nodes from an answer."""
         if answer.proxy_count != self.proxy_count:
             self.proxy_count = answer.proxy_count
             self._notify([], False)
@@ -274,8 +284,8 @@
                 node.address: self._zone_distance(node.zone) for node in answer.control_nodes
             }
 
-    def _take_lease(self, answer: LeaseAnswer, asked_at: int) -> None:
-        """Takes a lease, at once or when its control state has been applied."""
+    def _apply_lease(self, answer: LeaseAnswer, asked_at: int) -> None:
+        """Applies a lease, at once or when the records that it requires have been applied."""
         if self.control_state.seq >= answer.required_seq:
             self._extend_lease(asked_at, answer.lease_us, answer.confirmation_age_us)
         else:
@@ -283,23 +293,23 @@
                 answer.required_seq, asked_at, answer.lease_us, answer.confirmation_age_us
             )
 
-    def _take_pending_lease(self) -> None:
+    def _apply_pending_lease(self) -> None:
         pending = self._pending_lease
         if pending is not None and self.control_state.seq >= pending.required_seq:
             self._extend_lease(pending.asked_at, pending.lease_us, pending.confirmation_age_us)
             self._pending_lease = None
 
     async def call(self, kind: str, body: dict[str, Any], us: int) -> dict[str, Any]:
-        """Asks the control node that this proxy is connected to.
+        """Sends a request to the connected control node and returns its answer.
 
         Args:
             kind: One of `MessageKind`.
             body: The fields of the request.
-            us: How long the answer may take, in microseconds.
+            us: The timeout in microseconds.
 
         Raises:
-            NotSent: There is no connection.
-            Fault: What became of the call otherwise.
+            NotSent: No control node is connected.
+            Fault: The call failed.
         """
         if self._channel is None:
             raise NotSent("no control node is connected")
@@ -307,16 +317,16 @@
 
     @property
     def state_age_us(self) -> int:
-        """How old what is known here of the control state may be, in microseconds."""
+        """The maximum age of this proxy's control state, in microseconds."""
         return self.clock.now() - self._confirmed_at
 
     def suspect(self, group: str, member: str, how: str) -> None:
-        """Reports that a primary seems lost, at most every quarter of a second for a group.
+        """Reports a suspected primary, at most every quarter of a second for each group.
 
         Args:
-            group: The group.
+            group: The name of the member group.
             member: The name of its primary.
-            how: The sign of it, one of the constants of `routing/member`.
+            how: The symptom, one of the constants of `routing/member`.
         """
         now = self.clock.now()
         if self._next_report_at.get(group, 0) > now or self._channel is None:
@@ -330,11 +340,11 @@
             listener(records, is_snapshot)
 
     async def _send_snapshot(self, _channel: Channel, _body: dict[str, Any]) -> dict[str, Any]:
-        """Answers `edge.frame`: the control state as this proxy has it, for a reform."""
+        """Handles `edge.frame`: returns this proxy's control state, for a reform."""
         return {"frame": self.control_state.snapshot() if self.has_control_state else None}
 
     async def _apply_push(self, channel: Channel, body: dict[str, Any]) -> dict[str, Any]:
-        """Answers `edge.push`: applies a snapshot and records that are newer than what is known."""
+        """Handles `edge.push`: applies the snapshot and records that are newer than its state."""
         if self._channel is not None and channel is not self._channel:
             channel.close()
             return StateReceipt(self.control_state.seq).to_body()
@@ -343,11 +353,11 @@
         records = self._apply_records(push.records)
         if is_snapshot or records:
             self._notify(records, is_snapshot)
-        self._take_pending_lease()
+        self._apply_pending_lease()
         return StateReceipt(self.control_state.seq).to_body()
 
     def _apply_snapshot(self, snapshot: dict[str, Any] | None) -> bool:
-        """Takes a whole control state over; whether it was newer."""
+        """Replaces the control state by `snapshot`; returns whether the snapshot was newer."""
         if snapshot is None or (
             self.has_control_state and snapshot["seq"] <= self.control_state.seq
         ):
@@ -357,7 +367,7 @@
         return True
 
     def _apply_records(self, records: list[tuple[int, dict[str, Any]]]) -> list[dict[str, Any]]:
-        """Applies the records that follow the control state; which those are."""
+        """Applies the records that follow the control state in sequence, and returns them."""
         applied = []
         for seq, record in records:
             if seq == self.control_state.seq + 1:
--- a/src/petrelhaven/proxy/node.py
+++ b/src/petrelhaven/proxy/node.py
@@ -1,4 +1,4 @@
-"""A proxy whose sessions live with their client's connection."""
+"""A proxy whose sessions end with their client connection."""
 
 from __future__ import annotations
 
@@ -41,58 +41,57 @@
 __all__ = ["LEAVING", "LEFT", "SERVING", "STARTING", "ProxyNode"]
 
 STARTING = "starting"
-"""No configuration is known yet."""
+"""The proxy has no configuration yet."""
 SERVING = "serving"
-"""New connections should come here."""
+"""The proxy accepts new connections."""
 LEAVING = "leaving"
-"""New connections should go elsewhere; those that are open are served."""
+"""The proxy drains: open connections are served, new ones should go to another proxy."""
 LEFT = "left"
-"""Every connection has ended."""
-
-_SLOTS = 1024
-"""Statements under way at once."""
-_SLACK_US = 30_000
-"""By how much a statement ends before its route's time is over, for the way back."""
-_HORIZON_US = 2_000_000
-"""After how much more a slot is freed whatever its statement waits for."""
-_RETRY_US = 250_000
-"""When a client that is sent away should come back."""
-_KEYS_CERTAIN_SHARE = 0.7
-"""Part of the bound on keys that were taken away after which a proxy out of touch serves none."""
-_SESSION_ID_BITS = 0xFFFFFF
-"""Part of a session's identity that is logged."""
+"""The proxy has drained: every client connection has ended."""
+
+_MAX_CONCURRENT_STATEMENTS = 1024
+_REPLY_MARGIN_US = 30_000
+"""A statement times out this long before its route's timeout, so that the reply still arrives."""
+_SLOT_OVERTIME_US = 2_000_000
+"""A statement that overruns its timeout by this much loses its request slot."""
+_RETRY_DELAY_US = 250_000
+"""The default delay after which a rejected client should retry."""
+_MAX_STATE_AGE_SHARE = 0.7
+"""The age of the control state, as a share of the revocation limit, from which no key is served."""
+_SESSION_ID_MASK = 0xFFFFFF
+"""The bits of `id(session)` that are logged."""
 
 
 class ProxyNode:
-    """One proxy: its sessions, groups and routes.
+    """One proxy: its client sessions, member groups and routes.
 
     Attributes:
         state: `STARTING`, `SERVING`, `LEAVING` or `LEFT`.
         routes: The configured routes by host.
-        groups: The configured groups by name.
+        groups: The configured member groups by name.
         sessions: The open sessions.
-        count: Counters that the status shows.
-        tenants: The tenants of the configuration in force.
-        embargo: Withholds embargoed records; None while no rule and no group asks for it.
+        count: Event counters that the status document shows.
+        tenants: The tenants of the current configuration.
+        embargo: Withholds embargoed records; None while no embargo rule or embargoed group exists.
 
-    The others are those of `routing/base.ProxyServices`.
+    The other attributes are described in `routing/interfaces.ProxyServices`.
     """
 
     states = [STARTING, SERVING, LEAVING, LEFT]
     state: str
 
-    if TYPE_CHECKING:  # what the machine adds
+    if TYPE_CHECKING:  # triggers that the state machine adds
 
         def serve(self) -> bool:
-            """A configuration is known: clients may come."""
+            """Enters SERVING, when the first configuration has been applied."""
 
         def leave(self) -> bool:
-            """No new connections should come any more."""
+            """Enters LEAVING: new connections should go to other proxies."""
 
         def finish(self) -> bool:
-            """Every client's connection has ended."""
+            """Enters LEFT, when every client connection has ended."""
 
-    def __init__(  # noqa: PLR0913, PLR0917 (what a node is made of; each is given by whoever runs it)
+    def __init__(  # noqa: PLR0913, PLR0917 (dependencies that the program or the simulator injects)
         self,
         name: str,
         zone: str,
@@ -107,21 +106,21 @@
         log: logbook.Logger | None = None,
         revoke_us: int | None = None,
     ) -> None:
-        """Puts a proxy together; `start` starts it.
+        """Creates a proxy; `start` starts it.
 
         Args:
-            name: Its name.
-            zone: The zone it is in.
-            clock: Monotonic time, in microseconds.
-            tasks: Where its tasks run.
-            rng: Spreads the times at which clients come back.
-            core_connection: Its connection to the control nodes.
+            name: The proxy's name.
+            zone: The zone that the proxy is in.
+            clock: Monotonic clock in microseconds.
+            tasks: Runs the proxy's background tasks.
+            rng: Randomizes the delays after which clients retry.
+            core_connection: The proxy's connection to a control node.
             wire: Opens connections to members.
-            zone_distance: How far a zone is: 0 its own, 1 its region, 2 farther.
-            drain_us: How long a primary that drains still takes new statements.
-            empty_us: The same for a primary whose zone is evacuated.
-            log: Where events go.
-            revoke_us: After how long out of touch keys serve no more; None where they go on.
+            zone_distance: Returns the distance of a zone: 0 own zone, 1 own region, 2 elsewhere.
+            drain_us: How long a draining primary still accepts new statements.
+            evacuate_us: How long a primary in an evacuated zone still accepts new statements.
+            log: Receives the proxy's events.
+            revoke_us: How long after its revocation a key may still be accepted; None for no limit.
         """
         self.name, self.zone, self.log = name, zone, log
         self.clock, self.tasks, self.rng = clock, tasks, rng
@@ -130,7 +129,7 @@
         self._revoke_us = revoke_us
         self.logical_clock = LogicalClock()
         self.remote_contact = RemoteContact(clock)
-        self.request_slots = RequestSlots(clock, _SLOTS)
+        self.request_slots = RequestSlots(clock, _MAX_CONCURRENT_STATEMENTS)
         self.tenants = TenantDirectory()
         self.admission = QuotaAdmission(self)
         self.routes: dict[str, Route] = {}
@@ -140,7 +139,7 @@
         self.embargo: EmbargoFilter | None = None
         self._bounds = ProxyBounds()
         self._path = StatementPath(self)
-        self._opened: asyncio.Future[None] | None = None
+        self._configured: asyncio.Future[None] | None = None
         Machine(
             self,
             states=self.states,
@@ -155,66 +154,68 @@
         core_connection.on_change.append(self._apply_changes)
 
     def start(self) -> None:
-        """Starts the proxy's tasks."""
+        """Logs the start and opens the core connection."""
         emit(self.log, Events.NODE_STARTED, name=self.name, zone=self.zone)
         self.core_connection.start()
 
     def bounds(self) -> ProxyBounds:
-        """The bounds in force."""
+        """Returns the limits that currently apply."""
         return self._bounds
 
     @property
     def ready(self) -> bool:
-        """Whether new connections should come here."""
+        """Whether the proxy accepts new connections."""
         return self.state == SERVING
 
     async def wait_until_configured(self, limit_us: int) -> None:
-        """Waits until this proxy knows a configuration.
+        """Waits until the first configuration has been applied.
 
         Raises:
-            Busy: that takes longer than `limit_us`.
+            Busy: No configuration was applied within `limit_us`.
         """
         if self.state != STARTING:
             return
-        if self._opened is None:
-            self._opened = asyncio.get_running_loop().create_future()
+        if self._configured is None:
+            self._configured = asyncio.get_running_loop().create_future()
         try:
-            await self.clock.limit(asyncio.shield(self._opened), limit_us)
+            await self.clock.limit(asyncio.shield(self._configured), limit_us)
         except DeadlineExceeded:
-            raise Busy("this edge knows no manifest yet") from None
+            raise Busy("this proxy has no configuration yet") from None
 
-    def _apply_changes(self, records: list[dict[str, Any]], fresh: bool) -> None:
-        """Follows the control state: `records` were applied, or with `fresh` a whole state was."""
+    def _apply_changes(self, records: list[dict[str, Any]], is_snapshot: bool) -> None:
+        """Handles a change of the control state: new `records`, or a snapshot if `is_snapshot`."""
         control_state = self.core_connection.control_state
         configuration = control_state.configuration
         if configuration is None:
             return
         if self.embargo is not None or "embargo" in control_state.doc["manifest"]:
-            self._follow_embargoes(control_state, records, fresh)
-        if fresh or any(record["t"] == "manifest" for record in records):
+            self._update_embargo_filter(control_state, records, is_snapshot)
+        if is_snapshot or any(record["t"] == "manifest" for record in records):
             self._configure(configuration)
         for group in self.groups.values():
-            group.apply_control_state(control_state, fresh)
+            group.apply_control_state(control_state, is_snapshot)
         if self.state == STARTING:
             self.serve()
-            if self._opened is not None:
-                self._opened.set_result(None)
+            if self._configured is not None:
+                self._configured.set_result(None)
             emit(self.log, Events.NODE_READY, name=self.name)
 
-    def _follow_embargoes(
-        self, control_state: ControlState, records: list[dict[str, Any]], fresh: bool
+    def _update_embargo_filter(
+        self, control_state: ControlState, records: list[dict[str, Any]], is_snapshot: bool
     ) -> None:
+        """Applies records to the embargo filter, which exists only while there are embargoes."""
         if self.embargo is None:
             from petrelhaven.proxy.embargo import EmbargoFilter
 
-            self.embargo, fresh = EmbargoFilter(self), True
-        self.embargo.apply_records(control_state, records, fresh)
+            self.embargo, is_snapshot = EmbargoFilter(self), True
+        self.embargo.apply_records(control_state, records, is_snapshot)
         if not self.embargo.is_active:
             self.embargo = None
-        time = self.embargo.true_time if self.embargo is not None else None
-        self.core_connection.true_time = time
+        true_time = self.embargo.true_time if self.embargo is not None else None
+        self.core_connection.true_time = true_time
 
     def _configure(self, configuration: dict[str, Any]) -> None:
+        """Applies a configuration to tenants, routes, groups and limits."""
         configuration = with_defaults(configuration)
         tenants = TenantDirectory(configuration)
         self.admission.apply_directory(self.tenants, tenants)
@@ -241,25 +242,28 @@
         )
 
     def route(self, host: str) -> tuple[Route, MemberGroup]:
-        """The route and group of a host.
+        """Returns the route of a host and the member group that it leads to.
 
         Raises:
-            NoRoute: no route of the configuration has this host.
+            NoRoute: No route of the configuration has this host.
         """
         route = self.routes.get(host)
         group = self.groups.get(route.group) if route is not None else None
         if route is None or group is None:
-            raise NoRoute(f"no database {host[:60]}")
+            raise NoRoute(f"unknown database {host[:60]}")
         return route, group
 
     def open(self, host: str, client: str = "") -> ClientSession:
-        """A new session for a client that names itself, or shows a key where keys are asked for.
+        """Opens a session.
 
-        `client` is the key as a whole, or a name and whatever follows it.
+        Args:
+            host: The host of the route that the client connects to.
+            client: The client's key. If no tenant is configured, the client's name up to the
+                first blank; the rest is ignored.
 
         Raises:
-            NoRoute: no route of the configuration has this host.
-            Denied: no tenant has the key, and the route is not public.
+            NoRoute: No route of the configuration has this host.
+            Denied: No tenant has the key, and the route is not public.
         """
         route, group = self.route(host)
         digest = key_digest(client)
@@ -277,7 +281,7 @@
         return session
 
     def close(self, session: ClientSession) -> None:
-        """The client's connection has ended."""
+        """Ends a session whose client connection has ended."""
         if session not in self.sessions:
             return
         self.sessions.discard(session)
@@ -288,7 +292,7 @@
         session.close()
 
     async def serve_statement(self, session: ClientSession, statement: Statement) -> Reply:
-        """The reply to one statement."""
+        """Runs one statement of a session and returns its reply."""
         if session.state == ENDED:
             return Reply(code="aborted", text="the session has ended")
         session.busy = True
@@ -306,24 +310,28 @@
         return reply
 
     async def _run_routed(self, session: ClientSession, statement: Statement) -> Reply:
-        """Runs a statement at a member of its group, unless an embargo withholds it."""
+        """Runs a statement at a member, after the checks of route, key and embargo."""
         transaction = session.transaction
         route = transaction.route if transaction is not None else self.routes.get(session.host)
         group = self.groups.get(route.group) if route is not None else None
         if route is None or group is None:
-            return Reply(code="unknown", text="no such database any more", state=session.wire_state)
+            return Reply(
+                code="unknown",
+                text="the database is no longer configured",
+                state=session.wire_state,
+            )
         tenant = self.tenants.identify(session.key_digest, route.public)
-        limit_us = route.timeout_us - _SLACK_US
+        limit_us = route.timeout_us - _REPLY_MARGIN_US
         started = self.clock.now()
         request = Request(
             session, statement, route, group, started + limit_us, tenant or ANONYMOUS_TENANT
         )
         if tenant is None:
             return self._deny(request)
-        if self._has_moved(session, tenant):
-            text = "another tenant has this key now"
+        if self._is_bound_to_another_tenant(session, tenant):
+            text = "the key now belongs to another tenant"
             return self._path.transactions.abort_transaction(request, text)
-        if tenant is not ANONYMOUS_TENANT and not self._keys_are_certain():
+        if tenant is not ANONYMOUS_TENANT and not self._keys_are_current():
             return self._path.transactions.refuse_statement(request, self.retry_after())
         self._update_tenant(session, tenant)
         if self.embargo is not None:
@@ -332,55 +340,56 @@
                 return refusal
         self.count["asked"] += 1
         group.add_retry_credit()
-        reply = await self._run_slotted(request, limit_us + _HORIZON_US)
+        reply = await self._run_in_slot(request, limit_us + _SLOT_OVERTIME_US)
         if self.embargo is not None:
             reply = self.embargo.check_reply(session, statement, group.name, reply)
         if reply.code is not None:
             self._log_not_served(request, reply, self.clock.now() - started)
         return reply
 
-    def _keys_are_certain(self) -> bool:
-        """Whether a key that was taken away would be known here in time."""
+    def _keys_are_current(self) -> bool:
+        """Whether the control state is recent enough that no revoked key is accepted too long."""
         if self._revoke_us is None:
             return True
-        return self.core_connection.state_age_us < self._revoke_us * _KEYS_CERTAIN_SHARE
+        return self.core_connection.state_age_us < self._revoke_us * _MAX_STATE_AGE_SHARE
 
     def _deny(self, request: Request) -> Reply:
-        """The reply to a statement whose key was taken away."""
+        """Returns the reply to a statement whose key has been revoked."""
         self.count["denied"] += 1
-        text = "no tenant has this key any more"
+        text = "no tenant has this key any longer"
         if request.session.transaction is not None:
             return self._path.transactions.abort_transaction(request, text, "withheld")
         return Reply(code="withheld", text=text, state=request.session.wire_state)
 
     @staticmethod
-    def _has_moved(session: ClientSession, tenant: Tenant) -> bool:
-        """Whether the session's open transaction has a connection of another tenant."""
+    def _is_bound_to_another_tenant(session: ClientSession, tenant: Tenant) -> bool:
+        """Whether the open transaction has a connection of a tenant other than `tenant`."""
         transaction = session.transaction
         is_bound = transaction is not None and transaction.connection is not None
         return is_bound and session.tenant != tenant.name
 
     def _update_tenant(self, session: ClientSession, tenant: Tenant) -> None:
-        """The session's key belongs to `tenant` by now."""
+        """Assigns the session to `tenant`, which has its key in the current configuration."""
         session.tenant = tenant.name
         if self.tenants.requires_keys:
             session.client = tenant.name
 
-    async def _run_slotted(self, request: Request, time_limit_us: int) -> Reply:
+    async def _run_in_slot(self, request: Request, time_limit_us: int) -> Reply:
+        """Runs a statement in a request slot; fails its open transaction if no slot serves it."""
         session = request.session
-        inside = session.transaction is not None
+        in_transaction = session.transaction is not None
         try:
             return await self.request_slots.run(self._path.run(request), time_limit_us)
         except Busy as fault:
-            delay_us: int = fault.retry_after_us  # type: ignore[assignment]  # Busy has one
+            delay_us: int = fault.retry_after_us  # type: ignore[assignment]  # never None in Busy
             code, text = "busy", self.retry_after(delay_us)
         except DeadlineExceeded:
-            code, text = "timeout", "the statement ran out of time"
-        if inside:
+            code, text = "timeout", "the statement timed out"
+        if in_transaction:
             session.fail_transaction()
         return Reply(code=code, text=text, state=session.wire_state)
 
-    def _log_not_served(self, request: Request, reply: Reply, took_us: int) -> None:
+    def _log_not_served(self, request: Request, reply: Reply, duration_us: int) -> None:
         group = request.group
         emit(
             self.log,
@@ -388,26 +397,32 @@
             group=group.name,
             verb=request.statement.verb,
             code=reply.code,
-            us=took_us,
+            us=duration_us,
             note=reply.text,
-            session=id(request.session) & _SESSION_ID_BITS,
-            pools=",".join(f"{n[-4:]}:{m.pool.usage_summary()}" for n, m in group.members.items()),
+            session=id(request.session) & _SESSION_ID_MASK,
+            pools=",".join(
+                f"{name[-4:]}:{member.pool.usage_summary()}"
+                for name, member in group.members.items()
+            ),
             sessions=group.strong_sessions,
         )
 
-    def retry_after(self, delay_us: int = _RETRY_US) -> str:
-        """When to come back, in words, spread so that not all come at once."""
+    def retry_after(self, delay_us: int = _RETRY_DELAY_US) -> str:
+        """Returns the text that asks a client to retry.
+
+        The delay is randomized so that rejected clients do not retry at the same time.
+        """
         self.count["shed"] += 1
         return f"not run; come back in {int(delay_us * self.rng.uniform(0.75, 1.25)) // 1000} ms"
 
     def timeout_reply(self, sent_to_member: bool = False) -> Reply:
-        """The reply to a statement whose time is over; `sent_to_member` if a member has it."""
+        """Returns the reply to a statement that timed out, whether or not a member received it."""
         if sent_to_member:
-            return Reply(code="timeout", text="no answer in time")
+            return Reply(code="timeout", text="the member did not answer in time")
         return Reply(code="busy", text=self.retry_after())
 
     def status(self) -> dict[str, Any]:
-        """What this proxy believes and counts."""
+        """Returns the status document: the reported state and the counters."""
         groups = sorted(self.groups.items())
         return {
             **self.core_connection.control_state.reported_state(),
@@ -420,8 +435,10 @@
             "count": dict(self.count),
             "clocks": {name: dict(group.read_clock.count) for name, group in groups},
             "stocks": {
-                name: {n: m.pool.total for n, m in sorted(group.members.items())}
-                for name, group in groups
+                group_name: {
+                    name: member.pool.total for name, member in sorted(group.members.items())
+                }
+                for group_name, group in groups
             },
             **({"embargo": self.embargo.status()} if self.embargo is not None else {}),
         }
--- a/src/petrelhaven/proxy/proxy_interface.py
+++ b/src/petrelhaven/proxy/proxy_interface.py
@@ -1,7 +1,7 @@
-"""The operators' interface of a proxy: what it believes and counts.
+"""The operators' HTTP interface of a proxy: its reported state, counters and configuration.
 
-Clients come in by the protocol that they speak, not here. What only the majority of control nodes
-can confirm is declined here.
+Clients do not connect here but through the protocol adapter. Requests that need the confirmation
+of a majority of control nodes are declined.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class ProxyInterface:
-    """Serves the documents of one proxy over HTTP (docs/http.md)."""
+    """Serves the status documents of one proxy over HTTP (docs/http.md)."""
 
     def __init__(
         self,
@@ -29,12 +29,12 @@
         http_server: HttpRoutes,
         settings: Callable[[], dict[str, Any]] = dict,
     ) -> None:
-        """Adds its routes.
+        """Registers the HTTP routes.
 
         Args:
-            proxy: Whose documents are served.
-            http_server: Where the routes are added.
-            settings: Makes the part of the status that tells which settings are in force.
+            proxy: The proxy whose documents are served.
+            http_server: The server that the routes are added to.
+            settings: Returns the part of the status document about the current settings.
         """
         self._proxy, self._settings = proxy, settings
         add_state_routes(http_server, proxy, self.status, self.reported_state)
@@ -43,7 +43,7 @@
         http_server.on("GET", "/manifest", self._show_configuration)
 
     def reported_state(self) -> dict[str, Any]:
-        """What this proxy believes of the control state, in the form that all nodes share."""
+        """Returns this proxy's view of the control state, in the format common to all nodes."""
         control_state = self._proxy.core_connection.control_state
         return {
             **control_state.reported_state(),
@@ -55,7 +55,7 @@
         }
 
     def status(self) -> dict[str, Any]:
-        """The belief, the proxy's counters and its core connection."""
+        """Returns the reported state, the counters and the state of the core connection."""
         core_connection = self._proxy.core_connection
         return {
             **self._proxy.status(),
@@ -72,17 +72,19 @@
 
     async def _show_leadership(self, request: HttpRequest) -> dict[str, Any]:
         document = self._proxy.core_connection.control_state.doc
-        answer: dict[str, Any] = leadership_history(document, request.query)
-        return answer
+        history: dict[str, Any] = leadership_history(document, request.query)
+        return history
 
     async def _show_configuration(self, request: HttpRequest) -> tuple[int, bytes, Any]:
         if request.query.get("unconfirmed") != "true":
-            raise Malformed("an edge confirms no manifest; ask a core, or say unconfirmed=true")
+            raise Malformed(
+                "a proxy cannot confirm the manifest; ask a control node or set unconfirmed=true"
+            )
         stored = self._proxy.core_connection.control_state.doc["manifest"]
         if stored is None:
             raise NoRoute("no such manifest")
         version = str(stored["version"])
         if request.query.get("version", version) != version:
             raise NoRoute("no such manifest")
-        answer: tuple[int, bytes, Any] = configuration_response(stored["text"], False)
-        return answer
+        response: tuple[int, bytes, Any] = configuration_response(stored["text"], False)
+        return response
--- a/src/petrelhaven/proxy/state_routes.py
+++ b/src/petrelhaven/proxy/state_routes.py
@@ -1,4 +1,4 @@
-"""The routes by which every proxy shows its state: /ready, /status and /belief."""
+"""The HTTP routes that every proxy serves about its state: /ready, /status and /belief."""
 
 from __future__ import annotations
 
@@ -13,58 +13,59 @@
 
 
 class HttpRequest(Protocol):
-    """A request as these handlers read it."""
+    """An HTTP request, as far as the handlers read it."""
 
     @property
     def query(self) -> Mapping[str, str]:
-        """What the path says after its `?`, by name."""
+        """The query parameters, by name."""
 
 
 class HttpRoutes(Protocol):
-    """An HTTP server to which routes are added before it starts."""
+    """An HTTP server that accepts routes until it starts."""
 
     def on(self, method: str, path: str, handler: Callable[[Any], Awaitable[Any]], /) -> None:
-        """Serves `method path` with `handler(request)`."""
+        """Registers `handler` for requests with this method and path."""
 
 
 class Readiness(Protocol):
-    """A proxy of either kind."""
+    """A proxy with connection sessions or with resumable sessions."""
 
     @property
     def ready(self) -> bool:
-        """Whether new connections should come here."""
+        """Whether the proxy accepts new connections."""
 
     @property
     def state(self) -> str:
-        """The state that a proxy which is not ready names."""
+        """The state of the proxy, shown by /ready while the proxy is not ready."""
 
 
 def add_state_routes(
     http_server: HttpRoutes,
     proxy: Readiness,
     status: Callable[[], Document],
-    belief: Callable[[], Document],
+    reported_state: Callable[[], Document],
 ) -> None:
-    """Adds the routes.
+    """Registers the routes.
 
     Args:
-        http_server: Where the routes are added.
-        proxy: Whose readiness /ready answers; it answers `NotReady` while that is missing.
-        status: Makes the document of /status.
-        belief: Makes the document of /belief.
+        http_server: The server that the routes are added to.
+        proxy: The proxy whose readiness /ready reports; while it is not ready, the answer is the
+            fault `NotReady`.
+        status: Returns the document of /status.
+        reported_state: Returns the document of /belief.
     """
 
     async def show_ready(_request: object) -> Document:
         if not proxy.ready:
-            raise NotReady(f"the edge is {proxy.state}")
+            raise NotReady(f"the proxy is {proxy.state}")
         return {"ready": True}
 
     async def show_status(_request: object) -> Document:
         return status()
 
-    async def show_belief(_request: object) -> Document:
-        return belief()
+    async def show_reported_state(_request: object) -> Document:
+        return reported_state()
 
     http_server.on("GET", "/ready", show_ready)
     http_server.on("GET", "/status", show_status)
-    http_server.on("GET", "/belief", show_belief)
+    http_server.on("GET", "/belief", show_reported_state)
