--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -422,7 +422,7 @@
             is_complete=True,
             committed_seq=3,
             control_state=control_state,
-            store=SimpleNamespace(since=lambda at: []),
+            store=SimpleNamespace(records_since=lambda at: []),
             on_view=[],
             on_commit=[],
         )
@@ -444,7 +444,7 @@
         await asyncio.sleep(0.1)
         chain.committed_seq = control_state.seq = 4
         control_state.snapshot = lambda: {"seq": 4}
-        chain.store.since = lambda at: None
+        chain.store.records_since = lambda at: None
         chain.on_commit[0]()
         await asyncio.sleep(0.1)
         assert (True, 4) in pushed
