--- a/src/petrelhaven/proxy/node.py
+++ b/src/petrelhaven/proxy/node.py
@@ -43,7 +43,7 @@
 STARTING = "starting"
 """The proxy has no configuration yet."""
 SERVING = "serving"
-"""The proxy accepts new connections."""
+"""New connections should come to this proxy."""
 LEAVING = "leaving"
 """The proxy drains: open connections are served, new ones should go to another proxy."""
 LEFT = "left"
@@ -57,7 +57,7 @@
 _RETRY_DELAY_US = 250_000
 """The default delay after which a rejected client should retry."""
 _MAX_STATE_AGE_SHARE = 0.7
-"""The age of the control state, as a share of the revocation limit, from which no key is served."""
+"""The share of `revoke_us` for which keys are accepted without contact to the control nodes."""
 _SESSION_ID_MASK = 0xFFFFFF
 """The bits of `id(session)` that are logged."""
 
@@ -120,7 +120,8 @@
             drain_us: How long a draining primary still accepts new statements.
             evacuate_us: How long a primary in an evacuated zone still accepts new statements.
             log: Receives the proxy's events.
-            revoke_us: How long after its revocation a key may still be accepted; None for no limit.
+            revoke_us: How long a revoked key may remain accepted while the proxy has no contact to
+                the control nodes; None for no limit.
         """
         self.name, self.zone, self.log = name, zone, log
         self.clock, self.tasks, self.rng = clock, tasks, rng
@@ -154,7 +155,7 @@
         core_connection.on_change.append(self._apply_changes)
 
     def start(self) -> None:
-        """Logs the start and opens the core connection."""
+        """Logs the start and starts the core connection."""
         emit(self.log, Events.NODE_STARTED, name=self.name, zone=self.zone)
         self.core_connection.start()
 
@@ -164,7 +165,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the proxy accepts new connections."""
+        """Whether new connections should come to this proxy."""
         return self.state == SERVING
 
     async def wait_until_configured(self, limit_us: int) -> None:
@@ -348,7 +349,10 @@
         return reply
 
     def _keys_are_current(self) -> bool:
-        """Whether the control state is recent enough that no revoked key is accepted too long."""
+        """Whether the control state is recent enough to accept keys.
+
+        Without contact to the control nodes, the proxy learns of no revoked key.
+        """
         if self._revoke_us is None:
             return True
         return self.core_connection.state_age_us < self._revoke_us * _MAX_STATE_AGE_SHARE
@@ -375,7 +379,7 @@
             session.client = tenant.name
 
     async def _run_in_slot(self, request: Request, time_limit_us: int) -> Reply:
-        """Runs a statement in a request slot; fails its open transaction if no slot serves it."""
+        """Runs a statement in a request slot; on overload or timeout, its transaction fails."""
         session = request.session
         in_transaction = session.transaction is not None
         try:
--- a/src/petrelhaven/proxy/state_routes.py
+++ b/src/petrelhaven/proxy/state_routes.py
@@ -32,7 +32,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the proxy accepts new connections."""
+        """Whether new connections should come to this proxy."""
 
     @property
     def state(self) -> str:
