--- a/tests/test_peer_news.py
+++ b/tests/test_peer_updates.py
@@ -8,7 +8,7 @@
 ROW = ["e1", "edge", "north", "10.0.0.1:7000", 3, "alive"]
 
 
-def test_a_row_read_and_written_again_is_the_same():
+def test_a_parsed_row_is_serialized_unchanged():
     assert [news.to_wire() for news in PeerUpdate.parse_rows([ROW])] == [ROW]
 
 
@@ -32,7 +32,7 @@
         [ROW, [*ROW[:5], "dead"]],
     ],
 )
-def test_rows_that_are_no_news_are_declined(rows):
+def test_rows_that_are_no_updates_are_declined(rows):
     with pytest.raises(Malformed):
         PeerUpdate.parse_rows(rows)
 
@@ -47,6 +47,6 @@
         ("gone", 2, False),
     ],
 )
-def test_a_higher_incarnation_wins_then_the_graver_state(state, incarnation, newer):
+def test_a_higher_incarnation_wins_then_the_more_severe_state(state, incarnation, newer):
     news = PeerUpdate("e1", "edge", "north", "10.0.0.1:7000", incarnation, state)
     assert news.supersedes("alive", 3) == newer
--- a/tests/test_prober.py
+++ b/tests/test_prober.py
@@ -24,7 +24,7 @@
     return machine
 
 
-def test_a_newcomer_meets_a_well_known_peer_though_whoever_knew_it_is_gone(warp):
+def test_a_new_node_finds_a_peer_that_no_longer_announces_itself(warp):
     async def go():
         net = Net(asyncio.get_running_loop(), random.Random(1), 1_000)
         old = [member(net, name, ["sim:a", "sim:b"]) for name in ("a", "b")]
@@ -42,7 +42,7 @@
     warp(go())
 
 
-def test_a_known_sender_is_not_asked_again(warp):
+def test_a_known_sender_causes_no_roster_exchange(warp):
     async def go():
         net = Net(asyncio.get_running_loop(), random.Random(1), 1_000)
         a, b = (member(net, name, ["sim:a", "sim:b"]) for name in ("a", "b"))
--- a/tests/test_proxy_interface.py
+++ b/tests/test_proxy_interface.py
@@ -118,7 +118,7 @@
     return s, json.loads(b), dict(heads)
 
 
-def test_an_edge_tells_what_it_believes_and_counts():
+def test_a_proxy_serves_its_status_documents():
     async def go(proxy, http_server):
         s, d, _ = await ask(http_server, "/status")
         assert (
@@ -149,7 +149,7 @@
     on_a_gate(go)
 
 
-def test_an_edge_hands_its_configuration_out_as_unconfirmed_only():
+def test_a_proxy_serves_its_configuration_only_as_unconfirmed():
     async def go(proxy, http_server):
         s, d, _ = await ask(http_server, "/manifest")
         assert (s, d["fault"]) == (400, "malformed")
@@ -163,7 +163,7 @@
     on_a_gate(go)
 
 
-def test_an_edge_that_knows_nothing_yet_says_so():
+def test_a_proxy_without_a_control_state_reports_that():
     async def go(proxy, http_server):
         assert (await ask(http_server, "/status"))[1]["state"] == "starting"
         assert (await ask(http_server, "/ready"))[0] == 503
@@ -174,7 +174,7 @@
     on_a_gate(go, [])
 
 
-def test_an_edge_hands_its_control_state_to_a_core_that_asks():
+def test_a_proxy_sends_its_control_state_to_a_control_node():
     async def go(proxy, http_server):
         f = (await proxy.core_connection._send_snapshot(None, {}))["frame"]
         assert f["seq"] == 5 and f is not proxy.core_connection.control_state.doc
@@ -182,7 +182,7 @@
     on_a_gate(go)
 
 
-def test_a_configuration_that_leaves_fields_out_is_served_with_their_defaults():
+def test_omitted_configuration_fields_get_their_defaults():
     async def go(proxy, http_server):
         r, b = proxy.route("db")
         assert (r.reads, r.timeout_us, b.connection_cap, b.sync_replicas) == (
@@ -196,7 +196,7 @@
     on_a_gate(go)
 
 
-def test_what_only_one_of_two_nodes_can_tell_is_no_difference():
+def test_fields_that_only_one_node_reports_are_no_difference():
     async def go(proxy, http_server):
         return (await ask(http_server, "/belief"))[1]
 
@@ -209,7 +209,7 @@
 
 
 @pytest.mark.parametrize("v", ["", "-1", "1.0", " 1", "1_0", "²", "9" * 19, "0x1", "١"])
-def test_what_is_no_number_is_malformed(v):
+def test_a_query_parameter_that_is_no_number_is_malformed(v):
     async def go(proxy, http_server):
         s, d, _ = await ask(http_server, f"/why?group=g1&n={v}")
         assert (s, d["note"]) == (400, "n must be a whole number")
@@ -221,7 +221,7 @@
 JUNK = st.text(st.characters(min_codepoint=33, max_codepoint=255), max_size=20)
 
 
-def test_drawn_junk_gets_typed_answers():
+def test_random_requests_get_typed_answers():
     reqs = []
 
     @DRAWN
--- a/tests/test_tenant_keys.py
+++ b/tests/test_tenant_keys.py
@@ -136,13 +136,13 @@
 
 # ROUTE: a client that shows no tenant's key is let in, or what it sends runs at a member.
 @pytest.mark.parametrize("name", NOT_A_KEY)
-def test_what_is_no_tenants_key_is_denied_and_nothing_reaches_a_member(name):
+def test_an_invalid_key_is_denied_and_nothing_reaches_a_member(name):
     on_the_wire(lambda door, member: scene_of_a_stranger(door, member, NOT_A_KEY[name]))
 
 
 # ROUTE: of a last field with blanks only the first word is taken for the key.
 @pytest.mark.parametrize("name", KEY_AND_MORE)
-def test_a_key_with_more_after_a_blank_is_no_key(name):
+def test_a_key_with_a_blank_before_or_after_it_is_denied(name):
     on_the_wire(lambda door, member: scene_of_a_stranger(door, member, KEY_AND_MORE[name]))
 
 
@@ -152,7 +152,7 @@
     [[], [{"Name": "keyless"}], [{"Name": "keyless", "ApiKeys": []}]],
     ids=["no tenants", "no list of keys", "empty list of keys"],
 )
-def test_where_nobody_has_a_key_nobody_is_let_in(tenants):
+def test_without_any_configured_key_every_client_is_denied(tenants):
     async def scene(door, member):
         for who in (b" me", b" ", b"", b" keyless"):
             _, transport = door.client(b"CONNECT db" + who + b"\r\n" + said("PUT a 1"))
@@ -164,7 +164,7 @@
 
 # ROUTE: what comes in pieces, after the refusal, runs because the connection was still read.
 @pytest.mark.parametrize("piece", [1, 7, 19])
-def test_statements_sent_with_a_connect_that_is_denied_do_not_run(piece):
+def test_statements_sent_with_a_denied_connect_do_not_run(piece):
     async def scene(door, member):
         client, transport = door.client(None)
         raw = connect(b"stranger") + said("PUT a 1", "FETCH a") + connect(KEY.encode())
@@ -179,7 +179,7 @@
 
 # ROUTE: the check of the key comes before that of the database, so that a wrong name says DENIED.
 @pytest.mark.parametrize("configuration", [KEYED, PUBLIC], ids=["keyed", "public"])
-def test_an_unknown_database_is_told_before_an_unknown_key(configuration):
+def test_an_unknown_database_is_reported_before_an_unknown_key(configuration):
     async def scene(door, member):
         for database in (b"nowhere", b"", b"DB"):
             for who in (KEY.encode(), b"stranger", b""):
@@ -194,7 +194,7 @@
 
 # ROUTE: a tenant's own key is not let in, or runs for somebody else; a member is told the key.
 @pytest.mark.parametrize("configuration", [KEYED, PUBLIC], ids=["keyed", "public"])
-def test_a_tenants_key_runs_as_that_tenant_and_its_members_never_hear_the_key(configuration):
+def test_a_key_runs_statements_as_its_tenant_and_members_never_receive_the_key(configuration):
     async def scene(door, member):
         for key, name in (
             (KEY, "school"),
@@ -214,7 +214,7 @@
 
 
 # ROUTE: a public route asks for a key, or hands on to members what its client showed.
-def test_a_public_route_lets_anybody_in_and_its_members_hear_the_systems_own_name():
+def test_a_public_route_accepts_any_client_and_members_receive_the_system_name():
     async def scene(door, member):
         for name, first in {**NOT_A_KEY, **KEY_AND_MORE}.items():
             member.ran.clear()
@@ -228,7 +228,7 @@
 
 
 # ROUTE: on a proxy that has just started, statements run before it knows which keys there are.
-def test_nobodys_statement_runs_while_the_proxy_knows_no_configuration():
+def test_no_statement_runs_before_the_first_configuration():
     async def scene(door, member):
         for who in (KEY.encode(), b"stranger", b""):
             _, transport = door.client(connect(who) + said("PUT a 1"))
@@ -240,7 +240,7 @@
 
 
 # ROUTE: a client that came before the first configuration is let in by it without its key.
-def test_keys_are_asked_of_who_came_before_the_first_configuration():
+def test_clients_that_connect_before_the_first_configuration_need_a_key():
     async def scene(door, member):
         _, stranger = door.client(connect(b"stranger") + said("PUT a 1"))
         _, known = door.client(connect(KEY.encode()) + said("PUT a 2"))
@@ -257,7 +257,7 @@
 
 # ROUTE: sessions that were opened while no key was asked for go on without one.
 @pytest.mark.parametrize("before", [CONFIG, PUBLIC], ids=["no section", "public"])
-def test_a_session_without_a_key_is_denied_once_keys_are_asked_for(before):
+def test_a_session_without_a_key_is_denied_once_keys_are_required(before):
     async def scene(door, member):
         client, transport = door.client(connect(b"stranger"))
         holder, holders = door.client(connect(KEY.encode()))
@@ -278,7 +278,7 @@
 
 # ROUTE: the other way round, a client that needs no key any more is still refused.
 @pytest.mark.parametrize("after", [CONFIG, PUBLIC], ids=["no section", "public"])
-def test_anybody_is_let_in_once_no_key_is_asked_for(after):
+def test_any_client_is_accepted_once_no_key_is_required(after):
     async def scene(door, member):
         _, refused = door.client(connect(b"stranger") + said("PUT a 1"))
         await rest()
@@ -293,7 +293,7 @@
 
 
 # ROUTE: fleets without tenants start to ask for keys; passes before the fix, and must go on to.
-def test_without_the_section_any_name_is_let_in_and_members_hear_the_systems_own():
+def test_without_a_tenants_section_any_client_is_accepted_under_the_system_name():
     async def scene(door, member):
         for who in (b" me", b" ", b"", b" two words", b" \xff"):
             member.ran.clear()
--- a/tests/test_tenant_names.py
+++ b/tests/test_tenant_names.py
@@ -253,7 +253,7 @@
 
 
 # guards against UNASKED: on the untouched code a member hears the same word for every client
-def test_a_member_is_told_the_tenants_name_and_never_the_key():
+def test_members_receive_the_tenant_name_and_never_the_key():
     async def go(door):
         sessions = [await door.session(key) for key in KEYS.values()]
         for s in sessions:
@@ -276,7 +276,7 @@
         pytest.param("a-", id="dash"),
     ],
 )
-def test_a_tenants_name_is_told_word_for_word(name):
+def test_members_receive_the_tenant_name_unchanged(name):
     async def go(door):
         s = await door.session("k3yOfOne")
         await s.fetch()
@@ -323,7 +323,7 @@
 
 # guards against UNASKED: a transaction's connection goes back to the pool after ROLLBACK, a failure or a client's end
 @pytest.mark.parametrize("end", ["ROLLBACK", "NONSENSE", "QUIT"])
-def test_a_connection_that_a_transaction_leaves_serves_no_other_tenant(end):
+def test_a_connection_released_by_a_transaction_serves_no_other_tenant(end):
     async def go(door):
         lima = await door.session(KEYS["lima"])
         await lima.ask("BEGIN")
@@ -338,7 +338,7 @@
 
 
 # guards against UNASKED: the second attempt of a slow read takes whatever connection its member has idle
-def test_a_hedged_read_runs_under_its_tenants_name_at_both_members():
+def test_a_hedged_read_runs_under_its_tenant_name_at_both_members():
     async def go(door):
         lima = await door.session(KEYS["lima"], "browse")
         cusco = await door.session(KEYS["cusco"], "browse")
@@ -358,7 +358,7 @@
 
 
 # guards against UNASKED: what the proxy asks for itself goes out under a tenant's name, or no longer at all
-def test_status_of_a_proxy_goes_under_the_systems_own_name():
+def test_status_requests_of_a_proxy_run_under_the_system_name():
     async def go(door):
         for member in door.members:
             status = await door.proxy.groups["svc"].status(
@@ -371,7 +371,7 @@
 
 
 # guards against UNASKED: control nodes open connections without a tenant, and those must keep their name and work
-def test_a_connection_without_a_tenant_is_opened_under_the_systems_own_name():
+def test_a_connection_without_a_tenant_is_opened_under_the_system_name():
     async def go(door):
         member = door.members[0]
         line = await LineWire(LoopClock()).open(member.address, "svc", member.name, 450_000)
@@ -383,7 +383,7 @@
 
 
 # guards against a change for deployments without tenants: any name is let in and members hear the system's own
-def test_without_the_section_members_are_told_the_systems_own_name():
+def test_without_a_tenants_section_members_receive_the_system_name():
     async def go(door):
         for key in ("u3f1", KEYS["lima"]):
             await (await door.session(key)).fetch()
@@ -394,7 +394,7 @@
 
 
 # guards against UNASKED on public routes: no key needed there, and one that is known still names its tenant
-def test_a_public_route_tells_the_tenant_of_a_known_key_and_else_the_systems_own_name():
+def test_a_public_route_uses_the_tenant_of_a_known_key_or_the_system_name():
     async def go(door):
         stranger, lima = (
             await door.session("u3f1", "open"),
@@ -412,7 +412,7 @@
 
 
 # guards against UNASKED after a change of configuration: a session stays open while its key goes to another tenant
-def test_a_key_that_moves_to_another_tenant_names_that_one_from_the_next_statement():
+def test_a_moved_key_runs_under_its_new_tenant_from_the_next_statement():
     async def go(door):
         s = await door.session(KEYS["lima"])
         await s.fetch()
@@ -426,7 +426,7 @@
 
 
 # guards against UNASKED: a transaction that was open when its key moved runs on under the earlier tenant's name
-def test_a_transaction_whose_key_moves_runs_nothing_under_the_earlier_name():
+def test_a_transaction_whose_key_moves_runs_nothing_under_the_old_tenant():
     async def go(door):
         s = await door.session(KEYS["lima"])
         await s.ask("BEGIN")
@@ -441,7 +441,7 @@
 
 
 # guards against values or prepared names of another session when a full pool closes a session's connection
-def test_values_and_prepared_names_are_right_after_an_eviction_between_statements():
+def test_values_and_prepared_statements_survive_an_eviction_between_statements():
     async def go(door):
         sessions = {name: await door.session(KEYS[name]) for name in KEYS}
         for name, s in sessions.items():
