--- a/src/petrelhaven/membership/prober.py
+++ b/src/petrelhaven/membership/prober.py
@@ -24,7 +24,7 @@
 
 _PROBE_PERIOD_US = 200_000
 _PROBE_TIMEOUT_US = 90_000
-_INDIRECT_PROBES = 3
+_MAX_INDIRECT_PROBES = 3
 _JOIN_PERIOD_US = 2_000_000
 _FIRST_JOIN_PERIOD_US = 200_000
 _JOIN_TIMEOUT_US = 800_000
@@ -52,7 +52,7 @@
         seeds: Sequence[str],
         period_us: int = _PROBE_PERIOD_US,
         probe_timeout_us: int = _PROBE_TIMEOUT_US,
-        indirect_probes: int = _INDIRECT_PROBES,
+        indirect_probes: int = _MAX_INDIRECT_PROBES,
     ) -> None:
         """Registers the message handlers; `run` starts this node's own probes.
 
--- a/src/petrelhaven/proxy/node.py
+++ b/src/petrelhaven/proxy/node.py
@@ -259,8 +259,8 @@
 
         Args:
             host: The host of the route that the client connects to.
-            client: The client's key. If no tenant is configured, the client's name up to the
-                first blank; the rest is ignored.
+            client: The client's key. In a configuration without tenants, the client's name, and
+                after a blank anything, which is ignored.
 
         Raises:
             NoRoute: No route of the configuration has this host.
--- a/tests/test_peer_updates.py
+++ b/tests/test_peer_updates.py
@@ -1,4 +1,4 @@
-"""News about peers: what is declined, and which news is the newer."""
+"""Updates about peers: which rows are declined, and which update is newer."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 
 
 def test_a_parsed_row_is_serialized_unchanged():
-    assert [news.to_wire() for news in PeerUpdate.parse_rows([ROW])] == [ROW]
+    assert [update.to_wire() for update in PeerUpdate.parse_rows([ROW])] == [ROW]
 
 
 @pytest.mark.parametrize(
@@ -48,5 +48,5 @@
     ],
 )
 def test_a_higher_incarnation_wins_then_the_more_severe_state(state, incarnation, newer):
-    news = PeerUpdate("e1", "edge", "north", "10.0.0.1:7000", incarnation, state)
-    assert news.supersedes("alive", 3) == newer
+    update = PeerUpdate("e1", "edge", "north", "10.0.0.1:7000", incarnation, state)
+    assert update.supersedes("alive", 3) == newer
--- a/tests/test_proxy_interface.py
+++ b/tests/test_proxy_interface.py
@@ -1,4 +1,4 @@
-"""The product's own face of a gate: what an edge believes, and what it leaves to the cores."""
+"""The HTTP interface of a proxy: its status documents, and what it leaves to the control nodes."""
 
 import asyncio
 import json
@@ -53,15 +53,15 @@
         {
             "t": "office",
             "group": "g1",
-            "n": n,
-            "phase": p,
+            "n": number,
+            "phase": phase,
             "primary": "m1",
             "term": 1,
-            "cause": c,
+            "cause": cause,
             "by": "c1",
             "stuck": False,
         }
-        for n, p, c in (
+        for number, phase, cause in (
             (1, "serve", "announced as primary"),
             (2, "swap", "hall a is emptied"),
             (3, "serve", "no heir"),
@@ -70,18 +70,18 @@
 ]
 
 
-class NoMembers:
-    async def open(self, addr, group, member, us, tenant=""):
+class UnreachableMembers:
+    async def open(self, address, group, member, timeout_us, tenant=""):
         await asyncio.get_running_loop().create_future()
 
 
-def on_a_gate(fn, records=RECORDS):
-    """Runs `fn(gate, face)` over a gate whose tie was told of `records`."""
+def run_with_proxy(scenario, records=RECORDS):
+    """Runs `scenario(proxy, http_server)` with a proxy that has received `records`."""
 
-    async def go():
+    async def run_scenario():
         clock, tasks = LoopClock(), BackgroundTasks()
         core_connection = CoreConnection(
-            clock, tasks, Link(clock, tasks), random.Random(1), "e1", [], lambda h: 0
+            clock, tasks, Link(clock, tasks), random.Random(1), "e1", [], lambda zone: 0
         )
         proxy = ProxyNode(
             "e1",
@@ -90,102 +90,112 @@
             tasks,
             random.Random(1),
             core_connection,
-            NoMembers(),
-            lambda h: 0,
+            UnreachableMembers(),
+            lambda zone: 0,
             1,
             1,
         )
         http_server = LightHttpServer("127.0.0.1", 0)
         ProxyInterface(proxy, http_server, lambda: {"waiting": ["Zone"]})
         if records:
-            led = ControlState()
-            for r in records:
-                led.check(r)
-                led.apply(led.seq + 1, r)
+            control_state = ControlState()
+            for record in records:
+                control_state.check(record)
+                control_state.apply(control_state.seq + 1, record)
             await core_connection._apply_push(
-                None, {"frame": led.snapshot(), "recs": [], "commit": led.seq}
+                None, {"frame": control_state.snapshot(), "recs": [], "commit": control_state.seq}
             )
         try:
-            return await fn(proxy, http_server)
+            return await scenario(proxy, http_server)
         finally:
             tasks.kill()
 
-    return run_in_virtual_time(go())
+    return run_in_virtual_time(run_scenario())
 
 
-async def ask(http_server, path, verb="GET"):
-    s, b, heads = await http_server.answer(Request(verb, path, b""))
-    return s, json.loads(b), dict(heads)
+async def send_request(http_server, path, verb="GET"):
+    status, body, headers = await http_server.answer(Request(verb, path, b""))
+    return status, json.loads(body), dict(headers)
 
 
 def test_a_proxy_serves_its_status_documents():
-    async def go(proxy, http_server):
-        s, d, _ = await ask(http_server, "/status")
+    async def scenario(proxy, http_server):
+        status, document, _ = await send_request(http_server, "/status")
         assert (
-            s == 200
-            and d["role"] == "edge"
-            and d["state"] == "serving"
-            and d["ready"]
-            and d["joined"]
+            status == 200
+            and document["role"] == "edge"
+            and document["state"] == "serving"
+            and document["ready"]
+            and document["joined"]
         )
-        assert d["settings"] == {"waiting": ["Zone"]} and d["lease_us"] == 0 and d["visits"] == 0
-        assert d["epochs"]["g1"]["n"] == 3 and d["members"] == {"m1": ["g1", "ready", "primary"]}
-        assert (await ask(http_server, "/ready"))[:2] == (200, {"ready": True})
-        assert (await ask(http_server, "/realm"))[1]["offices"]["g1"]["primary"] == "m1"
-        s, d, _ = await ask(http_server, "/why?group=g1&n=2")
-        assert (d["epoch"]["cause"], d["replaced"]["n"], d["kept"]) == (
+        assert (
+            document["settings"] == {"waiting": ["Zone"]}
+            and document["lease_us"] == 0
+            and document["visits"] == 0
+        )
+        assert document["epochs"]["g1"]["n"] == 3 and document["members"] == {
+            "m1": ["g1", "ready", "primary"]
+        }
+        assert (await send_request(http_server, "/ready"))[:2] == (200, {"ready": True})
+        assert (await send_request(http_server, "/realm"))[1]["offices"]["g1"]["primary"] == "m1"
+        status, document, _ = await send_request(http_server, "/why?group=g1&n=2")
+        assert (document["epoch"]["cause"], document["replaced"]["n"], document["kept"]) == (
             "hall a is emptied",
             1,
             [1, 2, 3],
         )
         proxy.leave()
-        s, d, heads = await ask(http_server, "/ready")
+        status, document, headers = await send_request(http_server, "/ready")
         assert (
-            (s, d["fault"]) == (503, "not-ready")
-            and "leaving" in d["note"]
-            and heads["Retry-After"] == "1"
+            (status, document["fault"]) == (503, "not-ready")
+            and "leaving" in document["note"]
+            and headers["Retry-After"] == "1"
         )
 
-    on_a_gate(go)
+    run_with_proxy(scenario)
 
 
 def test_a_proxy_serves_its_configuration_only_as_unconfirmed():
-    async def go(proxy, http_server):
-        s, d, _ = await ask(http_server, "/manifest")
-        assert (s, d["fault"]) == (400, "malformed")
-        for q in ("", "&version=3"):
-            s, b, heads = await http_server.answer(
-                Request("GET", "/manifest?unconfirmed=true" + q, b"")
+    async def scenario(proxy, http_server):
+        status, document, _ = await send_request(http_server, "/manifest")
+        assert (status, document["fault"]) == (400, "malformed")
+        for query in ("", "&version=3"):
+            status, body, headers = await http_server.answer(
+                Request("GET", "/manifest?unconfirmed=true" + query, b"")
+            )
+            assert (status, body.decode(), dict(headers)) == (
+                200,
+                TEXT,
+                {"Confirmed-By-Majority": "no"},
             )
-            assert (s, b.decode(), dict(heads)) == (200, TEXT, {"Confirmed-By-Majority": "no"})
-        assert (await ask(http_server, "/manifest?unconfirmed=true&version=2"))[0] == 404
+        assert (await send_request(http_server, "/manifest?unconfirmed=true&version=2"))[0] == 404
 
-    on_a_gate(go)
+    run_with_proxy(scenario)
 
 
 def test_a_proxy_without_a_control_state_reports_that():
-    async def go(proxy, http_server):
-        assert (await ask(http_server, "/status"))[1]["state"] == "starting"
-        assert (await ask(http_server, "/ready"))[0] == 503
-        assert (await ask(http_server, "/manifest?unconfirmed=true"))[0] == 404
-        assert (await ask(http_server, "/why?group=g1"))[0] == 404
+    async def scenario(proxy, http_server):
+        assert (await send_request(http_server, "/status"))[1]["state"] == "starting"
+        assert (await send_request(http_server, "/ready"))[0] == 503
+        assert (await send_request(http_server, "/manifest?unconfirmed=true"))[0] == 404
+        assert (await send_request(http_server, "/why?group=g1"))[0] == 404
         assert (await proxy.core_connection._send_snapshot(None, {}))["frame"] is None
 
-    on_a_gate(go, [])
+    run_with_proxy(scenario, [])
 
 
 def test_a_proxy_sends_its_control_state_to_a_control_node():
-    async def go(proxy, http_server):
-        f = (await proxy.core_connection._send_snapshot(None, {}))["frame"]
-        assert f["seq"] == 5 and f is not proxy.core_connection.control_state.doc
+    async def scenario(proxy, http_server):
+        snapshot = (await proxy.core_connection._send_snapshot(None, {}))["frame"]
+        assert snapshot["seq"] == 5 and snapshot is not proxy.core_connection.control_state.doc
 
-    on_a_gate(go)
+    run_with_proxy(scenario)
 
 
 def test_omitted_configuration_fields_get_their_defaults():
-    async def go(proxy, http_server):
-        r, b = proxy.route("db")
-        assert (r.reads, r.timeout_us, b.connection_cap, b.sync_replicas) == (
+    async def scenario(proxy, http_server):
+        route, group = proxy.route("db")
+        assert (route.reads, route.timeout_us, group.connection_cap, group.sync_replicas) == (
             "strong",
             2_000_000,
             40,
@@ -193,28 +203,33 @@
         )
         assert proxy.bounds().idle_txn_us == 10_000_000
 
-    on_a_gate(go)
+    run_with_proxy(scenario)
 
 
 def test_fields_that_only_one_node_reports_are_no_difference():
-    async def go(proxy, http_server):
-        return (await ask(http_server, "/belief"))[1]
-
-    a = on_a_gate(go)
-    core = {**a, "name": "c1", "kith": {"c1": "alive"}, "view": {"n": 1}}
-    assert differences(a, core) == []
-    assert differences(a, {**core, "members": {}}) == [
+    async def scenario(proxy, http_server):
+        return (await send_request(http_server, "/belief"))[1]
+
+    proxy_document = run_with_proxy(scenario)
+    control_node_document = {
+        **proxy_document,
+        "name": "c1",
+        "kith": {"c1": "alive"},
+        "view": {"n": 1},
+    }
+    assert differences(proxy_document, control_node_document) == []
+    assert differences(proxy_document, {**control_node_document, "members": {}}) == [
         ("members.m1", ["g1", "ready", "primary"], None)
     ]
 
 
-@pytest.mark.parametrize("v", ["", "-1", "1.0", " 1", "1_0", "²", "9" * 19, "0x1", "١"])
-def test_a_query_parameter_that_is_no_number_is_malformed(v):
-    async def go(proxy, http_server):
-        s, d, _ = await ask(http_server, f"/why?group=g1&n={v}")
-        assert (s, d["note"]) == (400, "n must be a whole number")
+@pytest.mark.parametrize("value", ["", "-1", "1.0", " 1", "1_0", "²", "9" * 19, "0x1", "١"])
+def test_a_query_parameter_that_is_no_number_is_malformed(value):
+    async def scenario(proxy, http_server):
+        status, document, _ = await send_request(http_server, f"/why?group=g1&n={value}")
+        assert (status, document["note"]) == (400, "n must be a whole number")
 
-    on_a_gate(go)
+    run_with_proxy(scenario)
     assert parse_query_number({}, "n") is None and parse_query_number({"n": "007"}, "n") == 7
 
 
@@ -247,11 +262,16 @@
 
     draw()
 
-    async def go(proxy, http_server):
-        for q in reqs:
-            s, b, _ = await http_server.answer(q)
-            d = json.loads(b)
-            typed = s in (400, 404) and set(d) >= {"fault", "note"}
-            assert typed or s == 200 and q.verb == "GET", (q.verb, q.path, s, b)
+    async def scenario(proxy, http_server):
+        for request in reqs:
+            status, body, _ = await http_server.answer(request)
+            document = json.loads(body)
+            is_typed_fault = status in (400, 404) and set(document) >= {"fault", "note"}
+            assert is_typed_fault or status == 200 and request.verb == "GET", (
+                request.verb,
+                request.path,
+                status,
+                body,
+            )
 
-    on_a_gate(go)
+    run_with_proxy(scenario)
