--- a/tests/test_tenant_names.py
+++ b/tests/test_tenant_names.py
@@ -1,8 +1,8 @@
-"""Whose name a member is told: the tenant's of the client's key, over real sockets and in virtual time.
+"""The tenant names that members receive with clients' statements.
 
-Each test plays a proxy with the connections that the platform's daemon opens, members that speak the wire on loopback
-sockets, and clients that show keys. A member notes under which name, and with which values and prepared names, it ran
-each statement; the tests compare that with the key of the client that sent it.
+Each test runs a proxy with the platform's member connections, in virtual time. Members listen on
+loopback sockets and record the client name, values and prepared statements of the connection on
+which each statement ran; the tests compare them with the key of the client that sent it.
 """
 
 import asyncio
@@ -19,7 +19,7 @@
 
 KEYS = {"lima": "k3yOfLima", "cusco": "k3yOfCusco", "ica": "k3yOfIca"}
 TENANTS = [{"Name": name, "ApiKeys": [key]} for name, key in KEYS.items()]
-OF_NOBODY = "petrelhaven"
+SYSTEM_NAME = "petrelhaven"
 TYPICAL_LIMIT, ONE_CONNECTION = 40, 10
 DRAWN = settings(
     max_examples=25, phases=[Phase.generate], deadline=None, derandomize=True, database=None
@@ -27,12 +27,12 @@
 
 
 def configuration(revision=1, tenants=TENANTS, limit=TYPICAL_LIMIT):
-    """A database with strong reads, one for browsing, and one that is open to all."""
+    """Returns a configuration: a database with strong reads, one with stale reads, one public."""
 
-    def route(host, **more):
-        return {"Hostname": host, "Service": "svc", "TimeoutMs": 3000, "TargetMs": 300, **more}
+    def route(host, **options):
+        return {"Hostname": host, "Service": "svc", "TimeoutMs": 3000, "TargetMs": 300, **options}
 
-    made = {
+    document = {
         "Revision": revision,
         "Services": [{"Name": "svc", "ConnLimit": limit, "SyncReplicas": 1}],
         "Routes": [
@@ -41,40 +41,41 @@
             route("open", Public=True),
         ],
     }
-    return made if tenants is None else {**made, "Tenants": tenants}
+    return document if tenants is None else {**document, "Tenants": tenants}
 
 
-class Run:
-    """A statement that a member ran, as its connection was then."""
+class ExecutedStatement:
+    """A statement that a member ran, with the state of its connection at that time."""
 
-    def __init__(self, line, number, text):
-        self.member, self.line, self.number, self.text = line.member.name, line, number, text
-        self.client, self.values = line.client, dict(line.values)
+    def __init__(self, connection, number, text):
+        self.member, self.connection = connection.member.name, connection
+        self.number, self.text = number, text
+        self.client, self.values = connection.client, dict(connection.values)
 
 
-class Line:
-    """One connection to a member."""
+class MemberSideConnection:
+    """The member's side of one connection."""
 
     def __init__(self, member, writer):
         self.member, self.writer = member, writer
-        self.client = self.expects = None
-        self.values, self.shapes, self.state = {}, {}, "I"
+        self.client = self.member_name = None
+        self.values, self.prepared, self.state = {}, {}, "I"
 
     def send(self, *lines):
         self.writer.write("".join(f"{line}\r\n" for line in lines).encode())
 
     async def serve(self, reader):
         while raw := await reader.readline():
-            word, _, rest = raw.decode().rstrip("\r\n").partition(" ")
-            if word == "CONNECT":
-                self.member.note_connect(self, rest)
-                service, self.client, self.expects = rest.split(" ")
-                assert service == "svc" and self.expects == self.member.name
+            keyword, _, fields = raw.decode().rstrip("\r\n").partition(" ")
+            if keyword == "CONNECT":
+                self.member.record_connect(self, fields)
+                service, self.client, self.member_name = fields.split(" ")
+                assert service == "svc" and self.member_name == self.member.name
                 self.send("READY I 1.7")
-            elif word == "QUERY":
-                await self.answer(*rest.split(" ", 1))
+            elif keyword == "QUERY":
+                await self.answer(*fields.split(" ", 1))
             else:
-                assert word == "QUIT", raw
+                assert keyword == "QUIT", raw
 
     async def answer(self, number, text):
         if text.startswith("AFTER "):
@@ -85,40 +86,40 @@
             )
             return
         if number != "-":
-            self.member.runs.append(Run(self, number, text))
+            self.member.statements.append(ExecutedStatement(self, number, text))
         if text.split(" ")[0] in ("FETCH", "PUT", "EXECUTE"):
             await asyncio.sleep(self.member.work_s)
         rows = self.run(text)
         self.send(*[f"ROW {row}" for row in rows], "COMPLETE stamp", f"READY {self.state} 1.7")
 
     def run(self, text):
-        """The rows of a statement; one that reads shows what it found on its connection."""
+        """Returns the rows of a statement; those of a read contain the values of the connection."""
         verb, _, rest = text.partition(" ")
         if verb == "RESET":
-            self.values, self.shapes = {}, {}
+            self.values, self.prepared = {}, {}
         elif verb == "SET":
             name, _, value = rest.partition(" ")
             self.values[name] = value
         elif verb == "PREPARE":
-            name, _, shape = rest.partition(" ")
-            self.shapes[name] = shape
+            name, _, statement = rest.partition(" ")
+            self.prepared[name] = statement
         elif verb == "EXECUTE":
-            name, _, data = rest.partition(" ")
-            return self.run(f"{self.shapes[name]} {data}")
+            name, _, argument = rest.partition(" ")
+            return self.run(f"{self.prepared[name]} {argument}")
         elif verb == "BEGIN":
             self.state = "T"
         elif verb in ("COMMIT", "ROLLBACK"):
             self.state = "I"
         elif verb == "FETCH":
-            return [found(rest, self.values)]
+            return [fetch_result(rest, self.values)]
         else:
             assert verb in ("PUT", "DEALLOC"), text
         return []
 
 
-def found(thing, values):
-    """What a member of these tests answers to a FETCH."""
-    return f"{thing} with {sorted(values.items())}"
+def fetch_result(record_key, values):
+    """Returns the row with which a member answers a FETCH."""
+    return f"{record_key} with {sorted(values.items())}"
 
 
 class Member:
@@ -126,27 +127,27 @@
 
     def __init__(self, name, role, work_s=0.001):
         self.name, self.role, self.work_s = name, role, work_s
-        self.connects, self.runs, self.open, self.most = [], [], set(), 0
+        self.connects, self.statements, self.open, self.max_open = [], [], set(), 0
 
     async def start(self):
-        self.server = await asyncio.start_server(self.take, "127.0.0.1", 0)
+        self.server = await asyncio.start_server(self.accept_connection, "127.0.0.1", 0)
         self.address = "127.0.0.1:%d" % self.server.sockets[0].getsockname()[1]
 
-    def note_connect(self, line, fields):
+    def record_connect(self, connection, fields):
         self.connects.append(fields)
-        self.open.add(line)
-        self.most = max(self.most, len(self.open))
+        self.open.add(connection)
+        self.max_open = max(self.max_open, len(self.open))
 
-    async def take(self, reader, writer):
-        line = Line(self, writer)
+    async def accept_connection(self, reader, writer):
+        connection = MemberSideConnection(self, writer)
         with contextlib.suppress(ConnectionError, asyncio.CancelledError):
-            await line.serve(reader)
-        self.open.discard(line)
+            await connection.serve(reader)
+        self.open.discard(connection)
         writer.close()
 
 
-class Wired(Door):
-    """A proxy whose connections to members are real; clients' connections are given bytes."""
+class HarnessWithMembers(Door):
+    """A proxy with member connections over sockets; client connections are called with bytes."""
 
     def __init__(self, members):
         super().__init__(leave_starting=True)
@@ -156,7 +157,7 @@
         self.numbers = itertools.count(1)
 
     def configure(self, config):
-        """Brings `config` into force, and the members to the proxy."""
+        """Applies `config` and registers the members with the proxy."""
         super().configure(config)
         state, records = self.core_connection.control_state, []
         for count, member in enumerate(self.members, 1):
@@ -175,28 +176,28 @@
             )
         for record in records:
             state.apply(state.seq + 1, record)
-        for fn in self.core_connection.on_change:
-            fn(records, False)
+        for listener in self.core_connection.on_change:
+            listener(records, False)
 
     async def session(self, key, host="db"):
         session = Session(self, key, host)
         await asyncio.sleep(0)
         return session
 
-    def runs(self):
-        return [run for member in self.members for run in member.runs]
+    def executed_statements(self):
+        return [statement for member in self.members for statement in member.statements]
 
 
 class Session:
-    """A client that shows a key; it remembers the numbers of its statements."""
+    """A client that connects with a key; it records the numbers of its statements."""
 
-    def __init__(self, door, key, host):
-        self.door, self.key, self.numbers = door, key, set()
-        self.connection, self.transport = door.client(f"CONNECT {host} {key}\r\n".encode())
+    def __init__(self, harness, key, host):
+        self.harness, self.key, self.numbers = harness, key, set()
+        self.connection, self.transport = harness.client(f"CONNECT {host} {key}\r\n".encode())
 
     async def ask(self, text):
-        """Row, end and state of one statement."""
-        number = f"n{next(self.door.numbers)}"
+        """Sends one statement; returns its rows, how it ended, and the transaction state."""
+        number = f"n{next(self.harness.numbers)}"
         self.numbers.add(number)
         before = len(self.transport.out)
         self.connection.data_received(f"QUERY {number} {text}\r\n".encode())
@@ -207,8 +208,8 @@
         end = next(line for line in lines if line.startswith(("COMPLETE", "ERROR")))
         return rows, " ".join(end.split(" ")[: 1 if end[0] == "C" else 2]), lines[-2][6:7]
 
-    async def fetch(self, thing="k"):
-        rows, end, _ = await self.ask(f"FETCH {thing}")
+    async def fetch(self, record_key="k"):
+        rows, end, _ = await self.ask(f"FETCH {record_key}")
         assert end == "COMPLETE"
         return rows[0]
 
@@ -217,10 +218,10 @@
             self.connection.data_received(b"QUIT\r\n")
 
 
-def play(work, config=None, work_s=0.001):
-    """Runs `work(door)` with a primary and two replicas."""
+def play(scenario, config=None, work_s=0.001):
+    """Runs `scenario(harness)` with a primary and two replicas."""
 
-    async def go():
+    async def run_scenario():
         members = [
             Member("m1", "primary", work_s),
             Member("m2", "replica", work_s),
@@ -228,44 +229,48 @@
         ]
         for member in members:
             await member.start()
-        door = Wired(members)
-        door.configure(config or configuration())
-        await work(door)
+        harness = HarnessWithMembers(members)
+        harness.configure(config or configuration())
+        await scenario(harness)
 
-    run_in_virtual_time(go())
+    run_in_virtual_time(run_scenario())
 
 
-def check_names(door, sessions):
-    """Each run was under the name of the tenant of its client's key; members never saw a key."""
-    owners = {number: s.key for s in sessions for number in s.numbers}
-    for run in door.runs():
-        assert KEYS.get(run.client) == owners[run.number], (
-            run.client,
-            owners[run.number],
-            run.text,
+def check_names(harness, sessions):
+    """Checks that statements ran under their key's tenant and that members received no key."""
+    owners = {number: session.key for session in sessions for number in session.numbers}
+    for statement in harness.executed_statements():
+        assert KEYS.get(statement.client) == owners[statement.number], (
+            statement.client,
+            owners[statement.number],
+            statement.text,
         )
-    check_no_key(door)
+    check_no_key(harness)
 
 
-def check_no_key(door):
-    seen = [text for m in door.members for text in [*m.connects, *(run.text for run in m.runs)]]
+def check_no_key(harness):
+    seen = [
+        text
+        for member in harness.members
+        for text in [*member.connects, *(statement.text for statement in member.statements)]
+    ]
     assert not [text for text in seen if any(key in text for key in KEYS.values())]
 
 
-# guards against UNASKED: on the untouched code a member hears the same word for every client
+# Guards against UNASKED: members receive the same name for every client.
 def test_members_receive_the_tenant_name_and_never_the_key():
-    async def go(door):
-        sessions = [await door.session(key) for key in KEYS.values()]
-        for s in sessions:
-            await s.fetch()
-            assert (await s.ask("PUT k v"))[1] == "COMPLETE"
-        assert {run.client for run in door.runs()} == set(KEYS)
-        check_names(door, sessions)
+    async def scenario(harness):
+        sessions = [await harness.session(key) for key in KEYS.values()]
+        for session in sessions:
+            await session.fetch()
+            assert (await session.ask("PUT k v"))[1] == "COMPLETE"
+        assert {statement.client for statement in harness.executed_statements()} == set(KEYS)
+        check_names(harness, sessions)
 
-    play(go)
+    play(scenario)
 
 
-# guards against UNASKED: a name that the project stores under a hash reaches members word for word
+# Guards against UNASKED: members receive a changed name or the hash under which a name is stored.
 @pytest.mark.parametrize(
     "name",
     [
@@ -277,189 +282,204 @@
     ],
 )
 def test_members_receive_the_tenant_name_unchanged(name):
-    async def go(door):
-        s = await door.session("k3yOfOne")
-        await s.fetch()
-        assert {run.client for run in door.runs()} == {name}
+    async def scenario(harness):
+        session = await harness.session("k3yOfOne")
+        await session.fetch()
+        assert {statement.client for statement in harness.executed_statements()} == {name}
 
-    play(go, configuration(tenants=[{"Name": name, "ApiKeys": ["k3yOfOne"]}]))
+    play(scenario, configuration(tenants=[{"Name": name, "ApiKeys": ["k3yOfOne"]}]))
 
 
-# guards against UNASKED: one pooled connection serves single statements of two tenants in turn
+# Guards against UNASKED: a pooled connection serves statements of two tenants in turn.
 @pytest.mark.parametrize("limit", [TYPICAL_LIMIT, ONE_CONNECTION])
 def test_a_pooled_connection_serves_single_statements_of_its_tenant_only(limit):
-    async def go(door):
-        lima, cusco = [await door.session(KEYS[name]) for name in ("lima", "cusco")]
+    async def scenario(harness):
+        lima, cusco = [await harness.session(KEYS[name]) for name in ("lima", "cusco")]
         for _ in range(4):
             await lima.fetch()
             await cusco.fetch()
             await cusco.ask("PUT k v")
             await lima.ask("PUT k v")
-        check_names(door, [lima, cusco])
-        for member in door.members:
-            assert member.most <= (limit - 4) // 3  # own STATUS connection included
+        check_names(harness, [lima, cusco])
+        for member in harness.members:
+            assert member.max_open <= (limit - 4) // 3  # including the proxy's STATUS connection
 
-    play(go, configuration(limit=limit))
+    play(scenario, configuration(limit=limit))
 
 
-# guards against UNASKED: a transaction that begins on a connection which another tenant has used
+# Guards against UNASKED: a transaction begins on a connection that another tenant has used.
 @pytest.mark.parametrize("limit", [TYPICAL_LIMIT, ONE_CONNECTION])
 @pytest.mark.parametrize("begin", ["BEGIN", "BEGIN FETCH"])
 def test_a_transaction_runs_on_a_connection_of_its_tenant_only(begin, limit):
-    async def go(door):
-        lima, cusco = [await door.session(KEYS[name]) for name in ("lima", "cusco")]
-        for s in (lima, cusco, lima, cusco):
-            assert await s.ask(begin) == ([], "COMPLETE", "T")
-            await s.fetch()
-            assert (await s.ask("COMMIT"))[1:] == ("COMPLETE", "I")
-        check_names(door, [lima, cusco])
-        lines = {}
-        for run in door.runs():
-            lines.setdefault(run.line, set()).add(run.client)
-        assert all(len(names) == 1 for names in lines.values())
-
-    play(go, configuration(limit=limit))
-
-
-# guards against UNASKED: a transaction's connection goes back to the pool after ROLLBACK, a failure or a client's end
+    async def scenario(harness):
+        lima, cusco = [await harness.session(KEYS[name]) for name in ("lima", "cusco")]
+        for session in (lima, cusco, lima, cusco):
+            assert await session.ask(begin) == ([], "COMPLETE", "T")
+            await session.fetch()
+            assert (await session.ask("COMMIT"))[1:] == ("COMPLETE", "I")
+        check_names(harness, [lima, cusco])
+        clients_by_connection = {}
+        for statement in harness.executed_statements():
+            clients_by_connection.setdefault(statement.connection, set()).add(statement.client)
+        assert all(len(names) == 1 for names in clients_by_connection.values())
+
+    play(scenario, configuration(limit=limit))
+
+
+# Guards against UNASKED: a transaction's connection returns to the pool after ROLLBACK, an error
+# or a disconnect, and then serves another tenant.
 @pytest.mark.parametrize("end", ["ROLLBACK", "NONSENSE", "QUIT"])
 def test_a_connection_released_by_a_transaction_serves_no_other_tenant(end):
-    async def go(door):
-        lima = await door.session(KEYS["lima"])
+    async def scenario(harness):
+        lima = await harness.session(KEYS["lima"])
         await lima.ask("BEGIN")
         await lima.fetch()
         lima.close() if end == "QUIT" else await lima.ask(end)
         await asyncio.sleep(0.1)
-        cusco = await door.session(KEYS["cusco"])
+        cusco = await harness.session(KEYS["cusco"])
         await cusco.fetch()
-        check_names(door, [lima, cusco])
+        check_names(harness, [lima, cusco])
 
-    play(go, configuration(limit=ONE_CONNECTION))
+    play(scenario, configuration(limit=ONE_CONNECTION))
 
 
-# guards against UNASKED: the second attempt of a slow read takes whatever connection its member has idle
+# Guards against UNASKED: the hedged attempt of a slow read uses an idle connection of any tenant.
 def test_a_hedged_read_runs_under_its_tenant_name_at_both_members():
-    async def go(door):
-        lima = await door.session(KEYS["lima"], "browse")
-        cusco = await door.session(KEYS["cusco"], "browse")
+    async def scenario(harness):
+        lima = await harness.session(KEYS["lima"], "browse")
+        cusco = await harness.session(KEYS["cusco"], "browse")
         for _ in range(6):
             await asyncio.gather(lima.fetch(), cusco.fetch())
-        for member in door.members:
+        for member in harness.members:
             member.work_s = 0.5
-        for s in (lima, cusco, lima, cusco):
-            await s.fetch()
+        for session in (lima, cusco, lima, cusco):
+            await session.fetch()
             await asyncio.sleep(1)
-        assert door.proxy.count["hedged"] >= 2
-        twice = [run.number for run in door.runs() if run.text == "FETCH k"]
-        assert len(twice) > len(set(twice)), "no read ran at two members"
-        check_names(door, [lima, cusco])
+        assert harness.proxy.count["hedged"] >= 2
+        numbers = [
+            statement.number
+            for statement in harness.executed_statements()
+            if statement.text == "FETCH k"
+        ]
+        assert len(numbers) > len(set(numbers)), "no read ran at two members"
+        check_names(harness, [lima, cusco])
 
-    play(go)
+    play(scenario)
 
 
-# guards against UNASKED: what the proxy asks for itself goes out under a tenant's name, or no longer at all
+# Guards against UNASKED: the proxy's own requests use a tenant's name, or are no longer sent.
 def test_status_requests_of_a_proxy_run_under_the_system_name():
-    async def go(door):
-        for member in door.members:
-            status = await door.proxy.groups["svc"].status(
-                door.proxy.groups["svc"].members[member.name]
+    async def scenario(harness):
+        for member in harness.members:
+            status = await harness.proxy.groups["svc"].status(
+                harness.proxy.groups["svc"].members[member.name]
             )
             assert status["role"] == member.role and status["pos"] == (1, 7)
-            assert member.connects == [f"svc {OF_NOBODY} {member.name}"]
+            assert member.connects == [f"svc {SYSTEM_NAME} {member.name}"]
 
-    play(go)
+    play(scenario)
 
 
-# guards against UNASKED: control nodes open connections without a tenant, and those must keep their name and work
+# Guards against UNASKED: connections without a tenant, as control nodes open them, use another name.
 def test_a_connection_without_a_tenant_is_opened_under_the_system_name():
-    async def go(door):
-        member = door.members[0]
-        line = await LineWire(LoopClock()).open(member.address, "svc", member.name, 450_000)
-        assert (await line.send_command("status"))["term"] == 1
-        assert member.connects == [f"svc {OF_NOBODY} m1"]
-        line.close()
+    async def scenario(harness):
+        member = harness.members[0]
+        connection = await LineWire(LoopClock()).open(member.address, "svc", member.name, 450_000)
+        assert (await connection.send_command("status"))["term"] == 1
+        assert member.connects == [f"svc {SYSTEM_NAME} m1"]
+        connection.close()
 
-    play(go)
+    play(scenario)
 
 
-# guards against a change for deployments without tenants: any name is let in and members hear the system's own
+# Guards against a change for deployments without tenants: any client is accepted, and members
+# receive the system name.
 def test_without_a_tenants_section_members_receive_the_system_name():
-    async def go(door):
+    async def scenario(harness):
         for key in ("u3f1", KEYS["lima"]):
-            await (await door.session(key)).fetch()
-        assert {run.client for run in door.runs()} == {OF_NOBODY}
-        check_no_key(door)
+            await (await harness.session(key)).fetch()
+        assert {statement.client for statement in harness.executed_statements()} == {SYSTEM_NAME}
+        check_no_key(harness)
 
-    play(go, configuration(tenants=None))
+    play(scenario, configuration(tenants=None))
 
 
-# guards against UNASKED on public routes: no key needed there, and one that is known still names its tenant
+# Guards against UNASKED on public routes: they need no key, but a known key selects its tenant.
 def test_a_public_route_uses_the_tenant_of_a_known_key_or_the_system_name():
-    async def go(door):
+    async def scenario(harness):
         stranger, lima = (
-            await door.session("u3f1", "open"),
-            await door.session(KEYS["lima"], "open"),
+            await harness.session("u3f1", "open"),
+            await harness.session(KEYS["lima"], "open"),
         )
-        for s in (stranger, lima, stranger, lima):
-            await s.fetch()
-        names = {number: OF_NOBODY for number in stranger.numbers}
+        for session in (stranger, lima, stranger, lima):
+            await session.fetch()
+        names = {number: SYSTEM_NAME for number in stranger.numbers}
         names |= {number: "lima" for number in lima.numbers}
-        for run in door.runs():
-            assert run.client == names[run.number]
-        check_no_key(door)
+        for statement in harness.executed_statements():
+            assert statement.client == names[statement.number]
+        check_no_key(harness)
 
-    play(go, configuration(limit=ONE_CONNECTION))
+    play(scenario, configuration(limit=ONE_CONNECTION))
 
 
-# guards against UNASKED after a change of configuration: a session stays open while its key goes to another tenant
+# Guards against UNASKED after a configuration change: the key of an open session moves to another
+# tenant.
 def test_a_moved_key_runs_under_its_new_tenant_from_the_next_statement():
-    async def go(door):
-        s = await door.session(KEYS["lima"])
-        await s.fetch()
+    async def scenario(harness):
+        session = await harness.session(KEYS["lima"])
+        await session.fetch()
         moved = [{"Name": "lima", "ApiKeys": []}, {"Name": "sur", "ApiKeys": [KEYS["lima"]]}]
-        door.configure(configuration(2, moved))
-        await s.fetch("after")
-        assert [run.client for run in door.runs()] == ["lima", "sur"]
-        check_no_key(door)
+        harness.configure(configuration(2, moved))
+        await session.fetch("after")
+        assert [statement.client for statement in harness.executed_statements()] == ["lima", "sur"]
+        check_no_key(harness)
 
-    play(go)
+    play(scenario)
 
 
-# guards against UNASKED: a transaction that was open when its key moved runs on under the earlier tenant's name
+# Guards against UNASKED: a transaction that was open when its key moved continues under the old
+# tenant.
 def test_a_transaction_whose_key_moves_runs_nothing_under_the_old_tenant():
-    async def go(door):
-        s = await door.session(KEYS["lima"])
-        await s.ask("BEGIN")
-        await s.fetch()
+    async def scenario(harness):
+        session = await harness.session(KEYS["lima"])
+        await session.ask("BEGIN")
+        await session.fetch()
         moved = [{"Name": "lima", "ApiKeys": []}, {"Name": "sur", "ApiKeys": [KEYS["lima"]]}]
-        door.configure(configuration(2, moved))
-        _, end, _ = await s.ask("FETCH after")
-        late = [run.client for run in door.runs() if run.text == "FETCH after"]
+        harness.configure(configuration(2, moved))
+        _, end, _ = await session.ask("FETCH after")
+        late = [
+            statement.client
+            for statement in harness.executed_statements()
+            if statement.text == "FETCH after"
+        ]
         assert late in ([], ["sur"]), end
 
-    play(go)
+    play(scenario)
 
 
-# guards against values or prepared names of another session when a full pool closes a session's connection
+# Guards against values or prepared statements of another session, after a full pool has closed a
+# session's connection.
 def test_values_and_prepared_statements_survive_an_eviction_between_statements():
-    async def go(door):
-        sessions = {name: await door.session(KEYS[name]) for name in KEYS}
-        for name, s in sessions.items():
-            assert (await s.ask(f"SET who {name}"))[1] == "COMPLETE"
-            assert (await s.ask(f"PREPARE q FETCH of_{name}"))[1] == "COMPLETE"
-        for name, s in [*sessions.items(), *reversed(sessions.items())] * 2:
-            rows, end, _ = await s.ask("EXECUTE q 1")
-            assert (rows, end) == ([found(f"of_{name} 1", {"who": name})], "COMPLETE")
-            assert await s.fetch() == found("k", {"who": name})
+    async def scenario(harness):
+        sessions = {name: await harness.session(KEYS[name]) for name in KEYS}
+        for name, session in sessions.items():
+            assert (await session.ask(f"SET who {name}"))[1] == "COMPLETE"
+            assert (await session.ask(f"PREPARE q FETCH of_{name}"))[1] == "COMPLETE"
+        for name, session in [*sessions.items(), *reversed(sessions.items())] * 2:
+            rows, end, _ = await session.ask("EXECUTE q 1")
+            assert (rows, end) == ([fetch_result(f"of_{name} 1", {"who": name})], "COMPLETE")
+            assert await session.fetch() == fetch_result("k", {"who": name})
         await sessions["lima"].ask("SET who other")
         await sessions["cusco"].ask("DEALLOC q")
         assert (await sessions["cusco"].ask("EXECUTE q 1"))[1] == "ERROR NOSTMT"
-        assert await sessions["lima"].fetch() == found("k", {"who": "other"})
-        assert (await sessions["ica"].ask("EXECUTE q 1"))[0] == [found("of_ica 1", {"who": "ica"})]
-        assert len(door.members[0].connects) >= len(KEYS)
-        check_names(door, sessions.values())
+        assert await sessions["lima"].fetch() == fetch_result("k", {"who": "other"})
+        assert (await sessions["ica"].ask("EXECUTE q 1"))[0] == [
+            fetch_result("of_ica 1", {"who": "ica"})
+        ]
+        assert len(harness.members[0].connects) >= len(KEYS)
+        check_names(harness, sessions.values())
 
-    play(go, configuration(limit=ONE_CONNECTION))
+    play(scenario, configuration(limit=ONE_CONNECTION))
 
 
 STEP = st.sampled_from(
@@ -469,13 +489,14 @@
 
 
 def expect_row(session, text):
-    """The row of a read, from what its client has set and prepared."""
+    """Returns the expected row of a read, from the values and statement that the client has set."""
     if text == "FETCH k":
-        return found("k", session.values)
-    return found(f"{session.prepared[6:]} 1", session.values) if session.prepared else None
+        return fetch_result("k", session.values)
+    return fetch_result(f"{session.prepared[6:]} 1", session.values) if session.prepared else None
 
 
-# guards against UNASKED in any order of sessions: names, values and prepared statements all stay the client's own
+# Guards against UNASKED in any interleaving of sessions: names, values and prepared statements
+# must stay those of each client.
 @DRAWN
 @given(
     st.lists(st.tuples(st.sampled_from(sorted(KEYS)), st.integers(0, 2), STEP), max_size=30),
@@ -501,21 +522,21 @@
     play(go, configuration(limit=limit))
 
 
-async def checked_ask(s, step, limit):
-    """Asks, and compares the row with what the client has set; a full pool may send it away."""
-    rows, end, state = await s.ask(step)
+async def checked_ask(session, step, limit):
+    """Runs one step and compares its row with the client's values; a full pool may refuse it."""
+    rows, end, state = await session.ask(step)
     if end == "COMPLETE":
-        words = step.split(" ", 2)
-        if words[0] == "SET" and state == "I":
-            s.values = {words[1]: words[2]}
-        elif words[0] == "SET":
-            await s.ask("ROLLBACK")  # whether the value outlives it is not this test's matter
-            assert (await s.ask(step))[1] == "COMPLETE"
-            s.values = {words[1]: words[2]}
-        elif words[0] == "PREPARE":
-            s.prepared = words[2]
+        parts = step.split(" ", 2)
+        if parts[0] == "SET" and state == "I":
+            session.values = {parts[1]: parts[2]}
+        elif parts[0] == "SET":
+            await session.ask("ROLLBACK")  # whether the value survives ROLLBACK is not tested here
+            assert (await session.ask(step))[1] == "COMPLETE"
+            session.values = {parts[1]: parts[2]}
+        elif parts[0] == "PREPARE":
+            session.prepared = parts[2]
         elif rows:
-            assert rows == [expect_row(s, step)]
+            assert rows == [expect_row(session, step)]
     elif end in ("ERROR BUSY", "ERROR ABORTED"):
         assert limit == ONE_CONNECTION
     else:
