--- a/tests/model/schedule.py
+++ b/tests/model/schedule.py
@@ -270,7 +270,7 @@
 @contextlib.contextmanager
 def _patched_sizes(shape):
     """Patches the sizes of the stores to those of the shape."""
-    sizes = {"_log_file_bytes": lambda name: shape.file_bytes, "_MIN_KEPT_RECORDS": shape.tail}
+    sizes = {"_log_file_bytes": lambda name: shape.file_bytes, "_MIN_RECENT_RECORDS": shape.tail}
     with mock.patch.multiple(node_store, **sizes):
         yield
 
--- a/tests/test_control_days.py
+++ b/tests/test_control_days.py
@@ -123,14 +123,14 @@
     losses, wiped, monkeypatch
 ):
     if wiped:
-        monkeypatch.setattr(node_store, "_MIN_KEPT_RECORDS", 100)
+        monkeypatch.setattr(node_store, "_MIN_RECENT_RECORDS", 100)
     assert violations_of(scenes.hundreds_of_changes, losses, wiped=wiped) == []
 
 
 def test_without_snapshots_a_node_that_missed_more_records_than_are_stored_never_catches_up(
     monkeypatch,
 ):
-    monkeypatch.setattr(node_store, "_MIN_KEPT_RECORDS", 100)
+    monkeypatch.setattr(node_store, "_MIN_RECENT_RECORDS", 100)
     monkeypatch.setattr(
         node_store.ControlNodeStore, "reset", lambda self, control_state, entered_view: None
     )
