--- a/src/petrelhaven/transport/reach.py
+++ b/src/petrelhaven/transport/reach.py
@@ -54,7 +54,7 @@
             Unreachable: the connection was lost; the outcome is unknown.
             Fault: what the other side answered with; its `answered` is set.
         """
-        address = self.roster.addr_of(name)
+        address = self.roster.address_of(name)
         if name == self.roster.name:
             return cast(Result, await self.link.handlers[kind](None, body))
         if address is None:
@@ -86,7 +86,7 @@
         once = repeat_of(relayed["kind"], relayed["body"]) is Repeat.NEVER
         for relay in self._best_first(name, self._relays(name))[:_MAX_RELAYS]:
             us = end - self.clock.now()
-            address = self.roster.addr_of(relay)
+            address = self.roster.address_of(relay)
             if us <= 0 or address is None:
                 break
             relayed["us"] = us // _RELAY_SHARE
@@ -109,7 +109,7 @@
         """Living nodes that may see `name`."""
         return [
             relay
-            for relay in self.roster.living()
+            for relay in self.roster.living_peers()
             if relay != name and not self._has_failed(relay) and self.roster.state(relay) == ALIVE
         ]
 
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -144,8 +144,8 @@
                 name=n,
                 zone=n,
                 peers=peers,
-                addr_of=lambda m, n=n: m if m != "z" else None,
-                living=lambda peers=peers: list(peers),
+                address_of=lambda m, n=n: m if m != "z" else None,
+                living_peers=lambda peers=peers: list(peers),
                 state=lambda m: "alive",
             )
             self.reaches[n] = Reach(nodes[n].clock, nodes[n], roster, random.Random(n))
