--- a/src/petrelhaven/transport/node_caller.py
+++ b/src/petrelhaven/transport/node_caller.py
@@ -55,7 +55,7 @@
             Unreachable: the connection was lost; the outcome is unknown.
             Fault: the fault that the other side answered with; its `answered` is set.
         """
-        address = self.roster.addr_of(name)
+        address = self.roster.address_of(name)
         if name == self.roster.name:
             return cast(Result, await self.link.handlers[kind](None, body))
         if address is None:
@@ -87,7 +87,7 @@
         is_sent_once = repeat_of(relayed["kind"], relayed["body"]) is Repeat.NEVER
         for relay in self._order_relays(name, self._usable_relays(name))[:_MAX_RELAYS]:
             timeout_us = deadline - self.clock.now()
-            address = self.roster.addr_of(relay)
+            address = self.roster.address_of(relay)
             if timeout_us <= 0 or address is None:
                 break
             relayed["us"] = timeout_us // _RELAYED_CALL_DIVISOR
@@ -110,7 +110,7 @@
         """Returns the nodes that are alive and may have a working link to `name`."""
         return [
             relay
-            for relay in self.roster.living()
+            for relay in self.roster.living_peers()
             if relay != name and not self._has_failed(relay) and self.roster.state(relay) == ALIVE
         ]
 
--- a/tests/test_platform_lines.py
+++ b/tests/test_platform_lines.py
@@ -1,4 +1,4 @@
-"""The platform's wire over connections: whatever comes in whatever pieces, each QUERY gets one end and one READY."""
+"""Line protocol connections: each QUERY gets one COMPLETE or ERROR and one READY, however bytes are split."""
 
 import asyncio
 import json
@@ -15,7 +15,7 @@
 
 from client_connection import ClientConnection  # noqa: E402
 from configuration_documents import configuration_text, internal_name  # noqa: E402
-from member_connections import LineMemberConnection, LineWire  # noqa: E402
+from member_connections import LineMemberConnection, LineProtocolConnector  # noqa: E402
 from petrelhaven.control.state.control_state import ControlState  # noqa: E402
 from petrelhaven.proxy.node import ProxyNode  # noqa: E402
 from petrelhaven.proxy.pool.member_connection import MemberConnection  # noqa: E402
@@ -31,7 +31,7 @@
 )
 from petrelhaven.runtime.tasks import BackgroundTasks  # noqa: E402
 from petrelhaven.simulator.virtual_time import WarpLoop, end_all  # noqa: E402
-from statements import LONGEST_LINE  # noqa: E402
+from statements import MAX_LINE_BYTES  # noqa: E402
 
 DRAWN = settings(
     max_examples=60, phases=[Phase.generate], deadline=None, derandomize=True, database=None
@@ -49,7 +49,7 @@
 
 
 class Member:
-    """A member that keeps what is committed at it and which lines it ran."""
+    """A member that stores committed values and the statements it executed."""
 
     def __init__(self):
         self.kept, self.ran, self.member_connections, self.pos = {}, [], [], 7
@@ -69,66 +69,68 @@
         return f
 
 
-class MemberStrand(MemberConnection):
+class FakeMemberConnection(MemberConnection):
     def __init__(self, member):
         super().__init__()
-        self.m, self.open_, self.shaped = member, None, {}
+        self.member, self.open_, self.prepared = member, None, {}
         member.member_connections.append(self)
 
     def _run(self, text):
-        words = text.split(" ")
-        if words[0] == "EXECUTE":
-            return self._run(" ".join([self.shaped[words[1]].split(" ")[0], *words[2:]]))
-        mark = "I" if self.open_ is None else "T"
-        if words[0] == "FETCH":
-            thing = text.split(" ", 1)[1]
-            return self.m.reply([{**self.m.kept, **(self.open_ or {})}.get(thing, "")], mark)
-        if words[0] == "PUT":
-            _, thing, data = text.split(" ", 2)
+        tokens = text.split(" ")
+        if tokens[0] == "EXECUTE":
+            return self._run(" ".join([self.prepared[tokens[1]].split(" ")[0], *tokens[2:]]))
+        state = "I" if self.open_ is None else "T"
+        if tokens[0] == "FETCH":
+            key = text.split(" ", 1)[1]
+            return self.member.reply(
+                [{**self.member.kept, **(self.open_ or {})}.get(key, "")], state
+            )
+        if tokens[0] == "PUT":
+            _, key, data = text.split(" ", 2)
             if data == "fail":
-                return self.m.reply(state=mark if mark == "I" else "E", code="failed")
-            (self.m.kept if self.open_ is None else self.open_)[thing] = data
-            return self.m.reply(state=mark)
+                return self.member.reply(state=state if state == "I" else "E", code="failed")
+            (self.member.kept if self.open_ is None else self.open_)[key] = data
+            return self.member.reply(state=state)
         assert text == "COMMIT"
-        self.m.kept.update(self.open_)
+        self.member.kept.update(self.open_)
         self.open_ = None
-        return self.m.reply()
+        return self.member.reply()
 
-    def send_statement(self, a, after=None, alias=None):
-        text = a.text if alias is None else f"EXECUTE {alias} {a.data}"
-        self.m.ran.append((a.number, a.text))
+    def send_statement(self, statement, after=None, alias=None):
+        text = statement.text if alias is None else f"EXECUTE {alias} {statement.data}"
+        self.member.ran.append((statement.number, statement.text))
         return self._run(text)
 
     def send_session_statement(self, verb, args=(), num="-"):
         if verb == "begin":
             self.open_ = {}
-            return self.m.reply(state="T")
+            return self.member.reply(state="T")
         if verb == "prepare":
-            self.shaped[args[0]] = args[1]
+            self.prepared[args[0]] = args[1]
         if verb == "reset":
-            self.shaped = {}
+            self.prepared = {}
         if verb == "rollback":
             self.open_ = None
-        return self.m.reply(state="I" if self.open_ is None else "T")
+        return self.member.reply(state="I" if self.open_ is None else "T")
 
     def send_command(self, verb, *args):
         f = asyncio.get_running_loop().create_future()
-        f.set_result({"role": "primary", "term": 1, "pos": (1, self.m.pos), "held": 0})
+        f.set_result({"role": "primary", "term": 1, "pos": (1, self.member.pos), "held": 0})
         return f
 
     def close(self):
         self.lost = True
 
 
-class FakeWire:
+class FakeConnector:
     def __init__(self, member):
         self.member = member
 
     async def open(self, addr, group, member, us, tenant=""):
-        return MemberStrand(self.member)
+        return FakeMemberConnection(self.member)
 
 
-class FakeTie:
+class FakeCoreConnection:
     holds_lease, lease_confirmed, proxy_count = True, True, 3
 
     def __init__(self):
@@ -142,7 +144,7 @@
 
 
 class FakeTransport:
-    """Collects what is written; like a real one it says once that the connection is lost."""
+    """Collects written bytes; calls `connection_lost` once, as a real transport does."""
 
     def __init__(self):
         self.out, self.closed, self.aborted, self.front = b"", False, False, None
@@ -171,10 +173,10 @@
 
 
 class Door:
-    """A gate with one member in office, and clients' connections to it."""
+    """A proxy with one primary member, and client connections to the proxy."""
 
     def __init__(self, leave_starting=False):
-        self.member, self.core_connection, self.door = Member(), FakeTie(), set()
+        self.member, self.core_connection, self.door = Member(), FakeCoreConnection(), set()
         self.clock, self.tasks = LoopClock(), BackgroundTasks()
         self.proxy = ProxyNode(
             "e",
@@ -183,7 +185,7 @@
             self.tasks,
             random.Random(1),
             self.core_connection,
-            FakeWire(self.member),
+            FakeConnector(self.member),
             lambda h: 0,
             1_000_000,
             1_000_000,
@@ -233,12 +235,12 @@
 
 
 async def rest(s=3.0):
-    """Virtual time in which whatever is under way ends."""
+    """Sleeps in virtual time, long enough for pending operations to end."""
     await asyncio.sleep(s)
 
 
 def virtual(fn, **kw):
-    """What `fn(door)` returns, run in virtual time."""
+    """Runs `fn(door)` in virtual time and returns its result."""
     loop = WarpLoop()
     asyncio.set_event_loop(loop)
 
@@ -254,7 +256,7 @@
 
 
 def replies(out):
-    """The replies in `out` after the READY to CONNECT: (ROW fields, end, READY)."""
+    """Returns the replies after the READY to CONNECT, as (rows, COMPLETE or ERROR line, READY text)."""
     lines = out.split(b"\r\n")
     assert lines.pop() == b"" and lines.pop(0) == b"READY I -"
     got, rows, end = [], [], None
@@ -281,11 +283,11 @@
 
 
 async def answers(door, *texts):
-    f, tr = door.client()
-    f.data_received(said(*texts))
+    client, transport = door.client()
+    client.data_received(said(*texts))
     await rest()
-    got, end = replies(tr.out)
-    assert end is None and not tr.aborted
+    got, end = replies(transport.out)
+    assert end is None and not transport.aborted
     return [
         (
             rows,
@@ -320,7 +322,7 @@
 
 
 def expected(texts):
-    """The end and the state after each statement, by the pages."""
+    """Returns the end and the session state after each statement as page PROTOCOL specifies them."""
     state, names, out = "I", {}, []
     for t in texts:
         w = t.split(" ")
@@ -427,32 +429,38 @@
         (b"CONNECT nowhere me\r\n", b"NODB"),
         (b"CONNECT  me\r\n", b"NODB"),
         (b"CONNECT DB me\r\n", b"NODB"),
-        (b"CONNECT " + b"x" * LONGEST_LINE + b"\r\n", b"TOOLARGE"),
+        (b"CONNECT " + b"x" * MAX_LINE_BYTES + b"\r\n", b"TOOLARGE"),
         (b"CONNECT db\nQUERY 1 PUT k v\r\n", b"MALFORMED"),
         (b"CONNECT db me\r\r\n", b"MALFORMED"),
     ],
 )
-def test_what_opens_no_session_gets_one_error_and_a_close(first, code):
-    async def go(d):
-        f, tr = d.client(first + said("PUT k v"))
+def test_an_invalid_first_message_gets_one_error_and_a_close(first, code):
+    async def go(door):
+        client, transport = door.client(first + said("PUT k v"))
         await rest()
         assert (
-            tr.closed and tr.out.startswith(b"ERROR " + code + b" ") and tr.out.count(b"\r\n") == 1
+            transport.closed
+            and transport.out.startswith(b"ERROR " + code + b" ")
+            and transport.out.count(b"\r\n") == 1
         )
-        assert not d.proxy.sessions and not d.door and d.member.kept == {}
+        assert not door.proxy.sessions and not door.door and door.member.kept == {}
 
     virtual(go)
 
 
-def test_an_edge_without_a_configuration_says_busy_within_2_s():
-    async def go(d):
-        f, tr = d.client(b"CONNECT db me\r\n" + said("PUT a 1"))
+def test_a_proxy_without_a_configuration_replies_busy_within_2_s():
+    async def go(door):
+        client, transport = door.client(b"CONNECT db me\r\n" + said("PUT a 1"))
         await rest(1)
-        assert tr.out == b"" and not tr.closed
+        assert transport.out == b"" and not transport.closed
         await rest(0.9)
-        assert tr.out.startswith(b"ERROR BUSY ") and tr.out.count(b"\r\n") == 1 and tr.closed
+        assert (
+            transport.out.startswith(b"ERROR BUSY ")
+            and transport.out.count(b"\r\n") == 1
+            and transport.closed
+        )
         await rest()
-        assert d.member.kept == {} and not d.door and not d.proxy.sessions
+        assert door.member.kept == {} and not door.door and not door.proxy.sessions
 
     virtual(go, leave_starting=True)
 
@@ -468,46 +476,57 @@
         (b"nowhere", b"", True),
     ],
 )
-def test_what_is_asked_before_the_first_configuration_is_served_after_it(name, tail, ends):
-    async def go(d):
-        f, tr = d.client(b"CONNECT " + name + b" me\r\n" + said("PUT a 1", "PUT a 2"))
-        f.data_received(tail) if tail is not None else f.eof_received()
+def test_statements_received_before_the_first_configuration_are_executed_after_it(name, tail, ends):
+    async def go(door):
+        client, transport = door.client(
+            b"CONNECT " + name + b" me\r\n" + said("PUT a 1", "PUT a 2")
+        )
+        client.data_received(tail) if tail is not None else client.eof_received()
         await rest(0.5)
-        assert tr.out == b"" and not tr.closed and not f.idle
-        d.configure(CONFIG)
+        assert transport.out == b"" and not transport.closed and not client.idle
+        door.configure(CONFIG)
         await rest()
         if name == b"nowhere":
-            assert tr.out.startswith(b"ERROR NODB") and tr.out.count(b"\r\n") == 1
+            assert transport.out.startswith(b"ERROR NODB") and transport.out.count(b"\r\n") == 1
         else:
-            assert len(replies(tr.out)[0]) == 2 and d.member.kept == {"a": "2"}
-        assert tr.closed == ends and not tr.aborted and len(d.proxy.sessions) == (not ends)
+            assert len(replies(transport.out)[0]) == 2 and door.member.kept == {"a": "2"}
+        assert (
+            transport.closed == ends
+            and not transport.aborted
+            and len(door.proxy.sessions) == (not ends)
+        )
 
     virtual(go, leave_starting=True)
 
 
 def test_a_client_lost_before_the_first_configuration_leaves_nothing_behind():
-    async def go(d):
-        f, tr = d.client(b"CONNECT db me\r\n" + said("PUT a 1"))
-        tr.close()
+    async def go(door):
+        client, transport = door.client(b"CONNECT db me\r\n" + said("PUT a 1"))
+        transport.close()
         await rest(0.1)
-        d.configure(CONFIG)
+        door.configure(CONFIG)
         await rest()
-        assert tr.out == b"" and not d.proxy.sessions and not d.door and d.member.kept == {}
+        assert (
+            transport.out == b""
+            and not door.proxy.sessions
+            and not door.door
+            and door.member.kept == {}
+        )
 
     virtual(go, leave_starting=True)
 
 
-def test_a_route_that_went_away_is_told_at_the_next_statement():
-    async def go(d):
-        f, tr = d.client()
-        d.configure({**CONFIG, "Revision": 2, "Routes": []})
-        f.data_received(said("FETCH k"))
+def test_a_removed_route_is_reported_at_the_next_statement():
+    async def go(door):
+        client, transport = door.client()
+        door.configure({**CONFIG, "Revision": 2, "Routes": []})
+        client.data_received(said("FETCH k"))
         await rest()
-        got, _ = replies(tr.out)
+        got, _ = replies(transport.out)
         assert got[0][1].startswith(b"ERROR NODB") and got[0][2] == b"I -"
         for name in (b"db", b"", b"none", b" "):
-            _, tr = d.client(b"CONNECT " + name + b" me\r\n")
-            assert tr.out.startswith(b"ERROR NODB"), name
+            _, transport = door.client(b"CONNECT " + name + b" me\r\n")
+            assert transport.out.startswith(b"ERROR NODB"), name
 
     virtual(go)
 
@@ -524,28 +543,28 @@
         b"QUERY 9 PUT k \r w\r\n",
     ],
 )
-def test_what_is_no_message_ends_the_session_after_the_replies_owed(tail):
-    async def go(d):
-        f, tr = d.client()
-        f.data_received(said("PUT a 1", "PUT a 2") + tail + said("PUT a 3"))
+def test_an_invalid_message_ends_the_session_after_pending_replies(tail):
+    async def go(door):
+        client, transport = door.client()
+        client.data_received(said("PUT a 1", "PUT a 2") + tail + said("PUT a 3"))
         await rest()
-        got, end = replies(tr.out)
+        got, end = replies(transport.out)
         assert (
             [x[1][:8] for x in got] == [b"COMPLETE"] * 2
-            and tr.closed
+            and transport.closed
             and end.startswith(b"ERROR MALFORMED")
         )
-        assert d.member.kept == {"a": "2"} and not d.proxy.sessions
+        assert door.member.kept == {"a": "2"} and not door.proxy.sessions
 
     virtual(go)
 
 
 def test_a_query_without_a_text_is_malformed_and_the_session_goes_on():
-    async def go(d):
-        f, tr = d.client()
-        f.data_received(b"QUERY 1\r\nQUERY 2 \r\nQUERY 3 PUT a b\r\n")
+    async def go(door):
+        client, transport = door.client()
+        client.data_received(b"QUERY 1\r\nQUERY 2 \r\nQUERY 3 PUT a b\r\n")
         await rest()
-        assert [x[1].split(b" ")[0] for x in replies(tr.out)[0]] == [
+        assert [x[1].split(b" ")[0] for x in replies(transport.out)[0]] == [
             b"ERROR",
             b"ERROR",
             b"COMPLETE",
@@ -556,27 +575,31 @@
 
 @pytest.mark.parametrize("whole", [True, False])
 def test_a_message_over_the_bound_is_not_run(whole):
-    async def go(d):
-        f, tr = d.client()
-        raw = b"QUERY 1 PUT k " + b"x" * LONGEST_LINE + (b"\r\n" if whole else b"")
+    async def go(door):
+        client, transport = door.client()
+        raw = b"QUERY 1 PUT k " + b"x" * MAX_LINE_BYTES + (b"\r\n" if whole else b"")
         for at in range(0, len(raw), 1 << 18):
-            if not tr.closed:
-                f.data_received(raw[at : at + (1 << 18)])
+            if not transport.closed:
+                client.data_received(raw[at : at + (1 << 18)])
         await rest()
-        assert tr.closed and replies(tr.out)[1].startswith(b"ERROR TOOLARGE") and d.member.ran == []
+        assert (
+            transport.closed
+            and replies(transport.out)[1].startswith(b"ERROR TOOLARGE")
+            and door.member.ran == []
+        )
 
     virtual(go)
 
 
 def test_a_message_of_just_the_bound_passes():
-    async def go(d):
-        f, tr = d.client()
+    async def go(door):
+        client, transport = door.client()
         head = b"QUERY 1 PUT k "
-        f.data_received(head + b"x" * (LONGEST_LINE - len(head)) + b"\r\n")
+        client.data_received(head + b"x" * (MAX_LINE_BYTES - len(head)) + b"\r\n")
         await rest()
-        assert replies(tr.out)[0][0][1].startswith(b"COMPLETE") and len(
-            d.member.kept["k"]
-        ) == LONGEST_LINE - len(head)
+        assert replies(transport.out)[0][0][1].startswith(b"COMPLETE") and len(
+            door.member.kept["k"]
+        ) == MAX_LINE_BYTES - len(head)
 
     virtual(go)
 
@@ -621,7 +644,7 @@
     assert {(e, s) for _, e, s in got} == {("COMPLETE", "T" if inside else "I")}
 
 
-def test_a_commit_after_a_failure_keeps_nothing():
+def test_a_commit_after_a_failure_stores_nothing():
     async def go(d):
         got = await answers(
             d,
@@ -658,138 +681,140 @@
     virtual(go)
 
 
-def test_nothing_is_said_while_nothing_is_asked():
-    async def go(d):
-        f, tr = d.client()
-        f.data_received(said("BEGIN", "PUT a 1"))
+def test_a_client_receives_nothing_while_no_statement_is_pending():
+    async def go(door):
+        client, transport = door.client()
+        client.data_received(said("BEGIN", "PUT a 1"))
         await rest(1)
-        at = len(tr.out)
-        d.configure({**CONFIG, "Revision": 2})
+        at = len(transport.out)
+        door.configure({**CONFIG, "Revision": 2})
         await rest(60)
-        assert len(tr.out) == at and not tr.closed
-        assert all(s.lost for s in d.member.member_connections if s.open_ is not None)
-        f.data_received(said("COMMIT"))
+        assert len(transport.out) == at and not transport.closed
+        assert all(s.lost for s in door.member.member_connections if s.open_ is not None)
+        client.data_received(said("COMMIT"))
         await rest()
-        got, _ = replies(tr.out)
+        got, _ = replies(transport.out)
         assert (
             got[-1][1].startswith(b"ERROR ABORTED")
             and got[-1][2][:1] == b"I"
-            and d.member.kept == {}
+            and door.member.kept == {}
         )
 
     virtual(go)
 
 
-def test_a_mute_member_gets_one_ready_per_query_within_the_routes_timeout():
-    async def go(d):
-        f, tr = d.client()
-        d.member.mute = True
-        f.data_received(said("PUT a 1", "FETCH a"))
+def test_an_unresponsive_member_gives_one_ready_per_query_within_the_route_timeout():
+    async def go(door):
+        client, transport = door.client()
+        door.member.mute = True
+        client.data_received(said("PUT a 1", "FETCH a"))
         await rest(0.75)
-        assert tr.out == b"READY I -\r\n"
+        assert transport.out == b"READY I -\r\n"
         await rest(3)
-        got, end = replies(tr.out)
+        got, end = replies(transport.out)
         assert len(got) == 2 and end is None and got[0][1].startswith(b"ERROR INDOUBT")
         assert got[1][1].split(b" ")[1] in (b"BUSY", b"TIMEOUT")
 
     virtual(go)
 
 
-def test_a_client_that_says_no_more_gets_what_it_asked_for():
-    async def go(d):
-        f, tr = d.client()
-        f.data_received(said("PUT a 1", "PUT a 2"))
-        assert f.eof_received()
+def test_a_client_that_half_closes_gets_all_replies():
+    async def go(door):
+        client, transport = door.client()
+        client.data_received(said("PUT a 1", "PUT a 2"))
+        assert client.eof_received()
         await rest()
-        assert len(replies(tr.out)[0]) == 2 and tr.closed and not d.proxy.sessions
-        f, tr = d.client()
-        assert not f.eof_received() and tr.closed
+        assert len(replies(transport.out)[0]) == 2 and transport.closed and not door.proxy.sessions
+        client, transport = door.client()
+        assert not client.eof_received() and transport.closed
 
     virtual(go)
 
 
 def test_a_client_lost_inside_a_transaction_has_its_member_connection_closed():
-    async def go(d):
-        f, tr = d.client()
-        f.data_received(said("BEGIN", "PUT a 1"))
+    async def go(door):
+        client, transport = door.client()
+        client.data_received(said("BEGIN", "PUT a 1"))
         await rest()
-        s = next(s for s in d.member.member_connections if s.open_ is not None)
-        tr.close()
+        s = next(s for s in door.member.member_connections if s.open_ is not None)
+        transport.close()
         await rest()
-        assert s.lost and not d.proxy.sessions and not d.door and d.member.kept == {}
+        assert s.lost and not door.proxy.sessions and not door.door and door.member.kept == {}
 
     virtual(go)
 
 
-def test_a_transaction_that_rests_too_long_is_ended_and_its_client_told_at_the_next_statement():
-    async def go(d):
-        limit_s = d.proxy.bounds().idle_txn_us / 1e6
-        f, tr = d.client()
-        f.data_received(said("BEGIN", "PUT a 1"))
+def test_an_idle_transaction_is_aborted_and_reported_at_the_next_statement():
+    async def go(door):
+        limit_s = door.proxy.bounds().idle_txn_us / 1e6
+        client, transport = door.client()
+        client.data_received(said("BEGIN", "PUT a 1"))
         await rest(limit_s - 0.5)
-        strand = next(s for s in d.member.member_connections if s.open_ is not None)
-        assert not strand.lost
-        f.data_received(said("PUT b 1"))
+        transaction_connection = next(
+            s for s in door.member.member_connections if s.open_ is not None
+        )
+        assert not transaction_connection.lost
+        client.data_received(said("PUT b 1"))
         await rest(limit_s - 0.5)
-        assert not strand.lost, "a statement begins the rest anew"
+        assert not transaction_connection.lost, "a statement restarts the idle timeout"
         await rest(1)
-        assert strand.lost and d.member.kept == {}
-        before = len(replies(tr.out)[0])
-        f.data_received(said("PUT c 1"))
+        assert transaction_connection.lost and door.member.kept == {}
+        before = len(replies(transport.out)[0])
+        client.data_received(said("PUT c 1"))
         await rest(0.1)
-        (rows, end, ready), *_ = replies(tr.out)[0][before:]
+        (rows, end, ready), *_ = replies(transport.out)[0][before:]
         assert (rows, ready[:1]) == ([], b"E") and end.startswith(b"ERROR ABORTED"), end
-        assert "PUT c 1" not in [text for _, text in d.member.ran]
+        assert "PUT c 1" not in [text for _, text in door.member.ran]
 
     virtual(go)
 
 
 def test_a_client_lost_while_its_write_runs_leaves_nothing_behind():
-    async def go(d):
-        f, tr = d.client()
-        d.member.mute = True
-        f.data_received(said("BEGIN", "PUT a 1", "PUT b 1"))
+    async def go(door):
+        client, transport = door.client()
+        door.member.mute = True
+        client.data_received(said("BEGIN", "PUT a 1", "PUT b 1"))
         await rest(0.01)
-        tr.close()
+        transport.close()
         await rest(10)
-        assert not d.proxy.sessions and not d.door and d.proxy.request_slots.used == 0
+        assert not door.proxy.sessions and not door.door and door.proxy.request_slots.used == 0
         assert (
-            d.proxy.groups["svc"].strong_sessions == 0
-            and d.proxy.groups["svc"].members["m1"].pool.busy == set()
+            door.proxy.groups["svc"].strong_sessions == 0
+            and door.proxy.groups["svc"].members["m1"].pool.busy == set()
         )
 
     virtual(go)
 
 
-def test_what_a_lost_client_had_asked_for_next_is_not_run():
-    async def go(d):
-        f, tr = d.client()
-        d.member.mute = True
-        f.data_received(said("PUT a 1", "PUT b 1"))
+def test_queued_statements_of_a_lost_client_are_not_executed():
+    async def go(door):
+        client, transport = door.client()
+        door.member.mute = True
+        client.data_received(said("PUT a 1", "PUT b 1"))
         await rest(0.01)
-        tr.close()
+        transport.close()
         await rest(10)
-        assert [t for _, t in d.member.ran] == ["PUT a 1"] and not tr.aborted
+        assert [t for _, t in door.member.ran] == ["PUT a 1"] and not transport.aborted
 
     virtual(go)
 
 
 @pytest.mark.parametrize(
     ("text", "runs"),
-    [(b"PUT a 1", range(64, 67)), (b"PUT a " + b"x" * (LONGEST_LINE >> 2), range(4, 8))],
+    [(b"PUT a 1", range(64, 67)), (b"PUT a " + b"x" * (MAX_LINE_BYTES >> 2), range(4, 8))],
 )
-def test_more_than_a_session_may_ask_at_once_is_not_run_and_ends_it(text, runs):
-    async def go(d):
-        f, tr = d.client()
-        f.data_received(said(*[text] * 200))
-        assert sum(len(t) for _, t in f._queue) <= 2 * LONGEST_LINE
+def test_exceeding_the_statement_queue_ends_the_session(text, runs):
+    async def go(door):
+        client, transport = door.client()
+        client.data_received(said(*[text] * 200))
+        assert sum(len(t) for _, t in client._queue) <= 2 * MAX_LINE_BYTES
         await rest()
-        got, end = replies(tr.out)
+        got, end = replies(transport.out)
         assert (
             len(got) in runs
-            and len(d.member.ran) == len(got)
+            and len(door.member.ran) == len(got)
             and end.startswith(b"ERROR BUSY")
-            and tr.closed
+            and transport.closed
         )
 
     virtual(go)
@@ -798,14 +823,14 @@
 # Connections to members
 
 
-class StrandTransport(FakeTransport):
+class FakeMemberTransport(FakeTransport):
     def close(self):
         self.closed = True
 
 
 def member_connection():
     c = LineMemberConnection()
-    c.connection_made(StrandTransport())
+    c.connection_made(FakeMemberTransport())
     c.drops = []
     c.on_lost = c.drops.append
     return c
@@ -864,17 +889,17 @@
         b"COMPLETE s\r\nCOMPLETE t\r\nREADY I -\r\n",
         b"ERROR BUSY x\r\nCOMPLETE t\r\nREADY I -\r\n",
         "COMPLETE s\r\nREADY I ².1\r\n".encode(),
-        b"ROW " + b"x" * (LONGEST_LINE + 9),
+        b"ROW " + b"x" * (MAX_LINE_BYTES + 9),
     ],
 )
 def test_a_reply_out_of_order_is_no_reply(raw):
     async def go():
-        c = member_connection()
-        f = c.send_statement(ASK)
-        c.data_received(raw)
-        assert c.lost and c.drops == [c] and c._transport.closed
-        assert isinstance(f.exception(), Unreachable)
-        assert isinstance(c.send_statement(ASK).exception(), Unreachable)
+        connection = member_connection()
+        future = connection.send_statement(ASK)
+        connection.data_received(raw)
+        assert connection.lost and connection.drops == [connection] and connection._transport.closed
+        assert isinstance(future.exception(), Unreachable)
+        assert isinstance(connection.send_statement(ASK).exception(), Unreachable)
 
     run(go)
 
@@ -882,12 +907,12 @@
 @pytest.mark.parametrize(
     "raw", [b"READY I 3.1\r\n", b"ROW a\r\n", b"COMPLETE s\r\n", b"ERROR BUSY x\r\n"]
 )
-def test_a_member_that_answers_nothing_asked_is_left(raw):
+def test_an_unsolicited_member_message_closes_the_connection(raw):
     async def go():
-        c = member_connection()
-        f = c.send_statement(ASK)
-        c.data_received(b"COMPLETE s\r\nREADY I 3.1\r\n" + raw)
-        assert f.result().ok and f.result().rows == [] and c.lost
+        connection = member_connection()
+        future = connection.send_statement(ASK)
+        connection.data_received(b"COMPLETE s\r\nREADY I 3.1\r\n" + raw)
+        assert future.result().ok and future.result().rows == [] and connection.lost
 
     run(go)
 
@@ -909,25 +934,29 @@
 
 def test_a_status_is_a_row_or_a_typed_fault():
     async def go():
-        c = member_connection()
-        fs = [c.send_command("status") for _ in range(4)]
-        c.data_received(
+        connection = member_connection()
+        futures = [connection.send_command("status") for _ in range(4)]
+        connection.data_received(
             b"ROW primary 3 3.9 0 0 1 2\r\nCOMPLETE -\r\nREADY I 3.9\r\nERROR BUSY x\r\nREADY I 3.9\r\n"
             b"ROW odd\r\nCOMPLETE -\r\nREADY I 3.9\r\nERROR NOSTMT x\r\nREADY I 3.9\r\n"
         )
-        assert fs[0].result()["pos"] == (3, 9)
-        assert [type(f.exception()) for f in fs[1:]] == [Busy, MemberDeclined, MemberDeclined]
-        assert not c.lost
+        assert futures[0].result()["pos"] == (3, 9)
+        assert [type(future.exception()) for future in futures[1:]] == [
+            Busy,
+            MemberDeclined,
+            MemberDeclined,
+        ]
+        assert not connection.lost
 
     run(go)
 
 
-def test_an_answer_that_nobody_waits_for_any_more_is_not_given_to_the_next():
+def test_a_reply_to_a_cancelled_request_is_not_given_to_the_next():
     async def go():
-        c = member_connection()
-        a, b = c.send_statement(ASK), c.send_statement(ASK)
+        connection = member_connection()
+        a, b = connection.send_statement(ASK), connection.send_statement(ASK)
         a.cancel()
-        c.data_received(
+        connection.data_received(
             b"ROW old\r\nCOMPLETE s\r\nREADY I 3.1\r\nROW new\r\nCOMPLETE t\r\nREADY I 3.2\r\n"
         )
         assert b.result().rows == ["new"] and b.result().stamp == "t"
@@ -936,7 +965,7 @@
 
 
 def loopback(fn):
-    """Runs `fn(wire, serve)`; `serve(script)` is the address of a member that answers its first message so."""
+    """Runs `fn(connector, serve)`; `serve(script)` starts a member that replies to its first message with `script`."""
 
     async def go():
         ends = []
@@ -959,7 +988,7 @@
             return "127.0.0.1:%d" % s.sockets[0].getsockname()[1], got
 
         try:
-            await fn(LineWire(Clock()), serve)
+            await fn(LineProtocolConnector(Clock()), serve)
         finally:
             for e in ends:
                 e.close()
@@ -967,8 +996,8 @@
     asyncio.run(go())
 
 
-def test_how_a_connection_to_a_member_opens_or_not():
-    async def go(wire, serve):
+def test_faults_while_opening_a_member_connection():
+    async def go(connector, serve):
         for script, fault in (
             ([b"ERROR WRONGNODE i-2\r\n"], MemberReplaced),
             ([b"ERROR CONNLIMIT 40\r\n"], Busy),
@@ -980,30 +1009,30 @@
         ):
             a, _ = await serve(script)
             with pytest.raises(fault) as e:
-                await wire.open(a, "svc", "i-1", 2_000_000)
+                await connector.open(a, "svc", "i-1", 2_000_000)
             assert type(e.value) is fault, script
         a, _ = await serve(None)
         with pytest.raises(NotSent) as e:
-            await wire.open(a, "svc", "i-1", 30_000)
+            await connector.open(a, "svc", "i-1", 30_000)
         assert e.value.note == "mute"
         with socket.socket() as s:
             s.bind(("127.0.0.1", 0))
             with pytest.raises(NotSent) as e:
-                await wire.open("127.0.0.1:%d" % s.getsockname()[1], "svc", "i-1", 2_000_000)
+                await connector.open("127.0.0.1:%d" % s.getsockname()[1], "svc", "i-1", 2_000_000)
         assert e.value.note == "refused"
 
     loopback(go)
 
 
 @pytest.mark.parametrize("name", ["svc", "Huvo.1_a", "x-odd", "bö", "S" * 64, "ü" * 64])
-def test_a_member_is_asked_for_by_its_services_own_name(name):
+def test_connect_uses_the_platforms_service_name(name):
     config = {
         **CONFIG,
         "Services": [{"Name": name}],
         "Routes": [{**CONFIG["Routes"][0], "Service": name}],
     }
-    led = ControlState()
-    led.apply(
+    control_state = ControlState()
+    control_state.apply(
         1,
         {
             "t": "manifest",
@@ -1011,12 +1040,12 @@
             "version": 1,
         },
     )
-    assert led.configuration["groups"][0]["name"] == internal_name(name)
+    assert control_state.configuration["groups"][0]["name"] == internal_name(name)
 
-    async def go(wire, serve):
-        a, got = await serve([b"REA", b"DY I 3.1\r\n"])
-        c = await wire.open(a, internal_name(name), "i-1", 2_000_000)
+    async def go(connector, serve):
+        address, got = await serve([b"REA", b"DY I 3.1\r\n"])
+        connection = await connector.open(address, internal_name(name), "i-1", 2_000_000)
         assert got == [f"CONNECT {name} petrelhaven i-1\r\n".encode()]
-        c.close()
+        connection.close()
 
     loopback(go)
--- a/tests/test_platform_words.py
+++ b/tests/test_platform_words.py
@@ -1,4 +1,4 @@
-"""The words of the platform's wire: what is a statement, what is none, and that bytes pass as they came."""
+"""Parsing and formatting of line protocol messages, including that bytes are forwarded unchanged."""
 
 import sys
 from pathlib import Path
@@ -12,8 +12,8 @@
 from petrelhaven.proxy.session.statement import Reply, Statement  # noqa: E402
 from petrelhaven.runtime.errors import Fault  # noqa: E402
 from statements import (  # noqa: E402
-    CODES_BY_WORD,
-    ERROR_WORDS,
+    CODES_BY_KEYWORD,
+    ERROR_KEYWORDS,
     format_position,
     format_reply,
     format_statement,
@@ -120,9 +120,9 @@
         "FETCH\ta",
     ],
 )
-def test_all_else_is_malformed(text):
-    r = parse_statement("1", text)
-    assert isinstance(r, Reply) and r.code == "malformed"
+def test_any_other_text_is_malformed(text):
+    reply = parse_statement("1", text)
+    assert isinstance(reply, Reply) and reply.code == "malformed"
 
 
 @DRAWN
@@ -160,7 +160,7 @@
     )
 
 
-def test_statements_of_the_systems_own():
+def test_formatting_of_system_statements():
     assert (
         format_system_statement("begin", ("reads", (3, 7)), "5")
         == "QUERY 5 AFTER 3.7 BEGIN FETCH\r\n"
@@ -171,8 +171,8 @@
         format_system_statement("prepare", ("p1", "PUT q"), "5") == "QUERY 5 PREPARE p1 PUT q\r\n"
     )
     assert [
-        format_system_statement(v, a)
-        for v, a in (
+        format_system_statement(verb, arguments)
+        for verb, arguments in (
             ("reset", ()),
             ("rollback", ()),
             ("status", ()),
@@ -181,8 +181,8 @@
             ("demote", (9,)),
         )
     ] == [
-        f"QUERY - {t}\r\n"
-        for t in ("RESET", "ROLLBACK", "STATUS", "PAUSE 9", "RESUME", "STEPDOWN 9")
+        f"QUERY - {text}\r\n"
+        for text in ("RESET", "ROLLBACK", "STATUS", "PAUSE 9", "RESUME", "STEPDOWN 9")
     ]
 
 
@@ -192,20 +192,20 @@
     WORD,
     st.sampled_from("ITE"),
     POSITION,
-    st.none() | st.sampled_from(sorted(ERROR_WORDS)),
+    st.none() | st.sampled_from(sorted(ERROR_KEYWORDS)),
 )
 def test_a_reply_has_its_rows_one_end_and_one_ready(rows, stamp, state, position, code):
     lines = format_reply(Reply(rows, stamp, code, "why", state, position)).split("\r\n")
     assert lines == [f"ROW {r}" for r in rows] + [
-        f"ERROR {ERROR_WORDS[code]} why" if code else f"COMPLETE {stamp}",
+        f"ERROR {ERROR_KEYWORDS[code]} why" if code else f"COMPLETE {stamp}",
         f"READY {state} {format_position(position)}",
         "",
     ]
     assert parse_position(format_position(position)) == position
 
 
-def test_every_code_has_one_word():
-    assert {CODES_BY_WORD[w] for w in ERROR_WORDS.values()} == set(ERROR_WORDS)
+def test_every_reply_code_has_one_keyword():
+    assert {CODES_BY_KEYWORD[keyword] for keyword in ERROR_KEYWORDS.values()} == set(ERROR_KEYWORDS)
 
 
 @DRAWN
