--- a/src/petrelhaven/control/node.py
+++ b/src/petrelhaven/control/node.py
@@ -110,10 +110,10 @@
         super().__init__(identity, resources, platform)
         self.views.may_decide_first_view = may_decide_first_view and self.link.addr in self.seeds
         self.request_router = RequestRouter(
-            self.clock, self.chain, self.reach, self.name, self.roster.state
+            self.clock, self.chain, self.node_caller, self.name, self.roster.state
         )
-        self.roster.spread_limit = _SPREAD_LIMIT
-        self.prober.join_us = _JOIN_INTERVAL_US
+        self.roster.transmit_limit = _SPREAD_LIMIT
+        self.prober.join_period_us = _JOIN_INTERVAL_US
         self.chain.confirmation.asks_only_quorum = True
         self.chain.confirmation.count_connected_proxies = lambda: len(self.connected_proxies)
         self.chain.on_commit.append(self._start_services)
@@ -219,7 +219,7 @@
         """Returns the link addresses of the members of the view that are known."""
         addresses = []
         for name in sorted(view.members):
-            address = self.roster.addr_of(name)
+            address = self.roster.address_of(name)
             if address:
                 zone = self.zone if name == self.name else self.roster.peers[name].zone
                 addresses.append(ControlNodeAddress(name, zone, address))
--- a/src/petrelhaven/control/request_router.py
+++ b/src/petrelhaven/control/request_router.py
@@ -31,7 +31,7 @@
     from petrelhaven.control.consensus.view import View
     from petrelhaven.runtime.clock import Clock
     from petrelhaven.transport.delivery import Delivery
-    from petrelhaven.transport.reach import Reach
+    from petrelhaven.transport.node_caller import NodeCaller
 
 __all__ = ["ANSWER_TIMEOUT_US", "RequestRouter"]
 
@@ -68,20 +68,20 @@
     """Sends records to the head and reads to the tail of the view's chain."""
 
     def __init__(
-        self, clock: Clock, chain: Chain, reach: Reach, name: str, peer_state: PeerState
+        self, clock: Clock, chain: Chain, node_caller: NodeCaller, name: str, peer_state: PeerState
     ) -> None:
         """Routes the requests that one control node receives.
 
         Args:
             clock: The node's monotonic clock.
             chain: The node's part of the chain.
-            reach: Calls other nodes by name.
+            node_caller: Calls other nodes by name.
             name: The node's name.
             peer_state: Returns the membership state of a node: alive, suspect, gone or None.
         """
         self._clock = clock
         self._chain = chain
-        self._reach = reach
+        self._reach = node_caller
         self._name = name
         self._peer_state = peer_state
 
--- a/src/petrelhaven/control/resumable/node.py
+++ b/src/petrelhaven/control/resumable/node.py
@@ -90,7 +90,7 @@
         request = SubmitRequest(record, force)
         if view.head == self.name:
             return await self.append_as_head(request)
-        answer = await self.reach.call(
+        answer = await self.node_caller.call(
             view.head, MessageKind.CHAIN_ENTER, request.to_body(), _SUBMIT_TIMEOUT_US
         )
         return SubmitAnswer.from_body(answer)
@@ -102,7 +102,7 @@
             raise NotReady("no view yet")
         if view.tail == self.name:
             return self.chain.read_control_state()
-        answer = await self.reach.call(
+        answer = await self.node_caller.call(
             view.tail, MessageKind.CHAIN_READ, {"what": None}, _READ_TIMEOUT_US
         )
         document: dict[str, Any] = answer["doc"]
@@ -128,7 +128,7 @@
 
     async def snapshots(self) -> dict[str, dict[str, Any]]:
         """Collects the control states of the proxies that are alive, by proxy name."""
-        proxies = self.roster.living("edge")
+        proxies = self.roster.living_peers("edge")
         collected = await asyncio.gather(*[self._snapshot(proxy) for proxy in proxies])
         return {
             proxy: snapshot for proxy, snapshot in zip(proxies, collected, strict=True) if snapshot
@@ -137,7 +137,7 @@
     async def _snapshot(self, proxy: str) -> dict[str, Any] | None:
         try:
             body = {"name": self.name}
-            answer = await self.reach.call(
+            answer = await self.node_caller.call(
                 proxy, MessageKind.PROXY_SNAPSHOT, body, _SNAPSHOT_TIMEOUT_US
             )
         except Fault as fault:
--- a/src/petrelhaven/proxy/resumable/node.py
+++ b/src/petrelhaven/proxy/resumable/node.py
@@ -29,7 +29,7 @@
 )
 from petrelhaven.runtime.events import Events, emit
 from petrelhaven.transport.message_kinds import MessageKind
-from petrelhaven.transport.reach import Reach
+from petrelhaven.transport.node_caller import NodeCaller
 
 __all__ = ["ResumableProxy"]
 
@@ -55,7 +55,7 @@
         self.http, self.vary = http, vary
         identity = NodeIdentity(name, "edge", zone, link.addr, 0)
         self.roster = Roster(clock, identity, log)
-        self.reach = Reach(clock, link, self.roster, rng)
+        self.node_caller = NodeCaller(clock, link, self.roster, rng)
         self.prober = Prober(clock, link, tasks, rng, self.roster, seeds)
         self.control = Control(
             clock,
@@ -71,10 +71,10 @@
         self.request_slots = RequestSlots(clock)
         self.homes = {}
         self.keeper = SessionKeeper(
-            clock, tasks, rng, self.control, self.reach, self.homes, zone, self.bounds, log
+            clock, tasks, rng, self.control, self.node_caller, self.homes, zone, self.bounds, log
         )
         self.session_replicas = SessionReplicas(
-            clock, tasks, rng, self.control, self.reach, self.homes, self.keeper, log
+            clock, tasks, rng, self.control, self.node_caller, self.homes, self.keeper, log
         )
         self.flow, self.follow, self.deliver, self.move = (
             StatementFlow(self),
@@ -109,7 +109,7 @@
             MessageKind.REPLICA_DROP: self.session_replicas.drop,
             MessageKind.SESSION_CEDE: self.session_replicas.cede,
             MessageKind.REPLICA_VERSIONS: self.session_replicas.seen,
-            MessageKind.NODE_BELIEF: self._belief,
+            MessageKind.NODE_REPORTED_STATE: self._belief,
         }.items():
             link.on(k, f)
 
--- a/src/petrelhaven/proxy/resumable/proxy_interface.py
+++ b/src/petrelhaven/proxy/resumable/proxy_interface.py
@@ -4,8 +4,8 @@
 
 from typing import TYPE_CHECKING, Any
 
-from petrelhaven.proxy.state_routes import serve_state
-from petrelhaven.transport.http_server import body_of
+from petrelhaven.proxy.state_routes import add_state_routes
+from petrelhaven.transport.http_server import read_json_body
 
 if TYPE_CHECKING:
     from aiohttp import web
@@ -25,13 +25,13 @@
         http_server.on("POST", "/sessions", self._open)
         http_server.on("POST", "/sessions/{sid}", self._run_statement)
         http_server.on("DELETE", "/sessions/{sid}", self._close)
-        serve_state(http_server, proxy, proxy.status, proxy.reported_state)
+        add_state_routes(http_server, proxy, proxy.status, proxy.reported_state)
 
     async def _open(self, _request: web.Request) -> dict[str, Any]:
         return await self._proxy.open_session()
 
     async def _run_statement(self, request: web.Request) -> dict[str, Any]:
-        return await self._proxy.statement(request.match_info["sid"], await body_of(request))
+        return await self._proxy.statement(request.match_info["sid"], await read_json_body(request))
 
     async def _close(self, request: web.Request) -> dict[str, Any]:
         return await self._proxy.close_session(request.match_info["sid"])
--- a/tests/model/cluster.py
+++ b/tests/model/cluster.py
@@ -207,7 +207,7 @@
             end.cut(False)
             for machine, channel in ((end.a, end.ca), (end.b, end.cb)):
                 if machine is machine:
-                    channel.lose()
+                    channel.handle_connection_loss()
 
     async def until(self, condition, seconds):
         """Waits in virtual time for a condition; returns whether it became true in time."""
--- a/tests/test_channel_model.py
+++ b/tests/test_channel_model.py
@@ -1,6 +1,7 @@
-"""Calls over held connections, drawn: no answer reaches another caller, nothing given up runs later or twice.
+"""Random schedules of calls over delayed connections.
 
-Each guard is taken out in turn, and the same draws find it.
+No answer may reach another caller, and no call may run twice or after its caller abandoned it. Each guard of the
+channel is then disabled in turn, and the same schedules must find the violation.
 """
 
 import asyncio
@@ -25,7 +26,7 @@
     database=None,
     suppress_health_check=list(HealthCheck),
 )
-# Two kinds whose answers have one shape, and one that is sent once.
+# Two kinds whose answers have the same fields, and one that is sent once.
 ASKS = {
     "creed.belief": lambda token: {"who": token},
     "chain.read": lambda token: {"what": token},
@@ -50,7 +51,7 @@
 
 
 class Play:
-    """One caller's node, one that answers, and what was seen."""
+    """A calling node, an answering node, and what was observed."""
 
     def __init__(self, net):
         self.net = net
@@ -66,7 +67,7 @@
             token = token_of(kind, body)
             self.ran.append(token)
             if repeat_of(kind, body) is Repeat.NEVER and token in self.given_up:
-                # bytes that are on their way at that moment can't be called back
+                # bytes that are in transit at that moment can't be discarded
                 if self.given_up[token] + WAY_US < self.arrived[token]:
                     self.bad.append(("ran after it was given up", token))
             await asyncio.sleep(next(self.delays))
@@ -79,55 +80,59 @@
         way = self.net.connections[-1].ways["a"]
         bring = way.bring
 
-        def noted(raw):
+        def record_arrival(raw):
             if raw is not None:
-                m = unpack(raw)
-                if m.flow == CALL:
-                    self.arrived.setdefault(token_of(m.kind, m.body), self.a.clock.now())
+                message = unpack(raw)
+                if message.flow == CALL:
+                    self.arrived.setdefault(
+                        token_of(message.kind, message.body), self.a.clock.now()
+                    )
             bring(raw)
 
-        way.bring = noted
+        way.bring = record_arrival
 
-    async def call(self, kind, us):
+    async def call(self, kind, timeout_us):
         token = f"{kind} {next(self.tokens)}"
         try:
-            r = await self.channel.call(kind, ASKS[kind](token), us)
-            if r[ANSWERS[kind]] != token:
-                self.bad.append(("answer of another", token, r))
+            answer = await self.channel.call(kind, ASKS[kind](token), timeout_us)
+            if answer[ANSWERS[kind]] != token:
+                self.bad.append(("answer of another", token, answer))
         except (Fault, asyncio.CancelledError):
             self.given_up[token] = self.a.clock.now()
 
-    async def step(self, what, i, us):
+    async def step(self, action, choice, timeout_us):
         connections = self.net.connections
-        if what == "call":
+        if action == "call":
             if self.channel.gone.done() and not self.net.cuts:
                 await self.connect()
-            self.calls.append(asyncio.ensure_future(self.call(KINDS[i % 3], us)))
-        elif what == "cancel" and self.calls:
-            self.calls[i % len(self.calls)].cancel()
-        elif what == "tick":
-            await asyncio.sleep(0.004 * (1 + i))
-        elif what == "reset":
+            self.calls.append(asyncio.ensure_future(self.call(KINDS[choice % 3], timeout_us)))
+        elif action == "cancel" and self.calls:
+            self.calls[choice % len(self.calls)].cancel()
+        elif action == "tick":
+            await asyncio.sleep(0.004 * (1 + choice))
+        elif action == "reset":
             connections[-1].break_off()
-        elif what in ("cut", "cut back"):
-            self.net.cut(*("ab" if what == "cut" else "ba"))
-        elif what == "heal":
+        elif action in ("cut", "cut back"):
+            self.net.cut(*("ab" if action == "cut" else "ba"))
+        elif action == "heal":
             self.net.heal("a", "b")
             self.net.heal("b", "a")
-        elif what == "reconnect" and not self.net.cuts:
+        elif action == "reconnect" and not self.net.cuts:
             await self.connect()
-        elif what == "again":
-            way = connections[i % len(connections)].ways["b"]
+        elif action == "again":
+            way = connections[choice % len(connections)].ways["b"]
             if way.seen:
-                way.bring(way.seen[i % len(way.seen)])
-        elif what == "call again":
-            way = connections[i % len(connections)].ways["a"]
+                way.bring(way.seen[choice % len(way.seen)])
+        elif action == "call again":
+            way = connections[choice % len(connections)].ways["a"]
             if way.seen:
-                way.bring(way.seen[i % len(way.seen)])
-        elif what == "other kind":
-            number = max(1, self.channel._last_sent - i % 3)
+                way.bring(way.seen[choice % len(way.seen)])
+        elif action == "other kind":
+            number = max(1, self.channel._last_sent_number - choice % 3)
             pending = self.channel._pending.get(number)
-            asked = pending.kind if pending is not None else self.channel._given_up.get(number)
+            asked = (
+                pending.kind if pending is not None else self.channel._abandoned_kinds.get(number)
+            )
             kind = KINDS[0] if asked == KINDS[1] else KINDS[1]
             connections[-1].ways["b"].bring(pack(kind, RESULT, number, {"doc": "of no caller"}))
         await asyncio.sleep(0)
@@ -137,21 +142,21 @@
             self.net.heal(*way)
         await asyncio.sleep(1)
         await asyncio.gather(*self.calls)
-        once = [t for t in self.ran if t.startswith("span.deliver")]
-        if len(set(once)) < len(once):
-            self.bad.append(("ran twice", sorted(once)))
-        for c in self.net.connections:
-            assert not any(end._pending for end in c.ends.values())
+        single_runs = [token for token in self.ran if token.startswith("span.deliver")]
+        if len(set(single_runs)) < len(single_runs):
+            self.bad.append(("ran twice", sorted(single_runs)))
+        for connection in self.net.connections:
+            assert not any(end._pending for end in connection.ends.values())
         return self.bad
 
 
 def played(steps):
     async def go(net):
-        p = Play(net)
-        await p.connect()
+        play = Play(net)
+        await play.connect()
         for step in steps:
-            await p.step(*step)
-        return await p.end()
+            await play.step(*step)
+        return await play.end()
 
     return virtual(go)
 
@@ -163,7 +168,7 @@
 
 
 def matched_by_number_alone(mp):
-    """One table for all connections of a node."""
+    """Uses one table of pending calls for all connections of a node."""
     real = Channel.__init__
 
     def init(self, link, *a):
@@ -173,8 +178,8 @@
     mp.setattr(Channel, "__init__", init)
 
 
-def kind_not_looked_at(mp):
-    real = Channel._take_answer
+def kind_not_checked(mp):
+    real = Channel._receive_answer
 
     def take(self, message):
         pending = self._pending.get(message.number)
@@ -182,13 +187,13 @@
             self._pending[message.number] = channel_module._Pending(message.kind, pending.answer)
         real(self, message)
 
-    mp.setattr(Channel, "_take_answer", take)
+    mp.setattr(Channel, "_receive_answer", take)
 
 
-def numbers_used_again(mp):
-    """A call takes the lowest number that no caller waits under."""
+def call_numbers_reused(mp):
+    """Gives a call the lowest number that no pending call has."""
 
-    class Free:
+    class LowestFreeNumber:
         def __init__(self, channel):
             self.channel = channel
 
@@ -199,36 +204,36 @@
 
     def init(self, *a):
         real(self, *a)
-        self._numbers = Free(self)
+        self._call_numbers = LowestFreeNumber(self)
 
     def any_number(self, raw):
-        self._last_heard = 0
+        self._last_received_number = 0
         feed(self, raw)
 
     mp.setattr(Channel, "__init__", init)
     mp.setattr(Channel, "feed", any_number)
 
 
-def calls_heard_twice(mp):
+def repeated_calls_accepted(mp):
     real = Channel.feed
 
     def feed(self, raw):
-        self._last_heard = 0
+        self._last_received_number = 0
         real(self, raw)
 
     mp.setattr(Channel, "feed", feed)
 
 
-def nothing_taken_back(mp):
-    mp.setattr(Channel, "_take_back", lambda self, number: None)
+def abandoned_calls_not_withdrawn(mp):
+    mp.setattr(Channel, "_withdraw_call", lambda self, number: None)
 
 
 GUARDS = {
     matched_by_number_alone: "answer of another",
-    kind_not_looked_at: "answer of another",
-    numbers_used_again: "answer of another",
-    calls_heard_twice: "ran twice",
-    nothing_taken_back: "ran after it was given up",
+    kind_not_checked: "answer of another",
+    call_numbers_reused: "answer of another",
+    repeated_calls_accepted: "ran twice",
+    abandoned_calls_not_withdrawn: "ran after it was given up",
 }
 
 
@@ -255,55 +260,55 @@
 
 def test_an_answer_of_another_kind_under_a_number_ends_the_connection():
     async def go(net):
-        p = Play(net)
-        await p.connect()
-        f = asyncio.ensure_future(p.channel.call("creed.belief", {"who": "x"}, 1_000_000))
+        play = Play(net)
+        await play.connect()
+        call = asyncio.ensure_future(play.channel.call("creed.belief", {"who": "x"}, 1_000_000))
         await asyncio.sleep(0)
         with pytest.raises(Malformed):
-            p.channel.feed(pack("chain.read", RESULT, 1, {"doc": "y"}))
+            play.channel.feed(pack("chain.read", RESULT, 1, {"doc": "y"}))
         net.connections[-1].ways["b"].bring(pack("chain.read", RESULT, 1, {"doc": "y"}))
         with pytest.raises(Fault):
-            await f
-        assert p.channel.gone.done()
+            await call
+        assert play.channel.gone.done()
 
     virtual(go)
 
 
-def test_giving_up_a_call_that_was_certainly_received_costs_no_other_answer():
-    """An answer to a later call shows that the earlier one arrived: there is nothing to take back."""
+def test_abandoning_a_call_that_was_received_does_not_fail_other_calls():
+    """An answer to a later call shows that the earlier call arrived, so the connection needs no reset."""
 
     async def go(net):
-        p = Play(net)
-        await p.connect()
+        play = Play(net)
+        await play.connect()
 
         async def slow(channel, body):
             await asyncio.sleep(5)
 
-        p.b.on("span.deliver", slow)
+        play.b.on("span.deliver", slow)
         late = asyncio.ensure_future(
-            p.channel.call("span.deliver", ASKS["span.deliver"]("s"), 50_000)
+            play.channel.call("span.deliver", ASKS["span.deliver"]("s"), 50_000)
         )
         await asyncio.sleep(0.005)
-        assert await p.channel.call("creed.belief", {"who": "x"}, 100_000) == {"doc": "x"}
+        assert await play.channel.call("creed.belief", {"who": "x"}, 100_000) == {"doc": "x"}
         with pytest.raises(Fault):
             await late
-        assert not p.channel.gone.done()
+        assert not play.channel.gone.done()
 
     virtual(go)
 
 
 def test_an_answer_of_another_kind_to_a_call_that_was_given_up_ends_the_connection_too():
-    """Taken for a sign that the earlier calls had arrived, it kept one that was to be taken back."""
+    """The answer was taken as a sign that earlier calls had arrived, so an abandoned call was not withdrawn."""
     steps = [("call", 2, 60_000), ("call", 1, 2_000), ("cut", 0, 0), ("tick", 9, 0)]
     assert played([*steps, ("other kind", 0, 0), ("tick", 9, 0), ("heal", 0, 0)]) == []
 
 
 def test_an_answer_to_a_call_that_was_never_sent_ends_the_connection():
     async def go(net):
-        p = Play(net)
-        await p.connect()
+        play = Play(net)
+        await play.connect()
         for number in (0, 1):
             with pytest.raises(Malformed):
-                p.channel.feed(pack("chain.read", RESULT, number, {"doc": "y"}))
+                play.channel.feed(pack("chain.read", RESULT, number, {"doc": "y"}))
 
     virtual(go)
--- a/tests/test_light_http.py
+++ b/tests/test_light_http.py
@@ -1,4 +1,7 @@
-"""The light HTTP face and call: whatever comes gets one typed answer or a close, and a call has a typed outcome."""
+"""The light HTTP server and client.
+
+The server answers any input with one typed response or closes the connection. A client call has a typed outcome.
+"""
 
 import asyncio
 import json
@@ -25,65 +28,65 @@
 DRAWN = settings(
     max_examples=120, phases=[Phase.generate], deadline=None, derandomize=True, database=None
 )
-MOST = 1000
+MAX_BODY_BYTES = 1000
 
 
-class Called:
-    """A face whose handlers note what they were called with."""
+class RecordingServer:
+    """A server whose handlers record their arguments."""
 
     def __init__(self):
-        self.calls, self.held = [], None
-        self.http_server = LightHttpServer("127.0.0.1", 0, max_body_bytes=MOST)
+        self.calls, self.pending_response = [], None
+        self.http_server = LightHttpServer("127.0.0.1", 0, max_body_bytes=MAX_BODY_BYTES)
 
-        async def echo(q):
-            self.calls.append(("echo", q.body))
-            return q.body
+        async def echo(request):
+            self.calls.append(("echo", request.body))
+            return request.body
 
-        async def below(q, rest):
-            self.calls.append(("below", rest))
-            return {"rest": rest}
+        async def below(request, segment):
+            self.calls.append(("below", segment))
+            return {"rest": segment}
 
-        async def doc(q):
-            return q.doc()
+        async def doc(request):
+            return request.doc()
 
-        async def held(q):
-            await self.held
+        async def wait(request):
+            await self.pending_response
             return {}
 
-        async def odd(q):
+        async def fail(request):
             raise {
                 "/stale": Stale("old", details={"n": 1}),
                 "/busy": NotReady("soon"),
                 "/fault": ValueError("x"),
                 "/deep": RecursionError(),
-            }[q.path]
+            }[request.path]
 
-        async def shaped(q):
+        async def custom_response(request):
             return 204, b"", (("X-More", "1"),)
 
-        async def unshaped(q):
+        async def not_serializable(request):
             return {"x": object()}
 
-        for verb, path, fn in (
+        for verb, path, handler in (
             ("POST", "/echo", echo),
             ("GET", "/echo", echo),
             ("GET", "/below/", below),
             ("POST", "/doc", doc),
-            ("GET", "/held", held),
-            ("GET", "/shaped", shaped),
-            ("GET", "/unshaped", unshaped),
-            *(("GET", f"/{x}", odd) for x in ("stale", "busy", "fault", "deep")),
+            ("GET", "/held", wait),
+            ("GET", "/shaped", custom_response),
+            ("GET", "/unshaped", not_serializable),
+            *(("GET", f"/{name}", fail) for name in ("stale", "busy", "fault", "deep")),
         ):
-            self.http_server.on(verb, path, fn)
+            self.http_server.on(verb, path, handler)
 
 
 class Transport:
     def __init__(self):
-        self.out, self.closed, self.proto, self.late = b"", False, None, b""
+        self.out, self.closed, self.protocol, self.written_after_close = b"", False, None, b""
 
     def write(self, data):
         if self.closed:
-            self.late += data
+            self.written_after_close += data
         else:
             self.out += data
 
@@ -93,80 +96,86 @@
     def close(self):
         if not self.closed:
             self.closed = True
-            asyncio.get_running_loop().call_soon(self.proto.connection_lost, None)
+            asyncio.get_running_loop().call_soon(self.protocol.connection_lost, None)
 
 
-class Server:
-    """What a face's listening socket would be: makes the protocol of a connection."""
+class ConnectionMaker:
+    """Replaces the listening socket: creates the protocol of one connection."""
 
-    def __init__(self, called):
-        self.called = called
+    def __init__(self, recording_server):
+        self.recording_server = recording_server
 
     async def open(self):
         loop = asyncio.get_running_loop()
-        made = []
+        factories = []
 
         async def create_server(factory, *_, **__):
-            made.append(factory)
-            s = type("S", (), {"sockets": [self], "close": lambda _: None})()
-            return s
+            factories.append(factory)
+            listener = type("S", (), {"sockets": [self], "close": lambda _: None})()
+            return listener
 
         loop.create_server, self.getsockname = create_server, lambda: ("127.0.0.1", 1)
-        await self.called.http_server.start()
-        tr = Transport()
-        tr.proto = made[0]()
-        tr.proto.connection_made(tr)
-        return tr.proto, tr
+        await self.recording_server.http_server.start()
+        transport = Transport()
+        transport.protocol = factories[0]()
+        transport.protocol.connection_made(transport)
+        return transport.protocol, transport
 
 
 def talk(fn):
-    """What `fn(called, protocol, transport)` returns in virtual time."""
+    """Runs `fn(recording_server, protocol, transport)` in virtual time and returns its result."""
     loop = WarpLoop()
     asyncio.set_event_loop(loop)
-    loose = []
-    loop.set_exception_handler(lambda _, c: loose.append(c))
+    loop_errors = []
+    loop.set_exception_handler(lambda _, context: loop_errors.append(context))
 
     async def go():
-        c = Called()
-        p, tr = await Server(c).open()
-        return await fn(c, p, tr)
+        recording_server = RecordingServer()
+        protocol, transport = await ConnectionMaker(recording_server).open()
+        return await fn(recording_server, protocol, transport)
 
     try:
-        got = loop.run_until_complete(go())
+        result = loop.run_until_complete(go())
     finally:
         end_all(loop)
         loop.close()
         asyncio.set_event_loop(None)
-    assert not loose, loose
-    return got
+    assert not loop_errors, loop_errors
+    return result
 
 
 def answers(out, verbs=("GET",)):
-    """(status, headers, body) of each answer."""
-    c, got = h11.Connection(h11.CLIENT), []
+    """Parses responses; returns (status, headers, body) of each."""
+    client, responses = h11.Connection(h11.CLIENT), []
     if not out:
-        return got
-    c.receive_data(out)
-    for v in [*verbs, *["GET"] * 20]:
-        c.send(h11.Request(method=v, target="/", headers=[("Host", "x")]))
-        c.send(h11.EndOfMessage())
+        return responses
+    client.receive_data(out)
+    for verb in [*verbs, *["GET"] * 20]:
+        client.send(h11.Request(method=verb, target="/", headers=[("Host", "x")]))
+        client.send(h11.EndOfMessage())
         body = b""
         while True:
-            e = c.next_event()
-            if e is h11.NEED_DATA or type(e) is h11.ConnectionClosed:
-                assert c.trailing_data[0] == b""
-                return got
-            if type(e) is h11.Response:
-                head = e
-            elif type(e) is h11.Data:
-                body += bytes(e.data)
-            elif type(e) is h11.EndOfMessage:
+            event = client.next_event()
+            if event is h11.NEED_DATA or type(event) is h11.ConnectionClosed:
+                assert client.trailing_data[0] == b""
+                return responses
+            if type(event) is h11.Response:
+                response = event
+            elif type(event) is h11.Data:
+                body += bytes(event.data)
+            elif type(event) is h11.EndOfMessage:
                 break
-        got.append((head.status_code, {k.decode(): x.decode() for k, x in head.headers}, body))
-        if c.our_state is not h11.DONE or c.their_state is not h11.DONE:
-            return got
-        c.start_next_cycle()
-    return got
+        responses.append(
+            (
+                response.status_code,
+                {name.decode(): value.decode() for name, value in response.headers},
+                body,
+            )
+        )
+        if client.our_state is not h11.DONE or client.their_state is not h11.DONE:
+            return responses
+        client.start_next_cycle()
+    return responses
 
 
 def get(path, verb="GET", body=b"", heads=""):
@@ -177,10 +186,10 @@
 
 
 def one(raw, verb="GET"):
-    async def go(c, p, tr):
-        p.data_received(raw)
+    async def go(server, protocol, transport):
+        protocol.data_received(raw)
         await asyncio.sleep(1)
-        return answers(tr.out, (verb,)), tr.closed, c.calls
+        return answers(transport.out, (verb,)), transport.closed, server.calls
 
     return talk(go)
 
@@ -211,7 +220,7 @@
     assert (got[0][1].get("retry-after") is not None) == (fault == "not-ready")
 
 
-def test_what_is_served():
+def test_requests_are_routed_to_their_handlers():
     assert one(get("/echo?x=1", "POST", b"abc"))[0][0][2] == b"abc"
     assert one(get("/below/i-7?x"))[0][0][2] == b'{"rest":"i-7"}'
     got = one(get("/shaped"))[0][0]
@@ -220,14 +229,14 @@
 
 
 @pytest.mark.parametrize("body", [b"", b"{", b"\xff", b"[" * 900, b"{} x"])
-def test_a_body_that_is_no_json_is_malformed(body):
+def test_a_body_that_is_not_json_is_malformed(body):
     got, closed, _ = one(get("/doc", "POST", body))
     assert got[0][0] == 400 and json.loads(got[0][2])["fault"] == "malformed" and not closed
 
 
 def test_a_head_request_has_no_body_and_the_connection_goes_on():
-    async def go(c, p, tr):
-        p.data_received(
+    async def go(server, protocol, transport):
+        protocol.data_received(
             get("/below/a")
             + get("/none", "HEAD")
             + get("/below/a")
@@ -235,11 +244,11 @@
             + b"nonsense\r\n\r\n"
         )
         await asyncio.sleep(1)
-        got = answers(tr.out, ("GET", "HEAD", "GET", "HEAD"))
+        got = answers(transport.out, ("GET", "HEAD", "GET", "HEAD"))
         assert (
-            [x[0] for x in got] == [200, 404, 200, 404, 400]
+            [response[0] for response in got] == [200, 404, 200, 404, 400]
             and got[1][2] == got[3][2] == b""
-            and tr.closed
+            and transport.closed
         )
 
     talk(go)
@@ -264,14 +273,14 @@
         b"\x16\x03\x01\r\n\r\n",
     ],
 )
-def test_a_request_that_is_none_is_told_once_and_the_connection_closed(raw):
+def test_invalid_http_gets_one_400_and_the_connection_is_closed(raw):
     got, closed, calls = one(raw)
     assert [x[0] for x in got] == [400] and closed and not calls
 
 
 @pytest.mark.parametrize("chunked", [False, True])
 def test_a_body_over_the_bound_is_declined_and_no_handler_called(chunked):
-    body = b"x" * (MOST + 1)
+    body = b"x" * (MAX_BODY_BYTES + 1)
     raw = (
         get("/echo", "POST", body)
         if not chunked
@@ -287,8 +296,8 @@
         and closed
         and not calls
     )
-    got, closed, calls = one(get("/echo", "POST", b"x" * MOST))
-    assert got[0][0] == 200 and len(got[0][2]) == MOST and not closed
+    got, closed, calls = one(get("/echo", "POST", b"x" * MAX_BODY_BYTES))
+    assert got[0][0] == 200 and len(got[0][2]) == MAX_BODY_BYTES and not closed
 
 
 PARTS = st.lists(
@@ -336,69 +345,80 @@
         assert [x[0] for x in got][:1] in ([], [400], [200], [404], [413])
 
 
-def test_a_caller_that_says_no_more_is_answered_and_then_closed():
-    async def go(c, p, tr):
-        c.held = asyncio.get_running_loop().create_future()
-        p.data_received(get("/held"))
-        assert p.eof_received()
+def test_a_half_closed_connection_is_answered_and_then_closed():
+    async def go(server, protocol, transport):
+        server.pending_response = asyncio.get_running_loop().create_future()
+        protocol.data_received(get("/held"))
+        assert protocol.eof_received()
         await asyncio.sleep(1)
-        assert tr.out == b"" and not tr.closed
-        c.held.set_result(None)
+        assert transport.out == b"" and not transport.closed
+        server.pending_response.set_result(None)
         await asyncio.sleep(1)
         assert (
-            [x[0] for x in answers(tr.out)] == [200] and tr.closed and not c.http_server.connections
+            [response[0] for response in answers(transport.out)] == [200]
+            and transport.closed
+            and not server.http_server.connections
         )
 
     talk(go)
 
 
 def test_a_caller_that_stops_inside_a_request_or_between_them_is_closed():
-    async def go(c, p, tr):
-        p.data_received(get("/echo", "POST", b"abc")[:-1])
-        assert not p.eof_received()
+    async def go(server, protocol, transport):
+        protocol.data_received(get("/echo", "POST", b"abc")[:-1])
+        assert not protocol.eof_received()
         await asyncio.sleep(1)
-        assert [x[0] for x in answers(tr.out)] == [400] and tr.closed and not c.calls
+        assert (
+            [response[0] for response in answers(transport.out)] == [400]
+            and transport.closed
+            and not server.calls
+        )
 
     talk(go)
 
-    async def idle(c, p, tr):
-        assert not p.eof_received()
-        assert tr.out == b"" and tr.closed
+    async def idle(server, protocol, transport):
+        assert not protocol.eof_received()
+        assert transport.out == b"" and transport.closed
 
     talk(idle)
 
 
 def test_requests_in_a_row_before_the_end_are_all_answered():
-    async def go(c, p, tr):
-        p.data_received(get("/below/a") * 3)
-        assert p.eof_received()
+    async def go(server, protocol, transport):
+        protocol.data_received(get("/below/a") * 3)
+        assert protocol.eof_received()
         await asyncio.sleep(1)
-        assert [x[0] for x in answers(tr.out)] == [200] * 3 and tr.closed
+        assert [response[0] for response in answers(transport.out)] == [
+            200
+        ] * 3 and transport.closed
 
     talk(go)
 
 
-def test_a_caller_that_went_away_gets_nothing_and_leaves_nothing():
-    async def go(c, p, tr):
-        c.held = asyncio.get_running_loop().create_future()
-        p.data_received(get("/held"))
+def test_a_lost_connection_gets_no_response_and_is_removed():
+    async def go(server, protocol, transport):
+        server.pending_response = asyncio.get_running_loop().create_future()
+        protocol.data_received(get("/held"))
         await asyncio.sleep(0.1)
-        tr.close()
-        c.held.set_result(None)
+        transport.close()
+        server.pending_response.set_result(None)
         await asyncio.sleep(1)
-        assert tr.out == tr.late == b"" and not c.http_server.connections
+        assert (
+            transport.out == transport.written_after_close == b""
+            and not server.http_server.connections
+        )
 
     talk(go)
 
 
 def test_an_idle_connection_is_closed_and_a_used_one_is_not():
-    async def go(c, p, tr):
+    async def go(server, protocol, transport):
         for _ in range(4):
             await asyncio.sleep(50)
-            p.data_received(get("/below/a"))
-        assert not tr.closed
+            protocol.data_received(get("/below/a"))
+        assert not transport.closed
         await asyncio.sleep(61)
-        assert tr.closed and len(answers(tr.out)) == 4
+        assert transport.closed and len(answers(transport.out)) == 4
 
     talk(go)
 
@@ -411,31 +431,34 @@
     assert [x[0] for x in got] == [200] and closed
 
 
-# Calls
+# Client calls
 
 
 def call(script, us=2_000_000, doc=None, heads=()):
-    """The outcome of a call to a peer that answers with the parts of `script` (None: mute), and what the peer got."""
+    """Calls a peer that answers with the parts of `script` (None: no answer).
+
+    Returns the result and what the peer received.
+    """
 
     async def go():
-        ends, got = [], []
+        writers, received = [], []
 
-        async def peer(r, w):
-            ends.append(w)
-            got.append(await r.readuntil(b"\r\n\r\n"))
+        async def peer(reader, writer):
+            writers.append(writer)
+            received.append(await reader.readuntil(b"\r\n\r\n"))
             for part in script or ():
-                w.write(part)
-                await w.drain()
+                writer.write(part)
+                await writer.drain()
             if script is not None:
-                w.close()
+                writer.close()
 
-        s = await asyncio.start_server(peer, "127.0.0.1", 0)
+        listener = await asyncio.start_server(peer, "127.0.0.1", 0)
         try:
-            a = "127.0.0.1:%d" % s.sockets[0].getsockname()[1]
-            return await light_call(LoopClock(), a, "POST", "/p", doc, heads, us), got
+            address = "127.0.0.1:%d" % listener.sockets[0].getsockname()[1]
+            return await light_call(LoopClock(), address, "POST", "/p", doc, heads, us), received
         finally:
-            for e in [s, *ends]:
-                e.close()
+            for closable in [listener, *writers]:
+                closable.close()
 
     return run_in_virtual_time(go())
 
@@ -479,7 +502,7 @@
     assert type(e.value) is Unreachable
 
 
-def test_a_mute_peer_is_late_and_a_dead_port_unsent():
+def test_a_silent_peer_times_out_and_a_closed_port_is_not_sent():
     with pytest.raises(DeadlineExceeded):
         call(None, us=50_000)
     with socket.socket() as s:
@@ -490,7 +513,7 @@
             )
 
 
-def test_a_call_says_its_document_and_heads_whole():
+def test_a_call_sends_its_document_and_headers():
     got = call(
         [b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"],
         doc={"é": 1},
@@ -505,16 +528,23 @@
     assert f"content-length: {len(json.dumps({'é': 1}))}" in lines
 
 
-def test_a_face_and_a_call_meet():
+def test_the_client_works_with_the_server():
     async def go():
-        c = Called()
-        a = await c.http_server.start()
-        assert await light_call(LoopClock(), a, "POST", "/doc", {"x": [1]}) == (200, {"x": [1]})
-        st_, d = await light_call(LoopClock(), a, "GET", "/busy")
-        assert st_ == 503 and d["fault"] == "not-ready" and isinstance(d["retry_after_us"], int)
-        await c.http_server.close()
+        server = RecordingServer()
+        address = await server.http_server.start()
+        assert await light_call(LoopClock(), address, "POST", "/doc", {"x": [1]}) == (
+            200,
+            {"x": [1]},
+        )
+        status, document = await light_call(LoopClock(), address, "GET", "/busy")
+        assert (
+            status == 503
+            and document["fault"] == "not-ready"
+            and isinstance(document["retry_after_us"], int)
+        )
+        await server.http_server.close()
         with pytest.raises(NotSent):
-            await light_call(LoopClock(), a, "GET", "/busy")
+            await light_call(LoopClock(), address, "GET", "/busy")
 
     run_in_virtual_time(go())
     assert issubclass(NotSent, Fault)
