--- a/src/petrelhaven/control/base_node.py
+++ b/src/petrelhaven/control/base_node.py
@@ -25,7 +25,7 @@
 from petrelhaven.membership.roster import NodeIdentity, Roster
 from petrelhaven.runtime.events import Events, emit
 from petrelhaven.transport.message_kinds import MessageKind
-from petrelhaven.transport.reach import Reach
+from petrelhaven.transport.node_caller import NodeCaller
 
 if TYPE_CHECKING:
     import random
@@ -133,7 +133,7 @@
     def _join_membership(self) -> None:
         identity = NodeIdentity(self.name, "core", self.zone, self.link.addr or "", 0)
         self.roster = Roster(self.clock, identity, self.log, self.suspicion_timeout_us)
-        self.reach = Reach(self.clock, self.link, self.roster, self.rng)
+        self.node_caller = NodeCaller(self.clock, self.link, self.roster, self.rng)
         self.prober = Prober(
             self.clock,
             self.link,
@@ -202,7 +202,7 @@
             MessageKind.CHAIN_READ: self._handle_read,
             MessageKind.CHAIN_IN_FORCE: self.lease_table.report,
             MessageKind.PROXY_CONNECT: self.lease_table.subscribe,
-            MessageKind.NODE_BELIEF: self._handle_reported_state,
+            MessageKind.NODE_REPORTED_STATE: self._handle_reported_state,
         }
 
     def start(self) -> None:
@@ -228,7 +228,7 @@
         if name == self.name:
             answer: dict[str, Any] = await self.link.handlers[kind](None, body)
             return answer
-        return await self.reach.call(name, kind, body, timeout_us)
+        return await self.node_caller.call(name, kind, body, timeout_us)
 
     def update_state(self) -> None:
         """Sets `state` from the current view."""
--- a/src/petrelhaven/proxy/resumable/session_replicas.py
+++ b/src/petrelhaven/proxy/resumable/session_replicas.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from petrelhaven.control.resumable.leases import EXPIRY_US
+from petrelhaven.control.resumable.leases import LEASE_EXPIRY_US
 from petrelhaven.proxy.resumable.session import Session
 from petrelhaven.runtime.errors import Fault, Unreachable
 from petrelhaven.runtime.events import Events, emit
@@ -17,13 +17,13 @@
 class SessionReplicas:
     """Holds copies. A copy is taken over only with the consent of every other living keeper that it names."""
 
-    def __init__(self, clock, tasks, rng, control, reach, homes, keeper, log=None):
-        self.clock, self.tasks, self.rng, self.control, self.reach = (
+    def __init__(self, clock, tasks, rng, control, node_caller, homes, keeper, log=None):
+        self.clock, self.tasks, self.rng, self.control, self.node_caller = (
             clock,
             tasks,
             rng,
             control,
-            reach,
+            node_caller,
         )
         self.homes, self.keeper, self.log = homes, keeper, log
         self.stored = {}
@@ -74,7 +74,7 @@
             }
             self.granted.pop(sid, None)
             if not self.control.lives(b["home"]):
-                self._later(sid, EXPIRY_US)
+                self._later(sid, LEASE_EXPIRY_US)
         return {"ok": True, "epoch": b["epoch"]}
 
     async def take(self, ch, b):
@@ -185,7 +185,7 @@
 
     async def _consent(self, k, sid, c, want, got):
         try:
-            return await self.reach.call(
+            return await self.node_caller.call(
                 k.split("/")[0],
                 MessageKind.SESSION_CEDE,
                 {
@@ -232,7 +232,7 @@
             if not self.control.lives(c["home"]) and (
                 n in quick or self._due.get(sid, 0) < self.clock.now()
             ):
-                self._later(sid, 0 if n in quick else EXPIRY_US)
+                self._later(sid, 0 if n in quick else LEASE_EXPIRY_US)
         self.keeper.check()
 
     def clear(self):
@@ -265,7 +265,7 @@
                 if self.control.lives(c["home"]):
                     by.setdefault(c["home"].split("/")[0], []).append(sid)
                 elif self._due.get(sid, 0) < self.clock.now():
-                    self._later(sid, EXPIRY_US)
+                    self._later(sid, LEASE_EXPIRY_US)
             odd = []
             for n, sids in sorted(by.items()):
                 rows = await self.ask(n, sids[:500])
@@ -276,9 +276,9 @@
     async def ask(self, n, sids, us=800_000):
         """What edge `n` is to these sessions: rows of (session, role, epoch), or None."""
         try:
-            return (await self.reach.call(n, MessageKind.REPLICA_VERSIONS, {"rows": sids}, us))[
-                "rows"
-            ]
+            return (
+                await self.node_caller.call(n, MessageKind.REPLICA_VERSIONS, {"rows": sids}, us)
+            )["rows"]
         except Fault:
             return None
 
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -97,7 +97,7 @@
         self.trace, self.acknowledged, self.fencing_token, self.promoted_names = [], (1, 5), 0, []
         self.rng, self.in_force_delay_s, self.platform_outcomes = random.Random(1), 0.0, []
         self.promotion_delay_s = 0.2
-        self.wire = self.platform = self.reach = self.lease_table = self
+        self.wire = self.platform = self.node_caller = self.lease_table = self
         self.name, self.zone, self.heartbeat_us, self.last_heartbeats = (
             "c1",
             "a",
@@ -557,7 +557,7 @@
 def test_missing_heartbeats_raise_a_suspicion():
     async def go(group):
         group.set_reachability("p", running=False)
-        group.heard["p"] = (group.clock.now(), 1)
+        group.last_heartbeats["p"] = (group.clock.now(), 1)
         await asyncio.sleep(2.3)
         assert group.leadership["phase"] == "serve"
         await group.wait_until(lambda: group.promoted_names and group.settled, 3)
