--- a/tests/test_connection_sessions_storm.py
+++ b/tests/test_connection_sessions_storm.py
@@ -284,10 +284,10 @@
 
 
 def nothing_synced(mp):
-    real = node_store.ControlNodeStore._keep
+    real = node_store.ControlNodeStore._write_entry
     mp.setattr(
         node_store.ControlNodeStore,
-        "_keep",
+        "_write_entry",
         lambda self, entry: None if isinstance(entry, ChainRecord) else real(self, entry),
     )
 
--- a/tests/test_embargo_world.py
+++ b/tests/test_embargo_world.py
@@ -256,7 +256,9 @@
 
 
 def prepared_statements_not_checked(monkeypatch):
-    monkeypatch.setattr(Statement, "things", property(lambda self: {self.text.partition(" ")[2]}))
+    monkeypatch.setattr(
+        Statement, "record_keys", property(lambda self: {self.text.partition(" ")[2]})
+    )
 
 
 def transactions_not_checked(monkeypatch):
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -35,7 +35,6 @@
 NOT_YET = frozenset(
     {
         "platform/client_connection.py",
-        "platform/configuration_documents.py",
         "platform/member_connections.py",
         "platform/statements.py",
         "src/petrelhaven/emulator/member.py",
