--- a/src/petrelhaven/proxy/node.py
+++ b/src/petrelhaven/proxy/node.py
@@ -181,7 +181,7 @@
         try:
             await self.clock.wait_for(asyncio.shield(self._configured), limit_us)
         except DeadlineExceeded:
-            raise Busy("this proxy has no configuration yet") from None
+            raise Busy("this edge knows no manifest yet") from None
 
     def _apply_changes(self, records: list[dict[str, Any]], is_snapshot: bool) -> None:
         """Handles a change of the control state: new `records`, or a snapshot if `is_snapshot`."""
@@ -251,7 +251,7 @@
         route = self.routes.get(host)
         group = self.groups.get(route.group) if route is not None else None
         if route is None or group is None:
-            raise NoRoute(f"unknown database {host[:60]}")
+            raise NoRoute(f"no database {host[:60]}")
         return route, group
 
     def open(self, host: str, client: str = "") -> ClientSession:
@@ -318,7 +318,7 @@
         if route is None or group is None:
             return Reply(
                 code="unknown",
-                text="the database is no longer configured",
+                text="no such database any more",
                 state=session.wire_state,
             )
         tenant = self.tenants.identify(session.key_digest, route.public)
@@ -330,7 +330,7 @@
         if tenant is None:
             return self._deny(request)
         if self._is_bound_to_another_tenant(session, tenant):
-            text = "the key now belongs to another tenant"
+            text = "another tenant has this key now"
             return self._path.transactions.abort_transaction(request, text)
         if tenant is not ANONYMOUS_TENANT and not self._keys_are_current():
             return self._path.transactions.refuse_statement(request, self.retry_after())
@@ -360,7 +360,7 @@
     def _deny(self, request: Request) -> Reply:
         """Returns the reply to a statement whose key has been revoked."""
         self.count["denied"] += 1
-        text = "no tenant has this key any longer"
+        text = "no tenant has this key any more"
         if request.session.transaction is not None:
             return self._path.transactions.abort_transaction(request, text, "withheld")
         return Reply(code="withheld", text=text, state=request.session.wire_state)
@@ -388,7 +388,7 @@
             delay_us: int = fault.retry_after_us  # type: ignore[assignment]  # never None in Busy
             code, text = "busy", self.retry_after(delay_us)
         except DeadlineExceeded:
-            code, text = "timeout", "the statement timed out"
+            code, text = "timeout", "the statement ran out of time"
         if in_transaction:
             session.fail_transaction()
         return Reply(code=code, text=text, state=session.wire_state)
@@ -422,7 +422,7 @@
     def timeout_reply(self, sent_to_member: bool = False) -> Reply:
         """Returns the reply to a statement that timed out, whether or not a member received it."""
         if sent_to_member:
-            return Reply(code="timeout", text="the member did not answer in time")
+            return Reply(code="timeout", text="no answer in time")
         return Reply(code="busy", text=self.retry_after())
 
     def status(self) -> dict[str, Any]:
--- a/src/petrelhaven/proxy/pool/connection_pool.py
+++ b/src/petrelhaven/proxy/pool/connection_pool.py
@@ -108,7 +108,7 @@
         if self.total < limit:
             self._start_opening(session.tenant, waiter)
         elif self._count_waiters(session.tenant) >= _MAX_WAITERS_PER_CONNECTION * self.max_size:
-            waiter.set_exception(Busy("too many sessions wait for a connection"))
+            waiter.set_exception(Busy("too many wait for a connection"))
         else:
             self._waiters.append(session.tenant, waiter)
         return waiter
--- a/src/petrelhaven/proxy/routing/group.py
+++ b/src/petrelhaven/proxy/routing/group.py
@@ -318,7 +318,7 @@
         """Requests the primary's position; if it does not answer, derives one from the others."""
         primary = self.members.get(leadership_key[1])
         if self.leadership_key != leadership_key:
-            raise Unreachable("the leadership has changed")
+            raise Unreachable("no primary to ask")
         if primary is None or self.proofs.is_unresponsive(primary):
             return await self.proofs.position_from_others(leadership_key[1])
         try:
@@ -327,7 +327,7 @@
             return await self.proofs.position_from_others(leadership_key[1])
         if row["role"] != "primary":
             self._proxy.core_connection.suspect(self.name, primary.name, NOT_PRIMARY)
-            raise Unreachable("the member is not the primary")
+            raise Unreachable("not the primary")
         position: Position = row["pos"]
         return position
 
--- a/src/petrelhaven/proxy/routing/member_calls.py
+++ b/src/petrelhaven/proxy/routing/member_calls.py
@@ -73,7 +73,7 @@
             alias, _ = await self._set_up(connection, request.session, request.statement)
             if attempt.fetch is not None and request.group.leased_primary is not member:
                 reusable = True
-                raise NotSent("no lease for the primary")
+                raise NotSent("lease")
             attempt.sent = True
             self._record_start(attempt)
             self._count_run(request)
@@ -117,7 +117,7 @@
                 member, request.session, min(limit_us, _MAX_CONNECTION_WAIT_US)
             )
             if attempt.fetch is not None and request.group.leased_primary is not member:
-                raise NotSent("no lease for the primary")
+                raise NotSent("lease")
             self._record_start(attempt)
             self._count_run(request)
             mode = "reads" if transaction.read_only else "writes"
@@ -200,7 +200,7 @@
         ]
         if any(not reply.ok for reply in replies[: len(setup)]):
             connection.needs_reset = True
-            raise MemberDeclined("session set-up failed")
+            raise MemberDeclined("outfit")
         return alias, replies[len(setup) :]
 
     @staticmethod
--- a/src/petrelhaven/proxy/routing/member_proofs.py
+++ b/src/petrelhaven/proxy/routing/member_proofs.py
@@ -111,7 +111,7 @@
         await self._wait_for_silence(self._group.members.get(primary))
         others = [member for name, member in self._group.members.items() if name != primary]
         if not self._are_sufficient(others):
-            raise Unreachable("too few other members are known")
+            raise Unreachable("no primary to ask")
         answers = await asyncio.gather(
             *[self._group.status(member) for member in others], return_exceptions=True
         )
@@ -125,7 +125,7 @@
             member.note_log(position)
         highest = max(positions)
         if highest < self._group.lower_bound:
-            raise Unreachable("a departed member had a later position")
+            raise Unreachable("a member that left had more")
         self._proxy.count["fetched_others"] += 1
         return highest
 
