--- a/tests/test_view_register.py
+++ b/tests/test_view_register.py
@@ -27,7 +27,7 @@
 
     @property
     def members(self):
-        return {name: store.disk for name, store in self.stores.items()}
+        return {name: store.disk_id for name, store in self.stores.items()}
 
     def caller(self, lossy=True):
         async def call(name, kind, body, timeout_us):
