--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -136,7 +136,7 @@
         try:
             c.announce(doc)
         except Malformed as f:
-            assert c.duty.heard == {} and any(k in f.note for k in bad), (bad, f.note)
+            assert c.duty.last_announcements == {} and any(k in f.note for k in bad), (bad, f.note)
         else:
             json.dumps(c.status())
         await asyncio.sleep(1)
